--- a/burlmoor/net/front.py
+++ b/burlmoor/net/front.py
@@ -12,15 +12,15 @@
 from burlmoor import messages as m
 from burlmoor.net import callbacks
 from burlmoor.net.listener import (
-    CallBack,
-    JobAsked,
-    ListenerConnection,
+    HttpServerConnection,
+    InvalidRequest,
+    JobCallback,
+    JobSubmission,
     ReadConditions,
-    ReadyAsked,
-    Rejected,
+    ReadinessCheck,
 )
-from burlmoor.net.serving import Service, Serving
-from burlmoor.net.stream import Stream, accept
+from burlmoor.net.serving import DrainController, ServiceState
+from burlmoor.net.stream import SocketStream, accept
 
 _RING_IN, _RING_OUT = 16 * 1024, 128 * 1024
 # Seconds that a request may take to come in, the first one counted from the accept. True clients take up to
@@ -38,13 +38,15 @@
 _BACK_IN = "0.5"  # seconds after which a client that found no room may come again
 
 
-class Link:
+class DownstreamConnection:
     """Owns one accepted connection: its stream, its HTTP state and the job that waits on it."""
 
-    def __init__(self, front: Front, sock: socket.socket, used: bool = False, age: float = 0.0) -> None:
+    def __init__(
+        self, front: DownstreamServer, sock: socket.socket, used: bool = False, age: float = 0.0
+    ) -> None:
         self._front = front
-        self._stream = Stream(sock, _RING_IN, _RING_OUT)
-        self._http = ListenerConnection(front.classes, front.read_conditions, front.keyed)
+        self._stream = SocketStream(sock, _RING_IN, _RING_OUT)
+        self._http = HttpServerConnection(front.classes, front.read_conditions, front.keyed)
         self._job: c.Job | None = None
         self._scope = trio.CancelScope()
         self._advancing = False
@@ -108,8 +110,8 @@
         """Close the connection now; a client that waits on it has no answer to come."""
         self._stream.close()
         if self._job is not None:
-            self._front.waiting -= 1
-            self._front.core.gone(self._job)
+            self._front.waiting_clients -= 1
+            self._front.engine.on_client_disconnected(self._job)
 
     def first_look(self) -> bool:
         """Take in what has come with the connection; True if that was all it was for.
@@ -145,13 +147,13 @@
             pass  # the peer is gone
         except Exception as error:
             # Guards against one connection's fault ending the node.
-            self._front.say("connection-failed", error=repr(error))
+            self._front.log("connection-failed", error=repr(error))
         finally:
             self.drop()
 
     async def _read(self) -> None:
         while not self._finished:
-            if not self._stream.inbound.room:
+            if not self._stream.inbound.free_space:
                 # Guards against jobs run for clients that have left: a close comes behind what was written.
                 # Who writes on like this before its answer does not ask one thing at a time, so the rest is
                 # not looked at, and the answer, which ends this, closes the connection.
@@ -192,87 +194,87 @@
                 self._take(asked)
         finally:
             self._advancing = False
-        self.pass_on()
+        self.hand_over()
 
-    def pass_on(self) -> None:
+    def hand_over(self) -> None:
         """Give the connection to the process that has taken over, if it lies between requests."""
-        give = self._front.pass_on
+        give = self._front.pass_connection
         if give is None or not self.idle or self._finished:
             return
         sock = self._stream.detach()
         if sock is not None:
-            self._front.links.discard(self)
+            self._front.connections.discard(self)
             give(sock, self.used, trio.current_time() - self._accepted)
 
-    def _take(self, asked: JobAsked | CallBack | ReadyAsked | Rejected) -> None:
+    def _take(self, asked: JobSubmission | JobCallback | ReadinessCheck | InvalidRequest) -> None:
         self.used = True
         match asked:
-            case JobAsked():
-                if not self._front.room():
+            case JobSubmission():
+                if not self._front.has_capacity():
                     # Its place is what is short: it goes to those that come behind, call-backs among them.
                     self._http.closing = True
-                    self._respond(503, b"", [("Retry-After", _BACK_IN)])
+                    self._write_response(503, b"", [("Retry-After", _BACK_IN)])
                     return
-                core = self._front.core
-                self._job = core.take(self, asked.request_id, asked.request, asked.payload, asked.conditions)
+                core = self._front.engine
+                self._job = core.admit(self, asked.request_id, asked.request, asked.payload, asked.conditions)
                 if self._job is None:
                     self._http.closing = True
-                    self._respond(400, b"Request-Id is in use\n")
+                    self._write_response(400, b"Request-Id is in use\n")
                 else:
-                    self._front.waiting += 1
-                    if self._front.opened is not None:
-                        self._front.opened(asked.request_id)
-            case CallBack():
-                found = callbacks.take(self._front.core, asked.body)
-                if found is callbacks.Found.UNKNOWN and self._front.call_back_elsewhere is not None:
+                    self._front.waiting_clients += 1
+                    if self._front.on_job_opened is not None:
+                        self._front.on_job_opened(asked.request_id)
+            case JobCallback():
+                found = callbacks.handle_callback(self._front.engine, asked.body)
+                if found is callbacks.CallbackResult.UNKNOWN and self._front.forward_callback is not None:
                     self._front.nursery.start_soon(self._call_back_elsewhere, asked.body)
                     return
-                self._http.closing = self._http.closing or found is callbacks.Found.BAD
-                bad = found is callbacks.Found.BAD
-                self._respond(*((400, b"not a job event\n") if bad else (204, b"")))
-            case ReadyAsked():
+                self._http.closing = self._http.closing or found is callbacks.CallbackResult.INVALID
+                bad = found is callbacks.CallbackResult.INVALID
+                self._write_response(*((400, b"not a job event\n") if bad else (204, b"")))
+            case ReadinessCheck():
                 # Guards against a crowd that asks once and stays: a check needs no connection that lasts.
                 self._http.closing = True
-                ready = self._front.ready
-                self._respond(*((200, b"ready\n") if ready else (503, b"taking no clients\n")))
-            case Rejected():
-                self._front.say("rejected", status=asked.status, reason=asked.reason)
-                self._respond(asked.status, asked.reason.encode() + b"\n")
+                ready = self._front.is_ready
+                self._write_response(*((200, b"ready\n") if ready else (503, b"taking no clients\n")))
+            case InvalidRequest():
+                self._front.log("request-rejected", status=asked.status, reason=asked.reason)
+                self._write_response(asked.status, asked.reason.encode() + b"\n")
 
     async def _call_back_elsewhere(self, body: bytes) -> None:
         """Answer a call-back once the process that knows its job has taken it.
 
         Guards against the loss of a result: the executor does not repeat what was answered.
         """
-        elsewhere = self._front.call_back_elsewhere
+        elsewhere = self._front.forward_callback
         try:
             taken = elsewhere is not None and await elsewhere(body)
             self._http.closing = self._http.closing or not taken
-            self._respond(204 if taken else 503, b"")
+            self._write_response(204 if taken else 503, b"")
             self.advance()
         except Exception as error:
             # Guards against one call's fault ending the node.
-            self._front.say("connection-failed", error=repr(error))
+            self._front.log("connection-failed", error=repr(error))
             self.end()
 
-    def answer(self, answer: c.Answer) -> None:
+    def respond(self, answer: c.FinalAnswer) -> None:
         """The job's one final answer."""
         self._job = None
-        self._front.waiting -= 1
+        self._front.waiting_clients -= 1
         match answer:
             case c.Served(result):
-                self._respond(200, result)
-            case c.FixedResponse(retry_after):
+                self._write_response(200, result)
+            case c.Rejected(retry_after):
                 advice = [("Retry-After", f"{retry_after / 1000.0:.3f}")] if retry_after > 0.0 else []
-                self._respond(503, b"", advice)
+                self._write_response(503, b"", advice)
             case c.Failed():
-                self._respond(502, b"the job failed and may have run\n")
-            case c.Unmet(reason):
-                self._respond(424, reason.encode() + b"\n")
+                self._write_response(502, b"the job failed and may have run\n")
+            case c.DependencyFailed(reason):
+                self._write_response(424, reason.encode() + b"\n")
         self.advance()
 
-    def _respond(self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None) -> None:
-        if self._front.service.state >= Serving.CLOSING:
+    def _write_response(self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None) -> None:
+        if self._front.drain.state >= ServiceState.CLOSING:
             self._http.closing = True
         self.since = trio.current_time()
         self._send(self._http.answer(status, body, headers or ()))
@@ -297,36 +299,40 @@
             self._scope.cancel()
         except Exception as error:
             # Guards against one connection's fault ending the node.
-            self._front.say("connection-failed", error=repr(error))
+            self._front.log("connection-failed", error=repr(error))
             self._scope.cancel()
 
 
-class Front:
+class DownstreamServer:
     """Owns the listening socket and every accepted connection, at most `size` of them."""
 
     def __init__(
         self,
-        core: c.Core,
+        engine: c.Engine,
         classes: list[str],
         sock: socket.socket,
         size: int,
-        service: Service,
+        drain: DrainController,
         nursery: trio.Nursery,
-        say: c.Say,
+        log: c.EventLogger,
     ) -> None:
-        self.core, self.classes, self.nursery, self.say = core, classes, nursery, say
-        self.keyed = [each.name for each in core.settings.classes if each.effect is m.Effect.KEYED]
-        self.size, self.service = size, service
-        self.links: set[Link] = set()
+        self.engine, self.classes, self.nursery, self.log = engine, classes, nursery, log
+        self.keyed = [
+            each.name
+            for each in engine.settings.classes
+            if each.idempotency is m.Idempotency.IDEMPOTENT_WITH_KEY
+        ]
+        self.max_connections, self.drain = size, drain
+        self.connections: set[DownstreamConnection] = set()
         # Set while another process of this node shares its work: where a connection that lies between
         # requests goes, who is told of a job that was taken, and who may know an unknown call-back's job.
-        self.pass_on: Callable[[socket.socket, bool, float], None] | None = None
-        self.opened: Callable[[str], None] | None = None
-        self.call_back_elsewhere: Callable[[bytes], Awaitable[bool]] | None = None
-        self.conditions: ReadConditions | None = None  # set while jobs may wait
-        self.shut_waiting: Callable[[bool], None] | None = None  # told whether clients are sent away
+        self.pass_connection: Callable[[socket.socket, bool, float], None] | None = None
+        self.on_job_opened: Callable[[str], None] | None = None
+        self.forward_callback: Callable[[bytes], Awaitable[bool]] | None = None
+        self.parse_conditions: ReadConditions | None = None  # set while jobs may wait
+        self.on_draining: Callable[[bool], None] | None = None  # told whether clients are sent away
         self._ended = trio.Event()
-        self.waiting = 0  # clients that wait for an answer
+        self.waiting_clients = 0  # clients that wait for an answer
         self._sock = sock
 
     @property
@@ -339,7 +345,7 @@
         """Accept until cancelled."""
         while True:
             await trio.lowlevel.wait_readable(self._sock)
-            if len(self.links) >= self.size and not self._spare():
+            if len(self.connections) >= self.max_connections and not self._spare():
                 # Guards the limit on sockets: the rest waits in the backlog until a connection ends.
                 self._ended = trio.Event()
                 with trio.move_on_after(0.05):
@@ -350,13 +356,13 @@
                 self.adopt(sock)
 
     def _ran_out(self, error: OSError) -> None:
-        self.say("out-of-sockets", error=str(error))
+        self.log("descriptors-exhausted", error=str(error))
         self._spare()
 
     def adopt(self, sock: socket.socket, used: bool = False, age: float = 0.0) -> None:
         """Serve a connection that was accepted here, or by the process before this one."""
         try:
-            link = Link(self, sock, used, age)
+            link = DownstreamConnection(self, sock, used, age)
         except OSError:
             sock.close()
             return
@@ -365,97 +371,99 @@
                 return
         except Exception as error:
             # Guards against one connection's fault ending the task that accepts all others.
-            self.say("connection-failed", error=repr(error))
+            self.log("connection-failed", error=repr(error))
             link.drop()
             return
-        self.links.add(link)
+        self.connections.add(link)
         self.nursery.start_soon(self._run, link)
 
-    async def _run(self, link: Link) -> None:
+    async def _run(self, link: DownstreamConnection) -> None:
         try:
             await link.run()
         finally:
-            self.links.discard(link)
+            self.connections.discard(link)
             self._ended.set()
 
     def read_conditions(
         self, headers: Sequence[tuple[bytes, bytes]], request_id: str, size: int
-    ) -> c.Conditions | None:
+    ) -> c.RunConditions | None:
         """What a request's headers ask its job to wait for; nothing where jobs may not wait."""
-        return None if self.conditions is None else self.conditions(headers, request_id, size)
+        return None if self.parse_conditions is None else self.parse_conditions(headers, request_id, size)
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more job may be taken.
 
         Guards against clients that wait taking every connection: without room for the call-backs that
         answer them, all would wait until their deadlines.
         """
-        taking = self.service.state < Serving.REFUSING
-        return taking and self.waiting < self.size - max(4, self.size // _KEPT_FOR_CALLBACKS)
+        taking = self.drain.state < ServiceState.REJECTING
+        return taking and self.waiting_clients < self.max_connections - max(
+            4, self.max_connections // _KEPT_FOR_CALLBACKS
+        )
 
     def _spare(self) -> bool:
         """End a connection to make room: silent ones go first, then idle, then stalled, the longest so."""
         now = trio.current_time()
-        standing = [(spare, link) for link in self.links if (spare := link.spare(now)) is not None]
+        standing = [(spare, link) for link in self.connections if (spare := link.spare(now)) is not None]
         if not standing:
             return False
         longest = min(standing, key=lambda each: each[0])[1]
         longest.end()
-        self.links.discard(longest)
+        self.connections.discard(longest)
         return True
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent(self) -> bool:
         """Whether part of an answer still waits to be written on some connection."""
-        return any(link.unsent for link in self.links)
+        return any(link.unsent for link in self.connections)
 
     async def sweep(self) -> None:
         """End what says nothing, or does not go on with what it began, in time for its peer to notice."""
         while True:
             await trio.sleep(_SWEEP)
             now = trio.current_time()
-            closing = self.service.state >= Serving.CLOSING
-            if self.shut_waiting is not None:
-                self.shut_waiting(closing)
+            closing = self.drain.state >= ServiceState.CLOSING
+            if self.on_draining is not None:
+                self.on_draining(closing)
             if closing:
-                self.end_idle()
-            for link in [link for link in self.links if now > link.since + link.limit]:
+                self.close_idle()
+            for link in [link for link in self.connections if now > link.since + link.limit]:
                 link.end()
             # Guards against clients that open a connection for each request and leave the last one lying: the
             # places that they may hold here run out, and their next requests with them.
             idle = sorted(
-                (link for link in self.links if link.used and link.idle), key=lambda link: link.since
+                (link for link in self.connections if link.used and link.idle), key=lambda link: link.since
             )
-            for link in idle[: max(0, len(idle) + self.waiting - int(self.size * _KEPT))]:
+            for link in idle[: max(0, len(idle) + self.waiting_clients - int(self.max_connections * _KEPT))]:
                 if now > link.since + _SPARE_IDLE:
                     link.end()
 
     @property
-    def begun(self) -> bool:
+    def has_partial_requests(self) -> bool:
         """Whether part of a request has come on some connection."""
-        return any(link.begun for link in self.links)
+        return any(link.begun for link in self.connections)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """What those who send clients are told.
 
         Guards against a no while another process of this node takes them: it would be left for seconds.
         """
-        if self.pass_on is not None:
-            return not self.service.drained
-        return self.service.state is Serving.OPEN
+        if self.pass_connection is not None:
+            return not self.drain.is_drained
+        return self.drain.state is ServiceState.ACCEPTING
 
-    def pass_idle(self) -> None:
+    def hand_over_idle(self) -> None:
         """Give every connection that lies between requests to the process that has taken over."""
-        for link in list(self.links):
-            link.pass_on()
+        for link in list(self.connections):
+            link.hand_over()
 
-    def end_idle(self) -> None:
+    def close_idle(self) -> None:
         """End every connection that lies idle after use.
 
         Guards against the loss of a call-back whose connection has come, but not yet its first byte.
         """
-        for link in [link for link in self.links if link.used and link.idle]:
+        for link in [link for link in self.connections if link.used and link.idle]:
             link.end()
 
     def close(self) -> None:
--- a/burlmoor/net/listener.py
+++ b/burlmoor/net/listener.py
@@ -12,7 +12,7 @@
 import h11
 
 from burlmoor import messages as m
-from burlmoor.core import BadCondition, Conditions
+from burlmoor.core import InvalidConditionError, RunConditions
 
 BODY_LIMIT = 64 * 1024
 READY_PATH = "/health/ready"
@@ -43,45 +43,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobAsked:
+class JobSubmission:
     """A client submits a job."""
 
     request_id: str
-    request: m.Request
+    request: m.JobRequest
     payload: Payload
-    conditions: Conditions | None = None
+    conditions: RunConditions | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class CallBack:
+class JobCallback:
     """An executor tells of a forward."""
 
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class ReadyAsked:
+class ReadinessCheck:
     """The front asks whether this node takes jobs."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rejected:
+class InvalidRequest:
     """Not a request that can be taken; `status` says why."""
 
     status: int
     reason: str
 
 
-Asked = JobAsked | CallBack | ReadyAsked | Rejected
+ParsedRequest = JobSubmission | JobCallback | ReadinessCheck | InvalidRequest
 # What a request's headers ask its job to wait for, given its id and the bytes of its body.
-ReadConditions = Callable[[Sequence[tuple[bytes, bytes]], str, int], Conditions | None]
+ReadConditions = Callable[[Sequence[tuple[bytes, bytes]], str, int], RunConditions | None]
 
 
 class _BadHeader(Exception):
     pass
 
 
-class ListenerConnection:
+class HttpServerConnection:
     """Owns the HTTP state of one accepted connection. One request at a time; the rest waits unread."""
 
     def __init__(
@@ -113,7 +113,7 @@
         """Whether the connection lies between requests with nothing begun."""
         return not self._asked and self._head is None and not self._http.trailing_data[0]
 
-    def receive(self, data: bytes) -> Asked | None:
+    def receive(self, data: bytes) -> ParsedRequest | None:
         """Take in bytes; what they ask for, once that is whole. Not to be called while busy."""
         try:
             if data:
@@ -122,7 +122,7 @@
         except h11.RemoteProtocolError as error:
             return self._reject(error.error_status_hint, str(error))
 
-    def _next(self) -> Asked | None:
+    def _next(self) -> ParsedRequest | None:
         while True:
             event = self._http.next_event()
             if isinstance(event, h11.Request):
@@ -140,7 +140,7 @@
                     return self._reject(413, "the body is over 64 KiB")
             elif isinstance(event, h11.EndOfMessage):
                 asked = self._route()
-                if isinstance(asked, Rejected):
+                if isinstance(asked, InvalidRequest):
                     return self._reject(asked.status, asked.reason)
                 self._note_method()
                 self._head, self._body = None, bytearray()
@@ -158,34 +158,34 @@
     def _note_method(self) -> None:
         self._bodyless = self._head is not None and self._head.method == b"HEAD"
 
-    def _reject(self, status: int, reason: str) -> Rejected:
+    def _reject(self, status: int, reason: str) -> InvalidRequest:
         self._asked = True
         self._note_method()
         # Guards against clients that stay, or send the same again at once: each costs them a connection.
         self.closing = True
         # h11 quotes what it could not read, up to 16 KiB of it: that is for neither the log nor the answer.
-        return Rejected(status, reason[:_REASON])
+        return InvalidRequest(status, reason[:_REASON])
 
-    def _route(self) -> Asked:
+    def _route(self) -> ParsedRequest:
         head = self._head
         assert head is not None
         method = head.method
         path = head.target.split(b"?", 1)[0].decode("ascii", "replace")
         if path == READY_PATH:
-            return ReadyAsked() if method == b"GET" else Rejected(405, "GET only")
+            return ReadinessCheck() if method == b"GET" else InvalidRequest(405, "GET only")
         if path == CALLBACK_PATH:
-            return CallBack(bytes(self._body)) if method == b"POST" else Rejected(405, "POST only")
+            return JobCallback(bytes(self._body)) if method == b"POST" else InvalidRequest(405, "POST only")
         parts = path.split("/")
         if len(parts) < 2 or parts[0] or parts[1] not in self._classes:
-            return Rejected(404, "no such class")
+            return InvalidRequest(404, "no such class")
         if method != b"POST":
-            return Rejected(405, "POST only")
+            return InvalidRequest(405, "POST only")
         try:
             return self._job(head, parts)
-        except (_BadHeader, BadCondition) as error:
-            return Rejected(400, str(error))
+        except (_BadHeader, InvalidConditionError) as error:
+            return InvalidRequest(400, str(error))
 
-    def _job(self, head: h11.Request, parts: list[str]) -> JobAsked:
+    def _job(self, head: h11.Request, parts: list[str]) -> JobSubmission:
         given: dict[bytes, str] = {}
         for name, value in head.headers:
             if name in _SINGLE and name in given:
@@ -207,21 +207,21 @@
             raise _BadHeader("Idempotency-Key is missing")
         if key is not None and not _IDEMPOTENCY_KEY.fullmatch(key):
             raise _BadHeader("Idempotency-Key is empty, too long or not printable")
-        request = m.Request(
+        request = m.JobRequest(
             id=0,
             job_class=parts[1],
-            patience=float(patience),
-            work=max(0, _whole(given, b"work-hint")) / 1000.0,
+            timeout_ms=float(patience),
+            work_ms=max(0, _whole(given, b"work-hint")) / 1000.0,
             slots=extras.get("slots", 1.0),
             memory=extras.get("memory", 0.0),
             tenant=given.get(b"tenant", ""),
-            key=parts[-1] if len(parts) > 2 else "",
-            retry=given.get(b"client-retry", "") == "1",
+            affinity_key=parts[-1] if len(parts) > 2 else "",
+            is_client_retry=given.get(b"client-retry", "") == "1",
         )
         payload = Payload(head.method, head.target, bytes(self._body), key or "")
         read = self._conditions
         conditions = read(head.headers, request_id, len(payload.body)) if read is not None else None
-        return JobAsked(request_id, request, payload, conditions)
+        return JobSubmission(request_id, request, payload, conditions)
 
     def answer(self, status: int, body: bytes = b"", headers: Iterable[tuple[str, str]] = ()) -> bytes:
         """The bytes of the answer to what was asked; afterwards the next request may come."""
--- a/burlmoor/net/peer.py
+++ b/burlmoor/net/peer.py
@@ -12,10 +12,10 @@
 import msgspec
 import trio
 
-from burlmoor.core import Say
-from burlmoor.learnt import Learnt
-from burlmoor.net.target_group import HostList
-from burlmoor.operators import ByHandSet
+from burlmoor.core import EventLogger
+from burlmoor.learnt import StatisticsSnapshot
+from burlmoor.net.target_group import DiscoveredList
+from burlmoor.operators import Overrides
 
 VERSION = 2
 _MESSAGE_LIMIT = 160 * 1024  # bytes of one datagram; the kernel takes little more
@@ -26,41 +26,41 @@
 _PATH_LIMIT = 100  # bytes that the kernel takes of a Unix socket's path
 
 
-class Hello(msgspec.Struct, tag=True):
+class Hello(msgspec.Struct, tag="Hello"):
     """New to old: I would take over."""
 
     version: int = VERSION
 
 
-class Snapshot(msgspec.Struct, tag=True):
+class Snapshot(msgspec.Struct, tag="Snapshot"):
     """Old to new: how things stand."""
 
-    by_hand: ByHandSet
-    hosts: HostList | None
-    learnt: Learnt
-    ids: list[str]
-    clients: int
-    targets: int
+    overrides: Overrides = msgspec.field(name="by_hand")
+    endpoints: DiscoveredList | None = msgspec.field(name="hosts")
+    statistics: StatisticsSnapshot = msgspec.field(name="learnt")
+    job_ids: list[str] = msgspec.field(name="ids")
+    downstream: int = msgspec.field(name="clients")
+    upstream: int = msgspec.field(name="targets")
 
 
-class Accepting(msgspec.Struct, tag=True):
+class Accepting(msgspec.Struct, tag="Accepting"):
     """New to old: I accept from now on."""
 
 
-class Holds(msgspec.Struct, tag=True):
+class ConnectionCounts(msgspec.Struct, tag="Holds"):
     """Old to new: I accept no more, and still hold so many connections."""
 
-    clients: int
-    targets: int
+    downstream: int = msgspec.field(name="clients")
+    upstream: int = msgspec.field(name="targets")
 
 
-class Opened(msgspec.Struct, tag=True):
+class JobOpened(msgspec.Struct, tag="Opened"):
     """Old to new: I have taken a job that was half read when you began."""
 
     id: str
 
 
-class Obey(msgspec.Struct, tag=True):
+class ApplyOverride(msgspec.Struct, tag="Obey"):
     """Either way: an operator's call that has been carried out here."""
 
     number: int
@@ -68,58 +68,71 @@
     name: str
 
 
-class CalledBack(msgspec.Struct, tag=True):
+class ForwardedCallback(msgspec.Struct, tag="CalledBack"):
     """Either way: a call-back for a job that is not known here."""
 
     number: int
     body: bytes
 
 
-class Taken(msgspec.Struct, tag=True):
+class Acknowledged(msgspec.Struct, tag="Taken"):
     """Either way: `Obey` or `CalledBack` has been carried out here."""
 
     number: int
 
 
-class Client(msgspec.Struct, tag=True):
+class PassedConnection(msgspec.Struct, tag="Client"):
     """Old to new, with its descriptor: a client's connection that lies between requests."""
 
-    used: bool
-    age: float  # seconds since the accept
+    has_been_used: bool = msgspec.field(name="used")
+    age_seconds: float = msgspec.field(name="age")  # seconds since the accept
 
 
-class Part(msgspec.Struct, tag=True):
+class Fragment(msgspec.Struct, tag="Part"):
     """Either way: a piece of a message that does not fit into one datagram; the last one says so."""
 
     data: bytes
-    last: bool
-
-
-Message = Hello | Snapshot | Accepting | Holds | Opened | Obey | CalledBack | Taken | Client | Part
+    is_last: bool = msgspec.field(name="last")
+
+
+Message = (
+    Hello
+    | Snapshot
+    | Accepting
+    | ConnectionCounts
+    | JobOpened
+    | ApplyOverride
+    | ForwardedCallback
+    | Acknowledged
+    | PassedConnection
+    | Fragment
+)
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Message)
 
 
-class Side(Protocol):
+class HandoverObserver(Protocol):
     """Who deals with what a peer says."""
 
-    def told(self, peer: Peer, message: Message, sock: socket.socket | None) -> None:
+    def on_message(self, peer: HandoverChannel, message: Message, sock: socket.socket | None) -> None:
         """A message has come, perhaps with a connection."""
 
-    def lost(self, peer: Peer) -> None:
+    def on_peer_lost(self, peer: HandoverChannel) -> None:
         """The peer is gone: whatever it was, this process goes on alone."""
 
 
-class Peer:
+class HandoverChannel:
     """Owns the socket to the other process, what waits to go out on it and the questions under way.
 
     One datagram carries one message, so a peer that dies at any point leaves no half of one.
     """
 
-    def __init__(self, sock: socket.socket, side: Side, nursery: trio.Nursery, say: Say) -> None:
+    def __init__(
+        self, sock: socket.socket, side: HandoverObserver, nursery: trio.Nursery, log: EventLogger
+    ) -> None:
         sock.setblocking(False)
         self._sock: socket.socket | None = sock
-        self._side, self._nursery, self._say = side, nursery, say
+        self._side, self._nursery, self._log = side, nursery, log
         self._queue: deque[tuple[bytes, socket.socket | None]] = deque()
         self._flushing = False
         self._numbers = 0
@@ -127,14 +140,14 @@
         self._parts = bytearray()  # of a message that is not whole yet
 
     @property
-    def alive(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the other process is there, as far as is known."""
         return self._sock is not None
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent(self) -> bool:
         """Whether something still waits to go out."""
-        return self.alive and bool(self._queue)
+        return self.is_connected and bool(self._queue)
 
     def post(self, message: Message, sock: socket.socket | None = None) -> bool:
         """Send a message, with a connection that becomes the peer's; False where it can't go."""
@@ -148,15 +161,15 @@
         else:
             # Only what carries no connection is ever so long. Its parts follow each other in the queue.
             for at in range(0, len(data), _PART):
-                part = Part(data[at : at + _PART], at + _PART >= len(data))
+                part = Fragment(data[at : at + _PART], at + _PART >= len(data))
                 self._queue.append((_ENCODER.encode(part), None))
         if not self._flushing:
             self._flush()
         return True
 
-    async def ask(self, make: Callable[[int], Message], within: float) -> bool:
+    async def request(self, make: Callable[[int], Message], within: float) -> bool:
         """Send a question; whether it was dealt with in time. A peer that is gone has nothing to do."""
-        if not self.alive:
+        if not self.is_connected:
             return True
         if len(self._pending) >= _PENDING_LIMIT:
             return False
@@ -165,7 +178,7 @@
         self._pending[number] = answered
         try:
             if not self.post(make(number)):
-                return not self.alive
+                return not self.is_connected
             with trio.move_on_after(within) as scope:
                 await answered.wait()
             return not scope.cancelled_caught
@@ -217,7 +230,7 @@
             pass
         except Exception as error:
             # Guards against a peer of another build, or a fault here, ending the node: it goes on alone.
-            self._say("peer-failed", error=repr(error))
+            self._log("handover-failed", error=repr(error))
         finally:
             self.close()
 
@@ -233,23 +246,23 @@
             if not data or how & socket.MSG_TRUNC:
                 return False
             message = _DECODER.decode(data)
-            if isinstance(message, Part):
+            if isinstance(message, Fragment):
                 self._parts += message.data
                 if len(self._parts) > _WHOLE_LIMIT:
                     return False
-                if not message.last:
+                if not message.is_last:
                     return True
                 message, self._parts = _DECODER.decode(self._parts), bytearray()
         except BaseException:
             if sock is not None:
                 sock.close()
             raise
-        if isinstance(message, Taken):
+        if isinstance(message, Acknowledged):
             answered = self._pending.get(message.number)
             if answered is not None:
                 answered.set()
         else:
-            self._side.told(self, message, sock)
+            self._side.on_message(self, message, sock)
         return True
 
     def close(self) -> None:
@@ -262,14 +275,14 @@
         self._abandon()
         for answered in self._pending.values():
             answered.set()
-        self._side.lost(self)
+        self._side.on_peer_lost(self)
 
 
 def _unix() -> socket.socket:
     return socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
 
 
-def reach(path: Path) -> socket.socket | None:
+def connect_to(path: Path) -> socket.socket | None:
     """A connection to the process that listens there; None where none does, or the path is stale."""
     sock = _unix()
     try:
@@ -280,7 +293,7 @@
     return sock
 
 
-def listen_at(path: Path) -> socket.socket:
+def listen(path: Path) -> socket.socket:
     """Listen there from now on, whoever did before; OSError where that cannot be."""
     fresh = path.with_name(f"{path.name}.new")
     if len(str(fresh).encode()) > _PATH_LIMIT:
--- a/burlmoor/net/pool.py
+++ b/burlmoor/net/pool.py
@@ -4,32 +4,34 @@
 
 import trio
 
-from burlmoor.net.stream import OUT_OF_SOCKETS, Stream, connect
-from burlmoor.net.target import BrokenReply, Reply, TargetConnection
+from burlmoor.net.stream import DESCRIPTORS_EXHAUSTED, SocketStream, connect
+from burlmoor.net.target import BrokenResponseError, HttpClientConnection, Response
 
 _LIMIT = 256 * 1024  # bytes of an answer: an executor's body holds 64 KiB at most
 _STALE_WITHIN = 0.25  # seconds after a request is written in which a connection that was dead breaks
-REST = 0.05  # seconds in which a second answer to what a connection last carried may still come
+REUSE_DELAY_SECONDS = (
+    0.05  # seconds in which a second answer to what a connection last carried may still come
+)
 _WARY = 30.0  # seconds for which a broken one tells how long others may lie idle
 
 
-class NotConnected(Exception):
+class ConnectError(Exception):
     """No connection came up: whatever was to be sent has not been."""
 
-    refused = False  # whether the target's machine answered that nothing listens there
+    is_refused = False  # whether the target's machine answered that nothing listens there
 
 
-class NotSent(Exception):
+class RequestNotSentError(Exception):
     """The connection broke before the request's last byte was written: it has not run."""
 
 
-class Link:
+class PooledConnection:
     """Owns one connection to a target and what is under way on it."""
 
-    def __init__(self, pool: Pool, dial: str, stream: Stream) -> None:
+    def __init__(self, pool: ConnectionPool, dial: str, stream: SocketStream) -> None:
         self._pool, self.dial, self._stream = pool, dial, stream
-        self._http = TargetConnection(dial, pool.limit)
-        self.used = False
+        self._http = HttpClientConnection(dial, pool.limit)
+        self.is_reused = False
         self.idle_since = self.taken_at = 0.0
 
     async def write(self, method: bytes, path: bytes, headers: list[tuple[str, str]], body: bytes) -> None:
@@ -38,20 +40,20 @@
             self._stream.send(self._http.request(method, path, headers, body))
             await self._stream.drain()
         except (OSError, BufferError) as error:
-            raise NotSent(str(error)) from error
+            raise RequestNotSentError(str(error)) from error
 
-    async def read(self) -> Reply:
+    async def read(self) -> Response:
         """The whole answer; `BrokenReply` where the connection ends before it."""
         while True:
             try:
                 more = await self._stream.receive()
             except OSError as error:
-                raise BrokenReply(str(error)) from error
+                raise BrokenResponseError(str(error)) from error
             reply = self._http.receive(self._stream.inbound.take() if more else b"")
             if reply is not None:
                 return reply
 
-    async def exchange(self, method: bytes, path: bytes) -> Reply:
+    async def exchange(self, method: bytes, path: bytes) -> Response:
         """Write a request without a body and read its answer; closed unless that is whole."""
         try:
             await self.write(method, path, [], b"")
@@ -75,21 +77,21 @@
         """Close the connection."""
         if not self._stream.closed:
             self._stream.close()
-            self._pool.open -= 1
+            self._pool.open_count -= 1
 
 
-class Pool:
+class ConnectionPool:
     """Owns the idle connections, freshest last, and the count of all of them."""
 
     def __init__(
         self, idle_limit: float, connect_timeout: float, size: int, limit: int = _LIMIT, rest: float = 0.0
     ) -> None:
-        self.idle_limit, self._connect_timeout, self.size = idle_limit, connect_timeout, size
+        self.idle_limit, self._connect_timeout, self.max_connections = idle_limit, connect_timeout, size
         self.limit = limit  # bytes of one answer
         self._rest = rest  # seconds that a connection lies idle at least before it carries the next request
-        self._idle: dict[str, list[Link]] = {}
+        self._idle: dict[str, list[PooledConnection]] = {}
         self._shorter, self._shorter_until = idle_limit, 0.0
-        self.open = 0
+        self.open_count = 0
 
     def _trusted(self) -> float:
         """How long a connection may have lain idle and be used again."""
@@ -100,22 +102,22 @@
         """Whether a kept connection has broken lately under the next request."""
         return trio.current_time() < self._shorter_until
 
-    def broken(self, link: Link) -> None:
+    def broken(self, link: PooledConnection) -> None:
         """A connection has broken before its answer: if it had been kept, keep others for less time.
 
         Guards against peers that drop kept connections sooner than the settings say, and don't show it: what
         is written to such a connection counts as perhaps run.
         """
         now = trio.current_time()
-        if link.used and now < link.taken_at + _STALE_WITHIN:
+        if link.is_reused and now < link.taken_at + _STALE_WITHIN:
             self._shorter = min(self._trusted(), 0.5 * (link.taken_at - link.idle_since))
             self._shorter_until = now + _WARY
 
-    async def take(self, dial: str) -> Link:
+    async def acquire(self, dial: str) -> PooledConnection:
         """The freshest idle connection, or a new one; `NotConnected` in time if none comes up."""
         return self._reuse(dial) or await self.connect(dial)
 
-    def _reuse(self, dial: str) -> Link | None:
+    def _reuse(self, dial: str) -> PooledConnection | None:
         idle, now = self._idle.get(dial, []), trio.current_time()
         for link in idle[::-1]:
             if now < link.idle_since + self._rest:
@@ -124,42 +126,42 @@
             idle.remove(link)
             # What is written to a connection that its peer has closed would end as a reset.
             if now - link.idle_since < self._trusted() and link.quiet():
-                link.used, link.taken_at = True, now
+                link.is_reused, link.taken_at = True, now
                 return link
             link.close()
         return None
 
-    async def connect(self, dial: str) -> Link:
+    async def connect(self, dial: str) -> PooledConnection:
         """A new connection, whatever is idle."""
-        if self.open >= self.size and not self.spare():
-            raise NotConnected("every connection is busy")
-        self.open += 1
-        stream: Stream | None = None
+        if self.open_count >= self.max_connections and not self.spare():
+            raise ConnectError("every connection is busy")
+        self.open_count += 1
+        stream: SocketStream | None = None
         try:
             with trio.fail_after(self._connect_timeout):
                 stream = await connect(dial, self.limit)
         except trio.TooSlowError as error:
-            raise NotConnected("timed out") from error
+            raise ConnectError("timed out") from error
         except OSError as error:
-            if error.errno in OUT_OF_SOCKETS:
+            if error.errno in DESCRIPTORS_EXHAUSTED:
                 self.spare()
-            fault = NotConnected(str(error))
-            fault.refused = isinstance(error, ConnectionRefusedError)
+            fault = ConnectError(str(error))
+            fault.is_refused = isinstance(error, ConnectionRefusedError)
             raise fault from error
         except ValueError as error:
-            raise NotConnected(str(error)) from error
+            raise ConnectError(str(error)) from error
         finally:
             if stream is None:
-                self.open -= 1
-        return Link(self, dial, stream)
+                self.open_count -= 1
+        return PooledConnection(self, dial, stream)
 
-    async def call(self, dial: str, method: bytes, path: bytes) -> Reply:
+    async def call(self, dial: str, method: bytes, path: bytes) -> Response:
         """A small request that does no harm if it goes out twice, and its whole answer."""
-        link = await self.take(dial)
+        link = await self.acquire(dial)
         try:
             reply = await link.exchange(method, path)
-        except (NotSent, BrokenReply):
-            if not link.used:
+        except (RequestNotSentError, BrokenResponseError):
+            if not link.is_reused:
                 raise
             self.broken(link)
             # Guards against a DELETE or a watch lost on a connection that had gone stale.
@@ -168,7 +170,7 @@
         link.release()
         return reply
 
-    def keep(self, link: Link) -> None:
+    def keep(self, link: PooledConnection) -> None:
         """Take back a connection that has carried its answer."""
         link.idle_since = trio.current_time()
         self._idle.setdefault(link.dial, []).append(link)
@@ -197,11 +199,11 @@
             else:
                 del self._idle[dial]
 
-    def drop(self, dial: str) -> None:
+    def close_idle_to(self, dial: str) -> None:
         """Close the idle connections to an address."""
         for link in self._idle.pop(dial, []):
             link.close()
 
 
-def _age(link: Link) -> float:
+def _age(link: PooledConnection) -> float:
     return link.idle_since
--- a/burlmoor/net/ring.py
+++ b/burlmoor/net/ring.py
@@ -5,7 +5,7 @@
 _FIRST = 4096
 
 
-class Ring:
+class RingBuffer:
     """Owns the bytes that wait in one direction, at most `limit` of them.
 
     Its memory grows by doubling and is given back once the ring is empty, since hundreds of
@@ -23,14 +23,14 @@
         return self._size
 
     @property
-    def room(self) -> int:
+    def free_space(self) -> int:
         """How many more bytes it takes."""
         return self.limit - self._size
 
     def write(self, data: bytes) -> None:
         """Append all of `data`; it must fit into `room`."""
-        if len(data) > self.room:
-            raise BufferError(f"{len(data)} bytes do not fit into {self.room}")
+        if len(data) > self.free_space:
+            raise BufferError(f"{len(data)} bytes do not fit into {self.free_space}")
         if self._size + len(data) > len(self._data):
             self._grow(self._size + len(data))
         tail = (self._head + self._size) % len(self._data) if self._data else 0
@@ -42,7 +42,7 @@
             self._data[: len(data) - first] = data[first:]
         self._size += len(data)
 
-    def front(self) -> memoryview:
+    def peek(self) -> memoryview:
         """The longest run of waiting bytes that lies in one piece."""
         return memoryview(self._data)[self._head : min(self._head + self._size, len(self._data))]
 
@@ -60,7 +60,7 @@
 
     def take(self) -> bytes:
         """All waiting bytes; the ring is empty afterwards."""
-        data = bytes(self.front())
+        data = bytes(self.peek())
         if len(data) < self._size:
             data += bytes(self._data[: self._size - len(data)])
         self.drop(self._size)
--- a/burlmoor/net/serving.py
+++ b/burlmoor/net/serving.py
@@ -8,32 +8,32 @@
 import trio
 
 
-class Serving(IntEnum):
+class ServiceState(IntEnum):
     """Each state does all that the ones before it do."""
 
-    OPEN = 0
-    AWAY = 1  # whoever asks is told that this node takes no clients; those who are here go on as before
+    ACCEPTING = 0
+    UNREADY = 1  # whoever asks is told that this node takes no clients; those who are here go on as before
     CLOSING = 2  # answers close their connections, and idle ones end
-    REFUSING = 3  # new jobs are refused
+    REJECTING = 3  # new jobs are refused
 
 
-Steps = tuple[tuple[float, Serving], ...]
+Steps = tuple[tuple[float, ServiceState], ...]
 
 # Seconds after SIGTERM until SIGKILL may come: the longest deadline, this at most, and a part that is fixed.
 _LONGEST_COUNTED, _KILL_AFTER = 3.0, 0.7
 _COMING = 0.4  # seconds after SIGTERM for which clients' new connections may come
 # Seconds after a drain is asked for. Those who send clients have heard of it after 0.3 s. What is taken after
 # 2 s would be a young job 4 s after the call, when none may be here.
-_DRAIN: Steps = ((2.0, Serving.REFUSING), (0.8, Serving.CLOSING), (0.0, Serving.AWAY))
+_DRAIN: Steps = ((2.0, ServiceState.REJECTING), (0.8, ServiceState.CLOSING), (0.0, ServiceState.UNREADY))
 
 
-def _step(since: float | None, steps: Steps, now: float) -> Serving:
+def _step(since: float | None, steps: Steps, now: float) -> ServiceState:
     if since is None:
-        return Serving.OPEN
-    return next((state for after, state in steps if now >= since + after), Serving.OPEN)
+        return ServiceState.ACCEPTING
+    return next((state for after, state in steps if now >= since + after), ServiceState.ACCEPTING)
 
 
-def killed_after(deadlines: Iterable[float]) -> float:
+def kill_after_seconds(deadlines: Iterable[float]) -> float:
     """Seconds after SIGTERM until SIGKILL may come, where jobs have these deadlines (s)."""
     return min(max(deadlines, default=_LONGEST_COUNTED), _LONGEST_COUNTED) + _KILL_AFTER
 
@@ -45,10 +45,14 @@
     as their connections stay open, and may take 2 s to write what they ask.
     """
     closing = max(_COMING, killed - 1.7)
-    return ((closing + 0.5, Serving.REFUSING), (closing, Serving.CLOSING), (0.0, Serving.AWAY))
+    return (
+        (closing + 0.5, ServiceState.REJECTING),
+        (closing, ServiceState.CLOSING),
+        (0.0, ServiceState.UNREADY),
+    )
 
 
-class Service:
+class DrainController:
     """Owns when a stop and a drain began; the state follows from the time that has passed.
 
     No task moves it, so a drain can be ended, or met by a stop, at any point with nothing left half done.
@@ -57,34 +61,34 @@
     def __init__(self, killed: float = _LONGEST_COUNTED + _KILL_AFTER) -> None:
         self._stop = _stop(killed)
         # What came late in a stop is answered by then (seconds after SIGTERM): SIGKILL would lose it.
-        self.all_answered = max(killed - 0.4, 0.8 * killed)
+        self.answer_within_seconds = max(killed - 0.4, 0.8 * killed)
         self._stopped: float | None = None
         self._drained: float | None = None
 
     @property
-    def state(self) -> Serving:
+    def state(self) -> ServiceState:
         """How far clients are sent away by now."""
         now = trio.current_time()
         return max(_step(self._stopped, self._stop, now), _step(self._drained, _DRAIN, now))
 
     @property
-    def stopping(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether the node has been told to end."""
         return self._stopped is not None
 
     @property
-    def drained(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether operators have sent the clients away."""
         return self._drained is not None
 
-    def stop(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin to stop; told again, it changes nothing."""
         self._stopped = trio.current_time() if self._stopped is None else self._stopped
 
-    def drain(self) -> None:
+    def begin_drain(self) -> None:
         """Begin to drain; told again, it changes nothing."""
         self._drained = trio.current_time() if self._drained is None else self._drained
 
-    def undrain(self) -> None:
+    def end_drain(self) -> None:
         """End a drain: clients are taken again from now on, unless the node stops."""
         self._drained = None
--- a/burlmoor/net/stream.py
+++ b/burlmoor/net/stream.py
@@ -10,23 +10,23 @@
 
 import trio
 
-from burlmoor.net.ring import Ring
+from burlmoor.net.ring import RingBuffer
 
 _CHUNK = 16384
 _BACKLOG = 1024
 _SLOWLY = 0.05  # seconds between reads from a peer that never ends
 _SCRATCH = bytearray(128 * 1024)  # takes what is read only to be thrown away
-OUT_OF_SOCKETS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+DESCRIPTORS_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
-class Stream:
+class SocketStream:
     """Owns one non-blocking socket, what was read from it and what still has to be written to it."""
 
     def __init__(self, sock: socket.socket, limit_in: int, limit_out: int) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock: socket.socket | None = sock
-        self.inbound, self.outbound = Ring(limit_in), Ring(limit_out)
+        self.inbound, self.outbound = RingBuffer(limit_in), RingBuffer(limit_out)
         self._draining: trio.Event | None = None
 
     @property
@@ -53,7 +53,7 @@
     def receive_now(self) -> bool | None:
         """What `receive` does, without waiting; None if nothing is there."""
         try:
-            data = self._open().recv(min(_CHUNK, self.inbound.room))
+            data = self._open().recv(min(_CHUNK, self.inbound.free_space))
         except (BlockingIOError, InterruptedError):
             return None
         if data:
@@ -89,7 +89,7 @@
         sock = self._open()
         while self.outbound:
             try:
-                sent = sock.send(self.outbound.front())
+                sent = sock.send(self.outbound.peek())
             except (BlockingIOError, InterruptedError):
                 return
             self.outbound.drop(sent)
@@ -143,7 +143,7 @@
             sock.close()
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """`host:port` as a socket address; ValueError if it is not one."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
@@ -151,7 +151,7 @@
     return host, int(port)
 
 
-def listening(address: tuple[str, int], passed: int | None = None) -> socket.socket:
+def open_listener(address: tuple[str, int], passed: int | None = None) -> socket.socket:
     """A socket that listens: the one that was passed on, else one of our own."""
     if passed is not None:
         # Never bound, listened on or shut down here: other processes accept from it too.
@@ -178,24 +178,24 @@
         return None
     except OSError as error:
         # Guards against a spin, and against the end of the node, when descriptors run out.
-        if error.errno in OUT_OF_SOCKETS:
+        if error.errno in DESCRIPTORS_EXHAUSTED:
             ran_out(error)
         await trio.sleep(0.05)
         return None
 
 
-async def connect(dial: str, limit: int) -> Stream:
+async def connect(dial: str, limit: int) -> SocketStream:
     """A new connection; OSError where it is refused. The caller bounds the time."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
-        code = sock.connect_ex(address(dial))
+        code = sock.connect_ex(parse_address(dial))
         if code == errno.EINPROGRESS:
             await trio.lowlevel.wait_writable(sock)
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             raise OSError(code, os.strerror(code))
-        return Stream(sock, limit, limit)
+        return SocketStream(sock, limit, limit)
     except BaseException:
         # Guards against leaking a descriptor for each connect that is given up.
         sock.close()
--- a/burlmoor/net/target.py
+++ b/burlmoor/net/target.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """A whole answer."""
 
     status: int
@@ -22,11 +22,11 @@
     body: bytes
 
 
-class BrokenReply(Exception):
+class BrokenResponseError(Exception):
     """The connection ended or lost its framing before the answer was whole."""
 
 
-class TargetConnection:
+class HttpClientConnection:
     """Owns the HTTP state of one connection to a target: one request, then its answer, then the next."""
 
     def __init__(self, host: str, reply_limit: int) -> None:
@@ -48,15 +48,15 @@
             data += self._http.send(h11.Data(data=body)) or b""
         return data + (self._http.send(_END) or b"")
 
-    def receive(self, data: bytes) -> Reply | None:
+    def receive(self, data: bytes) -> Response | None:
         """Take in bytes (none: the connection has ended); the answer once it is whole."""
         try:
             self._http.receive_data(data)
             return self._next()
         except h11.RemoteProtocolError as error:
-            raise BrokenReply(str(error)) from error
+            raise BrokenResponseError(str(error)) from error
 
-    def _next(self) -> Reply | None:
+    def _next(self) -> Response | None:
         while True:
             event = self._http.next_event()
             if isinstance(event, h11.Response):
@@ -64,12 +64,12 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > self._limit:
-                    raise BrokenReply("the answer is too long")
+                    raise BrokenResponseError("the answer is too long")
             elif isinstance(event, h11.EndOfMessage):
                 assert self._head is not None
-                return Reply(self._head.status_code, dict(self._head.headers), bytes(self._body))
+                return Response(self._head.status_code, dict(self._head.headers), bytes(self._body))
             elif isinstance(event, h11.ConnectionClosed):
-                raise BrokenReply("the connection has ended")
+                raise BrokenResponseError("the connection has ended")
             elif not isinstance(event, h11.InformationalResponse):
                 return None
 
--- a/burlmoor/net/target_group.py
+++ b/burlmoor/net/target_group.py
@@ -9,229 +9,257 @@
 import msgspec
 
 from burlmoor import messages as m
-from burlmoor.core import Core, Say
-from burlmoor.net.pool import Pool
-from burlmoor.net.stream import address
+from burlmoor.core import Engine, EventLogger
+from burlmoor.net.pool import ConnectionPool
+from burlmoor.net.stream import parse_address
 
-_STATES = {"active": m.State.LIVE, "leaving": m.State.DRAINING, "left": m.State.GONE}
+_STATES = {"active": m.EndpointState.LIVE, "leaving": m.EndpointState.DRAINING, "left": m.EndpointState.GONE}
 _HEALTH = {state: health for health, state in _STATES.items()}
 
 
-class _Host(msgspec.Struct):
-    host: str
-    dial: str = ""
-    site: str = ""
+class DiscoveredEndpoint(msgspec.Struct):
+    name: str = msgspec.field(name="host")
+    address: str = msgspec.field(name="dial", default="")
+    zone: str = msgspec.field(name="site", default="")
     kind: str = msgspec.field(name="class", default="")
-    block: int = 0
+    cell: int = msgspec.field(name="block", default=0)
     health: str = "left"
-    share: float = 1.0
-    born_ms: float = 0.0
+    weight: float = msgspec.field(name="share", default=1.0)
+    started_unix_ms: float = msgspec.field(name="born_ms", default=0.0)
 
 
-class HostList(msgspec.Struct):
+class DiscoveredList(msgspec.Struct):
     """A list in discovery's form."""
 
-    seq: int
-    whole: bool = True
-    hosts: list[_Host] = []
+    version: int = msgspec.field(name="seq")
+    is_complete: bool = msgspec.field(name="whole", default=True)
+    endpoints: list[DiscoveredEndpoint] = msgspec.field(name="hosts", default=[])
 
 
 _NAMED = 8  # targets that a log line names
-_DECODER = msgspec.json.Decoder(HostList | None)
+_DECODER = msgspec.json.Decoder(DiscoveredList | None)
 
 
-class Target(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """Where one executor listens, and whether it wants new work."""
 
-    dial: str
-    state: m.State
-    born: float
+    address: str
+    state: m.EndpointState
+    started_unix_ms: float
 
 
-def _listed(host: _Host) -> m.State:
-    return _STATES.get(host.health, m.State.GONE)
+def _listed(host: DiscoveredEndpoint) -> m.EndpointState:
+    return _STATES.get(host.health, m.EndpointState.GONE)
 
 
-def _leaves(host: _Host) -> bool:
-    return _listed(host) is not m.State.LIVE
+def _leaves(host: DiscoveredEndpoint) -> bool:
+    return _listed(host) is not m.EndpointState.LIVE
 
 
-def _fault(host: _Host, known: dict[str, _Host]) -> str | None:
+def _fault(host: DiscoveredEndpoint, known: dict[str, DiscoveredEndpoint]) -> str | None:
     """What of an entry that wants jobs cannot be meant: the field and why."""
-    if not host.host:
+    if not host.name:
         return "host: empty"
-    if not host.share >= 0.0:
-        return f"share: {host.share} is no weight"
-    dial = host.dial or (known[host.host].dial if host.host in known else "")
+    if not host.weight >= 0.0:
+        return f"share: {host.weight} is no weight"
+    dial = host.address or (known[host.name].address if host.name in known else "")
     try:
-        address(dial)
+        parse_address(dial)
     except ValueError as error:
         return f"dial: {error}"
     return None
 
 
-class ByHand(msgspec.Struct):
+class EndpointOverrides(msgspec.Struct):
     """What operators have set of targets; times are Unix times in ms."""
 
-    out: dict[str, float] = {}  # who gets nothing, since when
-    started: dict[str, float] = {}  # who was put back, and when it counts as started
+    disabled_since: dict[str, float] = msgspec.field(name="out", default={})  # who gets nothing, since when
+    enabled_since: dict[str, float] = msgspec.field(
+        name="started", default={}
+    )  # who was put back, and when it counts as started
 
 
-class TargetGroup:
+class EndpointDirectory:
     """Owns the list as this node has it, its version, and what operators have laid over it."""
 
-    def __init__(self, core: Core, pool: Pool, from_unix: Callable[[float], float], say: Say) -> None:
-        self._core, self._pool, self._from_unix, self._say = core, pool, from_unix, say
-        self._targets: dict[str, Target] = {}
-        self._hosts: dict[str, _Host] = {}
-        self.by_hand = ByHand()
+    def __init__(
+        self, engine: Engine, pool: ConnectionPool, from_unix: Callable[[float], float], log: EventLogger
+    ) -> None:
+        self._engine, self._pool, self._from_unix, self._log = engine, pool, from_unix, log
+        self._targets: dict[str, ListedEndpoint] = {}
+        self._hosts: dict[str, DiscoveredEndpoint] = {}
+        self.overrides = EndpointOverrides()
         self.version: int | None = None
 
-    def live(self, name: str) -> Target | None:
+    def find_live(self, name: str) -> ListedEndpoint | None:
         """The target, if it may be sent new work now."""
         target = self._targets.get(name)
-        if target is None or target.state is not m.State.LIVE or name in self.by_hand.out:
+        if (
+            target is None
+            or target.state is not m.EndpointState.LIVE
+            or name in self.overrides.disabled_since
+        ):
             return None
         return target
 
-    def knows(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         """Whether a target has this name, or had when it was taken out."""
-        return name in self._targets or name in self.by_hand.out
+        return name in self._targets or name in self.overrides.disabled_since
 
-    def take_out(self, name: str) -> None:
+    def disable(self, name: str) -> None:
         """Nothing more goes to this target until it is put back; told again, it changes nothing."""
-        if name not in self.by_hand.out:
-            self.by_hand.out[name] = time.time() * 1000.0
-            self.by_hand.started.pop(name, None)
+        if name not in self.overrides.disabled_since:
+            self.overrides.disabled_since[name] = time.time() * 1000.0
+            self.overrides.enabled_since.pop(name, None)
             self._tell([name])
 
-    def put_back(self, name: str) -> None:
+    def enable(self, name: str) -> None:
         """The list holds for this target again."""
-        since = self.by_hand.out.pop(name, None)
+        since = self.overrides.disabled_since.pop(name, None)
         if since is not None:
             host = self._hosts.get(name)
-            if host is None or host.born_ms < since:
+            if host is None or host.started_unix_ms < since:
                 # Guards rule 4: it was restarted while it was out, which the list tells only later.
-                self.by_hand.started[name] = time.time() * 1000.0
+                self.overrides.enabled_since[name] = time.time() * 1000.0
             if host is not None:
                 # What was open may be of the process before, and would lose the next job written to it.
-                self._pool.drop(host.dial)
+                self._pool.close_idle_to(host.address)
             self._tell([name])
 
-    def set_by_hand(self, given: ByHand) -> None:
+    def set_overrides(self, given: EndpointOverrides) -> None:
         """What is given is laid over the list from now on."""
-        names = {*self.by_hand.out, *self.by_hand.started, *given.out, *given.started}
-        self.by_hand = given
+        names = {
+            *self.overrides.disabled_since,
+            *self.overrides.enabled_since,
+            *given.disabled_since,
+            *given.enabled_since,
+        }
+        self.overrides = given
         self._tell(names)
 
     def _tell(self, names: Iterable[str]) -> None:
         hosts = [self._hosts[name] for name in names if name in self._hosts]
         if hosts:
-            self._core.listed(m.Form.CHANGES, self._entries(hosts))
+            self._engine.on_endpoint_list(m.ListKind.DELTA, self._entries(hosts))
 
-    def dial(self, name: str) -> str | None:
+    def address_of(self, name: str) -> str | None:
         """The target's address, whatever its state."""
         target = self._targets.get(name)
-        return target.dial if target else None
+        return target.address if target else None
 
-    def start_from(self, given: HostList | None) -> None:
+    def load_cached(self, given: DiscoveredList | None) -> None:
         """Take in the list as this node last had it."""
         if given is not None:
             self._apply(given)
-        self._core.listed(m.Form.CACHED, self._entries(given.hosts if given else []))
+        self._engine.on_endpoint_list(m.ListKind.CACHED, self._entries(given.endpoints if given else []))
 
-    def whole(self) -> HostList | None:
+    def snapshot(self) -> DiscoveredList | None:
         """The list as this node has it."""
-        return None if self.version is None else HostList(self.version, True, list(self._hosts.values()))
+        return (
+            None if self.version is None else DiscoveredList(self.version, True, list(self._hosts.values()))
+        )
 
-    def take_up(self, given: HostList | None) -> None:
+    def restore(self, given: DiscoveredList | None) -> None:
         """Go on from the list that the process before this one had: it is newer than `known`."""
         if given is not None:
             self._apply(given)
-            self._core.listed(m.Form.FULL, self._entries(given.hosts))
+            self._engine.on_endpoint_list(m.ListKind.SNAPSHOT, self._entries(given.endpoints))
 
-    def apply(self, body: bytes) -> None:
+    def apply_response(self, body: bytes) -> None:
         """Take in an answer of discovery; ValueError naming the field, and nothing changed, if it is none."""
         given = _DECODER.decode(body)
         if given is None:
             raise ValueError("not a list")
         live = self._live()
-        if given.whole and not given.hosts and live:
+        if given.is_complete and not given.endpoints and live:
             # A registry that has just started knows nobody. Those who have left refuse connections anyway.
             raise ValueError("hosts: empty, though executors were listed")
-        given.hosts = self._usable(given.hosts)
+        given.endpoints = self._usable(given.endpoints)
         self._apply(given)
         left = sorted(live - self._live())
         if left:
-            self._say("targets-leaving", count=len(left), names=left[:_NAMED], version=given.seq)
-        if given.whole or given.hosts:
-            self._core.listed(m.Form.FULL if given.whole else m.Form.CHANGES, self._entries(given.hosts))
+            self._log("endpoints-draining", count=len(left), names=left[:_NAMED], version=given.version)
+        if given.is_complete or given.endpoints:
+            self._engine.on_endpoint_list(
+                m.ListKind.SNAPSHOT if given.is_complete else m.ListKind.DELTA, self._entries(given.endpoints)
+            )
 
     def _live(self) -> set[str]:
-        return {name for name, each in self._targets.items() if each.state is m.State.LIVE}
+        return {name for name, each in self._targets.items() if each.state is m.EndpointState.LIVE}
 
-    def _usable(self, hosts: list[_Host]) -> list[_Host]:
+    def _usable(self, hosts: list[DiscoveredEndpoint]) -> list[DiscoveredEndpoint]:
         """The entries that can be meant, one a host.
 
         Guards the drain rule: one bad entry must not keep the others' drains from being heard, nor undo one.
         """
-        found: dict[str, _Host] = {}
+        found: dict[str, DiscoveredEndpoint] = {}
         faults: list[str] = []
         for number, host in enumerate(hosts):
-            before = found.get(host.host)
+            before = found.get(host.name)
             if before is not None:
-                faults.append(f"hosts[{number}].host: {host.host!r} is there twice")
-                if (host.born_ms, _leaves(host)) <= (before.born_ms, _leaves(before)):
+                faults.append(f"hosts[{number}].host: {host.name!r} is there twice")
+                if (host.started_unix_ms, _leaves(host)) <= (before.started_unix_ms, _leaves(before)):
                     continue
             elif not _leaves(host):
                 fault = _fault(host, self._hosts)
                 if fault:
                     faults.append(f"hosts[{number}].{fault}")
-                    if host.host in self._hosts:
-                        found[host.host] = self._hosts[host.host]
+                    if host.name in self._hosts:
+                        found[host.name] = self._hosts[host.name]
                     continue
-            found[host.host] = host
+            found[host.name] = host
         if faults:
-            self._say("list-entries-bad", error=faults[0], count=len(faults))
+            self._log("endpoint-list-invalid-entries", error=faults[0], count=len(faults))
         return list(found.values())
 
-    def _apply(self, given: HostList) -> None:
-        if given.whole:
-            names = {host.host for host in given.hosts}
+    def _apply(self, given: DiscoveredList) -> None:
+        if given.is_complete:
+            names = {host.name for host in given.endpoints}
             for name in [name for name in self._targets if name not in names]:
-                self._pool.drop(self._targets.pop(name).dial)
+                self._pool.close_idle_to(self._targets.pop(name).address)
                 self._hosts.pop(name, None)
-        older = self.version is not None and given.seq < self.version
-        for number, host in enumerate(given.hosts):
-            old = self._targets.get(host.host)
+        older = self.version is not None and given.version < self.version
+        for number, host in enumerate(given.endpoints):
+            old = self._targets.get(host.name)
             state = _listed(host)
-            if older and old is not None and old.born == host.born_ms and old.state is not m.State.LIVE:
+            if (
+                older
+                and old is not None
+                and old.started_unix_ms == host.started_unix_ms
+                and old.state is not m.EndpointState.LIVE
+            ):
                 # Guards the drain rule: a list from before a drain was told does not undo it.
                 state = old.state
-                given.hosts[number] = msgspec.structs.replace(host, health=_HEALTH[state])
-            new = Target(host.dial or (old.dial if old else ""), state, host.born_ms)
-            if old is not None and (new.dial, new.born) != (old.dial, old.born):
+                given.endpoints[number] = msgspec.structs.replace(host, health=_HEALTH[state])
+            new = ListedEndpoint(host.address or (old.address if old else ""), state, host.started_unix_ms)
+            if old is not None and (new.address, new.started_unix_ms) != (old.address, old.started_unix_ms):
                 # A process that has started anew knows nothing of the old one's connections.
-                self._pool.drop(old.dial)
+                self._pool.close_idle_to(old.address)
             # One that is gone keeps its address, so that what it still holds can be given up there.
-            self._targets[host.host] = new
-            self._hosts[host.host] = given.hosts[number]
-        self.version = given.seq
+            self._targets[host.name] = new
+            self._hosts[host.name] = given.endpoints[number]
+        self.version = given.version
 
-    def _entries(self, hosts: list[_Host]) -> list[m.Entry]:
+    def _entries(self, hosts: list[DiscoveredEndpoint]) -> list[m.EndpointEntry]:
         return [
-            m.Entry(
-                executor=host.host,
+            m.EndpointEntry(
+                endpoint=host.name,
                 state=self._state(host),
-                zone=host.site,
-                weight=host.share,
-                cell=host.block,
+                zone=host.zone,
+                weight=host.weight,
+                cell=host.cell,
                 kind=host.kind,
-                started=self._from_unix(max(host.born_ms, self.by_hand.started.get(host.host, 0.0))),
+                started_at=self._from_unix(
+                    max(host.started_unix_ms, self.overrides.enabled_since.get(host.name, 0.0))
+                ),
             )
             for host in hosts
         ]
 
-    def _state(self, host: _Host) -> m.State:
+    def _state(self, host: DiscoveredEndpoint) -> m.EndpointState:
         state = _listed(host)
-        return m.State.DRAINING if state is m.State.LIVE and host.host in self.by_hand.out else state
+        return (
+            m.EndpointState.DRAINING
+            if state is m.EndpointState.LIVE and host.name in self.overrides.disabled_since
+            else state
+        )
--- a/burlmoor/net/watching.py
+++ b/burlmoor/net/watching.py
@@ -42,7 +42,7 @@
 _AGENT_LATE = 0.1  # the allowance for its answers while it is silent
 
 
-class End(enum.Enum):
+class CallResult(enum.Enum):
     """How a call to discovery ended."""
 
     ANSWERED = enum.auto()  # with a list
@@ -51,16 +51,16 @@
     UNREADABLE = enum.auto()  # with something that is no list
 
 
-class Call(NamedTuple):
+class DiscoveryCall(NamedTuple):
     """The next call: when, what for, and how long its answer may take."""
 
     at: float
-    whole: bool  # for the whole list, else a watch
-    wait: float  # how long a watch may wait for news
-    within: float
+    is_full_list: bool  # for the whole list, else a watch
+    wait_seconds: float  # how long a watch may wait for news
+    timeout_seconds: float
 
 
-class Watching:
+class WatchSchedule:
     """Owns what is known of the watch. `next` says which call is due, `ended` hears what became of it."""
 
     def __init__(self, balancers: int, ask_within: float, pushed: bool, rng: random.Random) -> None:
@@ -78,33 +78,33 @@
         self._told_at = math.inf  # when what may have been missed counts as told, whether or not it came
         self._made = self._heard = 0.0  # when the last call was made, and the last answer came
 
-    def begin(self, now: float, has_list: bool) -> None:
+    def on_start(self, now: float, has_list: bool) -> None:
         """The node starts, perhaps with an old list; without one it asks for the whole."""
         self._whole, self._heard = not has_list, now
         room = max(0.0, min(self.spread, self._old - _TURN))
         self._at = now + (self._rng.uniform(0.0, room) if has_list else 0.0)
 
-    def next(self) -> Call:
+    def next_call(self) -> DiscoveryCall:
         """The call that is due next. A watch without news is answered when its wait is over."""
         wait = _IN_DOUBT if self._doubt else _WAIT
         late = _LATE if self._open or self._pushed else _TURN
         if self._doubt and self._pushed:
             late = _AGENT_LATE
-        return Call(self._at, self._whole, wait, late + (0.0 if self._whole else wait))
+        return DiscoveryCall(self._at, self._whole, wait, late + (0.0 if self._whole else wait))
 
-    def made(self, now: float) -> None:
+    def on_call_started(self, now: float) -> None:
         """The call that is due goes out."""
         self._made, self._asked_whole = now, self._whole
 
-    def ended(self, end: End, now: float) -> None:
+    def on_call_ended(self, end: CallResult, now: float) -> None:
         """What became of the call that was made last."""
-        self._open, self._at = end is End.ANSWERED, now
-        if end is End.ANSWERED:
+        self._open, self._at = end is CallResult.ANSWERED, now
+        if end is CallResult.ANSWERED:
             self.failures, self._told_at, self._doubt, self._heard = 0, math.inf, False, now
             self._whole = self._whole and not self._asked_whole  # asked for again until it has come
             return
         self.failures, self._doubt = self.failures + 1, True
-        silent = end is End.SILENT
+        silent = end is CallResult.SILENT
         allowed = _TOLD if silent else self._failed
         self._told_at = min(self._told_at, self._made + allowed)
         if self._pushed:
@@ -119,7 +119,7 @@
         room = max(min(least, 0.5 * _BACKOFF[0]), by - now)  # guards against a spin
         self._at += self._rng.uniform(min(least, room), min(max(backoff, self.spread), room))
 
-    def told_at(self) -> float:
+    def notification_deadline(self) -> float:
         """When what may have been missed counts as told, whether or not it came; infinite if nothing is."""
         return self._told_at
 
@@ -127,11 +127,11 @@
         """How long ago discovery last answered."""
         return now - self._heard
 
-    def fetch(self) -> None:
+    def request_full_list(self) -> None:
         """The whole list is wanted with the next call."""
         self._whole = True
 
-    def moved(self, now: float) -> None:
+    def on_address_changed(self, now: float) -> None:
         """Discovery is at another address, whose versions are its own: ask for the whole list at once."""
         self.failures, self._whole, self._at = 0, True, now
         self._open, self._doubt, self._told_at = False, False, math.inf
--- a/burlmoor/options/reading.py
+++ b/burlmoor/options/reading.py
@@ -17,7 +17,7 @@
 _MOST = 1 << 20  # bytes of a file
 
 
-class BadOptions(Exception):
+class InvalidOptionsError(Exception):
     """The file cannot be meant; each of `faults` is one line that names the section and the key."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -38,18 +38,18 @@
     return (found.extra or {}).get("unit") if isinstance(found, Metadata) else None
 
 
-def read(path: Path) -> Options:
+def read_options(path: Path) -> Options:
     """The options in the file at `path`; `BadOptions` with everything that is wrong with it."""
     try:
         with path.open("rb") as file:
             given = file.read(_MOST + 1)
         if len(given) > _MOST:
-            raise BadOptions([f"{path}: over {_MOST} bytes"])
+            raise InvalidOptionsError([f"{path}: over {_MOST} bytes"])
         return parse(given.decode(), str(path))
     except OSError as error:
-        raise BadOptions([f"{path}: {error.strerror}"]) from error
+        raise InvalidOptionsError([f"{path}: {error.strerror}"]) from error
     except UnicodeDecodeError as error:
-        raise BadOptions([f"{path}: not UTF-8 at byte {error.start}"]) from error
+        raise InvalidOptionsError([f"{path}: not UTF-8 at byte {error.start}"]) from error
 
 
 def parse(text: str, name: str) -> Options:
@@ -62,7 +62,7 @@
     try:
         parser.read_string(text, name)
     except configparser.Error as error:
-        raise BadOptions([f"{name}: {_in_one_line(error)}"]) from error
+        raise InvalidOptionsError([f"{name}: {_in_one_line(error)}"]) from error
     faults: list[str] = []
     known, made = sections(), {}
     for section in parser.sections():
@@ -71,7 +71,7 @@
             continue
         made[section] = _section(known[section], parser[section], f"{name}: [{section}]", faults)
     if faults:
-        raise BadOptions(faults)
+        raise InvalidOptionsError(faults)
     return Options(**made)
 
 
--- a/burlmoor/rig/sabotage.py
+++ b/burlmoor/rig/sabotage.py
@@ -71,7 +71,7 @@
 
 def _in_step() -> None:
     """All nodes send in the same moments, four times a second."""
-    from burlmoor.decide import Dispatcher, Job  # noqa: PLC0415
+    from burlmoor.decide import Dispatcher, ScheduledJob  # noqa: PLC0415
 
     def strike(now: float) -> float:
         # By the machine's clock, which is all nodes' own: each process counts from elsewhere.
@@ -79,7 +79,7 @@
 
     round_ = Dispatcher._round
 
-    def wait(self: Dispatcher, job: Job, now: float, ticks: float) -> None:
+    def wait(self: Dispatcher, job: ScheduledJob, now: float, ticks: float) -> None:
         job.waiting = True
         self.waiting[job.id] = job
         self.round_at = min(self.round_at, strike(now))
@@ -106,15 +106,15 @@
 
 def _no_ageing() -> None:
     """What was learnt is never forgotten."""
-    from burlmoor.means import Mean  # noqa: PLC0415
+    from burlmoor.means import DecayedMean  # noqa: PLC0415
 
-    add, read = Mean.add, Mean.read
+    add, read = DecayedMean.add, DecayedMean.read
 
-    def kept(self: Mean, now: float, value: float, _half: float, weight: float = 1.0) -> None:
+    def kept(self: DecayedMean, now: float, value: float, _half: float, weight: float = 1.0) -> None:
         add(self, now, value, 1e15, weight)
 
-    Mean.add = kept  # type: ignore[assignment, method-assign]
-    Mean.read = lambda self, now, _half, *rest: read(self, now, 1e15, *rest)  # type: ignore[method-assign]
+    DecayedMean.add = kept  # type: ignore[assignment, method-assign]
+    DecayedMean.read = lambda self, now, _half, *rest: read(self, now, 1e15, *rest)  # type: ignore[method-assign]
 
 
 def _late_watch() -> None:
@@ -133,10 +133,10 @@
 
 def _undrained() -> None:
     """What drains gets jobs as before."""
-    from burlmoor.net.target_group import TargetGroup  # noqa: PLC0415
+    from burlmoor.net.target_group import EndpointDirectory  # noqa: PLC0415
 
-    TargetGroup._state = lambda self, host: m.State.LIVE  # type: ignore[method-assign]
-    TargetGroup.live = lambda self, name: self._targets.get(name)  # type: ignore[method-assign]
+    EndpointDirectory._state = lambda self, host: m.EndpointState.LIVE  # type: ignore[method-assign]
+    EndpointDirectory.find_live = lambda self, name: self._targets.get(name)  # type: ignore[method-assign]
 
 
 Sabotages = dict[str, Callable[[], None]]
--- a/burlmoor/settings.py
+++ b/burlmoor/settings.py
@@ -14,8 +14,12 @@
 from burlmoor import messages as m
 
 _T = TypeVar("_T")
-_EFFECTS = {"repeatable": m.Effect.REPEATABLE, "by_key": m.Effect.KEYED, "once": m.Effect.ONCE}
-_GROUPS = {group.value: group for group in m.Group}
+_EFFECTS = {
+    "repeatable": m.Idempotency.IDEMPOTENT,
+    "by_key": m.Idempotency.IDEMPOTENT_WITH_KEY,
+    "once": m.Idempotency.NON_IDEMPOTENT,
+}
+_GROUPS = {group.value: group for group in m.DeduplicationScope}
 
 
 class _Table(msgspec.Struct, rename="pascal"):
@@ -106,11 +110,11 @@
 class NodeSettings(NamedTuple):
     """The settings of the decisions, and those that only a node on real sockets needs."""
 
-    decisions: m.Settings
-    keepalive: float  # ms after which a target's machine closes an idle connection
+    policy: m.Settings
+    keepalive_ms: float  # ms after which a target's machine closes an idle connection
 
 
-def settings_from(options: Any) -> NodeSettings:
+def parse_settings(options: Any) -> NodeSettings:
     """The typed settings of the settings object; ValueError naming what cannot be meant."""
     given = msgspec.convert(options, _Options)
     limits, rules = given.limits or _Limits(), given.rules or _Rules()
@@ -122,39 +126,39 @@
             m.Tenant(org.name, _or(org.portion, 0.0), _or(org.quota_rps, 0.0)) for org in given.orgs or ()
         ),
         limits=m.Limits(
-            attempts=int(_or(limits.send_cap, 3.0)),
-            cancel=bool(limits.cancel),
-            probes=bool(limits.probes),
-            second_copies=bool(limits.second_copies),
-            retry_after=bool(limits.retry_after),
-            max_retry_after=_or(limits.max_retry_after, 1000.0),
-            connect_timeout=_or(limits.connect_timeout, 250.0),
+            max_attempts=int(_or(limits.send_cap, 3.0)),
+            may_cancel=bool(limits.cancel),
+            may_check_health=bool(limits.probes),
+            may_hedge=bool(limits.second_copies),
+            sends_retry_after=bool(limits.retry_after),
+            max_retry_after_ms=_or(limits.max_retry_after, 1000.0),
+            connect_timeout_ms=_or(limits.connect_timeout, 250.0),
         ),
         rules=m.Rules(
-            answer_slack=_or(rules.answer_slack, 0.0),
-            drain_grace=_or(rules.stop_sending_within, 0.0),
-            cold_capacity=_or(rules.start_capacity, 0.1),
-            cold=_or(rules.cold, 0.0),
-            fall_multiple=_or(rules.fall_multiple, 1.0),
-            fall_window=_or(rules.overload_for, 1000.0),
-            ask_within=_or(rules.must_ask_in, 10_000.0),
+            response_slack_ms=_or(rules.answer_slack, 0.0),
+            drain_grace_ms=_or(rules.stop_sending_within, 0.0),
+            initial_capacity=_or(rules.start_capacity, 0.1),
+            slow_start_ms=_or(rules.cold, 0.0),
+            overload_multiple=_or(rules.fall_multiple, 1.0),
+            overload_window_ms=_or(rules.overload_for, 1000.0),
+            poll_interval_ms=_or(rules.must_ask_in, 10_000.0),
         ),
         prices=m.Prices(
             cross_zone=_or(prices.cross_zone, 0.0),
             waste=_or(prices.waste, 0.0),
-            probe=_or(prices.probe, 0.0),
-            late_fail=_or(prices.late_fail, 0.0),
+            health_check=_or(prices.probe, 0.0),
+            late_failure=_or(prices.late_fail, 0.0),
         ),
-        blend=m.Blend(_or(blend.whole, 1.0), _or(blend.worst_class, 0.0)),
+        objective=m.ObjectiveWeights(_or(blend.whole, 1.0), _or(blend.worst_class, 0.0)),
         zone=_or(given.zone, ""),
-        me=given.me,
-        balancers=max(1, _or(given.balancers, 1)),
-        must_ask=given.registry_mode == "ask",
-        tick=_or(given.tick, 1.0),
-        progress_every=_or(specifics.progress, 0.0),
-        tells_start=bool(specifics.tells_start),
-        worth_by_work=given.worth_by == "work",
-        over_share_worth=_or(given.over_share_worth, 1.0),
+        node_index=given.me,
+        node_count=max(1, _or(given.balancers, 1)),
+        must_poll=given.registry_mode == "ask",
+        tick_ms=_or(given.tick, 1.0),
+        progress_interval_ms=_or(specifics.progress, 0.0),
+        reports_start=bool(specifics.tells_start),
+        weight_by_work=given.worth_by == "work",
+        over_quota_fraction=_or(given.over_share_worth, 1.0),
     )
     return NodeSettings(decisions, _or(limits.keepalive, 30_000.0))
 
@@ -164,15 +168,15 @@
     return [
         m.JobClass(
             name=row.name,
-            worth=_or(row.credit, 1.0),
-            aim=_or(row.target, 1000.0),
-            stretch=_or(_at(specifics.class_stretch, index), _or(row.aim_stretch, 0.0)),
-            deadline=_or(row.hard_limit, 10_000.0),
-            effect=_EFFECTS.get(row.idempotency or "", m.Effect.ONCE),
-            group=_GROUPS.get(row.dedup_scope or "", m.Group.CELL),
-            window=_or(row.repeat_window, 0.0),
-            late_worth=_or(row.late_worth, 0.0),
-            kind=_at(kinds, _or(_at(specifics.class_kind, index), -1)),
+            priority_weight=_or(row.credit, 1.0),
+            latency_objective_ms=_or(row.target, 1000.0),
+            objective_stretch=_or(_at(specifics.class_stretch, index), _or(row.aim_stretch, 0.0)),
+            deadline_ms=_or(row.hard_limit, 10_000.0),
+            idempotency=_EFFECTS.get(row.idempotency or "", m.Idempotency.NON_IDEMPOTENT),
+            deduplication_scope=_GROUPS.get(row.dedup_scope or "", m.DeduplicationScope.CELL),
+            deduplication_window_ms=_or(row.repeat_window, 0.0),
+            late_fraction=_or(row.late_worth, 0.0),
+            required_kind=_at(kinds, _or(_at(specifics.class_kind, index), -1)),
             priority=_or(_at(specifics.class_priority, index), 0),
         )
         for index, row in enumerate(given.request_classes or ())
--- a/burlmoor/simhost.py
+++ b/burlmoor/simhost.py
@@ -12,26 +12,26 @@
 
 from burlmoor import messages as m
 from burlmoor.decide import Dispatcher
-from burlmoor.settings import settings_from
+from burlmoor.settings import parse_settings
 
 Row = list[Any]
 
 _OUTCOMES = {
     "served": m.Outcome.SERVED,
     "server_error": m.Outcome.ERROR,
-    "turned_away": m.Outcome.FULL,
+    "turned_away": m.Outcome.OVERLOADED,
     "no_answer": m.Outcome.TIMEOUT,
     "no_connection": m.Outcome.UNREACHABLE,
     "connection_lost": m.Outcome.RESET,
     "called_off": m.Outcome.CANCELLED,
     "not_sent": m.Outcome.UNSENT,
 }
-_STATES = {"live": m.State.LIVE, "quiescing": m.State.DRAINING, "dead": m.State.GONE}
+_STATES = {"live": m.EndpointState.LIVE, "quiescing": m.EndpointState.DRAINING, "dead": m.EndpointState.GONE}
 _FORMS = {
-    "diff": m.Form.CHANGES,
-    "snapshot": m.Form.FULL,
-    "disk": m.Form.CACHED,
-    "error": m.Form.FAILED,
+    "diff": m.ListKind.DELTA,
+    "snapshot": m.ListKind.SNAPSHOT,
+    "disk": m.ListKind.CACHED,
+    "error": m.ListKind.FAILED,
 }
 _HINT_VALID, _CLIENT_RETRY = 1, 2
 _STARTED, _PROGRESS = 1, 2
@@ -53,80 +53,82 @@
     if form is None:
         return None
     entries = [
-        m.Entry(
-            executor=str(entry[6]),
-            state=_STATES.get(entry[0], m.State.GONE),
+        m.EndpointEntry(
+            endpoint=str(entry[6]),
+            state=_STATES.get(entry[0], m.EndpointState.GONE),
             zone=str(entry[1] or ""),
             weight=1.0 if entry[2] is None else float(entry[2]),
             cell=int(entry[3] or 0),
             kind=str(entry[4] or ""),
-            started=float(entry[5] or 0.0),
+            started_at=float(entry[5] or 0.0),
         )
         for entry in _at(row, 3) or ()
     ]
-    return m.Members(form, entries)
+    return m.EndpointListUpdate(form, entries)
 
 
 def _request(row: Row) -> m.Event | None:
     _, ref, job_class, slots, memory, patience, work, tenant, key, marks = (row + [None] * 9)[:10]
     flags = int(marks or 0)
-    return m.Request(
+    return m.JobRequest(
         id=int(ref),
         job_class=str(job_class),
-        patience=float(patience or 0.0),
-        work=float(work or 0.0) if flags & _HINT_VALID else 0.0,
+        timeout_ms=float(patience or 0.0),
+        work_ms=float(work or 0.0) if flags & _HINT_VALID else 0.0,
         slots=1.0 if slots is None else float(slots),
         memory=float(memory or 0.0),
         tenant=str(tenant or ""),
-        key=str(key or ""),
-        retry=bool(flags & _CLIENT_RETRY),
+        affinity_key=str(key or ""),
+        is_client_retry=bool(flags & _CLIENT_RETRY),
     )
 
 
 def _note(row: Row) -> m.Event | None:
     _, ref, what, executor, value, attempt = (row + [None] * 5)[:6]
     if what == _STARTED:
-        return m.Started(int(ref), int(attempt or 0), str(executor))
+        return m.AttemptStarted(int(ref), int(attempt or 0), str(executor))
     if what == _PROGRESS:
-        return m.Progress(int(ref), int(attempt or 0), str(executor), float(value or 0.0))
+        return m.AttemptProgressed(int(ref), int(attempt or 0), str(executor), float(value or 0.0))
     return None
 
 
 def _settled(row: Row) -> m.Event | None:
     _, ref, elapsed, how, _note_value, attempt, closed, executor = (row + [None] * 7)[:8]
     outcome = _OUTCOMES.get(how, m.Outcome.ERROR)
-    return m.Ended(int(ref), int(attempt or 0), str(executor), outcome, float(elapsed or 0.0), bool(closed))
+    return m.AttemptEnded(
+        int(ref), int(attempt or 0), str(executor), outcome, float(elapsed or 0.0), bool(closed)
+    )
 
 
 def _health(row: Row) -> m.Event | None:
-    return m.Probed(str(row[1]), _OUTCOMES.get(row[2], m.Outcome.ERROR), float(_at(row, 3) or 0.0))
+    return m.HealthChecked(str(row[1]), _OUTCOMES.get(row[2], m.Outcome.ERROR), float(_at(row, 3) or 0.0))
 
 
 _EVENTS: dict[str, Callable[[Row], m.Event | None]] = {
     "Registry": _members,
     "Knock": _request,
-    "UnderWay": lambda row: m.StreamOpened(int(row[1]), int(_at(row, 3) or 0), str(_at(row, 4))),
+    "UnderWay": lambda row: m.ResponseStarted(int(row[1]), int(_at(row, 3) or 0), str(_at(row, 4))),
     "Heartbeat": _note,
     "Settled": _settled,
-    "Withdrawn": lambda row: m.Gone(int(row[1])),
+    "Withdrawn": lambda row: m.ClientDisconnected(int(row[1])),
     "Health": _health,
     # A message's bytes are opaque here: the module reads none.
-    "Mail": lambda row: m.PeerMessage(int(row[1] or 0), str(_at(row, 2) or "").encode()),
-    "Fired": lambda row: m.Timer(int(row[1])),
+    "Mail": lambda row: m.PeerMessageReceived(int(row[1] or 0), str(_at(row, 2) or "").encode()),
+    "Fired": lambda row: m.TimerFired(int(row[1])),
 }
 
 # --- actions ----------------------------------------------------------------------------------
 
 _ACTIONS: dict[type, Callable[[Any], Row]] = {
-    m.Send: lambda a: ["Issue", a.id, a.executor, a.give_up],
-    m.Refuse: lambda a: ["OverloadReply", a.id, a.retry_after],
-    m.Fail: lambda a: ["ReportFailure", a.id],
-    m.Cancel: lambda a: ["Abandon", a.id, a.attempt],
-    m.SetTimer: lambda a: ["Remind", a.delay, a.token],
-    m.Subscribe: lambda a: ["KeepInformed", True],
-    m.Fetch: lambda a: ["Reload"],
-    m.Probe: lambda a: ["Check", a.executor],
-    m.Log: lambda a: ["Debug", a.text],
+    m.StartAttempt: lambda a: ["Issue", a.id, a.endpoint, a.timeout_ms],
+    m.RejectJob: lambda a: ["OverloadReply", a.id, a.retry_after_ms],
+    m.FailJob: lambda a: ["ReportFailure", a.id],
+    m.CancelAttempt: lambda a: ["Abandon", a.id, a.attempt],
+    m.SetTimer: lambda a: ["Remind", a.delay_ms, a.token],
+    m.WatchEndpoints: lambda a: ["KeepInformed", True],
+    m.FetchEndpoints: lambda a: ["Reload"],
+    m.CheckHealth: lambda a: ["Check", a.endpoint],
+    m.LogWarning: lambda a: ["Debug", a.text],
 }
 
 
@@ -159,7 +161,7 @@
                 name = row[0]
                 if name == "Spawn":
                     seed, options = int(row[1]), row[2]
-                    settings = settings_from(options).decisions
+                    settings = parse_settings(options).policy
                 elif name != "Killed":
                     read = _EVENTS.get(name)
                     event = read(row) if read else None
--- a/burlmoor/succession.py
+++ b/burlmoor/succession.py
@@ -7,29 +7,29 @@
 
 import trio
 
-from burlmoor.core import Core, Say
+from burlmoor.core import Engine, EventLogger
 from burlmoor.net import callbacks
-from burlmoor.net.control import Call
-from burlmoor.net.front import Front
+from burlmoor.net.control import AdminRequest
+from burlmoor.net.front import DownstreamServer
 from burlmoor.net.peer import (
     VERSION,
     Accepting,
-    CalledBack,
-    Client,
+    Acknowledged,
+    ApplyOverride,
+    ConnectionCounts,
+    ForwardedCallback,
+    HandoverChannel,
     Hello,
-    Holds,
+    JobOpened,
     Message,
-    Obey,
-    Opened,
-    Peer,
+    PassedConnection,
     Snapshot,
-    Taken,
-    listen_at,
-    reach,
+    connect_to,
+    listen,
 )
-from burlmoor.net.pool import Pool
-from burlmoor.net.target_group import TargetGroup
-from burlmoor.operators import Desk
+from burlmoor.net.pool import ConnectionPool
+from burlmoor.net.target_group import EndpointDirectory
+from burlmoor.operators import AdminService
 
 _SNAPSHOT_WITHIN = 1.5  # seconds after which a process that does not answer is taken to be stuck
 _YIELD_WITHIN = 0.5
@@ -38,39 +38,45 @@
 _LEAST = 8  # connections of each sort that a process may always have
 
 
-class Succession:
+class Handover:
     """Owns the links to the process before this one and to the one after it."""
 
     def __init__(
         self,
-        core: Core,
-        front: Front,
-        pool: Pool,
-        group: TargetGroup,
-        desk: Desk,
+        engine: Engine,
+        server: DownstreamServer,
+        pool: ConnectionPool,
+        directory: EndpointDirectory,
+        admin: AdminService,
         path: Path | None,
         shared: bool,
         nursery: trio.Nursery,
-        say: Say,
+        log: EventLogger,
     ) -> None:
-        self._core, self._front, self._pool, self._group, self._desk = core, front, pool, group, desk
-        self._path, self._shared, self._nursery, self._say = path, shared, nursery, say
-        self._before: Peer | None = None
-        self._after: Peer | None = None
-        self._clients, self._targets = front.size, pool.size
+        self._engine, self._server, self._pool, self._directory, self._admin = (
+            engine,
+            server,
+            pool,
+            directory,
+            admin,
+        )
+        self._path, self._shared, self._nursery, self._log = path, shared, nursery, log
+        self._before: HandoverChannel | None = None
+        self._after: HandoverChannel | None = None
+        self._clients, self._targets = server.max_connections, pool.max_connections
         self._told, self._yielded = trio.Event(), trio.Event()
         self._accept: trio.CancelScope | None = None
-        desk.elsewhere = self._obey_elsewhere
+        admin.forward_to_peer = self._obey_elsewhere
 
     @property
-    def yielded(self) -> bool:
+    def has_handed_over(self) -> bool:
         """Whether another process accepts in this one's place."""
         return self._after is not None and self._accept is None
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent(self) -> bool:
         """Whether something that the other process is to have is still here."""
-        return self._after is not None and self._after.unsent
+        return self._after is not None and self._after.has_unsent
 
     async def run(self) -> None:
         """Accept, in the place of the process before if there is one; then wait for the next."""
@@ -79,20 +85,20 @@
             with trio.move_on_after(_YIELD_WITHIN):
                 await self._yielded.wait()
         # Only now: the old process gets SIGTERM after this yes, and would answer that it takes no clients.
-        self._desk.serving = True
-        self._say(
+        self._admin.is_serving = True
+        self._log(
             "started",
-            listen=":".join(map(str, self._front.address)),
-            version=self._group.version,
+            listen=":".join(map(str, self._server.address)),
+            version=self._directory.version,
             took_over=self._before is not None,
         )
         if self._path is not None:
             await self._await_successors(self._path)
         elif self._shared:
             # Another process may accept beside this one, and call-backs would reach the wrong one.
-            self._say("no-succession", error="TMPDIR is not set")
+            self._log("handover-unavailable", error="TMPDIR is not set")
 
-    def end(self) -> None:
+    def close(self) -> None:
         """End the links: this process has nothing more to say."""
         after, self._after = self._after, None
         for peer in (self._before, after):
@@ -101,31 +107,31 @@
 
     # --- taking over ----------------------------------------------------------------------------
 
-    async def approach(self) -> None:
+    async def contact_predecessor(self) -> None:
         """Learn from the process that is here, if one is, how things stand."""
-        sock = reach(self._path) if self._path is not None else None
+        sock = connect_to(self._path) if self._path is not None else None
         if sock is None:
             return
-        self._before = peer = Peer(sock, self, self._nursery, self._say)
+        self._before = peer = HandoverChannel(sock, self, self._nursery, self._log)
         self._nursery.start_soon(peer.run)
         peer.post(Hello())
         with trio.move_on_after(_SNAPSHOT_WITHIN):
             await self._told.wait()
-        if not self._told.is_set() or not peer.alive:
-            self._say("took-over-nothing")
+        if not self._told.is_set() or not peer.is_connected:
+            self._log("handover-timed-out")
             peer.close()
             self._before = None
 
     async def _accept_clients(self) -> None:
         with trio.CancelScope() as self._accept:
-            await self._front.run()
+            await self._server.run()
 
     async def _await_successors(self, path: Path) -> None:
         try:
-            sock = listen_at(path)
+            sock = listen(path)
         except OSError as error:
             # Guards the start: a node that nobody can take over from still serves.
-            self._say("no-succession", error=str(error))
+            self._log("handover-unavailable", error=str(error))
             return
         while True:
             await trio.lowlevel.wait_readable(sock)
@@ -137,129 +143,136 @@
             if self._after is not None:
                 accepted.close()
                 continue
-            self._after = peer = Peer(accepted, self, self._nursery, self._say)
+            self._after = peer = HandoverChannel(accepted, self, self._nursery, self._log)
             self._nursery.start_soon(peer.run)
 
     # --- what the other process says ------------------------------------------------------------
 
-    def told(self, peer: Peer, message: Message, sock: socket.socket | None) -> None:
+    def on_message(self, peer: HandoverChannel, message: Message, sock: socket.socket | None) -> None:
         """A message has come, perhaps with a connection."""
-        if sock is not None and not (isinstance(message, Client) and peer is self._before):
+        if sock is not None and not (isinstance(message, PassedConnection) and peer is self._before):
             sock.close()  # nobody's: only the process before this one passes connections on
         match message:
             case Hello(version):
                 if version != VERSION:
                     raise ValueError(f"version {version} of the link")
-                clients, targets = len(self._front.links), self._pool.open
-                ids, learnt = self._core.open_ids(), self._core.what_is_learnt()
-                peer.post(Snapshot(self._desk.set, self._group.whole(), learnt, ids, clients, targets))
+                clients, targets = len(self._server.connections), self._pool.open_count
+                ids, learnt = self._engine.open_job_ids(), self._engine.statistics_snapshot()
+                peer.post(
+                    Snapshot(self._admin.overrides, self._directory.snapshot(), learnt, ids, clients, targets)
+                )
             case Snapshot() if peer is self._before:
                 self._take_up(message)
             case Accepting() if peer is self._after:
                 self._yield(peer)
-            case Holds(clients, targets) if peer is self._before:
+            case ConnectionCounts(clients, targets) if peer is self._before:
                 self._divide(clients, targets)
                 self._yielded.set()
-            case Opened(request_id):
-                self._core.elsewhere.add(request_id)
-            case Obey(number, path, name):
-                self._desk.apply(Call(path, name))
-                peer.post(Taken(number))
-            case CalledBack(number, body):
-                found = callbacks.take(self._core, body)
-                if found is callbacks.Found.UNKNOWN and self._peers(but=peer):
+            case JobOpened(request_id):
+                self._engine.ids_in_other_process.add(request_id)
+            case ApplyOverride(number, path, name):
+                self._admin.apply(AdminRequest(path, name))
+                peer.post(Acknowledged(number))
+            case ForwardedCallback(number, body):
+                found = callbacks.handle_callback(self._engine, body)
+                if found is callbacks.CallbackResult.UNKNOWN and self._peers(but=peer):
                     self._nursery.start_soon(self._call_back_further, peer, number, body)
                 else:
-                    peer.post(Taken(number))
-            case Client(used, age) if peer is self._before and sock is not None:
-                self._front.adopt(sock, used, age)
+                    peer.post(Acknowledged(number))
+            case PassedConnection(used, age) if peer is self._before and sock is not None:
+                self._server.adopt(sock, used, age)
 
-    def lost(self, peer: Peer) -> None:
+    def on_peer_lost(self, peer: HandoverChannel) -> None:
         """The peer is gone: whatever it was, this process goes on alone."""
         if peer is self._before:
             self._before = None
-            self._core.elsewhere.clear()
+            self._engine.ids_in_other_process.clear()
             self._divide(0, 0)
             self._told.set()
             self._yielded.set()
         if peer is self._after:
             self._after = None
-            self._front.pass_on = self._front.opened = None
+            self._server.pass_connection = self._server.on_job_opened = None
             if self._accept is None:
                 # The one that took over has died: whoever connects now is ours again.
-                self._say("took-back")
-                self._core.yielded(False)
-                self._front.size, self._pool.size = self._clients, self._targets
-                self._desk.serving = True
+                self._log("handover-reverted")
+                self._engine.set_handed_over(False)
+                self._server.max_connections, self._pool.max_connections = self._clients, self._targets
+                self._admin.is_serving = True
                 self._nursery.start_soon(self._accept_clients)
-        self._front.call_back_elsewhere = self._call_back_elsewhere if self._peers() else None
+        self._server.forward_callback = self._call_back_elsewhere if self._peers() else None
 
     def _take_up(self, given: Snapshot) -> None:
-        self._desk.take_up(given.by_hand)
-        self._group.take_up(given.hosts)
-        self._core.take_up(given.learnt)
-        self._core.elsewhere.update(given.ids)
-        self._divide(given.clients, given.targets)
-        self._front.call_back_elsewhere = self._call_back_elsewhere
+        self._admin.replace(given.overrides)
+        self._directory.restore(given.endpoints)
+        self._engine.restore_statistics(given.statistics)
+        self._engine.ids_in_other_process.update(given.job_ids)
+        self._divide(given.downstream, given.upstream)
+        self._server.forward_callback = self._call_back_elsewhere
         self._told.set()
 
     def _divide(self, clients: int, targets: int) -> None:
         """The limits are the node's: what the process before this one holds is not ours to use."""
-        self._front.size = max(_LEAST, self._clients - clients)
-        self._pool.size = max(_LEAST, self._targets - targets)
+        self._server.max_connections = max(_LEAST, self._clients - clients)
+        self._pool.max_connections = max(_LEAST, self._targets - targets)
 
-    def _yield(self, peer: Peer) -> None:
+    def _yield(self, peer: HandoverChannel) -> None:
         """Another process accepts from now on; what lies idle here goes to it."""
         if self._accept is None:
             return
         self._accept.cancel()
         self._accept = None
-        self._desk.serving = False
-        self._pool.size = self._pool.open  # no more than there are: the rest is the other's
-        self._core.yielded(True)
-        self._front.call_back_elsewhere = self._call_back_elsewhere
-        self._front.pass_on, self._front.opened = self._pass_on, self._opened
-        self._front.pass_idle()
+        self._admin.is_serving = False
+        self._pool.max_connections = self._pool.open_count  # no more than there are: the rest is the other's
+        self._engine.set_handed_over(True)
+        self._server.forward_callback = self._call_back_elsewhere
+        self._server.pass_connection, self._server.on_job_opened = self._pass_on, self._opened
+        self._server.hand_over_idle()
         self._report(peer)
-        self._say("yielded", open=self._core.open_jobs)
+        self._log("handover-yielded", open=self._engine.open_job_count)
         self._nursery.start_soon(self._report_on, peer)
 
     def _pass_on(self, sock: socket.socket, used: bool, age: float) -> None:
-        if self._after is None or not self._after.post(Client(used, age), sock):
+        if self._after is None or not self._after.post(PassedConnection(used, age), sock):
             sock.close()
 
-    def _report(self, peer: Peer) -> None:
-        peer.post(Holds(len(self._front.links), self._pool.open))
+    def _report(self, peer: HandoverChannel) -> None:
+        peer.post(ConnectionCounts(len(self._server.connections), self._pool.open_count))
 
-    async def _report_on(self, peer: Peer) -> None:
-        while peer.alive:
+    async def _report_on(self, peer: HandoverChannel) -> None:
+        while peer.is_connected:
             await trio.sleep(_REPORT_EVERY)
-            self._front.pass_idle()
+            self._server.hand_over_idle()
             self._report(peer)
 
     # --- what this process says -----------------------------------------------------------------
 
-    def _peers(self, but: Peer | None = None) -> list[Peer]:
+    def _peers(self, but: HandoverChannel | None = None) -> list[HandoverChannel]:
         both = (self._before, self._after)
-        return [peer for peer in both if peer is not None and peer is not but and peer.alive]
+        return [peer for peer in both if peer is not None and peer is not but and peer.is_connected]
 
-    async def _call_back_further(self, peer: Peer, number: int, body: bytes) -> None:
+    async def _call_back_further(self, peer: HandoverChannel, number: int, body: bytes) -> None:
         """Guards against lost results where a third process starts before the first has ended."""
-        asked = [await other.ask(lambda n: CalledBack(n, body), 0.3) for other in self._peers(but=peer)]
+        asked = [
+            await other.request(lambda n: ForwardedCallback(n, body), 0.3) for other in self._peers(but=peer)
+        ]
         if all(asked):
-            peer.post(Taken(number))
+            peer.post(Acknowledged(number))
 
     def _opened(self, request_id: str) -> None:
         if self._after is not None:
-            self._after.post(Opened(request_id))
+            self._after.post(JobOpened(request_id))
 
     async def _call_back_elsewhere(self, body: bytes) -> bool:
         """Pass on a call-back for a job that is not known here; whether it was taken."""
         return all(
-            [await peer.ask(lambda n: CalledBack(n, body), _CALL_BACK_WITHIN) for peer in self._peers()]
+            [
+                await peer.request(lambda n: ForwardedCallback(n, body), _CALL_BACK_WITHIN)
+                for peer in self._peers()
+            ]
         )
 
-    async def _obey_elsewhere(self, call: Call) -> None:
+    async def _obey_elsewhere(self, call: AdminRequest) -> None:
         """See to it that an operator's yes holds for the whole node."""
         for peer in self._peers():
-            await peer.ask(lambda number: Obey(number, call.path, call.name), 0.1)
+            await peer.request(lambda number: ApplyOverride(number, call.path, call.name), 0.1)
--- a/burlmoor/waiting/__init__.py
+++ b/burlmoor/waiting/__init__.py
@@ -1,7 +1,7 @@
 """Jobs that wait for other jobs or for a time. Imported only where `[waiting]` is on."""
 
-from burlmoor.waiting.conditions import Reader
-from burlmoor.waiting.service import WaitingService
-from burlmoor.waiting.ward import Ward
+from burlmoor.waiting.conditions import ConditionParser
+from burlmoor.waiting.service import DeferredService
+from burlmoor.waiting.ward import DeferredJobQueue
 
-__all__ = ["Reader", "WaitingService", "Ward"]
+__all__ = ["ConditionParser", "DeferredJobQueue", "DeferredService"]
--- a/burlmoor/waiting/conditions.py
+++ b/burlmoor/waiting/conditions.py
@@ -9,48 +9,48 @@
 import re
 from collections.abc import Sequence
 
-from burlmoor.core import BadCondition, Conditions
+from burlmoor.core import InvalidConditionError, RunConditions
 from burlmoor.net.listener import REQUEST_ID
 
 RUN_AFTER, NOT_BEFORE = b"run-after", b"not-before"
 _TIME = re.compile(r"[0-9]{1,15}")
 
 
-class Reader:
+class ConditionParser:
     """Owns the limits on what may be asked."""
 
     def __init__(self, names: int) -> None:
-        self.names = names
+        self.max_dependencies = names
 
     def __call__(
         self, headers: Sequence[tuple[bytes, bytes]], request_id: str, size: int
-    ) -> Conditions | None:
+    ) -> RunConditions | None:
         """The conditions of one request, `size` bytes of body with it; None where it has none."""
         lists = [value for name, value in headers if name == RUN_AFTER]
         times = [value for name, value in headers if name == NOT_BEFORE]
         if not lists and not times:
             return None
         after = self._names(b",".join(lists).decode("latin-1"), request_id) if lists else ()
-        return Conditions(after, self._time(times), size)
+        return RunConditions(after, self._time(times), size)
 
     def _names(self, text: str, request_id: str) -> tuple[str, ...]:
         # A name that is repeated counts once.
         names = tuple(dict.fromkeys(name for each in text.split(",") if (name := each.strip(" \t"))))
         if not names:
-            raise BadCondition("Run-After names no job")
+            raise InvalidConditionError("Run-After names no job")
         for name in names:
             if not REQUEST_ID.fullmatch(name):
-                raise BadCondition("Run-After is not a list of ids")
+                raise InvalidConditionError("Run-After is not a list of ids")
         if request_id in names:
-            raise BadCondition("Run-After names the job itself")
-        if len(names) > self.names:
-            raise BadCondition(f"Run-After names over {self.names} jobs")
+            raise InvalidConditionError("Run-After names the job itself")
+        if len(names) > self.max_dependencies:
+            raise InvalidConditionError(f"Run-After names over {self.max_dependencies} jobs")
         return names
 
     def _time(self, times: Sequence[bytes]) -> float:
         if len(times) > 1:
-            raise BadCondition("Not-Before is given twice")
+            raise InvalidConditionError("Not-Before is given twice")
         text = times[0].decode("latin-1") if times else "0"
         if not _TIME.fullmatch(text):
-            raise BadCondition("Not-Before is not a Unix time in ms")
+            raise InvalidConditionError("Not-Before is not a Unix time in ms")
         return float(text)
--- a/burlmoor/waiting/service.py
+++ b/burlmoor/waiting/service.py
@@ -4,52 +4,56 @@
 
 from typing import Any
 
-from burlmoor.core import Core, Say
-from burlmoor.net.front import Front
-from burlmoor.operators import Desk
-from burlmoor.options.sections import Waiting
-from burlmoor.waiting.conditions import Reader
+from burlmoor.core import Engine, EventLogger
+from burlmoor.net.front import DownstreamServer
+from burlmoor.operators import AdminService
+from burlmoor.options.sections import DeferredOptions
+from burlmoor.waiting.conditions import ConditionParser
 from burlmoor.waiting.view import show
-from burlmoor.waiting.ward import Ward
+from burlmoor.waiting.ward import DeferredJobQueue
 
 PATH = "/waiting"
 
 
-class WaitingService:
+class DeferredService:
     """Owns whether jobs may wait here; turned off, what waits goes on and nothing new comes to wait."""
 
-    def __init__(self, core: Core, front: Front, desk: Desk, seed: int, say: Say) -> None:
-        self._core, self._front, self._desk, self._seed, self._say = core, front, desk, seed, say
-        self.ward: Ward | None = None
+    def __init__(
+        self, engine: Engine, server: DownstreamServer, admin: AdminService, seed: int, log: EventLogger
+    ) -> None:
+        self._engine, self._server, self._admin, self._seed, self._log = engine, server, admin, seed, log
+        self.queue: DeferredJobQueue | None = None
 
-    def take_up(self, given: Waiting | None) -> None:
+    def apply_options(self, given: DeferredOptions | None) -> None:
         """These options hold from now on; None: off."""
         if given is None:
-            self._front.conditions = None
+            self._server.parse_conditions = None
             return
-        now = self._core.clock()
-        if self.ward is None:
-            advice = self._core.settings.limits.max_retry_after
-            self.ward = Ward(given, self._front.size, advice, self._seed, self._say, now)
-            self._core.hold_with(self.ward)
-            self._front.shut_waiting = self._shut
-            self._desk.shown[PATH] = self._show
+        now = self._engine.clock()
+        if self.queue is None:
+            advice = self._engine.settings.limits.max_retry_after_ms
+            self.queue = DeferredJobQueue(
+                given, self._server.max_connections, advice, self._seed, self._log, now
+            )
+            self._engine.enable_deferral(self.queue)
+            self._server.on_draining = self._shut
+            self._admin.status_providers[PATH] = self._show
         else:
-            self.ward.take_up(given, now)
-        self._front.conditions = Reader(given.names)
+            self.queue.take_up(given, now)
+        self._server.parse_conditions = ConditionParser(given.max_dependencies)
 
     def _shut(self, shut: bool) -> None:
-        ward = self.ward
+        ward = self.queue
         if ward is None:
             return
         ward.shut(shut)
         if shut:
-            self._core.wake()
-        if self._front.conditions is None and not ward.held:
+            self._engine.wake()
+        if self._server.parse_conditions is None and not ward.held:
             # Turned off, and the last that waited has gone.
-            self.ward = self._core.holder = self._front.shut_waiting = None
-            self._desk.shown.pop(PATH, None)
+            self.queue = self._engine.deferral = self._server.on_draining = None
+            self._admin.status_providers.pop(PATH, None)
 
     async def _show(self) -> dict[str, Any]:
-        assert self.ward is not None
-        return await show(self.ward, self._core.clock)
+        assert self.queue is not None
+        return await show(self.queue, self._engine.clock)
--- a/burlmoor/waiting/view.py
+++ b/burlmoor/waiting/view.py
@@ -8,12 +8,12 @@
 
 import trio
 
-from burlmoor.waiting.ward import Ward
+from burlmoor.waiting.ward import DeferredJobQueue
 
 _PIECE = 2000  # entries between two chances for others to run
 
 
-async def show(ward: Ward, clock: Callable[[], float]) -> dict[str, Any]:
+async def show(ward: DeferredJobQueue, clock: Callable[[], float]) -> dict[str, Any]:
     """Counts, the oldest, by class and reason; all of one moment. Times in ms."""
     seen, now, size, bounds = ward.seen, clock(), ward.bytes, ward.bounds
     by_class: Counter[str] = Counter()
--- a/burlmoor/waiting/ward.py
+++ b/burlmoor/waiting/ward.py
@@ -14,8 +14,17 @@
 from immutables import Map
 
 from burlmoor import messages as m
-from burlmoor.core import Answer, Conditions, FixedResponse, Release, Say, Served, Turned, Unmet
-from burlmoor.options.sections import Waiting
+from burlmoor.core import (
+    DependencyFailed,
+    EndedJob,
+    EventLogger,
+    FinalAnswer,
+    Rejected,
+    ReleasedJob,
+    RunConditions,
+    Served,
+)
+from burlmoor.options.sections import DeferredOptions
 from burlmoor.waiting.graph import Bounds, Graph, Reason, Waiter
 from burlmoor.waiting.pace import Bucket, Line, Window
 
@@ -44,12 +53,12 @@
     size: int
 
 
-def _bounds(given: Waiting, places: int) -> Bounds:
-    jobs = min(given.jobs, max(1, int(places * given.places)))
-    return Bounds(jobs, given.fan_out, given.unknown, given.remember, given.remembered)
+def _bounds(given: DeferredOptions, places: int) -> Bounds:
+    jobs = min(given.max_jobs, max(1, int(places * given.connection_share)))
+    return Bounds(jobs, given.max_dependents, given.unknown_timeout_ms, given.history_ms, given.history_size)
 
 
-class Ward:
+class DeferredJobQueue:
     """Owns the graph of what waits, its caps, and the snapshot that is shown.
 
     `places` are the clients' connections that the node may have; `advice` the most that refusals advise, ms.
@@ -57,15 +66,15 @@
 
     def __init__(
         self,
-        given: Waiting,
+        given: DeferredOptions,
         places: int,
         advice: float,
         seed: int,
-        say: Say,
+        log: EventLogger,
         now: float,
         unix: Callable[[], float] = lambda: time.time() * 1000.0,
     ) -> None:
-        self._given, self._places, self._advice, self._say, self._unix = given, places, advice, say, unix
+        self._given, self._places, self._advice, self._log, self._unix = given, places, advice, log, unix
         self._rng = random.Random(seed)
         self._graph = Graph(_bounds(given, places))
         self._line: Line[Waiter] = Line(Bucket(given.release_rate, given.release_burst, now))
@@ -76,7 +85,7 @@
         self._stale: dict[str, None] = {}  # whose entry in the snapshot is to be made anew
         self.bytes = 0
         self.seen: Map[str, Seen] = Map()
-        self.longest = given.longest
+        self.max_deferral_ms = given.max_deferral_ms
         self.released = self.turned = 0
 
     @property
@@ -89,27 +98,27 @@
         """How many jobs wait."""
         return len(self._held)
 
-    def take_up(self, given: Waiting, now: float) -> None:
+    def take_up(self, given: DeferredOptions, now: float) -> None:
         """Other options hold from now on; what waits already goes on by the times it was given."""
-        self._given, self.longest = given, given.longest
+        self._given, self.max_deferral_ms = given, given.max_deferral_ms
         self._graph.bounds = _bounds(given, self._places)
         self._line.bucket = Bucket(given.release_rate, given.release_burst, now)
 
     def shut(self, shut: bool) -> None:
         """Whether clients are sent away: then what waits ends, and whoever comes to wait."""
         if shut and not self._shut and self._held:
-            self._say("waiting-ended", jobs=len(self._held))
+            self._log("deferred-ended", jobs=len(self._held))
             self._graph.close()
         self._shut = shut
 
     # --- what the core tells ----------------------------------------------------------------------
 
-    def opened(self, ref: str) -> None:
+    def on_job_opened(self, ref: str) -> None:
         """The node has taken a job."""
         self._graph.opened(ref)
         self._touch_children(ref)
 
-    def ended(self, ref: str, answer: Answer | None, now: float) -> None:
+    def on_job_ended(self, ref: str, answer: FinalAnswer | None, now: float) -> None:
         """A job is over, with its answer; None where its client has left."""
         self._touch_children(ref)
         served = isinstance(answer, Served)
@@ -117,48 +126,50 @@
         self._let_go(ref)
         if ref in self._out:
             self._out.discard(ref)
-            if served or isinstance(answer, FixedResponse):
+            if served or isinstance(answer, Rejected):
                 # Guards released jobs against each other: where they are refused, fewer are let go at a time.
                 self._line.bucket.learn(served, now)
                 self._window.learn(served, now)
 
-    def hold(self, ref: str, request: m.Request, conditions: Conditions, deadline: float, now: float) -> None:
+    def defer(
+        self, ref: str, request: m.JobRequest, conditions: RunConditions, deadline: float, now: float
+    ) -> None:
         """A job that was just opened is to wait; what becomes of it comes out of `step`, never at once."""
-        latest = deadline - request.work - self._given.least_left
+        latest = deadline - request.work_ms - self._given.min_remaining_ms
         unix = self._unix()
-        full = self.bytes + conditions.size > self._given.held
-        waiter = self._graph.add(ref, conditions.after, conditions.not_before, latest, now, unix)
+        full = self.bytes + conditions.size_bytes > self._given.max_body_bytes
+        waiter = self._graph.add(ref, conditions.after, conditions.not_before_unix_ms, latest, now, unix)
         if self._shut:
             self._graph.turn(waiter, Reason.CLOSED)
         elif full:
             self._graph.turn(waiter, Reason.FULL)
         if waiter.ending is Reason.FULL:
-            self._say("waiting-full", jobs=len(self._held), bytes=self.bytes)
-        self._held[ref] = _Held(waiter, request.job_class, request.slots, conditions.size)
-        self.bytes += conditions.size
+            self._log("deferred-full", jobs=len(self._held), bytes=self.bytes)
+        self._held[ref] = _Held(waiter, request.job_class, request.slots, conditions.size_bytes)
+        self.bytes += conditions.size_bytes
         self._stale[ref] = None
 
     # --- what the core is told --------------------------------------------------------------------
 
-    def due(self, now: float) -> float:
+    def next_due(self, now: float) -> float:
         """When `step` is needed next."""
         unix = self._unix()
         at = min(self._graph.due(now, unix), self._line.due(now))
         return min(at, now + _CLOCK_CHECK) if self._graph.timed else at
 
-    def step(self, now: float, room: Callable[[], float]) -> list[Release | Turned]:
+    def step(self, now: float, room: Callable[[], float]) -> list[ReleasedJob | EndedJob]:
         """Who is let go and who ends now, at most some at a time. `room`: slots known free at executors."""
-        unix, out = self._unix(), list[Release | Turned]()
+        unix, out = self._unix(), list[ReleasedJob | EndedJob]()
         while len(out) < _AT_ONCE and (waiter := self._graph.next(now, unix)) is not None:
             if waiter.ending is None:
                 self._line.put(waiter.latest, self._held[waiter.id].slots, waiter)
                 self._stale[waiter.id] = None
                 continue
             answer = self._answer(waiter, unix)
-            out.append(Turned(waiter.id, answer))
+            out.append(EndedJob(waiter.id, answer))
             self.turned += 1
             # Told here, not once the core has answered: a long chain ends in one go, not a link a step.
-            self.ended(waiter.id, answer, now)
+            self.on_job_ended(waiter.id, answer, now)
         left = math.nan  # asked for only where somebody may go
         while len(out) < _AT_ONCE and (first := self._line.first()) is not None:
             if first.id not in self._held or first.ending is not None:
@@ -170,8 +181,8 @@
             if going is None:
                 break
             waiter, left = going[0], left - going[1]
-            claim = min(1.0, (now - waiter.since) / self._given.ageing)
-            out.append(Release(waiter.id, claim))
+            claim = min(1.0, (now - waiter.since) / self._given.full_credit_ms)
+            out.append(ReleasedJob(waiter.id, claim))
             self.released += 1
             self._out.add(waiter.id)
             self._let_go(waiter.id)
@@ -179,14 +190,14 @@
         self._refresh()
         return out
 
-    def _answer(self, waiter: Waiter, unix: float) -> Answer:
+    def _answer(self, waiter: Waiter, unix: float) -> FinalAnswer:
         if waiter.ending in _SAID:
-            return Unmet(_SAID[waiter.ending])
+            return DependencyFailed(_SAID[waiter.ending])
         advice = self._advice * self._rng.uniform(0.5, 1.0)
         if waiter.ending is Reason.HOPELESS and waiter.not_before > unix:
             # Before its time a job can't run here either.
             advice = min(_LONGEST_ADVICE, waiter.not_before - unix)
-        return FixedResponse(advice)
+        return Rejected(advice)
 
     # --- bookkeeping ------------------------------------------------------------------------------
 
--- a/burlmoor/worth.py
+++ b/burlmoor/worth.py
@@ -14,7 +14,7 @@
 import math
 
 from burlmoor import messages as m
-from burlmoor.means import Mean
+from burlmoor.means import DecayedMean
 
 HALF = 60_000.0  # evidence halves in this time: the result counts whole days, and a node sees little of one
 TRUST = 5.0  # jobs as good as served that each class starts with
@@ -23,23 +23,23 @@
 LEAST = 0.02  # of all worth: a class that has less is not given more weight for it
 
 
-class Standings:
+class ClassWeights:
     """What was asked and what was served in time, by class, and the weights that follow from it."""
 
-    def __init__(self, blend: m.Blend) -> None:
+    def __init__(self, blend: m.ObjectiveWeights) -> None:
         self.blend = blend
-        self.asked: dict[str, Mean] = {}  # `total` is the worth, `weight` the number of jobs
-        self.served: dict[str, Mean] = {}
+        self.requested: dict[str, DecayedMean] = {}  # `total` is the worth, `weight` the number of jobs
+        self.served: dict[str, DecayedMean] = {}
         self._weights: dict[str, float] = {}
         self._review_at = -math.inf
 
-    def ask(self, name: str, worth: float, now: float) -> None:
+    def record_request(self, name: str, worth: float, now: float) -> None:
         """A job of this class has come, worth so much."""
-        self.asked.setdefault(name, Mean()).add(now, worth, HALF)
+        self.requested.setdefault(name, DecayedMean()).add(now, worth, HALF)
 
-    def serve(self, name: str, worth: float, now: float) -> None:
+    def record_served(self, name: str, worth: float, now: float) -> None:
         """So much of a class's worth was served."""
-        self.served.setdefault(name, Mean()).add(now, worth, HALF)
+        self.served.setdefault(name, DecayedMean()).add(now, worth, HALF)
 
     def weight(self, name: str, now: float) -> float:
         """What a unit of this class's worth adds, where one of a class like all others adds 1."""
@@ -49,17 +49,17 @@
         return self._weights.get(name, 1.0)
 
     def _work_out(self, now: float) -> dict[str, float]:
-        parts = self.blend.whole + self.blend.worst_class
+        parts = self.blend.overall + self.blend.worst_class
         # All of one age, so that they can be compared.
-        asked = {name: mean.sum(now, HALF) for name, mean in self.asked.items()}
+        asked = {name: mean.decayed_total(now, HALF) for name, mean in self.requested.items()}
         total = sum(asked.values())
         if parts <= 0.0 or total <= 0.0:
             return {}
         shares = {}
         for name, worth in asked.items():
             mean = self.served.get(name)
-            served = mean.sum(now, HALF) if mean is not None else 0.0
-            prior = TRUST * self.asked[name].total / self.asked[name].weight
+            served = mean.decayed_total(now, HALF) if mean is not None else 0.0
+            prior = TRUST * self.requested[name].total / self.requested[name].weight
             shares[name] = (served + prior) / (worth + prior)
         worst = min(shares.values())
         claims = {name: math.exp((worst - share) / LEEWAY) for name, share in shares.items()}
@@ -67,5 +67,5 @@
         weights = {}
         for name, claim in claims.items():
             part = max(LEAST, asked[name] / total)
-            weights[name] = (self.blend.whole + self.blend.worst_class * claim / all_claims / part) / parts
+            weights[name] = (self.blend.overall + self.blend.worst_class * claim / all_claims / part) / parts
         return weights
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -19,7 +19,7 @@
 class StandIn:
     """An executor: so many jobs run at once, the others wait in order."""
 
-    entry: m.Entry
+    entry: m.EndpointEntry
     free: int = 4  # slots
     silent: bool = False  # it vanished: it tells nothing
     bad: bool = False  # it answers each job with an error at once
@@ -31,15 +31,15 @@
     """Nodes, executors and a clock; jobs are given with `ask`."""
 
     given: m.Settings
-    listed: Sequence[m.Entry]
+    listed: Sequence[m.EndpointEntry]
     seed: int = 1
     slots: int = 4
     now: float = 1000.0
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        count, given = self.given.balancers, self.given
-        self.nodes = [Dispatcher(replace(given, me=n), self.seed * 1000 + n) for n in range(count)]
+        count, given = self.given.node_count, self.given
+        self.nodes = [Dispatcher(replace(given, node_index=n), self.seed * 1000 + n) for n in range(count)]
         self.stands: dict[str, StandIn] = {}
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.order = self.ids = 0
@@ -48,21 +48,21 @@
         self.out: set[tuple[int, int, int]] = set()
         self.done: dict[int, str] = {}
         self.sends: list[tuple[float, str, float]] = []  # when, to whom, work
-        self.list_to(range(len(self.nodes)), m.Form.CACHED, self.listed)
+        self.list_to(range(len(self.nodes)), m.ListKind.CACHED, self.listed)
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         """Have something happen then."""
         self.order += 1
         heapq.heappush(self.due, (when, self.order, what))
 
-    def list_to(self, nodes: Iterable[int], form: m.Form, entries: Sequence[m.Entry]) -> None:
+    def list_to(self, nodes: Iterable[int], form: m.ListKind, entries: Sequence[m.EndpointEntry]) -> None:
         """Tell some nodes a list; executors that are new stand ready."""
         for each in entries:
-            known = self.stands.get(each.executor)
-            if known is None or known.entry.started != each.started:
-                self.stands[each.executor] = StandIn(each, self.slots)
+            known = self.stands.get(each.endpoint)
+            if known is None or known.entry.started_at != each.started_at:
+                self.stands[each.endpoint] = StandIn(each, self.slots)
         for node in nodes:
-            self.tell(node, m.Members(form, list(entries)))
+            self.tell(node, m.EndpointListUpdate(form, list(entries)))
 
     def ask(
         self, job_class: str, work: float, key: str = "", patience: float = 5000.0, node: int | None = None
@@ -71,7 +71,7 @@
         self.ids += 1
         self.jobs[self.ids] = (self.now, work, key)
         node = self.rng.randrange(len(self.nodes)) if node is None else node
-        self.tell(node, m.Request(self.ids, job_class, patience, work, key=key))
+        self.tell(node, m.JobRequest(self.ids, job_class, patience, work, affinity_key=key))
 
     def load(
         self, rate: float, until: float, make: Callable[[random.Random], tuple[str, float, str]]
@@ -96,22 +96,22 @@
         """Tell one node, and carry out what it decides."""
         for action in self.nodes[node].handle(self.now, [event]):
             match action:
-                case m.Send():
+                case m.StartAttempt():
                     self._send(node, action)
                 case m.SetTimer():
-                    self.at(self.now + max(action.delay, 1.0), lambda: self.tell(node, m.Timer(0)))
-                case m.Cancel():
+                    self.at(self.now + max(action.delay_ms, 1.0), lambda: self.tell(node, m.TimerFired(0)))
+                case m.CancelAttempt():
                     self._end(node, action.id, action.attempt, m.Outcome.CANCELLED)
-                case m.Refuse() | m.Fail():
+                case m.RejectJob() | m.FailJob():
                     self.done.setdefault(action.id, "refused")
 
-    def _send(self, node: int, send: m.Send) -> None:
-        number, stand = self.tries[node, send.id], self.stands[send.executor]
+    def _send(self, node: int, send: m.StartAttempt) -> None:
+        number, stand = self.tries[node, send.id], self.stands[send.endpoint]
         self.tries[node, send.id] += 1
         self.out.add((node, send.id, number))
-        self.sends.append((self.now, send.executor, self.jobs[send.id][1]))
+        self.sends.append((self.now, send.endpoint, self.jobs[send.id][1]))
         if stand.bad:
-            self._end(node, send.id, number, m.Outcome.ERROR, send.executor)
+            self._end(node, send.id, number, m.Outcome.ERROR, send.endpoint)
         elif not stand.silent:
             stand.queue.append((node, send.id, number))
             self.at(self.now + NET, lambda: self._next(stand))
@@ -122,14 +122,14 @@
             if (node, job, number) not in self.out:
                 continue
             stand.free -= 1
-            name = stand.entry.executor
-            self.tell(node, m.Started(job, number, name))
+            name = stand.entry.endpoint
+            self.tell(node, m.AttemptStarted(job, number, name))
             self.at(self.now + self.jobs[job][1], partial(self._ran, stand, node, job, number))
 
     def _ran(self, stand: StandIn, node: int, job: int, number: int) -> None:
         stand.free += 1
         if not stand.silent:
-            self._end(node, job, number, m.Outcome.SERVED, stand.entry.executor)
+            self._end(node, job, number, m.Outcome.SERVED, stand.entry.endpoint)
         self._next(stand)
 
     def _end(self, node: int, job: int, number: int, outcome: m.Outcome, name: str = "") -> None:
@@ -141,7 +141,7 @@
         if served:
             self.done.setdefault(job, "served")
         at, elapsed = self.now + NET, self.now - self.jobs[job][0]
-        self.at(at, lambda: self.tell(node, m.Ended(job, number, name, outcome, elapsed, over)))
+        self.at(at, lambda: self.tell(node, m.AttemptEnded(job, number, name, outcome, elapsed, over)))
 
     def share_of(self, end: str, key: str | None = None) -> float:
         """The part of all jobs, or of a key's, that ended so."""
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -9,7 +9,7 @@
 import pytest
 
 from burlmoor import core as c
-from burlmoor.model.gossip import Town
+from burlmoor.model.gossip import GossipSimulation
 from tests.fleet import Fleet
 from tests.model.test_deployments import PLAIN, play
 from tests.talk import entries, settings
@@ -18,16 +18,16 @@
 SEEDS = (1, 2, 3)
 
 
-def described(answer: c.Answer) -> str:
+def described(answer: c.FinalAnswer) -> str:
     """A final answer in words that no renaming changes."""
     match answer:
         case c.Served(body):
             return f"served {body.decode()}"
-        case c.FixedResponse(retry_after):
+        case c.Rejected(retry_after):
             return f"rejected {retry_after!r}"
         case c.Failed():
             return "failed"
-        case c.Unmet(reason):
+        case c.DependencyFailed(reason):
             return f"unmet {reason}"
 
 
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_simulated_memberships_run_as_before(seed: int) -> None:
-    town = Town(12, seed, loss=0.1)
+    town = GossipSimulation(12, seed, loss=0.1)
     town.run(3.0)
     town.kill(["n1", "n2"])
     town.stop("n5", 2.0)
@@ -65,17 +65,17 @@
     for name, node in sorted(town.up.items()):
         view = node.view(town.now)
         members = sorted(
-            (key, fact.address, fact.life, fact.nonce, fact.incarnation, int(fact.state))
+            (key, fact.address, fact.generation, fact.nonce, fact.incarnation, int(fact.status))
             for key, fact in view.members.items()
         )
-        digest.update(repr((name, view.version, view.configured, view.sure, members)).encode())
+        digest.update(repr((name, view.version, view.configured_count, view.is_current, members)).encode())
     digest.update(repr((town.bytes, town.alarms)).encode())
     assert digest.hexdigest() == DIGESTS["membership"][str(seed)]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_many_dispatchers_send_as_before(seed: int) -> None:
-    fleet = Fleet(settings(balancers=5), entries(6), seed)
+    fleet = Fleet(settings(node_count=5), entries(6), seed)
     fleet.load(
         60.0,
         5000.0,
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -14,11 +14,11 @@
 import pytest
 
 from burlmoor import learnt
-from burlmoor.membership.facts import Fact, State
-from burlmoor.membership.wire import Kind, Message, decode, encode
+from burlmoor.membership.facts import MemberState, MemberStatus
+from burlmoor.membership.wire import Message, MessageKind, decode, encode
 from burlmoor.net import peer
-from burlmoor.net.target_group import ByHand, HostList, _Host
-from burlmoor.operators import ByHandSet
+from burlmoor.net.target_group import DiscoveredEndpoint, DiscoveredList, EndpointOverrides
+from burlmoor.operators import Overrides
 from burlmoor.options.reading import parse
 from burlmoor.rig.drill import Ask, Verdict
 from burlmoor.rig.drill_waiting import judge as judge_waiting
@@ -31,29 +31,34 @@
 
 DATA = Path(__file__).parent / "data"
 STATISTICS = (DATA / "statistics.msgpack").read_bytes()
-OVERRIDES = ByHandSet(ByHand({"e1": 1700000000000.0}, {"e2": 1700000000500.5}), True)
-LISTED = HostList(
+OVERRIDES = Overrides(EndpointOverrides({"e1": 1700000000000.0}, {"e2": 1700000000500.5}), True)
+LISTED = DiscoveredList(
     7,
     True,
     [
-        _Host("e0", "127.0.0.1:9", "a", "std", 1, "active", 2.5, 1700000000000.0),
-        _Host("e1", "127.0.0.1:10", "b", "big", 0, "leaving"),
-        _Host("e2"),
+        DiscoveredEndpoint("e0", "127.0.0.1:9", "a", "std", 1, "active", 2.5, 1700000000000.0),
+        DiscoveredEndpoint("e1", "127.0.0.1:10", "b", "big", 0, "leaving"),
+        DiscoveredEndpoint("e2"),
     ],
 )
 HANDOVER: dict[str, peer.Message] = {
     "hello": peer.Hello(),
     "snapshot": peer.Snapshot(
-        OVERRIDES, LISTED, msgspec.msgpack.decode(STATISTICS, type=learnt.Learnt), ["a1", "a2"], 5, 6
+        OVERRIDES,
+        LISTED,
+        msgspec.msgpack.decode(STATISTICS, type=learnt.StatisticsSnapshot),
+        ["a1", "a2"],
+        5,
+        6,
     ),
     "accepting": peer.Accepting(),
-    "holds": peer.Holds(3, 4),
-    "opened": peer.Opened("a3"),
-    "obey": peer.Obey(9, "/executors/disable", "e1"),
-    "called-back": peer.CalledBack(10, b'{"id":"a1"}'),
-    "taken": peer.Taken(9),
-    "client": peer.Client(True, 1.25),
-    "part": peer.Part(b"xyz", True),
+    "holds": peer.ConnectionCounts(3, 4),
+    "opened": peer.JobOpened("a3"),
+    "obey": peer.ApplyOverride(9, "/executors/disable", "e1"),
+    "called-back": peer.ForwardedCallback(10, b'{"id":"a1"}'),
+    "taken": peer.Acknowledged(9),
+    "client": peer.PassedConnection(True, 1.25),
+    "part": peer.Fragment(b"xyz", True),
 }
 
 
@@ -65,24 +70,24 @@
 
 
 def test_the_statistics_snapshot_keeps_its_encoding() -> None:
-    decoded = msgspec.msgpack.decode(STATISTICS, type=learnt.Learnt)
+    decoded = msgspec.msgpack.decode(STATISTICS, type=learnt.StatisticsSnapshot)
     assert msgspec.msgpack.encode(decoded) == STATISTICS
 
 
 def test_the_same_conversation_gives_the_same_statistics_snapshot() -> None:
     talk = taught()
-    assert msgspec.msgpack.encode(learnt.copy(talk.node, talk.now)) == STATISTICS
+    assert msgspec.msgpack.encode(learnt.take_snapshot(talk.node, talk.now)) == STATISTICS
 
 
 def test_the_overrides_file_keeps_its_encoding() -> None:
     recorded = (DATA / "overrides.json").read_bytes()
-    assert msgspec.json.decode(recorded, type=ByHandSet) == OVERRIDES
+    assert msgspec.json.decode(recorded, type=Overrides) == OVERRIDES
     assert msgspec.json.encode(OVERRIDES) == recorded
 
 
 def test_the_endpoint_list_keeps_its_encoding() -> None:
     recorded = (DATA / "endpoint-list.json").read_bytes()
-    assert msgspec.json.decode(recorded, type=HostList) == LISTED
+    assert msgspec.json.decode(recorded, type=DiscoveredList) == LISTED
     assert msgspec.json.encode(LISTED) == recorded
 
 
@@ -94,10 +99,10 @@
 def test_membership_datagrams_keep_their_encoding() -> None:
     for row in json.loads((DATA / "datagrams.json").read_text()):
         facts = tuple(
-            Fact(name, (address[0], address[1]), life, nonce, incarnation, State(state))
+            MemberState(name, (address[0], address[1]), life, nonce, incarnation, MemberStatus(state))
             for name, address, life, nonce, incarnation, state in row["facts"]
         )
-        message = Message(Kind(row["kind"]), row["number"], row["digest"], facts, row["target"])
+        message = Message(MessageKind(row["kind"]), row["number"], row["digest"], facts, row["target"])
         data, count = encode(message)
         assert (data.hex(), count) == (row["hex"], len(facts))
         assert decode(data) == message
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -5,64 +5,68 @@
 from hypothesis import strategies as st
 
 from burlmoor.membership import swim
-from burlmoor.membership.facts import Fact, State
+from burlmoor.membership.facts import MemberState, MemberStatus
 from burlmoor.membership.swim import Membership
-from burlmoor.membership.wire import BadDatagram, Kind, Message, decode, encode
-from burlmoor.model.gossip import Town
+from burlmoor.membership.wire import InvalidDatagramError, Message, MessageKind, decode, encode
+from burlmoor.model.gossip import GossipSimulation
 
 facts = st.builds(
-    Fact,
+    MemberState,
     name=st.text(min_size=1, max_size=16),
     address=st.tuples(st.ip_addresses(v=4).map(str), st.integers(0, 65535)),
-    life=st.integers(0, 2**32 - 1),
+    generation=st.integers(0, 2**32 - 1),
     nonce=st.integers(0, 65535),
     incarnation=st.integers(0, 65535),
-    state=st.sampled_from(State),
+    status=st.sampled_from(MemberStatus),
 )
 
 
-@given(st.sampled_from(Kind), st.integers(0, 2**32 - 1), st.lists(facts, min_size=1, max_size=30))
+@given(st.sampled_from(MessageKind), st.integers(0, 2**32 - 1), st.lists(facts, min_size=1, max_size=30))
 def test_a_datagram_reads_back_with_the_facts_that_found_room(
-    kind: Kind, number: int, told: list[Fact]
+    kind: MessageKind, number: int, told: list[MemberState]
 ) -> None:
-    data, count = encode(Message(kind, number, 7, tuple(told), "n5" if kind is Kind.ASK else ""))
+    data, count = encode(
+        Message(kind, number, 7, tuple(told), "n5" if kind is MessageKind.PING_REQUEST else "")
+    )
     assert len(data) <= 256 and count >= 1
     read = decode(data)
-    assert (read.kind, read.number, read.facts) == (kind, number, tuple(told[:count]))
+    assert (read.kind, read.number, read.members) == (kind, number, tuple(told[:count]))
 
 
 @given(st.binary(max_size=300), st.integers(0, 255), st.integers(0, 255))
 def test_whatever_comes_is_a_message_or_a_bad_datagram(noise: bytes, at: int, to: int) -> None:
-    good, _ = encode(Message(Kind.PING, 1, 2, (Fact("n1", ("127.0.0.1", 9), 1, 2, 3, State.ALIVE),)))
+    good, _ = encode(
+        Message(MessageKind.PING, 1, 2, (MemberState("n1", ("127.0.0.1", 9), 1, 2, 3, MemberStatus.ALIVE),))
+    )
     at %= len(good)
     changed = good[:at] + bytes([to]) + good[at + 1 :]
     for data in (noise, good[:at], good + noise[:3], changed):
         try:
-            assert decode(data).facts or data == good
-        except BadDatagram:
+            assert decode(data).members or data == good
+        except InvalidDatagramError:
             continue
 
 
 @pytest.mark.parametrize("nodes", [3, 30, 100])
 def test_all_see_all_soon_after_a_start_and_again_after_a_third_died(nodes: int) -> None:
-    town = Town(nodes, 1)
+    town = GossipSimulation(nodes, 1)
     assert town.until_agreed(10.0) <= 10.0
     town.run(town.now + 5.0)
     town.kill(list(town.up)[: max(1, nodes // 3)])
     assert town.until_agreed(10.0) <= 10.0
-    assert all(node.view(town.now).majority for node in town.up.values())
+    assert all(node.view(town.now).has_majority for node in town.up.values())
     town.run(town.now + 5.0)
     assert len({node.digest() for node in town.up.values()}) == 1  # nothing is left to tell
 
 
 def test_nodes_that_know_one_address_find_all() -> None:
-    town = Town(40, 2, knowing=1)
+    town = GossipSimulation(40, 2, knowing=1)
     assert town.until_agreed(20.0) <= 20.0
 
 
 @pytest.mark.parametrize(("loss", "alarms"), [(0.02, 0), (0.2, 2)])
 def test_nobody_who_lives_is_declared_dead_though_datagrams_are_lost(loss: float, alarms: int) -> None:
-    town = Town(20, 3, loss=loss)
+    town = GossipSimulation(20, 3, loss=loss)
     town.until_agreed(20.0)
     town.run(town.now + 60.0)
     assert len({accused for _, _, accused in town.alarms}) <= alarms
@@ -70,19 +74,19 @@
 
 
 def test_two_halves_agree_again_after_a_cut_that_outlasted_all_suspicion() -> None:
-    town = Town(30, 4)
+    town = GossipSimulation(30, 4)
     town.until_agreed(10.0)
     town.cut = lambda a, b: (int(a[1:]) < 10) != (int(b[1:]) < 10)
     town.run(town.now + 40.0)
     small, large = town.up["n0"].view(town.now), town.up["n20"].view(town.now)
-    assert (len(small.there), small.majority) == (10, False)
-    assert (len(large.there), large.majority) == (20, True)
+    assert (len(small.member_names), small.has_majority) == (10, False)
+    assert (len(large.member_names), large.has_majority) == (20, True)
     town.cut = lambda _a, _b: False
     assert town.until_agreed(20.0) <= 20.0
 
 
 def test_a_bridge_that_hears_both_halves_keeps_them_together() -> None:
-    town = Town(20, 5)
+    town = GossipSimulation(20, 5)
     town.until_agreed(10.0)
     town.cut = lambda a, b: "n0" not in (a, b) and (int(a[1:]) < 10) != (int(b[1:]) < 10)
     town.run(town.now + 30.0)
@@ -91,7 +95,7 @@
 
 
 def test_a_node_that_was_stopped_accuses_nobody_and_knows_that_it_may_be_out_of_date() -> None:
-    town = Town(30, 6)
+    town = GossipSimulation(30, 6)
     town.until_agreed(10.0)
     town.stop("n3", 30.0)
     town.run(town.now + 29.0)
@@ -99,17 +103,17 @@
     node = town.up["n3"]
     town.run(town.now + 0.99)
     town.send("n3", node.step(town.now))
-    assert not node.view(town.now).sure
+    assert not node.view(town.now).is_current
     town.run(town.now + 0.02)
     before = len([each for each in town.alarms if each[1] == "n3"])
     assert town.until_agreed(10.0) <= 10.0
     assert len([each for each in town.alarms if each[1] == "n3"]) == before
     town.run(town.now + 1.0)
-    assert node.view(town.now).sure
+    assert node.view(town.now).is_current
 
 
 def test_a_tenth_stopped_for_three_seconds_brings_hardly_a_false_alarm() -> None:
-    town = Town(50, 7)
+    town = GossipSimulation(50, 7)
     town.until_agreed(10.0)
     for name in ("n1", "n11", "n21", "n31", "n41"):
         town.stop(name, 3.0)
@@ -120,7 +124,7 @@
 
 @pytest.mark.parametrize("life", [500, 100, 3])
 def test_a_restart_is_a_new_life_whatever_its_clock_says(life: int) -> None:
-    town = Town(20, 8)
+    town = GossipSimulation(20, 8)
     town.until_agreed(10.0)
     old = town.up["n4"].me
     town.kill(["n4"])
@@ -128,8 +132,8 @@
     town.start("n4", life)
     town.run(town.now + 10.0)
     now = town.up["n4"].me
-    assert now.order[:2] > old.order[:2]
-    assert {node.view(town.now).members["n4"].order for node in town.up.values()} == {now.order}
+    assert now.precedence[:2] > old.precedence[:2]
+    assert {node.view(town.now).members["n4"].precedence for node in town.up.values()} == {now.precedence}
     assert not town.up["n4"].contested
 
 
@@ -142,19 +146,19 @@
     ids=["one is heard by none", "half is not heard by the other"],
 )
 def test_a_cut_in_one_direction_harms_only_who_is_cut_and_heals(heard, sizes: set[int]) -> None:  # type: ignore[no-untyped-def]
-    town = Town(20, 3)
+    town = GossipSimulation(20, 3)
     town.until_agreed(10.0)
     town.cut = heard
     town.run(town.now + 30.0)
-    found = {len(node.view(town.now).there) for name, node in town.up.items() if name != "n3"}
+    found = {len(node.view(town.now).member_names) for name, node in town.up.items() if name != "n3"}
     assert found <= sizes
-    assert not (town.up["n3"].view(town.now).majority and heard("n3", "n9"))
+    assert not (town.up["n3"].view(town.now).has_majority and heard("n3", "n9"))
     town.cut = lambda _a, _b: False
     assert town.until_agreed(20.0) <= 20.0
 
 
 def test_datagrams_half_a_second_late_and_a_node_that_flaps_are_borne() -> None:
-    town = Town(20, 1, late=0.5)
+    town = GossipSimulation(20, 1, late=0.5)
     assert town.until_agreed(10.0) <= 10.0
     for _ in range(8):
         town.kill(["n5"])
@@ -167,18 +171,18 @@
 
 
 def test_who_leaves_is_never_suspected_nor_brought_back() -> None:
-    town = Town(20, 9)
+    town = GossipSimulation(20, 9)
     town.until_agreed(10.0)
     town.send("n4", town.up["n4"].leave())
     town.kill(["n4"])
     assert town.until_agreed(3.0) <= 3.0
     town.run(town.now + 20.0)
     assert town.alarms == []
-    assert {node.view(town.now).members["n4"].state for node in town.up.values()} == {State.LEFT}
+    assert {node.view(town.now).members["n4"].status for node in town.up.values()} == {MemberStatus.LEFT}
 
 
 def test_two_nodes_of_one_name_notice_and_do_not_thrash_the_fleet() -> None:
-    town = Town(10, 10)
+    town = GossipSimulation(10, 10)
     town.until_agreed(10.0)
     twin = Membership("n4", ("127.0.9.9", 9000), town.peers, 200, town.rng)
     town.peers["twin"] = ("127.0.9.9", 9000)
@@ -194,10 +198,10 @@
 
 def test_the_dead_are_forgotten_in_time_and_what_floods_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(swim, "MOST", 50)
-    node = Membership("n0", ("127.0.0.1", 1), {}, 1, Town(1, 1).rng)
+    node = Membership("n0", ("127.0.0.1", 1), {}, 1, GossipSimulation(1, 1).rng)
     for number in range(200):
-        fact = Fact(f"x{number}", ("127.0.0.2", 1), 1, 1, 0, State.DEAD)
-        node.heard(Message(Kind.TOLD, 0, 0, (fact,)), fact.address, 1.0)
+        fact = MemberState(f"x{number}", ("127.0.0.2", 1), 1, 1, 0, MemberStatus.DEAD)
+        node.on_message(Message(MessageKind.GOSSIP, 0, 0, (fact,)), fact.address, 1.0)
     assert len(node.view(1.0).members) == 51
     now = 1.0
     while now < 125.0:
@@ -209,7 +213,7 @@
 def test_bytes_of_a_node_at_rest_do_not_grow_with_the_fleet() -> None:
     rates = []
     for nodes in (30, 100):
-        town = Town(nodes, 11)
+        town = GossipSimulation(nodes, 11)
         town.until_agreed(10.0)
         town.run(town.now + 10.0)
         town.bytes, began = 0, town.now
@@ -224,7 +228,9 @@
 
 
 def no_life(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Fact, "order", property(lambda self: (0, 0, self.incarnation, self.state)))
+    monkeypatch.setattr(
+        MemberState, "precedence", property(lambda self: (0, 0, self.incarnation, self.status))
+    )
 
 
 def never_over(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/model/test_cold.py
+++ b/tests/model/test_cold.py
@@ -7,38 +7,38 @@
 import pytest
 
 from burlmoor import messages as m
-from burlmoor.decide import Members
+from burlmoor.decide import EndpointList
 from burlmoor.model.audit import audit
-from burlmoor.model.world import Town, World
+from burlmoor.model.world import ClusterSpec, SimulatedCluster
 from burlmoor.rig.machine import Spec, most_calls
 
 WORK, CORES, COLD, LENGTH = 250.0, 4.0, 12_000.0, 7000.0
 SPEC = Spec(cores=CORES, slots=4, queue=40, cold_share=0.2, cold_ms=COLD, progress_ms=1000.0)
 
 
-def town(nodes: int, executors: int) -> Town:
+def town(nodes: int, executors: int) -> ClusterSpec:
     """An installation whose tenants may send 0.85 of what it can do."""
     settings = m.Settings(
         classes=(
-            m.JobClass("quote", 2.0, 600.0, 2.0, 6000.0, m.Effect.REPEATABLE),
-            m.JobClass("order", 10.0, 400.0, 2.0, 5000.0, m.Effect.ONCE),
+            m.JobClass("quote", 2.0, 600.0, 2.0, 6000.0, m.Idempotency.IDEMPOTENT),
+            m.JobClass("order", 10.0, 400.0, 2.0, 5000.0, m.Idempotency.NON_IDEMPOTENT),
         ),
         tenants=(m.Tenant("all", 1.0, 0.85 * 1000.0 * executors * CORES / WORK),),
-        limits=m.Limits(attempts=5, cancel=True, second_copies=True),
+        limits=m.Limits(max_attempts=5, may_cancel=True, may_hedge=True),
         rules=m.Rules(8.0, 250.0, 0.2, COLD, 4.0, 1000.0, 10_000.0),
-        balancers=nodes,
-        must_ask=False,
-        tick=2.0,
-        progress_every=1000.0,
-        tells_start=True,
-        worth_by_work=True,
+        node_count=nodes,
+        must_poll=False,
+        tick_ms=2.0,
+        progress_interval_ms=1000.0,
+        reports_start=True,
+        weight_by_work=True,
     )
-    return Town(settings, executors=executors, spec=SPEC, list_delay=(20.0, 400.0))
+    return ClusterSpec(settings, executors=executors, spec=SPEC, list_delay=(20.0, 400.0))
 
 
-def play(nodes: int, executors: int, load: float = 1.0) -> World:
+def play(nodes: int, executors: int, load: float = 1.0) -> SimulatedCluster:
     """Half of the executors are replaced at this load, while seven in ten nodes die and return, twice."""
-    world, rng = World(town(nodes, executors), 1), random.Random(8)
+    world, rng = SimulatedCluster(town(nodes, executors), 1), random.Random(8)
     began, rate = world.now, load * executors * CORES / WORK
     loud = [rng.choice([1, 1, 1, 2, 5]) for _ in range(nodes)]
 
@@ -83,7 +83,7 @@
 def test_nodes_that_each_send_cold_executors_what_they_like_are_noticed(
     nodes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Members, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(EndpointList, "warmth", lambda *_: 1.0)
     assert any("in a window where it bears" in line for line in audit(play(nodes, 12, load=3.0)))
 
 
--- a/tests/model/test_deployments.py
+++ b/tests/model/test_deployments.py
@@ -12,7 +12,7 @@
 from burlmoor import core as c
 from burlmoor import messages as m
 from burlmoor.model.audit import audit
-from burlmoor.model.world import Town, World
+from burlmoor.model.world import ClusterSpec, SimulatedCluster
 
 LENGTH, TOWN_RATE = 6000.0, 0.7
 
@@ -29,7 +29,7 @@
         "zones": st.sampled_from([1, 2, 4]),
         "tenants": st.booleans(),
         "nodes": st.sampled_from([1, 2, 4, 40]),
-        "group": st.sampled_from(list(m.Group)),
+        "group": st.sampled_from(list(m.DeduplicationScope)),
         "late_worth": st.booleans(),
         "blend": st.booleans(),
         "load": st.sampled_from([0.4, 0.85, 2.5]),
@@ -41,32 +41,34 @@
 )
 
 
-def town(d: dict[str, Any]) -> Town:
+def town(d: dict[str, Any]) -> ClusterSpec:
     late = 0.5 if d["late_worth"] else 0.0
     classes = (
-        m.JobClass("plain", 2.0, 300.0, 2.0, 2500.0, m.Effect.REPEATABLE, late_worth=late),
-        m.JobClass("keyed", 5.0, 400.0, 2.0, 3000.0, m.Effect.KEYED, d["group"], 1500.0, late),
-        m.JobClass("once", 3.0, 300.0, 1.75, 4000.0, m.Effect.ONCE, late_worth=late),
+        m.JobClass("plain", 2.0, 300.0, 2.0, 2500.0, m.Idempotency.IDEMPOTENT, late_fraction=late),
+        m.JobClass(
+            "keyed", 5.0, 400.0, 2.0, 3000.0, m.Idempotency.IDEMPOTENT_WITH_KEY, d["group"], 1500.0, late
+        ),
+        m.JobClass("once", 3.0, 300.0, 1.75, 4000.0, m.Idempotency.NON_IDEMPOTENT, late_fraction=late),
     )
     tenants = (m.Tenant("big", 0.7, 45.0), m.Tenant("small", 0.3, 20.0)) if d["tenants"] else ()
     given = m.Settings(
         classes=classes,
         tenants=tenants,
         limits=m.Limits(
-            attempts=d["attempts"], cancel=d["cancel"] != "not allowed", probes=d["probes"],
-            second_copies=d["second_copies"], retry_after=True,
+            max_attempts=d["attempts"], may_cancel=d["cancel"] != "not allowed", may_check_health=d["probes"],
+            may_hedge=d["second_copies"], sends_retry_after=True,
         ),
         rules=m.Rules(8.0, 250.0, 0.2, 4000.0, 3.0, 1500.0, 10_000.0),
-        blend=m.Blend(0.4, 0.4) if d["blend"] else m.Blend(),
-        balancers=d["nodes"],
-        must_ask=d["must_ask"],
-        tick=4.0,
-        progress_every=500.0 if d["progress"] else 0.0,
-        tells_start=d["tells_start"],
-        worth_by_work=True,
-        over_share_worth=0.1,
+        objective=m.ObjectiveWeights(0.4, 0.4) if d["blend"] else m.ObjectiveWeights(),
+        node_count=d["nodes"],
+        must_poll=d["must_ask"],
+        tick_ms=4.0,
+        progress_interval_ms=500.0 if d["progress"] else 0.0,
+        reports_start=d["tells_start"],
+        weight_by_work=True,
+        over_quota_fraction=0.1,
     )  # fmt: skip
-    return Town(
+    return ClusterSpec(
         given,
         zones=tuple("abcd"[: d["zones"]]),
         cancels="waiting" if d["cancel"] == "waiting" else "none",
@@ -76,9 +78,9 @@
     )
 
 
-def play(d: dict[str, Any]) -> World:
+def play(d: dict[str, Any]) -> SimulatedCluster:
     """A few seconds of load with executors drained and killed, nodes killed, answers lost."""
-    world = World(town(d), d["seed"])
+    world = SimulatedCluster(town(d), d["seed"])
     rng, began = random.Random(d["seed"] + 1), world.now
     works = {"plain": 200.0, "keyed": 250.0, "once": 350.0}
     rate = d["load"] * 6 * 4 / 250.0  # jobs a ms that six executors of four cores bear
@@ -106,7 +108,7 @@
 PLAIN: dict[str, Any] = {
     "must_ask": False, "cancel": "none", "probes": False, "weights": "nominal", "tells_start": True,
     "progress": True, "second_copies": True, "attempts": 3, "zones": 1, "tenants": False, "nodes": 2,
-    "group": m.Group.ALL, "late_worth": False, "blend": True, "load": 0.85, "lost": 0.05,
+    "group": m.DeduplicationScope.ALL, "late_worth": False, "blend": True, "load": 0.85, "lost": 0.05,
     "reset": 0.05, "replaced": 1.0, "seed": 1,
 }  # fmt: skip
 
@@ -129,36 +131,36 @@
     ]
 
 
-def _send_again(world: World) -> None:
+def _send_again(world: SimulatedCluster) -> None:
     """Every once job goes out a second time, whatever is known of the first."""
     for node in world.nodes:
         assert node is not None
-        node.core._node.gate.may_send = lambda job, worker, now: len(job.attempts) < 3  # type: ignore[method-assign]
+        node.core._policy.gate.may_send = lambda job, worker, now: len(job.attempts) < 3  # type: ignore[method-assign]
 
 
-def _ignore_drains(world: World) -> None:
+def _ignore_drains(world: SimulatedCluster) -> None:
     for node in world.nodes:
         assert node is not None
-        members = node.core._node.members
+        members = node.core._policy.members
 
-        def hear(event: m.Members, real: Any = members.update) -> None:
-            if event.form is not m.Form.CHANGES:
+        def hear(event: m.EndpointListUpdate, real: Any = members.update) -> None:
+            if event.kind is not m.ListKind.DELTA:
                 real(event)
 
         members.update = hear  # type: ignore[method-assign]
 
 
-def _all_warm(world: World) -> None:
+def _all_warm(world: SimulatedCluster) -> None:
     for node in world.nodes:
         assert node is not None
-        node.core._node.members.warmth = lambda worker, now: 1.0  # type: ignore[method-assign]
+        node.core._policy.members.warmth = lambda worker, now: 1.0  # type: ignore[method-assign]
 
 
-def _forget_answers(world: World) -> None:
+def _forget_answers(world: SimulatedCluster) -> None:
     for node in world.nodes:
         assert node is not None
 
-        def answer(job: c.Job, answer: c.Answer, real: Any = node.core._answer) -> None:
+        def answer(job: c.Job, answer: c.FinalAnswer, real: Any = node.core._answer) -> None:
             if job.number % 50:
                 real(job, answer)
 
@@ -177,12 +179,12 @@
 def test_the_audit_notices_a_node_that_breaks_a_rule(
     fault: Any, nodes: int, said: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    original = World.__init__
+    original = SimulatedCluster.__init__
 
-    def broken(self: World, *given: Any) -> None:
+    def broken(self: SimulatedCluster, *given: Any) -> None:
         original(self, *given)
         fault(self)
 
-    monkeypatch.setattr(World, "__init__", broken)
+    monkeypatch.setattr(SimulatedCluster, "__init__", broken)
     lines = audit(play({**PLAIN, "nodes": nodes, "load": 2.5, "seed": 3}))
     assert any(said in line for line in lines), lines[:5]
--- a/tests/model/test_gone.py
+++ b/tests/model/test_gone.py
@@ -7,15 +7,15 @@
 import pytest
 
 from burlmoor import messages as m
-from burlmoor.core import Core
+from burlmoor.core import Engine
 from burlmoor.model.audit import audit
-from burlmoor.model.world import World
+from burlmoor.model.world import SimulatedCluster
 from tests.model.test_cold import CORES, WORK, town
 
 
-def play() -> World:
+def play() -> SimulatedCluster:
     """Twice the load that the fleet can bear; a third of the clients leave, many of them all at once."""
-    world, rng = World(town(4, 6), 3), random.Random(4)
+    world, rng = SimulatedCluster(town(4, 6), 3), random.Random(4)
     began, rate = world.now, 2.0 * 6 * CORES / WORK
 
     def arrive() -> None:
@@ -39,7 +39,7 @@
 
 
 def test_a_node_that_does_not_hear_its_clients_leave_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Core, "gone", lambda _self, _job: None)
+    monkeypatch.setattr(Engine, "on_client_disconnected", lambda _self, _job: None)
     assert any("after its client had left" in line for line in audit(play()))
 
 
--- a/tests/model/test_hard_cases.py
+++ b/tests/model/test_hard_cases.py
@@ -11,28 +11,39 @@
 from burlmoor import core as c
 from burlmoor import messages as m
 from burlmoor.model.audit import audit
-from burlmoor.model.world import Town, World
+from burlmoor.model.world import ClusterSpec, SimulatedCluster
 from burlmoor.rig.machine import Spec
 
 CLASSES = (
-    m.JobClass("booking", 5.0, 750.0, 2.0, 10_000.0, m.Effect.KEYED, m.Group.ALL, 15_000.0),
-    m.JobClass("deposit", 3.0, 500.0, 1.75, 20_000.0, m.Effect.ONCE),
+    m.JobClass(
+        "booking",
+        5.0,
+        750.0,
+        2.0,
+        10_000.0,
+        m.Idempotency.IDEMPOTENT_WITH_KEY,
+        m.DeduplicationScope.ALL,
+        15_000.0,
+    ),
+    m.JobClass("deposit", 3.0, 500.0, 1.75, 20_000.0, m.Idempotency.NON_IDEMPOTENT),
 )
 SETTINGS = m.Settings(
     classes=CLASSES,
     tenants=tuple(m.Tenant(name, share, 50.0 * share) for name, share in (("big", 0.7), ("small", 0.3))),
-    limits=m.Limits(attempts=5, cancel=True, probes=True, second_copies=True, retry_after=True),
+    limits=m.Limits(
+        max_attempts=5, may_cancel=True, may_check_health=True, may_hedge=True, sends_retry_after=True
+    ),
     rules=m.Rules(8.0, 250.0, 0.15, 24_000.0, 2.5, 3000.0, 10_000.0),
-    blend=m.Blend(0.4, 0.4),
-    balancers=2,
-    must_ask=False,
-    tick=4.0,
-    progress_every=1000.0,
-    tells_start=True,
-    worth_by_work=True,
-    over_share_worth=0.05,
+    objective=m.ObjectiveWeights(0.4, 0.4),
+    node_count=2,
+    must_poll=False,
+    tick_ms=4.0,
+    progress_interval_ms=1000.0,
+    reports_start=True,
+    weight_by_work=True,
+    over_quota_fraction=0.05,
 )
-TOWN = Town(
+TOWN = ClusterSpec(
     SETTINGS,
     zones=("banqiao", "taichung"),
     executors=15,
@@ -46,13 +57,13 @@
 
 
 def play(
-    happens: Callable[[World], None],
-    town: Town = TOWN,
+    happens: Callable[[SimulatedCluster], None],
+    town: ClusterSpec = TOWN,
     rate: Callable[[float], float] = lambda _: USUAL,
     tenant: Callable[[float, random.Random], str] = lambda _, rng: rng.choice(["big", "big", "small"]),
-) -> World:
+) -> SimulatedCluster:
     """Half a minute of the office's jobs, at `rate` a ms, and all answers awaited."""
-    world, rng = World(town, 5), random.Random(6)
+    world, rng = SimulatedCluster(town, 5), random.Random(6)
     began = world.now
 
     def arrive() -> None:
@@ -69,14 +80,14 @@
     return world
 
 
-def served(world: World, since: float = 0.0) -> float:
+def served(world: SimulatedCluster, since: float = 0.0) -> float:
     """The share of what was asked from `since` on (ms into the run) that was served."""
     began = min(row.sent for row in world.asked.values())
     rows = [row for row in world.asked.values() if row.sent >= began + since]
     return sum(isinstance(row.answers[0][1], c.Served) for row in rows if row.answers) / len(rows)
 
 
-def replace_all(world: World) -> None:
+def replace_all(world: SimulatedCluster) -> None:
     """All 15 executors are replaced within 21 s, each by a cold one."""
     for number in range(15):
         at = world.now + 2000.0 + 1400.0 * number
@@ -84,21 +95,21 @@
         world.at(at + 2500.0, lambda n=number: world._come_back(f"x{n}"))  # type: ignore[misc]
 
 
-def shrink(world: World) -> None:
+def shrink(world: SimulatedCluster) -> None:
     """The fleet shrinks to 37 % of its size."""
     for number in range(6, 15):
         at = world.now + 5000.0 + 900.0 * number
         world.at(at, lambda n=number: world.drain(f"x{n}", 3000.0))  # type: ignore[misc]
 
 
-def repeat_the_list(world: World) -> None:
+def repeat_the_list(world: SimulatedCluster) -> None:
     """The whole list is pushed every 40 ms, all alike, while executors come and go."""
     began = world.now
 
     def push() -> None:
         for node in world.nodes:
             if node is not None:
-                node.hear(world.listed(), m.Form.FULL)
+                node.hear(world.listed(), m.ListKind.SNAPSHOT)
         if world.now < began + LENGTH:
             world.at(world.now + 40.0, push)
 
@@ -115,7 +126,7 @@
 
 @pytest.mark.parametrize(("happens", "least"), [(replace_all, 0.25), (shrink, 0.4), (repeat_the_list, 0.4)])
 def test_a_fleet_that_is_replaced_shrinks_or_is_told_without_end(
-    happens: Callable[[World], None], least: float
+    happens: Callable[[SimulatedCluster], None], least: float
 ) -> None:
     world = play(happens)
     assert audit(world) == []
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlmoor.options import BadOptions, Options, Waiting, read
+from burlmoor.options import DeferredOptions, InvalidOptionsError, Options, read_options
 from burlmoor.options.reading import parse, sections, unit_of
 from burlmoor.options.units import UNITS, value, written
 
@@ -19,12 +19,14 @@
 
 def test_a_section_that_is_absent_is_off() -> None:
     assert parse("", "f") == Options(waiting=None)
-    assert parse("# nothing\n[waiting]\n", "f").waiting == Waiting()
+    assert parse("# nothing\n[waiting]\n", "f").waiting == DeferredOptions()
 
 
 def test_figures_carry_units() -> None:
     read_in = parse("[waiting]\nheld = 2 MiB\nlongest = 1.5 min\nplaces = 40 %\njobs = 7\n", "f").waiting
-    assert read_in == Waiting(held=2.0 * 1024**2, longest=90_000.0, places=0.4, jobs=7)
+    assert read_in == DeferredOptions(
+        max_body_bytes=2.0 * 1024**2, max_deferral_ms=90_000.0, connection_share=0.4, max_jobs=7
+    )
 
 
 @pytest.mark.parametrize(
@@ -48,7 +50,7 @@
     ],
 )
 def test_all_that_is_wrong_is_told_a_line_each(text: str, lines: list[str]) -> None:
-    with pytest.raises(BadOptions) as caught:
+    with pytest.raises(InvalidOptionsError) as caught:
         parse(text, "f")
     assert len(caught.value.faults) == len(lines)
     for fault, line in zip(caught.value.faults, lines, strict=True):
@@ -61,8 +63,8 @@
     path = tmp_path / "options.ini"
     if made is not None:
         path.write_bytes(made)
-    with pytest.raises(BadOptions) as caught:
-        read(path)
+    with pytest.raises(InvalidOptionsError) as caught:
+        read_options(path)
     assert len(caught.value.faults) == 1
     assert caught.value.faults[0].startswith(str(path))
 
@@ -74,7 +76,7 @@
     for name, kind in sections().items():
         fields = msgspec.structs.fields(kind)
         assert list(parser[name]) == [field.encode_name for field in fields]
-        assert getattr(read(EXAMPLE), name) == kind()
+        assert getattr(read_options(EXAMPLE), name) == kind()
 
 
 @given(st.sampled_from(sorted(UNITS)), st.integers(0, 10**6))
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -12,11 +12,11 @@
 import trio
 
 from burlmoor.__main__ import Node
-from burlmoor.config import Config
-from burlmoor.log import Log
-from burlmoor.net.target_group import HostList
+from burlmoor.config import NodeConfig
+from burlmoor.log import EventLog
+from burlmoor.net.target_group import DiscoveredList
 from burlmoor.rig.wire import Message, Wire
-from burlmoor.settings import settings_from
+from burlmoor.settings import parse_settings
 from tests.test_config import OPTIONS
 
 REPLIES: dict[str, tuple[str, dict[str, Any]]] = {
@@ -223,16 +223,16 @@
         for name in ("e0", "e1"):
             await made.executor(name)
         discovery = await made.discovery()
-        known = msgspec.convert(made.listed(1, e0="active", e1="active"), HostList)
-        more = {"control": ("127.0.0.1", 0), **more}
-        decisions = settings_from(given_settings)
-        given = Config("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, decisions, **more)
+        known = msgspec.convert(made.listed(1, e0="active", e1="active"), DiscoveredList)
+        more = {"admin": ("127.0.0.1", 0), **more}
+        decisions = parse_settings(given_settings)
+        given = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, decisions, **more)
 
         async def run(task_status: trio.TaskStatus[None]) -> None:
             # A nursery of its own: a node that stops cancels its nursery, and must not end the story.
             async with trio.open_nursery() as inner:
-                made.node = Node(given, inner, Log("n0", Sink()))  # type: ignore[arg-type]
-                made.address = made.node.front.address
+                made.node = Node(given, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
+                made.address = made.node.server.address
                 made.node.start()
                 task_status.started()
             made.ended = True
--- a/tests/talk.py
+++ b/tests/talk.py
@@ -10,13 +10,22 @@
 
 A = TypeVar("A")
 
-LOOKUP = m.JobClass("lookup", worth=1.0, aim=400.0, stretch=2.0, deadline=5000.0)
+LOOKUP = m.JobClass(
+    "lookup", priority_weight=1.0, latency_objective_ms=400.0, objective_stretch=2.0, deadline_ms=5000.0
+)
 KEYED = m.JobClass(
-    "keyed", worth=5.0, aim=400.0, stretch=2.0, deadline=6000.0,
-    effect=m.Effect.KEYED, group=m.Group.ZONE, window=3000.0,
+    "keyed", priority_weight=5.0, latency_objective_ms=400.0, objective_stretch=2.0, deadline_ms=6000.0,
+    idempotency=m.Idempotency.IDEMPOTENT_WITH_KEY, deduplication_scope=m.DeduplicationScope.ZONE, deduplication_window_ms=3000.0,
 )  # fmt: skip
-ONCE = m.JobClass("once", worth=3.0, aim=400.0, stretch=2.0, deadline=5000.0, effect=m.Effect.ONCE)
-LIMITS = m.Limits(attempts=4, cancel=True, second_copies=True, retry_after=True)
+ONCE = m.JobClass(
+    "once",
+    priority_weight=3.0,
+    latency_objective_ms=400.0,
+    objective_stretch=2.0,
+    deadline_ms=5000.0,
+    idempotency=m.Idempotency.NON_IDEMPOTENT,
+)
+LIMITS = m.Limits(max_attempts=4, may_cancel=True, may_hedge=True, sends_retry_after=True)
 RULES = m.Rules(20.0, 500.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0)
 
 
@@ -26,17 +35,17 @@
         "limits": LIMITS,
         "rules": RULES,
         "zone": "a",
-        "tick": 5.0,
-        "progress_every": 1000.0,
-        "tells_start": True,
-        "worth_by_work": True,
+        "tick_ms": 5.0,
+        "progress_interval_ms": 1000.0,
+        "reports_start": True,
+        "weight_by_work": True,
     }
     return m.Settings(**{**base, **changes})
 
 
-def entries(count: int, zone: str = "a", **changes: Any) -> list[m.Entry]:
+def entries(count: int, zone: str = "a", **changes: Any) -> list[m.EndpointEntry]:
     base: dict[str, Any] = {"zone": zone, "weight": 4.0, "kind": "std"}
-    return [m.Entry(f"{zone}{i}", **{**base, **changes}) for i in range(count)]
+    return [m.EndpointEntry(f"{zone}{i}", **{**base, **changes}) for i in range(count)]
 
 
 class Talk:
@@ -45,7 +54,7 @@
     def __init__(
         self,
         given: m.Settings | None = None,
-        listed: Iterable[m.Entry] | None = None,
+        listed: Iterable[m.EndpointEntry] | None = None,
         now: float = 1000.0,
         seed: int = 1,
     ) -> None:
@@ -54,11 +63,11 @@
         self.now = now
         self.timers: list[float] = []
         self.said: list[m.Action] = []
-        self.tell(m.Members(m.Form.CACHED, list(entries(4) if listed is None else listed)))
+        self.tell(m.EndpointListUpdate(m.ListKind.CACHED, list(entries(4) if listed is None else listed)))
 
     def tell(self, *events: m.Event) -> list[m.Action]:
         actions = self.node.handle(self.now, list(events))
-        self.timers += [self.now + action.delay for action in actions if isinstance(action, m.SetTimer)]
+        self.timers += [self.now + action.delay_ms for action in actions if isinstance(action, m.SetTimer)]
         self.said += actions
         return actions
 
@@ -73,24 +82,24 @@
                 return actions
             self.timers.remove(due)
             self.now = max(self.now, due)
-            actions += self.tell(m.Timer(0))
+            actions += self.tell(m.TimerFired(0))
         raise AssertionError("the dispatcher keeps setting timers without end")
 
     def ask(self, ref: int, job_class: str = "lookup", **changes: Any) -> list[m.Action]:
-        base: dict[str, Any] = {"patience": 5000.0, "work": 300.0}
-        return self.tell(m.Request(ref, job_class, **{**base, **changes}))
+        base: dict[str, Any] = {"timeout_ms": 5000.0, "work_ms": 300.0}
+        return self.tell(m.JobRequest(ref, job_class, **{**base, **changes}))
 
-    def placed(self, ref: int, job_class: str = "lookup", **changes: Any) -> m.Send:
+    def placed(self, ref: int, job_class: str = "lookup", **changes: Any) -> m.StartAttempt:
         """Ask, let a round pass, and return the send."""
         self.ask(ref, job_class, **changes)
         self.run(60.0)
-        return self.all(m.Send, ref)[-1]
+        return self.all(m.StartAttempt, ref)[-1]
 
     def end(
-        self, send: m.Send, outcome: m.Outcome, attempt: int = 0, closed: bool | None = None
+        self, send: m.StartAttempt, outcome: m.Outcome, attempt: int = 0, closed: bool | None = None
     ) -> list[m.Action]:
         over = outcome is m.Outcome.SERVED if closed is None else closed
-        return self.tell(m.Ended(send.id, attempt, send.executor, outcome, 10.0, over))
+        return self.tell(m.AttemptEnded(send.id, attempt, send.endpoint, outcome, 10.0, over))
 
     def all(self, kind: type[A], ref: int | None = None) -> list[A]:
         return [
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -8,29 +8,29 @@
 import pytest
 
 from burlmoor import messages as m
-from burlmoor.book import BANDS, Book, Worker
-from burlmoor.decide import Job
-from burlmoor.means import Mean
+from burlmoor.book import BANDS, Endpoint, EndpointStatistics
+from burlmoor.decide import ScheduledJob
+from burlmoor.means import DecayedMean
 from tests.talk import LOOKUP, Talk, entries, settings
 
 
-def job(work: float) -> Job:
-    return Job(m.Request(1, "lookup", 5000.0, work), LOOKUP, work)
+def job(work: float) -> ScheduledJob:
+    return ScheduledJob(m.JobRequest(1, "lookup", 5000.0, work), LOOKUP, work)
 
 
-def worker(name: str = "a0", kind: str = "std") -> Worker:
-    return Worker(m.Entry(name, zone="a", weight=4.0, kind=kind))
+def worker(name: str = "a0", kind: str = "std") -> Endpoint:
+    return Endpoint(m.EndpointEntry(name, zone="a", weight=4.0, kind=kind))
 
 
 def test_a_mean_forgets_towards_its_prior() -> None:
-    mean = Mean()
-    mean.add(0.0, 10.0, half=100.0, weight=9.0)
+    mean = DecayedMean()
+    mean.add(0.0, 10.0, half_life=100.0, weight=9.0)
     assert mean.read(0.0, 100.0, prior=0.0) == pytest.approx(9.0)
     assert mean.read(2000.0, 100.0, prior=0.0) < 0.01
 
 
 def test_one_outcome_teaches_every_class_and_kind_mates() -> None:
-    book, known, mate, other = Book(5.0), worker("a0"), worker("a1"), worker("b0", "other")
+    book, known, mate, other = EndpointStatistics(5.0), worker("a0"), worker("a1"), worker("b0", "other")
     for _ in range(10):
         book.learn_run(known, 100.0, 300.0, 1000.0)
     kind = book.kind("std", 1000.0)
@@ -42,7 +42,7 @@
 
 
 def test_a_cell_of_its_own_tells_one_class_from_another() -> None:
-    book, known = Book(5.0), worker()
+    book, known = EndpointStatistics(5.0), worker()
     for _ in range(20):
         book.mean_work.add(0.0, 200.0, 8000.0)
     for _ in range(20):
@@ -54,7 +54,7 @@
 
 def test_a_heavy_job_is_not_held_against_its_worker() -> None:
     # Guards against one job of twenty times its hint making a sound worker look dead.
-    book, known = Book(5.0), worker()
+    book, known = EndpointStatistics(5.0), worker()
     for _ in range(10):
         book.learn_run(known, 100.0, 100.0, 1000.0)
     book.learn_run(known, 100.0, 2000.0, 1000.0)
@@ -63,21 +63,21 @@
 
 def test_progress_tells_of_slowness_before_the_outcome() -> None:
     talk = Talk(listed=entries(1))
-    send = talk.placed(1, work=1000.0)
-    talk.tell(m.Started(1, 0, send.executor))
+    send = talk.placed(1, work_ms=1000.0)
+    talk.tell(m.AttemptStarted(1, 0, send.endpoint))
     talk.run(1000.0)
-    talk.tell(m.Progress(1, 0, send.executor, 0.25))
+    talk.tell(m.AttemptProgressed(1, 0, send.endpoint, 0.25))
     assert talk.node.book.kind("std", talk.now) > 1.2
 
 
 def test_a_late_start_closes_the_worker_until_it_starts() -> None:
     talk = Talk(listed=entries(1))
-    send = talk.placed(1, "once", work=300.0)
+    send = talk.placed(1, "once", work_ms=300.0)
     talk.run(200.0)
-    talk.ask(2, "once", work=300.0)
+    talk.ask(2, "once", work_ms=300.0)
     talk.run(100.0)
-    assert not talk.all(m.Send, 2)
-    talk.tell(m.Started(1, 0, send.executor))
+    assert not talk.all(m.StartAttempt, 2)
+    talk.tell(m.AttemptStarted(1, 0, send.endpoint))
     assert talk.node.members.workers["a0"].overdue == 0
 
 
@@ -87,7 +87,7 @@
     start = known.room
     for ref in range(4):
         send = talk.placed(ref)
-        talk.tell(m.Started(ref, 0, send.executor))
+        talk.tell(m.AttemptStarted(ref, 0, send.endpoint))
     assert known.room > start
     raised = known.room
     talk.node.book.learn_delay(known, 500.0, talk.now)
@@ -97,19 +97,19 @@
 def test_full_turns_the_next_job_elsewhere() -> None:
     talk = Talk(listed=entries(2))
     send = talk.placed(1)
-    talk.end(send, m.Outcome.FULL)
+    talk.end(send, m.Outcome.OVERLOADED)
     talk.run(20.0)
-    assert talk.all(m.Send, 1)[1].executor != send.executor
+    assert talk.all(m.StartAttempt, 1)[1].endpoint != send.endpoint
 
 
 def test_when_all_looks_bad_work_is_still_spread() -> None:
     # Guards against ejecting the fleet when the trouble is on our own side.
     talk = Talk(listed=entries(4))
     for ref in range(12):
-        talk.ask(ref, "once", work=500.0)
+        talk.ask(ref, "once", work_ms=500.0)
         talk.run(60.0)
-        talk.end(talk.all(m.Send, ref)[0], m.Outcome.ERROR)
-    assert len({send.executor for send in talk.all(m.Send)}) == 4
+        talk.end(talk.all(m.StartAttempt, ref)[0], m.Outcome.ERROR)
+    assert len({send.endpoint for send in talk.all(m.StartAttempt)}) == 4
 
 
 @pytest.mark.parametrize("outcome", [m.Outcome.ERROR, m.Outcome.RESET, m.Outcome.UNREACHABLE])
@@ -117,18 +117,18 @@
     # Guards against a sink: always free, it drew a fifth of all jobs and failed them.
     talk = Talk(listed=entries(1))
     for ref in (1, 2):
-        talk.end(talk.placed(ref, work=50.0), outcome)
-    talk.tell(m.Members(m.Form.CHANGES, entries(2)[1:]))
+        talk.end(talk.placed(ref, work_ms=50.0), outcome)
+    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, entries(2)[1:]))
 
     def sent_to_bad() -> list[int]:
-        return [send.id for send in talk.all(m.Send) if send.executor == "a0"]
+        return [send.id for send in talk.all(m.StartAttempt) if send.endpoint == "a0"]
 
     for ref in range(200, 206):  # the other one has no room for so many
-        talk.ask(ref, "once", work=1500.0)
+        talk.ask(ref, "once", work_ms=1500.0)
     talk.run(200.0)
     assert len(sent_to_bad()) == 2
     for ref in range(300, 310):
-        talk.ask(ref, work=1500.0)
+        talk.ask(ref, work_ms=1500.0)
     talk.run(1000.0)
     assert len(sent_to_bad()) == 3  # the test, and no second one while it is out
     assert sent_to_bad()[2] >= 300
@@ -136,57 +136,57 @@
 
 def test_a_silent_worker_loses_stability_and_repeatable_work_moves() -> None:
     talk = Talk(settings(), entries(2))
-    send = talk.placed(1, work=2000.0)
-    talk.tell(m.Started(1, 0, send.executor))
+    send = talk.placed(1, work_ms=2000.0)
+    talk.tell(m.AttemptStarted(1, 0, send.endpoint))
     talk.run(1700.0)
-    known = talk.node.members.workers[send.executor]
+    known = talk.node.members.workers[send.endpoint]
     assert talk.node.book.stability(known, talk.now) < 0.8
-    assert len(talk.all(m.Send, 1)) == 2
+    assert len(talk.all(m.StartAttempt, 1)) == 2
 
 
 def test_a_key_returns_to_the_same_executor_at_every_node() -> None:
     homes = set()
     for seed in range(5):
         talk = Talk(listed=entries(8), seed=seed)
-        homes.add(talk.placed(1, "keyed", key="00aa").executor)
+        homes.add(talk.placed(1, "keyed", affinity_key="00aa").endpoint)
     assert len(homes) == 1
 
 
 def test_a_key_has_the_same_home_for_nodes_in_all_zones() -> None:
     # Guards against every zone fetching every key: the store they come from serves only so many at a time.
-    listed = [*entries(4), *(m.Entry(f"b{n}", zone="b", weight=4.0, kind="std") for n in range(4))]
+    listed = [*entries(4), *(m.EndpointEntry(f"b{n}", zone="b", weight=4.0, kind="std") for n in range(4))]
     homes = set()
     for zone in ("a", "b"):
         talk = Talk(settings(zone=zone), listed)
-        homes.add(tuple(talk.placed(ref, "keyed", key=f"{ref:04x}").executor for ref in range(1, 9)))
+        homes.add(tuple(talk.placed(ref, "keyed", affinity_key=f"{ref:04x}").endpoint for ref in range(1, 9)))
     assert len(homes) == 1
 
 
 def test_what_waits_at_an_executor_that_works_stays_there() -> None:
     # Guards against feeding an overload: what was moved may run at both, and its key is fetched once more.
     talk = Talk(settings(), entries(1))
-    first, _ = talk.placed(1, work=2000.0), talk.placed(2, work=2000.0)
-    talk.tell(m.Members(m.Form.CHANGES, entries(2)[1:]), m.Started(1, 0, first.executor))
+    first, _ = talk.placed(1, work_ms=2000.0), talk.placed(2, work_ms=2000.0)
+    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, entries(2)[1:]), m.AttemptStarted(1, 0, first.endpoint))
     talk.run(500.0)
-    assert len(talk.all(m.Send, 2)) == 1
+    assert len(talk.all(m.StartAttempt, 2)) == 1
 
 
 def test_what_is_unlikely_to_be_in_time_is_not_sent() -> None:
     # Guards against work for answers that come late, however much hope there is that the hint is wrong.
-    tight, trials = replace(LOOKUP, aim=90.0, stretch=0.0), set()
+    tight, trials = replace(LOOKUP, latency_objective_ms=90.0, objective_stretch=0.0), set()
     talk = Talk(settings(classes=(tight,)))
     for ref in range(1, 21):
-        talk.ask(ref, work=100.0)
+        talk.ask(ref, work_ms=100.0)
         if talk.node.jobs[ref].trial:
             trials.add(ref)
         talk.run(20.0)
-        talk.tell(m.Gone(ref))
-    assert {send.id for send in talk.all(m.Send)} <= trials
+        talk.tell(m.ClientDisconnected(ref))
+    assert {send.id for send in talk.all(m.StartAttempt)} <= trials
 
 
 def test_a_chance_is_as_good_as_what_jobs_took_says() -> None:
     # Guards against a margin that suits one deployment: hints and noise differ, and each class shows its own.
-    book, rng = Book(5.0), random.Random(3)
+    book, rng = EndpointStatistics(5.0), random.Random(3)
     for number in range(400):
         book.learn_finish("rough", 1000.0, 1000.0 * rng.lognormvariate(0.3, 0.6), 50.0 * number)
         book.learn_finish("fine", 1000.0, 1000.0 * rng.lognormvariate(0.0, 0.1), 50.0 * number)
@@ -200,40 +200,40 @@
 def test_a_place_far_worse_than_the_fastest_kinds_is_not_taken_while_there_is_time() -> None:
     # Guards against slow executors that look free drawing what another would finish in time a moment later.
     slow, fast = entries(1, kind="slow"), entries(2, kind="fast")[1:]
-    tight = replace(LOOKUP, aim=400.0, stretch=0.0)
+    tight = replace(LOOKUP, latency_objective_ms=400.0, objective_stretch=0.0)
     talk = Talk(settings(classes=(tight,)), [*slow, *fast])
     for kind, run, seen in (("slow", 400.0, 20), ("fast", 100.0, 200)):
         for _ in range(seen):
             talk.node.book.learn_run(worker("x", kind), 100.0, run, talk.now)
     filled = talk.node.members.workers["a1"]
     filled.slots = filled.room
-    talk.ask(1, work=100.0)
+    talk.ask(1, work_ms=100.0)
     talk.node.jobs[1].trial = False
     talk.run(60.0)
-    assert not talk.all(m.Send)
+    assert not talk.all(m.StartAttempt)
     filled.slots = 0.0
     talk.run(60.0)
-    assert [send.executor for send in talk.all(m.Send)] == ["a1"]
+    assert [send.endpoint for send in talk.all(m.StartAttempt)] == ["a1"]
 
 
 def test_no_probes_are_bought() -> None:
     # A few of each node are many at an executor that 40 nodes share, and tell no more than starts do.
-    limits = m.Limits(attempts=4, cancel=True, probes=True)
+    limits = m.Limits(max_attempts=4, may_cancel=True, may_check_health=True)
     talk = Talk(settings(limits=limits), entries(6))
     assert talk.placed(2, "once")
-    assert not talk.all(m.Probe)
+    assert not talk.all(m.CheckHealth)
 
 
 def test_nothing_is_left_behind_by_finished_work_and_forgotten_workers() -> None:
     talk = Talk(listed=entries(4))
     for ref in range(300):
-        talk.ask(ref, ("lookup", "keyed", "once")[ref % 3], key=str(ref))
+        talk.ask(ref, ("lookup", "keyed", "once")[ref % 3], affinity_key=str(ref))
         talk.run(40.0)
-        for send in talk.all(m.Send, ref):
-            talk.end(send, m.Outcome.SERVED, len(talk.all(m.Send, ref)) - 1)
+        for send in talk.all(m.StartAttempt, ref):
+            talk.end(send, m.Outcome.SERVED, len(talk.all(m.StartAttempt, ref)) - 1)
         talk.said.clear()
-        talk.tell(m.Members(m.Form.CHANGES, [m.Entry(f"n{ref}", zone="a", kind="std")]))
-        talk.tell(m.Members(m.Form.CHANGES, [m.Entry(f"n{ref}", m.State.GONE)]))
+        talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [m.EndpointEntry(f"n{ref}", zone="a", kind="std")]))
+        talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [m.EndpointEntry(f"n{ref}", m.EndpointState.GONE)]))
     talk.run(10_000.0)
     node = talk.node
     assert not node.jobs
@@ -245,7 +245,7 @@
 
 def test_a_standing_queue_does_not_pass_for_a_slow_network() -> None:
     # Guards against moving jobs too late: starts delayed by a queue must not raise what counts as prompt.
-    book, known = Book(5.0), worker()
+    book, known = EndpointStatistics(5.0), worker()
     book.learn_delay(known, 4.0, 0.0)
     for step in range(20):
         book.learn_delay(known, 3000.0, 100.0 * step)
@@ -254,7 +254,11 @@
 
 def test_a_crowded_zone_tells_nothing_of_another() -> None:
     # Guards against staying in a full zone because all zones share one expected wait.
-    book, near, far = Book(5.0), worker("a0"), Worker(m.Entry("b0", zone="b", weight=4.0, kind="std"))
+    book, near, far = (
+        EndpointStatistics(5.0),
+        worker("a0"),
+        Endpoint(m.EndpointEntry("b0", zone="b", weight=4.0, kind="std")),
+    )
     book.learn_delay(near, 4.0, 0.0)
     for step in range(20):
         book.learn_delay(near, 2000.0, 100.0 * step)
@@ -267,14 +271,14 @@
     talk = Talk(listed=entries(6))
     for _ in range(40):
         talk.node.book.promptness.add(talk.now, 0.0, 8000.0)
-    talk.placed(1, work=2000.0)
+    talk.placed(1, work_ms=2000.0)
     talk.run(500.0)
-    assert len(talk.all(m.Send, 1)) == 1
+    assert len(talk.all(m.StartAttempt, 1)) == 1
 
 
 def test_a_wait_cut_short_is_no_sign_of_a_short_wait() -> None:
     # Guards against sending into standing queues: jobs moved after 25 ms must not teach a wait of 25 ms.
-    book, known = Book(5.0), worker()
+    book, known = EndpointStatistics(5.0), worker()
     book.learn_delay(known, 4.0, 0.0)
     for step in range(10):
         book.learn_delay(known, 2000.0, 10.0 * step)
@@ -286,7 +290,7 @@
 
 def test_where_nodes_are_many_a_burst_shows_in_what_is_expected_of_executors_never_met() -> None:
     # With hundreds of nodes each has met hardly any executor lately: it goes by the kind.
-    book, met, other = Book(5.0), worker("a0"), worker("a1")
+    book, met, other = EndpointStatistics(5.0), worker("a0"), worker("a1")
     pace = book.pace(0.0)
     for step in range(20):
         book.learn_delay(met, 4.0, 10.0 * step)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -41,25 +41,25 @@
 
 
 def test_the_environment_wins_over_the_file(tmp_path: Path) -> None:
-    given = config.load({**written(tmp_path), "RELAY_NAME": "n7", "RELAY_LISTEN": "127.0.0.2:90"})
+    given = config.load_config({**written(tmp_path), "RELAY_NAME": "n7", "RELAY_LISTEN": "127.0.0.2:90"})
     assert (given.name, given.listen, given.discovery) == ("n7", ("127.0.0.2", 90), "127.0.0.1:8500")
-    assert (given.seed, given.sockets) == (0x8C1F, 900)
-    assert given.control is None
+    assert (given.seed, given.max_sockets) == (0x8C1F, 900)
+    assert given.admin is None
     told = written(tmp_path, control="127.0.0.1:9901")
-    assert config.load(told).control == ("127.0.0.1", 9901)
-    assert config.load({**told, "RELAY_CONTROL": "127.0.0.1:9902"}).control == ("127.0.0.1", 9902)
-    assert given.settings.keepalive == 30_000.0
-    assert [each.name for each in given.settings.decisions.classes] == ["lookup", "once", "keyed"]
+    assert config.load_config(told).admin == ("127.0.0.1", 9901)
+    assert config.load_config({**told, "RELAY_CONTROL": "127.0.0.1:9902"}).admin == ("127.0.0.1", 9902)
+    assert given.settings.keepalive_ms == 30_000.0
+    assert [each.name for each in given.settings.policy.classes] == ["lookup", "once", "keyed"]
 
 
 PEERS = {"peer_listen": "127.0.0.1:9000", "peers_all": "127.0.0.9:9000"}
 
 
 def test_other_nodes_are_read_where_nodes_may_talk(tmp_path: Path) -> None:
-    assert config.load(written(tmp_path)).peers is None
-    assert config.load(written(tmp_path, peer_listen="127.0.0.1:9000")).peers is None
+    assert config.load_config(written(tmp_path)).peers is None
+    assert config.load_config(written(tmp_path, peer_listen="127.0.0.1:9000")).peers is None
     for told, name in (({"n2": "127.0.0.2:9000"}, "n2"), (["127.0.0.2:9000"], "0")):
-        peers = config.load(written(tmp_path, peers=told, **PEERS)).peers
+        peers = config.load_config(written(tmp_path, peers=told, **PEERS)).peers
         assert peers is not None
         assert peers.listen == ("127.0.0.1", 9000)
         assert peers.everyone == ("127.0.0.9", 9000)
@@ -98,7 +98,7 @@
 def test_a_passed_descriptor_has_to_listen(tmp_path: Path) -> None:
     with socket.socket() as bound, socket.create_server(("127.0.0.1", 0)) as listens:
         good = {**written(tmp_path), "RELAY_PASSED_SOCKET": str(listens.fileno())}
-        assert config.load(good).passed == listens.fileno()
+        assert config.load_config(good).listener_fd == listens.fileno()
         for text in ("three", "987", str(bound.fileno())):
-            with pytest.raises(config.BadConfig, match="RELAY_PASSED_SOCKET"):
-                config.load({**good, "RELAY_PASSED_SOCKET": text})
+            with pytest.raises(config.InvalidConfigError, match="RELAY_PASSED_SOCKET"):
+                config.load_config({**good, "RELAY_PASSED_SOCKET": text})
