--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,8 +11,8 @@
 import trio
 
 from burlmoor import messages as m
-from burlmoor.net.control import Call, ControlConnection, Result
-from burlmoor.net.serving import Service, Serving
+from burlmoor.net.control import AdminConnection, AdminRequest, AdminResponse
+from burlmoor.net.serving import DrainController, ServiceState
 from burlmoor.rig.wire import Wire
 from tests.peers import Stage, play
 
@@ -20,8 +20,8 @@
 @pytest.mark.parametrize(
     ("said", "got"),
     [
-        (b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", Call("/ready")),
-        (b"POST /drain HTTP/1.1\r\nHost: a\r\n\r\n", Call("/drain")),
+        (b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", AdminRequest("/ready")),
+        (b"POST /drain HTTP/1.1\r\nHost: a\r\n\r\n", AdminRequest("/drain")),
         (b"GET /drain HTTP/1.1\r\nHost: a\r\n\r\n", 405),
         (b"POST /ready HTTP/1.1\r\nHost: a\r\n\r\n", 405),
         (b"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n", 404),
@@ -31,16 +31,16 @@
         (b"GET /ready HTTP/1.1\r\nHo", None),
     ],
 )
-def test_what_a_call_asks_for(said: bytes, got: Call | int | None) -> None:
+def test_what_a_call_asks_for(said: bytes, got: AdminRequest | int | None) -> None:
     for size in (1, 50, len(said)):
-        http, asked = ControlConnection(), None
+        http, asked = AdminConnection(), None
         for start in range(0, len(said), size):
             asked = http.receive(said[start : start + size])
             if asked is not None:
                 break
-        assert (asked.status if isinstance(asked, Result) else asked) == got
-        if isinstance(asked, Result):
-            assert f"HTTP/1.1 {got} ".encode() in http.answer(asked)
+        assert (asked.status if isinstance(asked, AdminResponse) else asked) == got
+        if isinstance(asked, AdminResponse):
+            assert f"HTTP/1.1 {got} ".encode() in http.encode_response(asked)
 
 
 @pytest.mark.parametrize(
@@ -58,17 +58,17 @@
 )
 def test_an_executor_is_named_by_a_json_object(body: bytes, name: str | None) -> None:
     head = b"POST /executors/disable HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % len(body)
-    asked = ControlConnection().receive(head + body)
+    asked = AdminConnection().receive(head + body)
     if name is None:
-        assert isinstance(asked, Result)
+        assert isinstance(asked, AdminResponse)
         assert asked.status == 400
     else:
-        assert asked == Call("/executors/disable", name)
+        assert asked == AdminRequest("/executors/disable", name)
 
 
 async def call(made: Stage, path: str, name: str = "", method: str = "POST") -> tuple[int, dict[str, Any]]:
-    assert made.node.control is not None
-    wire = Wire(await trio.open_tcp_stream(*made.node.control.address))
+    assert made.node.admin_server is not None
+    wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
     body = json.dumps({"name": name}).encode() if name else b""
     await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
     answer = await made.answer(wire)
@@ -99,10 +99,10 @@
         for hosts in (*listed, listed[0]):
             seq += 1
             await made.publish(seq, **hosts)
-            await made.until(lambda seq=seq: made.node.group.version == seq)  # type: ignore[misc]
+            await made.until(lambda seq=seq: made.node.directory.version == seq)  # type: ignore[misc]
             assert {await serve(made, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
         assert (await call(made, "/executors/enable", "e0"))[1]["out"] == []
-        assert made.node.group.live("e0") is not None
+        assert made.node.directory.find_live("e0") is not None
 
     play(story)
 
@@ -110,24 +110,24 @@
 def test_an_executor_put_back_counts_as_newly_started_even_where_the_list_lags() -> None:
     # Guards rule 4: it was restarted while it was out, and full load would push it over.
     async def story(made: Stage) -> None:
-        told: list[m.Members] = []
-        listed = made.node.core.listed
+        told: list[m.EndpointListUpdate] = []
+        listed = made.node.engine.on_endpoint_list
 
-        def listen(form: m.Form, entries: Any) -> None:
-            told.append(m.Members(form, list(entries)))
+        def listen(form: m.ListKind, entries: Any) -> None:
+            told.append(m.EndpointListUpdate(form, list(entries)))
             listed(form, told[-1].entries)
 
-        made.node.core.listed = listen  # type: ignore[method-assign]
-        before = made.node.core.clock()
+        made.node.engine.on_endpoint_list = listen  # type: ignore[method-assign]
+        before = made.node.engine.clock()
         await call(made, "/executors/disable", "e0")
         await call(made, "/executors/enable", "e0")
         out, back = (each.entries[0] for each in told)
-        assert (out.executor, out.state, out.started) == ("e0", m.State.DRAINING, 0.0)
-        assert (back.executor, back.state) == ("e0", m.State.LIVE)
-        assert back.started >= before
+        assert (out.endpoint, out.state, out.started_at) == ("e0", m.EndpointState.DRAINING, 0.0)
+        assert (back.endpoint, back.state) == ("e0", m.EndpointState.LIVE)
+        assert back.started_at >= before
         await made.publish(2, e0="active", e1="active")  # with the old start
-        await made.until(lambda: made.node.group.version == 2)
-        assert told[-1].entries[0].started == back.started
+        await made.until(lambda: made.node.directory.version == 2)
+        assert told[-1].entries[0].started_at == back.started_at
 
     play(story)
 
@@ -136,7 +136,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story(made: Stage) -> None:
-        take = made.node.pool.take
+        take = made.node.pool.acquire
         out: list[str] = []
 
         async def slow(dial: str) -> Any:
@@ -146,7 +146,7 @@
                 assert (await call(made, "/executors/disable", out[0]))[0] == 200
             return link
 
-        monkeypatch.setattr(made.node.pool, "take", slow)
+        monkeypatch.setattr(made.node.pool, "acquire", slow)
         assert await serve(made, "a1") != out[0]
 
     play(story)
@@ -154,8 +154,8 @@
 
 def test_callers_that_say_nothing_or_half_a_call_hold_up_nobody() -> None:
     async def story(made: Stage) -> None:
-        assert made.node.control is not None
-        silent = [Wire(await trio.open_tcp_stream(*made.node.control.address)) for _ in range(40)]
+        assert made.node.admin_server is not None
+        silent = [Wire(await trio.open_tcp_stream(*made.node.admin_server.address)) for _ in range(40)]
         for wire in silent[::2]:
             await wire.stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
         began = trio.current_time()
@@ -164,24 +164,24 @@
         for wire in silent:
             await wire.read()  # ended, or told that the call did not come in time
         assert trio.current_time() - began < 3.0
-        assert made.node.group.by_hand.out == {}
+        assert made.node.directory.overrides.disabled_since == {}
 
     play(story)
 
 
 def test_a_fault_in_a_call_ends_only_that(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(made: Stage) -> None:
-        assert made.node.control is not None
+        assert made.node.admin_server is not None
         with monkeypatch.context() as patch:
-            patch.setattr(made.node.service, "drain", lambda: 1 / 0)
-            wire = Wire(await trio.open_tcp_stream(*made.node.control.address))
+            patch.setattr(made.node.drain, "begin_drain", lambda: 1 / 0)
+            wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
             await wire.write("POST /drain HTTP/1.1", Host="node")
             assert await wire.read() is None
         assert (await call(made, "/ready", method="GET"))[0] == 200
 
     lines: list[str] = []
     play(story, lines=lines)
-    assert "control-failed" in lines[-1]
+    assert "admin-connection-failed" in lines[-1]
 
 
 async def ready(made: Stage) -> int:
@@ -210,7 +210,7 @@
         began = trio.current_time()
         assert await idle.read() is None  # ended while it lay idle
         assert trio.current_time() - began < 3.0
-        await made.until(lambda: made.node.service.state is Serving.REFUSING)
+        await made.until(lambda: made.node.drain.state is ServiceState.REJECTING)
         assert (await made.answer(await made.submit("once", "a4"))).status == 503
         await made.tell("done", "fine", job=1 - number)  # it listens for call-backs all the while
         answer = await made.answer(kept)
@@ -227,32 +227,32 @@
 
 def test_a_drain_and_a_stop_move_one_state(autojump_clock: trio.testing.MockClock) -> None:
     async def story() -> None:
-        service = Service()
-        service.drain()
+        service = DrainController()
+        service.begin_drain()
         seen.append(service.state)
         await trio.sleep(1.0)
         seen.append(service.state)
-        service.undrain()
+        service.end_drain()
         seen.append(service.state)
-        service.drain()
-        service.stop()
+        service.begin_drain()
+        service.begin_shutdown()
         await trio.sleep(1.0)
-        service.undrain()  # a stop is not ended by it
+        service.end_drain()  # a stop is not ended by it
         seen.append(service.state)
-        service.stop()
+        service.begin_shutdown()
         for _ in range(2):
             await trio.sleep(1.0)
             seen.append(service.state)
 
-    seen: list[Serving] = []
+    seen: list[ServiceState] = []
     trio.run(story, clock=autojump_clock)
     assert seen == [
-        Serving.AWAY,
-        Serving.CLOSING,
-        Serving.OPEN,
-        Serving.AWAY,
-        Serving.CLOSING,
-        Serving.REFUSING,
+        ServiceState.UNREADY,
+        ServiceState.CLOSING,
+        ServiceState.ACCEPTING,
+        ServiceState.UNREADY,
+        ServiceState.CLOSING,
+        ServiceState.REJECTING,
     ]
 
 
@@ -263,16 +263,16 @@
         await call(made, "/drain")
 
     async def second(made: Stage) -> None:
-        assert (made.node.group.live("e0") is None) is not spoilt
-        assert made.node.service.drained is not spoilt
+        assert (made.node.directory.find_live("e0") is None) is not spoilt
+        assert made.node.drain.is_drained is not spoilt
 
-    play(first, folder=tmp_path)
+    play(first, state_folder=tmp_path)
     (kept,) = tmp_path.iterdir()
     if spoilt:
         kept.write_bytes(kept.read_bytes()[:-9])
     lines: list[str] = []
-    play(second, folder=tmp_path, lines=lines)
-    assert ("by-hand-unread" in "".join(lines)) is spoilt
+    play(second, state_folder=tmp_path, lines=lines)
+    assert ("override-load-failed" in "".join(lines)) is spoilt
 
 
 def test_a_node_accepts_from_a_socket_that_was_passed_on() -> None:
@@ -283,5 +283,5 @@
             assert await ready(made) == 200
 
         lines: list[str] = []
-        play(story, passed=held.dup().detach(), lines=lines)
-        assert "no-succession" in lines[-1]  # there is no folder for a link
+        play(story, listener_fd=held.dup().detach(), lines=lines)
+        assert "handover-unavailable" in lines[-1]  # there is no folder for a link
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -11,8 +11,8 @@
 import pytest
 import trio
 
-from burlmoor.net.pool import REST, Link
-from burlmoor.net.stream import Stream, connect
+from burlmoor.net.pool import REUSE_DELAY_SECONDS, PooledConnection
+from burlmoor.net.stream import SocketStream, connect
 from tests.peers import Stage, play
 from tests.test_config import OPTIONS
 
@@ -24,16 +24,16 @@
 
     def __init__(self, made: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting, self.go = 0, trio.Event()
-        take = made.node.pool.take
+        take = made.node.pool.acquire
 
-        async def slow(dial: str) -> Link:
+        async def slow(dial: str) -> PooledConnection:
             link = await take(dial)
             self.waiting += 1
             made.happened()
             await self.go.wait()
             return link
 
-        monkeypatch.setattr(made.node.pool, "take", slow)
+        monkeypatch.setattr(made.node.pool, "acquire", slow)
 
 
 # --- the client leaves --------------------------------------------------------------------------
@@ -52,11 +52,11 @@
             await wire.stream.aclose()
         else:  # as a dying process does
             wire.reset()
-        await made.until(lambda: not made.node.core.open_jobs)
+        await made.until(lambda: not made.node.engine.open_job_count)
         held.go.set()
-        await made.until(lambda: not made.node.forwards.under_way)
+        await made.until(lambda: not made.node.attempts.in_flight)
         assert not made.jobs
-        await made.until(lambda: not made.node.core.open_ids())  # nothing is kept of it either
+        await made.until(lambda: not made.node.engine.open_job_ids())  # nothing is kept of it either
 
     play(story, given_settings=given_settings)
 
@@ -70,7 +70,7 @@
         began = trio.current_time()
         await wire.stream.send_all(b"x" * after)
         await wire.stream.aclose()
-        await made.until(lambda: not made.node.core.open_jobs)
+        await made.until(lambda: not made.node.engine.open_job_count)
         assert trio.current_time() - began < 2.0
         await made.until(lambda: made.broken)  # and the executor hears of it
 
@@ -115,11 +115,11 @@
     async def story(made: Stage) -> None:
         made.node.pool._rest = 10.0  # as if no time passed
         await made.publish(2, False, e1="leaving")
-        await made.until(lambda: made.node.group.live("e1") is None)
+        await made.until(lambda: made.node.directory.find_live("e1") is None)
         for number, ref in enumerate(("a1", "a2")):
             made.kept.append(await made.submit("once", ref))
             await made.until(lambda jobs=number + 1: len(made.jobs) == jobs)  # type: ignore[misc]
-            await made.until(lambda: not made.node.forwards.under_way)
+            await made.until(lambda: not made.node.attempts.in_flight)
         await made.tell("done", "fine")
         assert (await made.answer(made.kept[-1])).body == b"fine"
         assert numbers(made, "a2") == [1]
@@ -130,13 +130,13 @@
 def test_a_connection_at_rest_that_has_been_answered_twice_is_not_used_again() -> None:
     async def story(made: Stage) -> None:
         pool, dial = made.node.pool, made.dials["e0"]
-        link = await pool.take(dial)
+        link = await pool.acquire(dial)
         pool.keep(link)
-        assert await pool.take(dial) is not link
-        await made.until(lambda: trio.current_time() > link.idle_since + REST)
+        assert await pool.acquire(dial) is not link
+        await made.until(lambda: trio.current_time() > link.idle_since + REUSE_DELAY_SECONDS)
         await made.open[0].write("HTTP/1.1 202 Accepted")
         await made.until(lambda: not link.quiet())
-        assert await pool.take(dial) is not link
+        assert await pool.acquire(dial) is not link
 
     play(story)
 
@@ -170,7 +170,7 @@
         answer = await made.answer(wire)
         assert (answer.status, answer.body == b"second") == (status, forwards == 2)
         assert len(made.jobs) == forwards
-        assert not made.node.forwards.under_way
+        assert not made.node.attempts.in_flight
 
     play(story, f"bytes:{said}")
 
@@ -216,7 +216,7 @@
     async def story(made: Stage) -> None:
         up, go = trio.Event(), trio.Event()
 
-        async def late(dial: str, limit: int) -> Stream:
+        async def late(dial: str, limit: int) -> SocketStream:
             stream = await connect(dial, limit)
             up.set()
             await go.wait()
@@ -226,9 +226,9 @@
         wire = await made.submit()
         await up.wait()
         await wire.stream.aclose()
-        await made.until(lambda: not made.node.core.open_jobs)
+        await made.until(lambda: not made.node.engine.open_job_count)
         go.set()
-        await made.until(lambda: not made.node.forwards.under_way and not made.node.pool.open)
+        await made.until(lambda: not made.node.attempts.in_flight and not made.node.pool.open_count)
         assert not made.jobs
 
     play(story)
@@ -238,12 +238,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story(made: Stage) -> int:
-        monkeypatch.setattr(made.node.pool, "take", lambda _dial: 1 // 0)
+        monkeypatch.setattr(made.node.pool, "acquire", lambda _dial: 1 // 0)
         return (await made.answer(await made.submit("once", ms=800))).status
 
     lines: list[str] = []
     assert play(story, lines=lines) == 502  # what became of it is not known
-    assert any("forward-failed" in line for line in lines)
+    assert any("attempt-error" in line for line in lines)
 
 
 # --- the node closes ------------------------------------------------------------------------------
@@ -254,28 +254,28 @@
 ) -> None:
     # Read and dropped, it would have had no answer; and what is sent on after a close is lost.
     taken: list[str] = []
-    receive_now = Stream.receive_now
+    receive_now = SocketStream.receive_now
 
     async def story(made: Stage) -> None:
         wire = await made.submit("once", "a1")
         await made.until(lambda: made.jobs)
         await made.tell("done", "fine")
         assert (await made.answer(wire)).body == b"fine"
-        take = made.node.core.take
+        take = made.node.engine.admit
 
         def take_noted(*asked: Any) -> Any:
             taken.append(asked[1])
             return take(*asked)
 
-        monkeypatch.setattr(made.node.core, "take", take_noted)
+        monkeypatch.setattr(made.node.engine, "admit", take_noted)
 
-        def closing(stream: Stream) -> bool | None:
+        def closing(stream: SocketStream) -> bool | None:
             # The socket is readable and its task about to read when the sweep closes what lies idle.
-            monkeypatch.setattr(Stream, "receive_now", receive_now)
-            made.node.front.end_idle()
+            monkeypatch.setattr(SocketStream, "receive_now", receive_now)
+            made.node.server.close_idle()
             return receive_now(stream)
 
-        monkeypatch.setattr(Stream, "receive_now", closing)
+        monkeypatch.setattr(SocketStream, "receive_now", closing)
         await made.ask(wire, "once", "a2")
         with suppress(trio.BrokenResourceError):
             assert await wire.read() is None
@@ -325,14 +325,14 @@
                     wire = await made.client()
                 await trio.sleep(0.02)
 
-        made.nursery.start_soon(made.node.stop)
+        made.nursery.start_soon(made.node.shut_down)
         with trio.move_on_after(killed):
             async with trio.open_nursery() as nursery:
                 for number in range(6):
                     nursery.start_soon(client, number)
         # Whoever still waits for an answer now asked less than 0.7 s after SIGTERM, or not at all.
-        assert not made.node.core.open_jobs
-        assert not made.node.front.unsent
+        assert not made.node.engine.open_job_count
+        assert not made.node.server.has_unsent
 
     play(story, given_settings=classes(deadline))
     assert all(at < killed for at in late)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 
 def wide(count: int = 60, slots: int = 4) -> Fleet:
     """40 nodes, each with a few requests a second."""
-    return Fleet(settings(balancers=40), entries(count), slots=slots)
+    return Fleet(settings(node_count=40), entries(count), slots=slots)
 
 
 def test_a_key_that_many_ask_for_is_not_refused_beside_free_executors() -> None:
@@ -42,28 +42,28 @@
 def test_replaced_executors_are_used_and_within_their_budget() -> None:
     # Six in ten are new and cold, and all nodes hear of it at once.
     tenants = (m.Tenant("all", 1.0, 800.0),)
-    fleet = Fleet(settings(balancers=40, tenants=tenants), entries(30), slots=8)
+    fleet = Fleet(settings(node_count=40, tenants=tenants), entries(30), slots=8)
     fleet.load(850.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(4000.0)
     started = fleet.now
     replaced = [
-        each._replace(executor=f"new{n}", started=started) if n % 5 < 3 else each
+        each._replace(endpoint=f"new{n}", started_at=started) if n % 5 < 3 else each
         for n, each in enumerate(fleet.listed)
     ]
-    fleet.list_to(range(40), m.Form.FULL, replaced)
+    fleet.list_to(range(40), m.ListKind.SNAPSHOT, replaced)
     fleet.run(9000.0)
     cold: defaultdict[tuple[str, int], float] = defaultdict(float)
     for at, name, work in fleet.sends:
         if name.startswith("new"):
-            cold[name, int((at - started) // RULES.fall_window)] += work
+            cold[name, int((at - started) // RULES.overload_window_ms)] += work
     shares = []
     for (_, window), work in cold.items():
         warmth = (
-            RULES.cold_capacity
-            + (1.0 - RULES.cold_capacity) * (window + 0.5) * RULES.fall_window / RULES.cold
+            RULES.initial_capacity
+            + (1.0 - RULES.initial_capacity) * (window + 0.5) * RULES.overload_window_ms / RULES.slow_start_ms
         )
-        shares.append(work / (warmth * 8.0 * RULES.fall_window))
-    assert max(shares) < RULES.fall_multiple
+        shares.append(work / (warmth * 8.0 * RULES.overload_window_ms))
+    assert max(shares) < RULES.overload_multiple
     assert sum(shares) / (18 * 2) > 0.5  # of what they can do, over the first two whole windows
 
 
@@ -72,9 +72,9 @@
 
 def cold_fleet(hot: bool = False, herd: bool = False, in_step: bool = False) -> Fleet:
     """200 nodes, all started a moment ago, with more work than ten warm and five cold executors can do."""
-    listed = [*entries(10, weight=1.0), *entries(5, "b", weight=1.0, started=900.0)]
+    listed = [*entries(10, weight=1.0), *entries(5, "b", weight=1.0, started_at=900.0)]
     tenants = (m.Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work a ms at each, in jobs of 200 ms
-    fleet = Fleet(settings(balancers=200, tenants=tenants, rules=FALL), listed, slots=1000)
+    fleet = Fleet(settings(node_count=200, tenants=tenants, rules=FALL), listed, slots=1000)
     for node in range(200):
         for at in range(1000, 3400, 200):
             # All at one moment, or each node at its own.
@@ -86,8 +86,8 @@
 
             fleet.at(when, ask)
     if herd:
-        gone = [each._replace(state=m.State.GONE) for each in listed[:10]]
-        fleet.at(2000.0, lambda: fleet.list_to(range(200), m.Form.CHANGES, gone))
+        gone = [each._replace(state=m.EndpointState.GONE) for each in listed[:10]]
+        fleet.at(2000.0, lambda: fleet.list_to(range(200), m.ListKind.DELTA, gone))
     fleet.run(4000.0)
     return fleet
 
@@ -100,9 +100,11 @@
         sent = [(at, work) for at, each, work in fleet.sends if each == name]
         got[name] = len(sent)
         for start, _ in sent:
-            warmth = FALL.cold_capacity + (1.0 - FALL.cold_capacity) * (start - 900.0) / FALL.cold
-            whole = FALL.fall_multiple * warmth * 4.0 * FALL.fall_window
-            assert sum(work for at, work in sent if start <= at < start + FALL.fall_window) <= whole
+            warmth = (
+                FALL.initial_capacity + (1.0 - FALL.initial_capacity) * (start - 900.0) / FALL.slow_start_ms
+            )
+            whole = FALL.overload_multiple * warmth * 4.0 * FALL.overload_window_ms
+            assert sum(work for at, work in sent if start <= at < start + FALL.overload_window_ms) <= whole
     assert min(got.values()) > 0
 
 
@@ -118,7 +120,7 @@
 
 def test_a_zone_that_vanishes_draws_little_and_is_used_with_care_when_it_is_back_cold() -> None:
     listed = [*entries(40), *entries(20, zone="b")]
-    fleet = Fleet(settings(balancers=40), listed)
+    fleet = Fleet(settings(node_count=40), listed)
     fleet.load(500.0, 16_000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
     fleet.run(4000.0)
     for each in fleet.stands.values():
@@ -126,14 +128,14 @@
     fleet.run(9000.0)
     lost = [name for at, name, _ in fleet.sends if at > 7000.0 and name.startswith("b")]
     assert len(lost) < 0.15 * 500.0 * 2.0  # a third of the executors, and two seconds
-    back = [each._replace(started=fleet.now) for each in listed if each.zone == "b"]
-    fleet.list_to(range(40), m.Form.CHANGES, back)
+    back = [each._replace(started_at=fleet.now) for each in listed if each.zone == "b"]
+    fleet.list_to(range(40), m.ListKind.DELTA, back)
     fleet.run(11_000.0)
-    warmth = RULES.cold_capacity + (1.0 - RULES.cold_capacity) * 1000.0 / RULES.cold
+    warmth = RULES.initial_capacity + (1.0 - RULES.initial_capacity) * 1000.0 / RULES.slow_start_ms
     got = Counter[str]()
     for at, name, work in fleet.sends:
         got[name] += int(work) if at > 9000.0 and name.startswith("b") else 0
-    assert 0 < max(got.values()) < RULES.fall_multiple * warmth * 4.0 * RULES.fall_window
+    assert 0 < max(got.values()) < RULES.overload_multiple * warmth * 4.0 * RULES.overload_window_ms
 
 
 def test_a_full_fleet_is_sent_what_it_can_do_in_time_and_little_else() -> None:
--- a/tests/test_learnt.py
+++ b/tests/test_learnt.py
@@ -12,8 +12,8 @@
 def taught() -> Talk:
     talk = Talk(listed=entries(4))
     for ref in range(40):
-        send = talk.placed(ref, "lookup" if ref % 3 else "keyed", key=f"k{ref % 5}", tenant="t")
-        talk.tell(m.Started(send.id, 0, send.executor))
+        send = talk.placed(ref, "lookup" if ref % 3 else "keyed", affinity_key=f"k{ref % 5}", tenant="t")
+        talk.tell(m.AttemptStarted(send.id, 0, send.endpoint))
         talk.run(70.0 * (1 + ref % 4))
         talk.end(send, m.Outcome.SERVED if ref % 7 else m.Outcome.ERROR)
     return talk
@@ -21,9 +21,9 @@
 
 def test_what_was_learnt_is_the_same_in_a_process_with_another_clock() -> None:
     old = taught()
-    data = msgspec.msgpack.encode(learnt.copy(old.node, old.now))
+    data = msgspec.msgpack.encode(learnt.take_snapshot(old.node, old.now))
     new = Talk(listed=entries(4), now=90_000.0, seed=2)
-    learnt.take_up(new.node, msgspec.msgpack.decode(data, type=learnt.Learnt), new.now)
+    learnt.restore_snapshot(new.node, msgspec.msgpack.decode(data, type=learnt.StatisticsSnapshot), new.now)
     for name, worker in old.node.members.workers.items():
         other = new.node.members.workers[name]
         assert (worker.room, worker.faults, list(worker.keys)) == (other.room, other.faults, list(other.keys))
@@ -38,11 +38,11 @@
     # Jobs stay where they are: nothing is held here, and what comes is placed as usual.
     assert new.node.held == 0.0
     assert not new.node.jobs
-    assert new.placed(1).executor in new.node.members.workers
+    assert new.placed(1).endpoint in new.node.members.workers
 
 
 def test_executors_that_are_not_listed_are_left_out() -> None:
     old = taught()
     new = Talk(listed=entries(2))
-    learnt.take_up(new.node, learnt.copy(old.node, old.now), new.now)
+    learnt.restore_snapshot(new.node, learnt.take_snapshot(old.node, old.now), new.now)
     assert set(new.node.members.workers) == {"a0", "a1"}
--- a/tests/test_limits_of_the_machine.py
+++ b/tests/test_limits_of_the_machine.py
@@ -93,7 +93,7 @@
 def test_all_that_may_be_open_at_once_fits_into_the_descriptors(descriptors: int) -> None:
     async def story(made: Stage) -> int:
         node = made.node
-        return node.front.size + node.pool.size + node.lists.size
+        return node.server.max_connections + node.pool.max_connections + node.discovery_pool.max_connections
 
     own = 12 + 12  # operators' calls; standard streams, the loop's own, two that listen, one being accepted
     assert play(story, sockets=descriptors) + own <= descriptors
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -9,15 +9,15 @@
 def test_where_the_list_is_pushed_nobody_asks() -> None:
     talk = Talk()
     talk.run(30_000.0)
-    assert not talk.all(m.Subscribe)
+    assert not talk.all(m.WatchEndpoints)
 
 
 def test_the_first_call_is_spread_over_the_nodes_and_in_time() -> None:
     # Guards against all nodes calling the list service in one moment after a common start.
     at = []
     for seed in range(40):
-        talk = Talk(settings(must_ask=True), seed=seed)
-        while not talk.all(m.Subscribe):
+        talk = Talk(settings(must_poll=True), seed=seed)
+        while not talk.all(m.WatchEndpoints):
             talk.run(50.0)
         at.append(talk.now - 1000.0)
     assert max(at) <= 10_000.0
@@ -26,13 +26,13 @@
 
 
 def test_a_failed_call_is_tried_again_after_growing_pauses() -> None:
-    talk = Talk(settings(must_ask=True))
+    talk = Talk(settings(must_poll=True))
     pauses = []
     talk.run(5000.0)
     for count in range(2, 6):
-        talk.tell(m.Members(m.Form.FAILED))
+        talk.tell(m.EndpointListUpdate(m.ListKind.FAILED))
         told = talk.now
-        while len(talk.all(m.Subscribe)) < count:
+        while len(talk.all(m.WatchEndpoints)) < count:
             talk.run(50.0)
         pauses.append(talk.now - told)
     assert pauses[-1] > pauses[0]
@@ -40,15 +40,15 @@
 
 
 def test_a_failed_call_leaves_the_old_list_in_force() -> None:
-    talk = Talk(settings(must_ask=True))
-    talk.tell(m.Members(m.Form.FAILED))
+    talk = Talk(settings(must_poll=True))
+    talk.tell(m.EndpointListUpdate(m.ListKind.FAILED))
     talk.placed(1)
 
 
 def test_a_new_executor_gets_work() -> None:
     talk = Talk(listed=[])
-    talk.tell(m.Members(m.Form.CHANGES, entries(1)))
-    assert talk.placed(1).executor == "a0"
+    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, entries(1)))
+    assert talk.placed(1).endpoint == "a0"
 
 
 def test_no_timer_is_armed_while_nothing_waits() -> None:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -5,12 +5,12 @@
 import pytest
 
 from burlmoor.net.listener import (
-    Asked,
-    CallBack,
-    JobAsked,
-    ListenerConnection,
-    ReadyAsked,
-    Rejected,
+    HttpServerConnection,
+    InvalidRequest,
+    JobCallback,
+    JobSubmission,
+    ParsedRequest,
+    ReadinessCheck,
 )
 
 JOB = (
@@ -20,11 +20,11 @@
 KEY = b"Idempotency-Key: 5c0f\r\n"
 
 
-def connection() -> ListenerConnection:
-    return ListenerConnection(["lookup", "once", "keyed"], keyed=["keyed"])
+def connection() -> HttpServerConnection:
+    return HttpServerConnection(["lookup", "once", "keyed"], keyed=["keyed"])
 
 
-def fed(data: bytes, step: int = 1 << 20) -> tuple[ListenerConnection, Asked | None]:
+def fed(data: bytes, step: int = 1 << 20) -> tuple[HttpServerConnection, ParsedRequest | None]:
     http, asked = connection(), None
     for at in range(0, len(data), step):
         assert asked is None
@@ -35,15 +35,20 @@
 @pytest.mark.parametrize("step", [1, 7, 1 << 20])
 def test_a_job_is_read_whole_however_it_is_cut(step: int) -> None:
     http, asked = fed(JOB, step)
-    assert isinstance(asked, JobAsked)
+    assert isinstance(asked, JobSubmission)
     assert (asked.request_id, asked.payload.path, asked.payload.body) == (
         "9b1f",
         b"/lookup/00ff?x=1",
         b"body",
     )
     request = asked.request
-    assert (request.job_class, request.patience, request.work, request.slots) == ("lookup", 480.0, 12.5, 2.0)
-    assert (request.tenant, request.key) == ("acme", "00ff")
+    assert (request.job_class, request.timeout_ms, request.work_ms, request.slots) == (
+        "lookup",
+        480.0,
+        12.5,
+        2.0,
+    )
+    assert (request.tenant, request.affinity_key) == ("acme", "00ff")
     assert http.answer(200, b"done").endswith(b"\r\n\r\ndone")
     assert http.idle
     assert not http.closing
@@ -52,27 +57,27 @@
 @pytest.mark.parametrize("name", [b"keyed", b"lookup"])
 def test_a_key_is_kept_for_the_executor_whatever_the_class(name: bytes) -> None:
     _, asked = fed(JOB.replace(b"lookup", name).replace(b"Tenant", KEY + b"Tenant"))
-    assert isinstance(asked, JobAsked)
+    assert isinstance(asked, JobSubmission)
     assert asked.payload.idempotency_key == "5c0f"
 
 
 def test_pipelined_requests_wait_for_their_turn() -> None:
     http, first = fed(JOB + JOB.replace(b"9b1f", b"77aa") + b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-    assert isinstance(first, JobAsked)
+    assert isinstance(first, JobSubmission)
     assert http.busy
     http.answer(200)
     second = http.receive(b"")
-    assert isinstance(second, JobAsked)
+    assert isinstance(second, JobSubmission)
     assert second.request_id == "77aa"
     http.answer(503)
-    assert isinstance(http.receive(b""), ReadyAsked)
+    assert isinstance(http.receive(b""), ReadinessCheck)
 
 
 def test_a_call_back_closes_where_its_sender_asks() -> None:
     http, asked = fed(
         b"POST /v1/job-events HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}"
     )
-    assert asked == CallBack(b"{}")
+    assert asked == JobCallback(b"{}")
     assert b" 204 " in http.answer(204)
     assert http.closing
     assert not http.unread
@@ -119,7 +124,7 @@
 )  # fmt: skip
 def test_bad_input_is_rejected_and_costs_its_connection(data: bytes, status: int) -> None:
     http, asked = fed(data)
-    assert isinstance(asked, Rejected)
+    assert isinstance(asked, InvalidRequest)
     assert asked.status == status
     assert len(asked.reason) <= 100
     assert http.answer(status, asked.reason.encode()).startswith(b"HTTP/1.1 %d " % status)
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -13,9 +13,9 @@
 import trio
 
 from burlmoor import messages as m
-from burlmoor.net.pool import REST, NotConnected
-from burlmoor.net.serving import Serving
-from burlmoor.net.target import BrokenReply
+from burlmoor.net.pool import REUSE_DELAY_SECONDS, ConnectError
+from burlmoor.net.serving import ServiceState
+from burlmoor.net.target import BrokenResponseError
 from burlmoor.rig.wire import Message
 from tests.peers import Stage, play
 from tests.test_config import written
@@ -81,7 +81,7 @@
             await made.until(lambda ref=ref: made.jobs and made.jobs[-1][1].headers["request-id"] == ref)  # type: ignore[misc]
             await made.tell("done", ref)
             assert (await made.answer(wire)).body == ref.encode()
-            await trio.sleep(2.0 * REST)  # a connection is not used again before
+            await trio.sleep(2.0 * REUSE_DELAY_SECONDS)  # a connection is not used again before
         _, job = made.jobs[0]
         assert (job.start, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
         assert 0 < int(job.headers["request-timeout-ms"]) <= 3000
@@ -141,7 +141,7 @@
         wire = await made.submit()
         await made.until(lambda: made.jobs)
         if act == "take":
-            await made.until(lambda: not made.node.forwards.under_way)
+            await made.until(lambda: not made.node.attempts.in_flight)
         await wire.stream.aclose()
         await made.until(lambda: made.deleted if act == "take" else made.broken)
         if act == "take":
@@ -154,16 +154,16 @@
     # Guards against peers that drop kept connections early and unseen: each lost the job written to it.
     async def story(made: Stage) -> None:
         pool, dial = made.node.pool, made.dials["e0"]
-        first, second = await pool.take(dial), await pool.take(dial)
+        first, second = await pool.acquire(dial), await pool.acquire(dial)
         for link in (first, second):
             pool.keep(link)
         await trio.sleep(0.05)
-        again = await pool.take(dial)
+        again = await pool.acquire(dial)
         assert again is second
         assert not pool.wary
         pool.broken(again)
         assert pool.wary
-        assert await pool.take(dial) is not first
+        assert await pool.acquire(dial) is not first
 
     play(story)
 
@@ -219,7 +219,7 @@
 
 def test_a_drain_told_while_connecting_stops_the_first_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(made: Stage) -> None:
-        take = made.node.pool.take
+        take = made.node.pool.acquire
         told: list[str] = []
 
         async def slow(dial: str) -> Any:
@@ -232,7 +232,7 @@
                 await made.until(lambda: len(made.asked) > asked)
             return link
 
-        monkeypatch.setattr(made.node.pool, "take", slow)
+        monkeypatch.setattr(made.node.pool, "acquire", slow)
         wire = await made.submit("once")
         await made.until(lambda: made.jobs)
         assert made.dials[made.jobs[0][0]] != told[0]
@@ -252,23 +252,23 @@
     async def story(made: Stage) -> None:
         made.kept.append(await made.submit())
         await made.until(lambda: made.jobs)
-        core, forwards = made.node.core, made.node.forwards
-        forward = next(iter(core._jobs.values())).forwards[0]
-        await made.until(lambda: not forwards.under_way)
+        core, forwards = made.node.engine, made.node.attempts
+        forward = next(iter(core._jobs.values())).attempts[0]
+        await made.until(lambda: not forwards.in_flight)
 
         async def call(*_: object) -> None:
             if fault == "broken":
-                raise BrokenReply("reset")
-            error = NotConnected(fault)
-            error.refused = fault == "refused"
+                raise BrokenResponseError("reset")
+            error = ConnectError(fault)
+            error.is_refused = fault == "refused"
             raise error
 
         if fault != "none":
             monkeypatch.setattr(made.node.pool, "call", call)
-        forwards.abandon(forward)
-        await made.until(lambda: not forwards.closing)
-        assert forward.over is given_up
-        assert forward.end is (m.Outcome.CANCELLED if given_up else None)
+        forwards.cancel_attempt(forward)
+        await made.until(lambda: not forwards.pending_cancels)
+        assert forward.is_over is given_up
+        assert forward.outcome is (m.Outcome.CANCELLED if given_up else None)
 
     play(story)
 
@@ -282,8 +282,8 @@
         await made.until(lambda: made.watches)
         await made.watches.pop().write("HTTP/1.1 200 OK", b"[]")
         await made.publish(9, e1="active")
-        await made.until(lambda: made.node.group.version == 9)
-        assert made.node.group.live("e0") is None
+        await made.until(lambda: made.node.directory.version == 9)
+        assert made.node.directory.find_live("e0") is None
 
     lines: list[str] = []
     play(story, lines=lines)
@@ -297,9 +297,9 @@
         wire = await made.submit()
         await made.until(lambda: made.jobs and made.watches)
         if waiting == "after failures":
-            made.node.watch._life.failures = 9
+            made.node.discovery._schedule.failures = 9
             await made.watches.pop().write("HTTP/1.1 503 Busy")
-            await made.until(lambda: made.node.watch._life.failures == 10)
+            await made.until(lambda: made.node.discovery._schedule.failures == 10)
         old, made.asked, made.watches = made.watches, [], []
         told = await made.discovery()
         known = made.listed(1, e0="active")  # older than what has been told since
@@ -315,8 +315,8 @@
         await made.publish(3, e0="active", e1="active")
         await made.until(lambda: len(made.asked) > 1)
         assert made.asked[1] == "/registry/instances?after=3&wait_ms=1000"
-        assert made.node.group.live("e0") is None
-        assert made.node.group.live("e1") is not None
+        assert made.node.directory.find_live("e0") is None
+        assert made.node.directory.find_live("e1") is not None
         await made.tell("done", "kept")
         assert (await made.answer(wire)).body == b"kept"
 
@@ -331,11 +331,11 @@
         bad.write_text(text)
         made.node.reload({"RELAY_CONFIG": str(bad)})
         await made.publish(9, e1="active")  # the old watch goes on
-        await made.until(lambda: made.node.group.version == 9)
+        await made.until(lambda: made.node.directory.version == 9)
 
     lines: list[str] = []
     play(story, lines=lines)
-    assert [json.loads(line)["event"] for line in lines] == ["started", "reload-failed", "targets-leaving"]
+    assert [json.loads(line)["event"] for line in lines] == ["started", "reload-failed", "endpoints-draining"]
 
 
 LONG = b"POST /lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n"
@@ -400,7 +400,7 @@
         for wire in usual:
             assert (await made.answer(wire)).status == 200
         crowd = [await made.client() for _ in range(100)]
-        await made.until(lambda: len(made.node.front.links) > 40)
+        await made.until(lambda: len(made.node.server.connections) > 40)
         for number, wire in enumerate(usual):
             await made.ask(wire, "once", f"b{number}")
         await made.until(lambda: len(made.jobs) == 6)
@@ -417,7 +417,7 @@
             await made.until(lambda jobs=number + 1: len(made.jobs) == jobs)  # type: ignore[misc]
             await made.tell("done", "fine")
             assert (await made.answer(wires[-1])).status == 200
-        await made.until(lambda: len(made.node.front.links) < 20)
+        await made.until(lambda: len(made.node.server.connections) < 20)
         assert await wires[0].read() is None
         await made.ask(wires[-1], "once", "b")
         await made.until(lambda: len(made.jobs) == 31)
@@ -442,8 +442,8 @@
         first = await made.submit(ref="a1", ms=5000)
         idle = await made.client()
         await made.until(lambda: made.jobs)
-        made.nursery.start_soon(made.node.stop)
-        await made.until(lambda: made.node.service.stopping)
+        made.nursery.start_soon(made.node.shut_down)
+        await made.until(lambda: made.node.drain.is_shutting_down)
         ready = await made.client()
         await ready.write("GET /health/ready HTTP/1.1", Host="node")
         assert (await made.answer(ready)).status == 503
@@ -451,7 +451,7 @@
         await made.until(lambda: len(made.jobs) == 2)
         for job in (0, 1):
             await made.tell("started", job=job)
-        await made.until(lambda: made.node.service.state is Serving.REFUSING)
+        await made.until(lambda: made.node.drain.state is ServiceState.REJECTING)
         late = await made.submit(ref="a3")
         assert (await made.answer(late)).status == 503
         for job, wire in ((0, first), (1, idle)):
@@ -467,8 +467,8 @@
 def test_a_stopping_node_serves_on_until_its_clients_have_gone_elsewhere() -> None:
     async def story(made: Stage) -> None:
         wire = await made.submit("once", "a1")
-        made.nursery.start_soon(made.node.stop)
-        await made.until(lambda: made.node.core.answer_by < float("inf"))
+        made.nursery.start_soon(made.node.shut_down)
+        await made.until(lambda: made.node.engine.answer_by < float("inf"))
         for number in range(3):  # one connection carries them all
             await made.until(lambda jobs=number + 1: len(made.jobs) == jobs)  # type: ignore[misc]
             await made.tell("done", "fine")
@@ -550,11 +550,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The peer closes an idle connection while the DELETE is on its way: what it finds cannot tell.
-    monkeypatch.setattr("burlmoor.net.stream.Stream.still_quiet", lambda _self: True)
+    monkeypatch.setattr("burlmoor.net.stream.SocketStream.still_quiet", lambda _self: True)
 
     async def story(made: Stage) -> None:
         wire = await made.submit()
-        await made.until(lambda: made.jobs and not made.node.forwards.under_way)
+        await made.until(lambda: made.jobs and not made.node.attempts.in_flight)
         for each in made.open:
             await each.stream.aclose()
         await wire.stream.aclose()
@@ -565,14 +565,14 @@
 
 def test_a_stopping_node_does_not_cut_off_a_slow_reader() -> None:
     async def story(made: Stage) -> None:
-        made.node.front._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        made.node.server._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         wire = await made.client(receive_buffer=4096)
         await made.ask(wire)
         await made.until(lambda: made.jobs)
-        made.nursery.start_soon(made.node.stop)
-        await made.until(lambda: made.node.service.stopping)
+        made.nursery.start_soon(made.node.shut_down)
+        await made.until(lambda: made.node.drain.is_shutting_down)
         await made.tell("done", "x" * 60_000)
-        assert made.node.front.unsent
+        assert made.node.server.has_unsent
         with trio.move_on_after(1.0):
             await made.until(lambda: made.ended)
         assert len((await made.answer(wire)).body) == 60_000
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -11,13 +11,15 @@
 from burlmoor.decide import AGING, DELTA
 from tests.talk import LOOKUP, Talk, entries, settings
 
-GOLD = m.JobClass("gold", worth=10.0, aim=400.0, stretch=2.0, deadline=5000.0)
+GOLD = m.JobClass(
+    "gold", priority_weight=10.0, latency_objective_ms=400.0, objective_stretch=2.0, deadline_ms=5000.0
+)
 
 
-def busy_executor(talk: Talk, ref: int = 1000) -> m.Send:
+def busy_executor(talk: Talk, ref: int = 1000) -> m.StartAttempt:
     """Fill the one executor, so that what comes next waits."""
-    send = talk.placed(ref, slots=4.0, work=400.0)
-    talk.tell(m.Started(ref, 0, send.executor))
+    send = talk.placed(ref, slots=4.0, work_ms=400.0)
+    talk.tell(m.AttemptStarted(ref, 0, send.endpoint))
     return send
 
 
@@ -29,15 +31,15 @@
     talk.run(30.0)
     talk.end(held, m.Outcome.SERVED)
     talk.run(30.0)
-    assert [send.id for send in talk.all(m.Send)][1:] == [2, 1]
+    assert [send.id for send in talk.all(m.StartAttempt)][1:] == [2, 1]
 
 
 def test_a_tenant_over_its_share_sinks() -> None:
     tenants = (m.Tenant("loud", 0.5, 5.0), m.Tenant("calm", 0.5, 5.0))
-    talk = Talk(settings(tenants=tenants, over_share_worth=0.1), entries(1))
+    talk = Talk(settings(tenants=tenants, over_quota_fraction=0.1), entries(1))
     held = busy_executor(talk)
     for ref in range(60):
-        talk.ask(ref, tenant="loud", patience=5000.0)
+        talk.ask(ref, tenant="loud", timeout_ms=5000.0)
     talk.ask(99, tenant="calm")
     job = talk.node.jobs[99]
     assert job.standing > talk.node.jobs[59].standing
@@ -45,14 +47,14 @@
     talk.end(held, m.Outcome.SERVED)
     talk.run(30.0)
     # What loud sent while still inside its share may go before; what came beyond it may not.
-    assert all(send.id < 20 for send in talk.all(m.Send) if send.id not in {99, held.id})
+    assert all(send.id < 20 for send in talk.all(m.StartAttempt) if send.id not in {99, held.id})
 
 
 def test_waiting_raises_a_job_past_one_of_more_worth() -> None:
     # Guards against starving the least demanding class.
     talk = Talk(settings(classes=(LOOKUP, GOLD)), entries(1))
     busy_executor(talk)
-    talk.ask(1, "lookup", work=2000.0)
+    talk.ask(1, "lookup", work_ms=2000.0)
     before = talk.node.jobs[1].rounds
     talk.run(200.0)
     job = talk.node.jobs[1]
@@ -66,40 +68,40 @@
     busy_executor(talk)
     talk.ask(1)
     talk.run(100.0)
-    assert not talk.all(m.Send, 1)
+    assert not talk.all(m.StartAttempt, 1)
 
 
 def test_a_job_wider_than_any_executor_is_still_tried_where_nothing_is_out() -> None:
     talk = Talk(listed=entries(1))
-    assert talk.placed(1, slots=50.0).executor == "a0"
+    assert talk.placed(1, slots=50.0).endpoint == "a0"
 
 
 def test_a_job_that_cannot_be_in_time_anywhere_is_refused_before_its_aim() -> None:
     talk = Talk(listed=entries(1))
     held = busy_executor(talk)
-    talk.ask(1, work=300.0)
+    talk.ask(1, work_ms=300.0)
     talk.run(990.0)
-    assert len(talk.all(m.Refuse, 1)) == 1
-    assert not talk.all(m.Send, 1)
+    assert len(talk.all(m.RejectJob, 1)) == 1
+    assert not talk.all(m.StartAttempt, 1)
     assert held.id != 1
 
 
 def test_what_the_client_spent_on_earlier_tries_is_gone_from_the_aim() -> None:
     talk = Talk()
-    talk.placed(1, patience=5000.0)
-    talk.ask(2, patience=3000.0)
+    talk.placed(1, timeout_ms=5000.0)
+    talk.ask(2, timeout_ms=3000.0)
     talk.run(30.0)
-    assert talk.all(m.Refuse, 2)
-    assert not talk.all(m.Send, 2)
+    assert talk.all(m.RejectJob, 2)
+    assert not talk.all(m.StartAttempt, 2)
 
 
 def test_full_load_refuses_the_least_worth_first() -> None:
     talk = Talk(settings(classes=(LOOKUP, GOLD)), entries(1))
     busy_executor(talk)
     for ref in range(40):
-        talk.ask(ref, "gold" if ref % 2 else "lookup", work=300.0)
+        talk.ask(ref, "gold" if ref % 2 else "lookup", work_ms=300.0)
     talk.run(450.0)
-    refused = [refusal.id for refusal in talk.all(m.Refuse)]
+    refused = [refusal.id for refusal in talk.all(m.RejectJob)]
     assert refused
     assert all(ref % 2 == 0 for ref in refused[: len(refused) // 3])
 
@@ -109,86 +111,86 @@
     talk = Talk(listed=entries(1))
     busy_executor(talk)
     for ref in range(40):
-        talk.ask(ref, work=300.0)
+        talk.ask(ref, work_ms=300.0)
     talk.run(30.0)
-    assert len(talk.all(m.Refuse)) > 20
+    assert len(talk.all(m.RejectJob)) > 20
 
 
 @pytest.mark.parametrize("crowded", [False, True])
 def test_a_crowded_fleet_gets_only_what_is_well_in_time(crowded: bool) -> None:
     # Guards against late answers where they cost most: others wait for the slots that they take.
     # The round comes after 7.5 to 22.5 ms: in time even then on an idle fleet, too late at once on a full.
-    tight = replace(LOOKUP, name="tight", aim=117.0, stretch=0.0)
+    tight = replace(LOOKUP, name="tight", latency_objective_ms=117.0, objective_stretch=0.0)
     talk = Talk(settings(classes=(LOOKUP, tight)), entries(1, weight=8.0))
     for _ in range(10):  # what its time earns otherwise
         talk.node.book.learn_value(talk.node.members.workers["a0"], 2.0, talk.now)
     if crowded:
-        talk.placed(1000, slots=7.0, work=2000.0)
-    talk.ask(1, "tight", work=100.0)
+        talk.placed(1000, slots=7.0, work_ms=2000.0)
+    talk.ask(1, "tight", work_ms=100.0)
     talk.node.jobs[1].trial = False
     talk.run(60.0)
-    assert len(talk.all(m.Send, 1)) == (not crowded)
+    assert len(talk.all(m.StartAttempt, 1)) == (not crowded)
 
 
 def test_a_job_that_has_just_come_is_looked_at_before_it_is_refused() -> None:
     # Guards against one tight job that waits turning away others from an executor that is free.
-    tight = replace(GOLD, name="tight", aim=125.0, stretch=0.0)
+    tight = replace(GOLD, name="tight", latency_objective_ms=125.0, objective_stretch=0.0)
     for seed in range(20):
         talk = Talk(settings(classes=(tight, LOOKUP)), entries(1), seed=seed)
-        talk.ask(1, "tight", work=100.0)
+        talk.ask(1, "tight", work_ms=100.0)
         talk.run(18.0)
-        talk.ask(2, "lookup", work=10.0)
+        talk.ask(2, "lookup", work_ms=10.0)
         talk.run(30.0)
-        assert talk.all(m.Send, 2)
+        assert talk.all(m.StartAttempt, 2)
 
 
 def test_a_wide_job_is_not_kept_waiting_by_narrow_ones_that_come_and_go() -> None:
     # Guards against jobs of many slots being refused on fleets that have room, only never enough at once.
-    patient = replace(GOLD, name="patient", aim=2000.0)
+    patient = replace(GOLD, name="patient", latency_objective_ms=2000.0)
     talk = Talk(settings(classes=(LOOKUP, patient)), entries(1))
     for ref in range(16):
         if ref == 4:
-            talk.ask(1000, "patient", work=300.0, slots=4.0)
-        talk.ask(ref, work=50.0)
+            talk.ask(1000, "patient", work_ms=300.0, slots=4.0)
+        talk.ask(ref, work_ms=50.0)
         talk.run(25.0)
-        for send in talk.all(m.Send, ref):
-            talk.tell(m.Started(ref, 0, send.executor))
-        for send in talk.all(m.Send, ref - 3):
+        for send in talk.all(m.StartAttempt, ref):
+            talk.tell(m.AttemptStarted(ref, 0, send.endpoint))
+        for send in talk.all(m.StartAttempt, ref - 3):
             talk.end(send, m.Outcome.SERVED)
-    assert talk.all(m.Send, 1000)
+    assert talk.all(m.StartAttempt, 1000)
 
 
 def test_urgent_jobs_go_to_the_fast_and_bulk_to_the_slower() -> None:
     fleet = [
         *entries(2, kind="fast"),
-        *[e._replace(executor=f"s{i}", kind="slow") for i, e in enumerate(entries(2))],
+        *[e._replace(endpoint=f"s{i}", kind="slow") for i, e in enumerate(entries(2))],
     ]
     talk = Talk(listed=fleet)
     for ref in range(30):
-        send = talk.placed(ref, work=200.0)
-        talk.tell(m.Started(ref, 0, send.executor))
-        talk.run(100.0 if send.executor.startswith("a") else 300.0)
+        send = talk.placed(ref, work_ms=200.0)
+        talk.tell(m.AttemptStarted(ref, 0, send.endpoint))
+        talk.run(100.0 if send.endpoint.startswith("a") else 300.0)
         talk.end(send, m.Outcome.SERVED)
-    urgent = talk.placed(500, work=200.0, patience=5000.0 - 350.0)
-    assert urgent.executor.startswith("a")
+    urgent = talk.placed(500, work_ms=200.0, timeout_ms=5000.0 - 350.0)
+    assert urgent.endpoint.startswith("a")
     bulk_talks = []
     for seed in range(10):
         talk.node.rng.seed(seed)
-        send = talk.placed(600 + seed, work=200.0)
-        talk.tell(m.Started(send.id, 0, send.executor))
+        send = talk.placed(600 + seed, work_ms=200.0)
+        talk.tell(m.AttemptStarted(send.id, 0, send.endpoint))
         talk.run(300.0)
         talk.end(send, m.Outcome.SERVED)
-        bulk_talks.append(send.executor[0])
+        bulk_talks.append(send.endpoint[0])
     assert "s" in bulk_talks
 
 
 def test_wild_figures_break_nothing() -> None:
     talk = Talk(settings(tenants=(m.Tenant("zero", 0.0, 0.0),)))
     for ref, work in enumerate([0.0, -5.0, math.inf, 1e12, 1e-12]):
-        talk.ask(ref, work=work, tenant="zero")
+        talk.ask(ref, work_ms=work, tenant="zero")
     talk.ask(20, "no such class", tenant="nobody", slots=0.0, memory=-1.0)
     talk.run(6000.0)
-    answered = {a.id for a in talk.said if isinstance(a, m.Refuse | m.Fail)}
+    answered = {a.id for a in talk.said if isinstance(a, m.RejectJob | m.FailJob)}
     assert answered == {0, 1, 2, 3, 4, 20}
 
 
@@ -196,6 +198,6 @@
     # Guards against a restarted node queueing, and then refusing, what its executors have room for.
     talk = Talk(listed=entries(3, weight=1.0))
     for ref in range(9):
-        talk.ask(ref, work=100.0)
+        talk.ask(ref, work_ms=100.0)
     talk.run(60.0)
-    assert len(talk.all(m.Send)) == 9
+    assert len(talk.all(m.StartAttempt)) == 9
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from burlmoor.net.ring import Ring
+from burlmoor.net.ring import RingBuffer
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_bytes_come_out_as_they_went_in(seed: int) -> None:
-    rng, ring = random.Random(seed), Ring(10_000)
+    rng, ring = random.Random(seed), RingBuffer(10_000)
     put, got = bytearray(), bytearray()
     for _ in range(2000):
-        data = rng.randbytes(min(ring.room, rng.choice([0, 1, 700, 5000])))
+        data = rng.randbytes(min(ring.free_space, rng.choice([0, 1, 700, 5000])))
         ring.write(data)
         put += data
-        count = rng.randint(0, len(ring.front()))
-        got += ring.front()[:count]
+        count = rng.randint(0, len(ring.peek()))
+        got += ring.peek()[:count]
         ring.drop(count)
         if rng.random() < 0.05:
             got += ring.take()
@@ -26,7 +26,7 @@
 
 
 def test_the_bound_holds() -> None:
-    ring = Ring(10)
+    ring = RingBuffer(10)
     ring.write(b"12345678")
     with pytest.raises(BufferError):
         ring.write(b"abc")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,11 +10,11 @@
 from tests.talk import KEYED, LIMITS, RULES, Talk, entries, settings
 
 MAY_HAVE_RUN = [m.Outcome.ERROR, m.Outcome.TIMEOUT, m.Outcome.RESET, m.Outcome.CANCELLED]
-NEVER_RAN = [m.Outcome.FULL, m.Outcome.UNREACHABLE, m.Outcome.UNSENT]
+NEVER_RAN = [m.Outcome.OVERLOADED, m.Outcome.UNREACHABLE, m.Outcome.UNSENT]
 
 
 def finals(talk: Talk, ref: int) -> int:
-    return len(talk.all(m.Refuse, ref)) + len(talk.all(m.Fail, ref))
+    return len(talk.all(m.RejectJob, ref)) + len(talk.all(m.FailJob, ref))
 
 
 # --- rule 1: one final answer in time ------------------------------------------------------------
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
 def test_a_request_with_an_empty_list_is_held_then_answered_once_before_its_deadline(job_class: str) -> None:
     talk = Talk(listed=[])
-    talk.ask(7, job_class, patience=3000.0)
+    talk.ask(7, job_class, timeout_ms=3000.0)
     talk.run(2999.0)
     assert finals(talk, 7) == 1
-    assert not talk.all(m.Send, 7)
+    assert not talk.all(m.StartAttempt, 7)
     talk.run(10_000.0)
     assert finals(talk, 7) == 1
 
@@ -35,10 +35,10 @@
     # Guards against taking a short wait for a late try: all were turned away while the fleet lay idle.
     talk = Talk()
     for ref in range(1, 4):
-        talk.ask(ref, patience=5000.0, work=50.0)
-        talk.ask(ref + 10, patience=300.0, work=50.0)
+        talk.ask(ref, timeout_ms=5000.0, work_ms=50.0)
+        talk.ask(ref + 10, timeout_ms=300.0, work_ms=50.0)
     talk.run(20.0)
-    assert len({send.id for send in talk.all(m.Send)}) == 6
+    assert len({send.id for send in talk.all(m.StartAttempt)}) == 6
 
 
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
@@ -52,37 +52,37 @@
 def test_an_answer_in_the_batch_of_the_deadline_is_not_followed_by_another() -> None:
     talk = Talk()
     send = talk.placed(7, "once")
-    talk.tell(m.Started(7, 0, send.executor))
+    talk.tell(m.AttemptStarted(7, 0, send.endpoint))
     talk.now = 1000.0 + 5000.0
-    ended = m.Ended(7, 0, send.executor, m.Outcome.SERVED, 10.0, True)
-    talk.tell(ended, m.Timer(0))
+    ended = m.AttemptEnded(7, 0, send.endpoint, m.Outcome.SERVED, 10.0, True)
+    talk.tell(ended, m.TimerFired(0))
     assert finals(talk, 7) == 0
 
 
 def test_nothing_goes_out_for_a_request_whose_client_left() -> None:
     talk = Talk(listed=[])
     talk.ask(7)
-    talk.tell(m.Gone(7))
-    talk.tell(m.Members(m.Form.FULL, entries(3)))
+    talk.tell(m.ClientDisconnected(7))
+    talk.tell(m.EndpointListUpdate(m.ListKind.SNAPSHOT, entries(3)))
     talk.run(6000.0)
-    assert not talk.all(m.Send, 7)
+    assert not talk.all(m.StartAttempt, 7)
     assert finals(talk, 7) == 0
 
 
 def test_patience_already_spent_is_answered_at_once() -> None:
     talk = Talk()
-    talk.ask(7, patience=0.0)
+    talk.ask(7, timeout_ms=0.0)
     talk.run(20.0)
     assert finals(talk, 7) == 1
-    assert not talk.all(m.Send, 7)
+    assert not talk.all(m.StartAttempt, 7)
 
 
 def test_what_waits_unstarted_past_its_use_is_ended_before_its_deadline() -> None:
     # Guards against executors working on jobs that can no longer count.
     talk = Talk(listed=entries(1))
-    talk.placed(7, "once", work=100.0)
+    talk.placed(7, "once", work_ms=100.0)
     talk.run(1000.0)
-    assert talk.all(m.Cancel, 7)
+    assert talk.all(m.CancelAttempt, 7)
     assert finals(talk, 7) == 1
 
 
@@ -92,12 +92,12 @@
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_once_is_neither_sent_again_nor_refused_after_it_may_have_run(outcome: m.Outcome) -> None:
     talk = Talk()
-    send = talk.placed(7, "once", work=2000.0)
+    send = talk.placed(7, "once", work_ms=2000.0)
     talk.end(send, outcome)
     talk.run(6000.0)
-    assert len(talk.all(m.Send, 7)) == 1
-    assert not talk.all(m.Refuse, 7)
-    assert len(talk.all(m.Fail, 7)) == 1
+    assert len(talk.all(m.StartAttempt, 7)) == 1
+    assert not talk.all(m.RejectJob, 7)
+    assert len(talk.all(m.FailJob, 7)) == 1
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
@@ -107,107 +107,109 @@
     send = talk.placed(7, job_class)
     talk.end(send, outcome)
     talk.run(20.0)
-    sends = talk.all(m.Send, 7)
+    sends = talk.all(m.StartAttempt, 7)
     assert len(sends) == 2
-    assert sends[1].executor != send.executor
+    assert sends[1].endpoint != send.endpoint
 
 
 def test_keyed_stays_in_the_zone_of_the_attempt_that_may_have_run() -> None:
     talk = Talk(listed=entries(1, "a") + entries(3, "b"))
-    send = talk.placed(7, "keyed", key="k", work=2000.0)
-    assert send.executor == "a0"
+    send = talk.placed(7, "keyed", affinity_key="k", work_ms=2000.0)
+    assert send.endpoint == "a0"
     talk.end(send, m.Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.Send, 7)) == 1
-    assert not talk.all(m.Refuse, 7)
-    assert len(talk.all(m.Fail, 7)) == 1
+    assert len(talk.all(m.StartAttempt, 7)) == 1
+    assert not talk.all(m.RejectJob, 7)
+    assert len(talk.all(m.FailJob, 7)) == 1
 
 
 def test_keyed_is_not_sent_again_after_its_window() -> None:
-    talk = Talk(settings(classes=(replace(KEYED, window=300.0),)))
-    send = talk.placed(7, "keyed", work=2000.0)
+    talk = Talk(settings(classes=(replace(KEYED, deduplication_window_ms=300.0),)))
+    send = talk.placed(7, "keyed", work_ms=2000.0)
     talk.run(400.0)
     talk.end(send, m.Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.Send, 7)) == 1
-    assert len(talk.all(m.Fail, 7)) == 1
+    assert len(talk.all(m.StartAttempt, 7)) == 1
+    assert len(talk.all(m.FailJob, 7)) == 1
 
 
 def test_keyed_with_the_group_of_all_may_be_refused_after_it_may_have_run() -> None:
-    talk = Talk(settings(classes=(replace(KEYED, group=m.Group.ALL),)), entries(1))
+    talk = Talk(settings(classes=(replace(KEYED, deduplication_scope=m.DeduplicationScope.ALL),)), entries(1))
     talk.end(talk.placed(7, "keyed"), m.Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.Refuse, 7)) == 1
+    assert len(talk.all(m.RejectJob, 7)) == 1
 
 
 def test_cells_with_one_number_in_two_zones_are_not_one_group() -> None:
-    given = settings(classes=(replace(KEYED, group=m.Group.CELL),))
-    talk = Talk(given, [*entries(1, cell=1), m.Entry("other", zone="a", weight=4.0, cell=2, kind="std")])
-    talk.end(talk.placed(7, "keyed", work=2000.0), m.Outcome.RESET)
+    given = settings(classes=(replace(KEYED, deduplication_scope=m.DeduplicationScope.CELL),))
+    talk = Talk(
+        given, [*entries(1, cell=1), m.EndpointEntry("other", zone="a", weight=4.0, cell=2, kind="std")]
+    )
+    talk.end(talk.placed(7, "keyed", work_ms=2000.0), m.Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.Send, 7)) == 1
+    assert len(talk.all(m.StartAttempt, 7)) == 1
 
 
 def test_two_attempts_are_never_out_together_where_second_copies_are_not_allowed() -> None:
-    limits = m.Limits(attempts=4, cancel=True, second_copies=False)
+    limits = m.Limits(max_attempts=4, may_cancel=True, may_hedge=False)
     talk = Talk(settings(limits=limits))
-    send = talk.placed(7, work=2000.0)
+    send = talk.placed(7, work_ms=2000.0)
     talk.run(300.0)
-    assert talk.all(m.Cancel, 7) == [m.Cancel(7, 0)]
-    assert len(talk.all(m.Send, 7)) == 1
+    assert talk.all(m.CancelAttempt, 7) == [m.CancelAttempt(7, 0)]
+    assert len(talk.all(m.StartAttempt, 7)) == 1
     talk.end(send, m.Outcome.CANCELLED)
     talk.run(20.0)
-    assert len(talk.all(m.Send, 7)) == 2
+    assert len(talk.all(m.StartAttempt, 7)) == 2
 
 
 def test_a_second_copy_replaces_a_job_that_has_not_started_and_the_loser_is_cancelled() -> None:
     talk = Talk()
-    talk.placed(7, work=2000.0)
+    talk.placed(7, work_ms=2000.0)
     talk.run(300.0)
-    sends = talk.all(m.Send, 7)
+    sends = talk.all(m.StartAttempt, 7)
     assert len(sends) == 2
-    talk.tell(m.Started(7, 1, sends[1].executor))
-    assert talk.all(m.Cancel, 7) == [m.Cancel(7, 0)]
+    talk.tell(m.AttemptStarted(7, 1, sends[1].endpoint))
+    assert talk.all(m.CancelAttempt, 7) == [m.CancelAttempt(7, 0)]
 
 
 def test_attempts_stay_within_the_cap() -> None:
     talk = Talk(listed=entries(12))
-    talk.ask(7, work=2000.0)
+    talk.ask(7, work_ms=2000.0)
     for _ in range(10):
         talk.run(30.0)
-        for number, send in enumerate(talk.all(m.Send, 7)):
-            talk.end(send, m.Outcome.FULL, number)
-    assert len(talk.all(m.Send, 7)) == LIMITS.attempts
+        for number, send in enumerate(talk.all(m.StartAttempt, 7)):
+            talk.end(send, m.Outcome.OVERLOADED, number)
+    assert len(talk.all(m.StartAttempt, 7)) == LIMITS.max_attempts
     assert finals(talk, 7) == 1
 
 
 # --- rule 3: drains ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("state", [m.State.DRAINING, m.State.GONE])
-def test_a_drain_told_between_arrival_and_round_is_kept_at_once(state: m.State) -> None:
+@pytest.mark.parametrize("state", [m.EndpointState.DRAINING, m.EndpointState.GONE])
+def test_a_drain_told_between_arrival_and_round_is_kept_at_once(state: m.EndpointState) -> None:
     talk = Talk(listed=entries(1))
     talk.ask(7)
-    talk.tell(m.Members(m.Form.CHANGES, [entries(1)[0]._replace(state=state)]))
+    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [entries(1)[0]._replace(state=state)]))
     talk.run(6000.0)
-    assert not talk.all(m.Send)
+    assert not talk.all(m.StartAttempt)
 
 
 def test_missing_from_a_full_list_means_gone() -> None:
     talk = Talk(listed=entries(2))
-    talk.tell(m.Members(m.Form.FULL, entries(1)))
+    talk.tell(m.EndpointListUpdate(m.ListKind.SNAPSHOT, entries(1)))
     for ref in range(20):
         talk.ask(ref)
         talk.run(50.0)
-    assert {send.executor for send in talk.all(m.Send)} == {"a0"}
+    assert {send.endpoint for send in talk.all(m.StartAttempt)} == {"a0"}
 
 
 def test_an_executor_named_twice_in_a_list_takes_its_last_state() -> None:
-    twice = [entries(1)[0], entries(1)[0]._replace(state=m.State.DRAINING)]
+    twice = [entries(1)[0], entries(1)[0]._replace(state=m.EndpointState.DRAINING)]
     talk = Talk(listed=twice)
     talk.ask(7)
     talk.run(6000.0)
-    assert not talk.all(m.Send)
+    assert not talk.all(m.StartAttempt)
 
 
 # --- rule 4: cold executors ----------------------------------------------------------------------
@@ -215,60 +217,60 @@
 
 @pytest.mark.parametrize("nodes", [1, 10, 100])
 def test_the_nodes_together_keep_within_a_cold_executors_budget(nodes: int) -> None:
-    cold = [m.Entry("new", zone="a", weight=4.0, kind="std", started=1000.0)]
+    cold = [m.EndpointEntry("new", zone="a", weight=4.0, kind="std", started_at=1000.0)]
     sent: list[tuple[float, float]] = []
     for node in range(nodes):
-        talk = Talk(settings(balancers=nodes, me=node), cold, seed=node)
+        talk = Talk(settings(node_count=nodes, node_index=node), cold, seed=node)
         for ref in range(80):
-            before = len(talk.all(m.Send))
-            talk.ask(ref, work=150.0)
+            before = len(talk.all(m.StartAttempt))
+            talk.ask(ref, work_ms=150.0)
             talk.run(50.0)
-            for send in talk.all(m.Send)[before:]:
+            for send in talk.all(m.StartAttempt)[before:]:
                 sent.append((talk.now, 150.0))
-                talk.tell(m.Started(send.id, 0, send.executor))
+                talk.tell(m.AttemptStarted(send.id, 0, send.endpoint))
                 talk.end(send, m.Outcome.SERVED)
     assert sent
     for start in range(1000, 5000, 100):
-        window = [cost for at, cost in sent if start <= at < start + RULES.fall_window]
-        age = start + RULES.fall_window - 1000.0
-        warmth = RULES.cold_capacity + (1.0 - RULES.cold_capacity) * age / RULES.cold
-        assert sum(window) <= RULES.fall_multiple * warmth * 4.0 * RULES.fall_window
+        window = [cost for at, cost in sent if start <= at < start + RULES.overload_window_ms]
+        age = start + RULES.overload_window_ms - 1000.0
+        warmth = RULES.initial_capacity + (1.0 - RULES.initial_capacity) * age / RULES.slow_start_ms
+        assert sum(window) <= RULES.overload_multiple * warmth * 4.0 * RULES.overload_window_ms
 
 
 def test_a_restart_voids_what_was_learnt_and_makes_cold() -> None:
     talk = Talk(listed=entries(1))
     talk.placed(1)
     talk.now = 2000.0
-    restarted = entries(1)[0]._replace(started=1990.0)
-    talk.tell(m.Members(m.Form.CHANGES, [restarted]))
+    restarted = entries(1)[0]._replace(started_at=1990.0)
+    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [restarted]))
     worker = talk.node.members.workers["a0"]
     assert worker.slots == 0.0
     assert talk.node.members.warmth(worker, 2000.0) < 0.3
 
 
-def cold_sends(listed: list[m.Entry], slots: int = 4, yielded: bool = False) -> int:
+def cold_sends(listed: list[m.EndpointEntry], slots: int = 4, yielded: bool = False) -> int:
     """How many jobs of 300 ms a cold executor gets in two seconds beside those listed, of so many slots."""
     work = 300.0
-    cold = m.Entry("new", zone="a", weight=1.0, kind="std", started=1.0)
-    talk = Talk(settings(balancers=2), [*listed, cold])
+    cold = m.EndpointEntry("new", zone="a", weight=1.0, kind="std", started_at=1.0)
+    talk = Talk(settings(node_count=2), [*listed, cold])
     talk.now = 3000.0  # it has 0.44 of its capacity
     if yielded:
-        talk.tell(m.Yielded(True))
-    running: list[tuple[float, m.Send]] = []
-    waiting: list[m.Send] = []
+        talk.tell(m.HandoverChanged(True))
+    running: list[tuple[float, m.StartAttempt]] = []
+    waiting: list[m.StartAttempt] = []
     for ref in range(100):
-        before = len(talk.all(m.Send))
-        talk.ask(ref, work=work)
+        before = len(talk.all(m.StartAttempt))
+        talk.ask(ref, work_ms=work)
         talk.run(20.0)
-        waiting += talk.all(m.Send)[before:]
+        waiting += talk.all(m.StartAttempt)[before:]
         for send in list(waiting):
-            if sum(other.executor == send.executor for _, other in running) < slots:
+            if sum(other.endpoint == send.endpoint for _, other in running) < slots:
                 waiting.remove(send)
-                talk.tell(m.Started(send.id, 0, send.executor))
+                talk.tell(m.AttemptStarted(send.id, 0, send.endpoint))
                 running.append((talk.now + work, send))
         while running and running[0][0] <= talk.now:
             talk.end(running.pop(0)[1], m.Outcome.SERVED)
-    return sum(send.executor == "new" for send in talk.all(m.Send))
+    return sum(send.endpoint == "new" for send in talk.all(m.StartAttempt))
 
 
 def test_a_cold_executor_is_trusted_by_what_warm_ones_of_its_kind_bear() -> None:
@@ -279,7 +281,7 @@
     assert beside > max(own, other)
     # One of two nodes keeps within its half of what pushes over an executor of four slots, although the other
     # does nothing here, and what this one has seen served counts for both.
-    assert beside * 300.0 <= 0.5 * RULES.fall_multiple * 4.0 * 0.52 * RULES.fall_window
+    assert beside * 300.0 <= 0.5 * RULES.overload_multiple * 4.0 * 0.52 * RULES.overload_window_ms
 
 
 def test_a_process_that_has_yielded_leaves_cold_executors_to_the_other() -> None:
@@ -292,6 +294,6 @@
     listed = entries(8, weight=1.0)
     talk = Talk(listed=listed)
     homes = [worker.id for worker in talk.node.members.reach(None).home("k")[:4]]
-    cold = [entry._replace(started=900.0) if entry.executor in homes else entry for entry in listed]
+    cold = [entry._replace(started_at=900.0) if entry.endpoint in homes else entry for entry in listed]
     talk = Talk(listed=cold)
-    assert talk.placed(1, key="k", work=3500.0, patience=6000.0).executor not in homes
+    assert talk.placed(1, affinity_key="k", work_ms=3500.0, timeout_ms=6000.0).endpoint not in homes
--- a/tests/test_scripts.py
+++ b/tests/test_scripts.py
@@ -33,44 +33,48 @@
         self.zones: dict[str, str] = {}
         self.live: set[str] = set()
 
-    def listed(self, event: m.Members) -> None:
-        if event.form is not m.Form.CHANGES:
+    def listed(self, event: m.EndpointListUpdate) -> None:
+        if event.kind is not m.ListKind.DELTA:
             self.live.clear()
         for entry in event.entries:
-            self.zones[entry.executor] = entry.zone
-            (self.live.add if entry.state is m.State.LIVE else self.live.discard)(entry.executor)
+            self.zones[entry.endpoint] = entry.zone
+            (self.live.add if entry.state is m.EndpointState.LIVE else self.live.discard)(entry.endpoint)
 
     def risky(self, record: Record) -> list[int]:
-        return [n for n in range(len(record.sends)) if n not in record.ends or not record.ends[n].never_ran]
+        return [
+            n
+            for n in range(len(record.sends))
+            if n not in record.ends or not record.ends[n].proves_not_started
+        ]
 
     def took(self, now: float, action: m.Action) -> None:
-        if not isinstance(action, m.Send | m.Refuse | m.Fail):
+        if not isinstance(action, m.StartAttempt | m.RejectJob | m.FailJob):
             return
         record = self.records[action.id]
-        if isinstance(action, m.Fail):
+        if isinstance(action, m.FailJob):
             assert not record.over, "an answer after the end"
             record.final += 1
             record.over = True
             return
         risky = self.risky(record)
-        effect = record.job_class.effect
+        effect = record.job_class.idempotency
         assert not record.over, "something after the end"
-        if isinstance(action, m.Refuse):
-            assert effect is m.Effect.REPEATABLE or not risky, "refused what may have run"
+        if isinstance(action, m.RejectJob):
+            assert effect is m.Idempotency.IDEMPOTENT or not risky, "refused what may have run"
             record.final += 1
             record.over = True
             return
-        assert action.executor in self.live, "sent to what is not live"
+        assert action.endpoint in self.live, "sent to what is not live"
         assert now < record.deadline_at, "sent after the deadline"
-        assert effect is not m.Effect.ONCE or not risky, "sent twice what must run once"
-        if effect is m.Effect.KEYED and risky:
+        assert effect is not m.Idempotency.NON_IDEMPOTENT or not risky, "sent twice what must run once"
+        if effect is m.Idempotency.IDEMPOTENT_WITH_KEY and risky:
             at, first = record.sends[risky[0]]
-            assert self.zones[first] == self.zones[action.executor], "left the group"
-            assert now - at <= record.job_class.window, "past the window"
+            assert self.zones[first] == self.zones[action.endpoint], "left the group"
+            assert now - at <= record.job_class.deduplication_window_ms, "past the window"
         out = [n for n in range(len(record.sends)) if n not in record.ends]
-        assert len(out) < (2 if self.given.limits.second_copies else 1), "too many out"
-        assert len(record.sends) < self.given.limits.attempts, "too many attempts"
-        record.sends.append((now, action.executor))
+        assert len(out) < (2 if self.given.limits.may_hedge else 1), "too many out"
+        assert len(record.sends) < self.given.limits.max_attempts, "too many attempts"
+        record.sends.append((now, action.endpoint))
 
 
 def play(seed: int, given: m.Settings) -> Checker:
@@ -78,65 +82,84 @@
     rng = random.Random(seed)
     node, checker = Dispatcher(given, seed), Checker(given)
     fleet = entries(4, "a") + entries(3, "b")
-    pending: list[tuple[float, m.Event]] = [(0.0, m.Members(m.Form.CACHED, fleet))]
+    pending: list[tuple[float, m.Event]] = [(0.0, m.EndpointListUpdate(m.ListKind.CACHED, fleet))]
     now, ref = 0.0, 0
     while now < 25_000.0:
-        now += given.tick
+        now += given.tick_ms
         if rng.random() < 0.1 and now < 15_000.0:
             ref += 1
             job_class = rng.choice(given.classes)
-            patience = rng.choice([job_class.deadline, job_class.deadline, 800.0])
+            patience = rng.choice([job_class.deadline_ms, job_class.deadline_ms, 800.0])
             work = rng.choice([0.0, 50.0, 300.0, 3000.0])
             key = rng.choice(["", "k1", "k2"])
             checker.records[ref] = Record(job_class, now + patience)
             pending.append(
-                (now, m.Request(ref, job_class.name, patience, work, rng.choice([1.0, 2.0]), key=key))
+                (
+                    now,
+                    m.JobRequest(
+                        ref, job_class.name, patience, work, rng.choice([1.0, 2.0]), affinity_key=key
+                    ),
+                )
             )
-            pending.append((now + patience, m.Gone(-ref)))
+            pending.append((now + patience, m.ClientDisconnected(-ref)))
         if rng.random() < 0.005:
-            state = rng.choice([m.State.LIVE, m.State.LIVE, m.State.LIVE, m.State.DRAINING, m.State.GONE])
-            pending.append((now, m.Members(m.Form.CHANGES, [rng.choice(fleet)._replace(state=state)])))
+            state = rng.choice(
+                [
+                    m.EndpointState.LIVE,
+                    m.EndpointState.LIVE,
+                    m.EndpointState.LIVE,
+                    m.EndpointState.DRAINING,
+                    m.EndpointState.GONE,
+                ]
+            )
+            pending.append(
+                (now, m.EndpointListUpdate(m.ListKind.DELTA, [rng.choice(fleet)._replace(state=state)]))
+            )
         due = [event for at, event in pending if at <= now]
         pending = [(at, event) for at, event in pending if at > now]
-        batch: list[m.Event] = [m.Timer(0)]
+        batch: list[m.Event] = [m.TimerFired(0)]
         for event in due:
-            if isinstance(event, m.Gone):
+            if isinstance(event, m.ClientDisconnected):
                 record = checker.records[-event.id]
                 assert record.over or any(n not in record.ends for n in range(len(record.sends))), (
                     "unanswered"
                 )
                 continue
-            if isinstance(event, m.Ended):
+            if isinstance(event, m.AttemptEnded):
                 record = checker.records[event.id]
                 record.ends[event.attempt] = event.outcome
                 closed = record.over or event.outcome is m.Outcome.SERVED
                 record.final += closed and not record.over
                 record.over = closed
-                event = event._replace(closed=closed)  # noqa: PLW2901
-            if isinstance(event, m.Members):
+                event = event._replace(is_job_closed=closed)  # noqa: PLW2901
+            if isinstance(event, m.EndpointListUpdate):
                 checker.listed(event)
             batch.append(event)
         for action in node.handle(now, batch):
             checker.took(now, action)
-            if isinstance(action, m.Send):
+            if isinstance(action, m.StartAttempt):
                 number = len(checker.records[action.id].sends) - 1
                 deadline_at = checker.records[action.id].deadline_at
                 start, end = now + rng.choice([1.0, 5.0, 400.0]), now + rng.uniform(5.0, 1500.0)
                 outcome = rng.choice([m.Outcome.SERVED, m.Outcome.SERVED, *m.Outcome])
                 if end >= deadline_at:
                     end, outcome = deadline_at, m.Outcome.TIMEOUT
-                if start < end and not outcome.never_ran:
-                    pending.append((start, m.Started(action.id, number, action.executor)))
-                    pending.append((0.5 * (start + end), m.Progress(action.id, number, action.executor, 0.5)))
-                pending.append((end, m.Ended(action.id, number, action.executor, outcome, end - now, False)))
+                if start < end and not outcome.proves_not_started:
+                    pending.append((start, m.AttemptStarted(action.id, number, action.endpoint)))
+                    pending.append(
+                        (0.5 * (start + end), m.AttemptProgressed(action.id, number, action.endpoint, 0.5))
+                    )
+                pending.append(
+                    (end, m.AttemptEnded(action.id, number, action.endpoint, outcome, end - now, False))
+                )
     return checker
 
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("copies", [True, False])
 def test_random_scripts_keep_the_rules(seed: int, copies: bool) -> None:
-    limits = m.Limits(attempts=3, cancel=True, second_copies=copies, retry_after=True)
-    checker = play(seed, settings(limits=limits, balancers=3))
+    limits = m.Limits(max_attempts=3, may_cancel=True, may_hedge=copies, sends_retry_after=True)
+    checker = play(seed, settings(limits=limits, node_count=3))
     assert len(checker.records) > 100
     assert all(record.final == 1 for record in checker.records.values())
     assert sum(len(record.sends) for record in checker.records.values()) > 40  # the scripts do send
@@ -144,23 +167,28 @@
 
 def violating(*actions: m.Action, job_class: m.JobClass, ended: m.Outcome | None = None) -> None:
     checker = Checker(settings())
-    checker.listed(m.Members(m.Form.FULL, entries(1, "a") + entries(1, "b")))
+    checker.listed(m.EndpointListUpdate(m.ListKind.SNAPSHOT, entries(1, "a") + entries(1, "b")))
     checker.records[1] = Record(job_class, 5000.0)
     for action in actions:
         checker.took(100.0, action)
-        if isinstance(action, m.Send) and ended is not None:
+        if isinstance(action, m.StartAttempt) and ended is not None:
             checker.records[1].ends[len(checker.records[1].sends) - 1] = ended
 
 
 @pytest.mark.parametrize(
     ("actions", "job_class", "ended", "words"),
     [
-        ((m.Refuse(1), m.Fail(1)), LOOKUP, None, "after the end"),
-        ((m.Send(1, "a0"), m.Refuse(1)), ONCE, m.Outcome.ERROR, "may have run"),
-        ((m.Send(1, "a0"), m.Send(1, "a0")), ONCE, m.Outcome.RESET, "must run once"),
-        ((m.Send(1, "a0"), m.Send(1, "b0")), KEYED, m.Outcome.RESET, "left the group"),
-        ((m.Send(1, "c0"),), LOOKUP, None, "not live"),
-        ((m.Send(1, "a0"), m.Send(1, "b0"), m.Send(1, "a0")), LOOKUP, None, "too many out"),
+        ((m.RejectJob(1), m.FailJob(1)), LOOKUP, None, "after the end"),
+        ((m.StartAttempt(1, "a0"), m.RejectJob(1)), ONCE, m.Outcome.ERROR, "may have run"),
+        ((m.StartAttempt(1, "a0"), m.StartAttempt(1, "a0")), ONCE, m.Outcome.RESET, "must run once"),
+        ((m.StartAttempt(1, "a0"), m.StartAttempt(1, "b0")), KEYED, m.Outcome.RESET, "left the group"),
+        ((m.StartAttempt(1, "c0"),), LOOKUP, None, "not live"),
+        (
+            (m.StartAttempt(1, "a0"), m.StartAttempt(1, "b0"), m.StartAttempt(1, "a0")),
+            LOOKUP,
+            None,
+            "too many out",
+        ),
     ],
 )
 def test_the_checker_catches_violations(
--- a/tests/test_settings_page.py
+++ b/tests/test_settings_page.py
@@ -23,8 +23,8 @@
     *settings._Table.__subclasses__(),
     config._File,
     config._Limits,
-    target_group.HostList,
-    target_group._Host,
+    target_group.DiscoveredList,
+    target_group.DiscoveredEndpoint,
     callbacks._Event,
 ]
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -217,7 +217,7 @@
         link = tmp_path / "n0.link"
         await made.until(link.exists)
         for _ in range(2):
-            peer = p.reach(link)
+            peer = p.connect_to(link)
             assert peer is not None
             if said:
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
@@ -233,12 +233,12 @@
             made.address = held.getsockname()
             await story(made)
 
-        play(run, passed=held.dup().detach(), folder=tmp_path)
+        play(run, listener_fd=held.dup().detach(), state_folder=tmp_path)
 
 
 @pytest.mark.parametrize("predecessor", ["stale", "mute", "gone"])
 def test_a_node_starts_alone_where_nobody_hands_over(predecessor: str, tmp_path: Path) -> None:
-    old = p.listen_at(tmp_path / "n0.link")
+    old = p.listen(tmp_path / "n0.link")
     if predecessor == "stale":
         old.close()
 
@@ -247,13 +247,13 @@
         if predecessor == "gone":
             peer = await trio.to_thread.run_sync(lambda: old.accept()[0])
             peer.close()
-        await made.until(lambda: made.node.desk.serving)
+        await made.until(lambda: made.node.admin.is_serving)
         assert await ready(made) == 200
 
     with socket.create_server(("127.0.0.1", 0)) as held:
         if predecessor != "stale":
             old.setblocking(True)
-        play(story, passed=held.dup().detach(), folder=tmp_path)
+        play(story, listener_fd=held.dup().detach(), state_folder=tmp_path)
         old.close()
 
 
@@ -266,7 +266,7 @@
             asked.append(body)
             return answers[len(asked) - 1]
 
-        made.node.front.call_back_elsewhere = elsewhere
+        made.node.server.forward_callback = elsewhere
         body = b'{"id":"x","from":"e0","state":"done"}'
         assert await made.tell_raw(body) == 503  # its executor tells it again
         assert await made.tell_raw(body) == 204
@@ -281,17 +281,17 @@
         wire = await made.submit("once", "a1")
         half = await made.client()
         await half.stream.send_all(b"POST /once")
-        await made.until(lambda: made.jobs and len(made.node.front.links) == 2)
-        made.node.front.pass_on = lambda sock, used, _age: passed.append((sock, used))
-        made.node.front.pass_idle()
+        await made.until(lambda: made.jobs and len(made.node.server.connections) == 2)
+        made.node.server.pass_connection = lambda sock, used, _age: passed.append((sock, used))
+        made.node.server.hand_over_idle()
         assert not passed
         await made.tell("done", "fine")
         assert (await made.answer(wire)).status == 200
         assert [used for _, used in passed] == [True]
         # The descriptor is taken over by whoever serves it next.
-        made.node.front.pass_on = None
+        made.node.server.pass_connection = None
         for sock, used in passed:
-            made.node.front.adopt(sock, used)
+            made.node.server.adopt(sock, used)
         await made.ask(wire, "once", "a2")
         await made.until(lambda: len(made.jobs) == 2)
         await made.tell("done", "again")
@@ -302,7 +302,7 @@
 
 def test_an_id_that_the_other_process_has_taken_is_refused() -> None:
     async def story(made: Stage) -> None:
-        made.node.core.elsewhere.add("a1")
+        made.node.engine.ids_in_other_process.add("a1")
         assert (await made.answer(await made.submit("once", "a1"))).status == 400
         assert not made.jobs
 
--- a/tests/test_target.py
+++ b/tests/test_target.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from burlmoor.net.target import BrokenReply, Reply, TargetConnection
+from burlmoor.net.target import BrokenResponseError, HttpClientConnection, Response
 
 
-def asked() -> TargetConnection:
-    http = TargetConnection("127.0.0.1:1", 1000)
+def asked() -> HttpClientConnection:
+    http = HttpClientConnection("127.0.0.1:1", 1000)
     data = http.request(b"POST", b"/lookup/1?x=2", [("Request-Id", "a1")], b"body")
     assert data.startswith(b"POST /lookup/1?x=2 HTTP/1.1\r\n")
     assert data.endswith(b"\r\n\r\nbody")
     return http
 
 
-def fed(http: TargetConnection, data: bytes, step: int) -> Reply | None:
+def fed(http: HttpClientConnection, data: bytes, step: int) -> Response | None:
     reply = None
     for at in range(0, len(data), step):
         assert reply is None
@@ -53,7 +53,7 @@
 )
 def test_a_broken_answer_is_told(data: bytes) -> None:
     http = asked()
-    with pytest.raises(BrokenReply):
+    with pytest.raises(BrokenResponseError):
         if data:
             http.receive(data)
         http.receive(b"")
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -12,10 +12,10 @@
 import pytest
 import trio
 
-from burlmoor.learnt import Learnt
+from burlmoor.learnt import StatisticsSnapshot
 from burlmoor.net import peer as p
-from burlmoor.net.target_group import ByHand, HostList
-from burlmoor.operators import ByHandSet
+from burlmoor.net.target_group import DiscoveredList, EndpointOverrides
+from burlmoor.operators import Overrides
 from tests.peers import Stage, play
 from tests.test_config import OPTIONS, written
 from tests.test_control import call
@@ -62,7 +62,7 @@
         await made.publish(
             6, fault == "moved", e0="leaving", **({"e1": "active"} if fault == "moved" else {})
         )
-        await made.until(lambda: made.node.group.live("e0") is None)
+        await made.until(lambda: made.node.directory.find_live("e0") is None)
         assert trio.current_time() < began + within
         made.silent = False
         await all_go_elsewhere(made)
@@ -111,10 +111,10 @@
         ):  # the node reads no more than it will hold
             await made.watches.pop().write("HTTP/1.1 200 OK", body)
         await made.until(lambda: any(event in line for line in lines))
-        assert made.node.group.version == 1
-        assert made.node.group.live("e0") and made.node.group.live("e1")
+        assert made.node.directory.version == 1
+        assert made.node.directory.find_live("e0") and made.node.directory.find_live("e1")
         await made.publish(10, e0="leaving", e1="active")
-        await made.until(lambda: made.node.group.version == 10)
+        await made.until(lambda: made.node.directory.version == 10)
 
     lines: list[str] = []
     play(story, lines=lines)
@@ -134,12 +134,17 @@
         ]
         await made.until(lambda: made.watches)
         await made.watches.pop().write("HTTP/1.1 200 OK", json.dumps(told).encode())
-        await made.until(lambda: made.node.group.version == 7)
-        assert [made.node.group.live(f"e{n}") is not None for n in range(4)] == [False, True, False, False]
+        await made.until(lambda: made.node.directory.version == 7)
+        assert [made.node.directory.find_live(f"e{n}") is not None for n in range(4)] == [
+            False,
+            True,
+            False,
+            False,
+        ]
 
     lines: list[str] = []
     play(story, lines=lines)
-    bad = next(each for each in map(json.loads, lines) if each["event"] == "list-entries-bad")
+    bad = next(each for each in map(json.loads, lines) if each["event"] == "endpoint-list-invalid-entries")
     assert bad["count"] == 3
     assert bad["error"].startswith("hosts[2].host")
 
@@ -158,12 +163,12 @@
         assert len(body) > 256 * 1024
         await made.until(lambda: made.watches)
         await made.watches.pop().write("HTTP/1.1 200 OK", body)
-        await made.until(lambda: made.node.group.version == 7)
+        await made.until(lambda: made.node.directory.version == 7)
         await made.publish(8, False, e0="leaving")
-        await made.until(lambda: made.node.group.live("e0") is None)
+        await made.until(lambda: made.node.directory.find_live("e0") is None)
         await all_go_elsewhere(made)
         out = {f"executor-{n:06d}": 1.0 for n in range(MANY)}
-        made.node.group.set_by_hand(ByHand(out=out))
+        made.node.directory.set_overrides(EndpointOverrides(disabled_since=out))
         _, shown = await call(made, "/ready", method="GET")
         assert shown["out"] == sorted(out)
 
@@ -175,26 +180,29 @@
         "hosts": [{"host": f"executor-{n:06d}", "dial": f"127.0.0.1:{n + 1}"} for n in range(5000)],
         "seq": 4,
     }
-    snapshot = p.Snapshot(ByHandSet(), msgspec.convert(hosts, HostList), Learnt(), ["a"], 1, 2)
+    snapshot = p.Snapshot(
+        Overrides(), msgspec.convert(hosts, DiscoveredList), StatisticsSnapshot(), ["a"], 1, 2
+    )
 
     class Side:
         def __init__(self) -> None:
             self.heard: list[p.Message] = []
             self.whole = trio.Event()
 
-        def told(self, peer: p.Peer, message: p.Message, sock: socket.socket | None) -> None:
+        def on_message(self, peer: p.HandoverChannel, message: p.Message, sock: socket.socket | None) -> None:
             self.heard.append(message)
             if isinstance(message, p.Accepting):
                 self.whole.set()
 
-        def lost(self, peer: p.Peer) -> None: ...
+        def on_peer_lost(self, peer: p.HandoverChannel) -> None: ...
 
     async def story() -> None:
         async with trio.open_nursery() as nursery:
             ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             here, there = Side(), Side()
             peers = [
-                p.Peer(sock, side, nursery, print) for sock, side in zip(ends, (here, there), strict=True)
+                p.HandoverChannel(sock, side, nursery, print)
+                for sock, side in zip(ends, (here, there), strict=True)
             ]
             nursery.start_soon(peers[1].run)
             assert peers[0].post(snapshot)
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -15,19 +15,19 @@
 from hypothesis import strategies as st
 
 from burlmoor.net import watching
-from burlmoor.net.target import BrokenReply, Reply
-from burlmoor.net.target_group import TargetGroup
-from burlmoor.net.watch import Watch
-from burlmoor.net.watching import End, Watching
+from burlmoor.net.target import BrokenResponseError, Response
+from burlmoor.net.target_group import EndpointDirectory
+from burlmoor.net.watch import DiscoveryClient
+from burlmoor.net.watching import CallResult, WatchSchedule
 
 PATIENCE, GRACE = 2.0, 0.25
 
 
-def life(nodes: int, seed: object = 1, pushed: bool = False, ask_within: float = 10.0) -> Watching:
-    return Watching(nodes, ask_within, pushed, random.Random(f"{seed}"))
+def life(nodes: int, seed: object = 1, pushed: bool = False, ask_within: float = 10.0) -> WatchSchedule:
+    return WatchSchedule(nodes, ask_within, pushed, random.Random(f"{seed}"))
 
 
-def asked(lives: list[Watching], at: list[float], a_call: float) -> tuple[list[float], int]:
+def asked(lives: list[WatchSchedule], at: list[float], a_call: float) -> tuple[list[float], int]:
     """When each node's watch began, and how many calls failed; one that waits too long has gone in vain."""
     calls = [(each, number) for number, each in enumerate(at)]
     failed, free, answered = 0, 0.0, list[float]()
@@ -43,9 +43,9 @@
                 continue
             free = max(free, min(ends, came + PATIENCE))
             failed += 1
-            lives[number].made(came)
-            lives[number].ended(End.FAILED, came + PATIENCE)
-            heapq.heappush(calls, (lives[number].next().at, number))
+            lives[number].on_call_started(came)
+            lives[number].on_call_ended(CallResult.FAILED, came + PATIENCE)
+            heapq.heappush(calls, (lives[number].next_call().at, number))
         else:
             queue.append(heapq.heappop(calls))
     return answered, failed
@@ -55,8 +55,8 @@
     """When the last of a fleet that starts as one has been answered, and how many calls failed."""
     lives = [life(nodes, f"{seed}/{number}") for number in range(nodes)]
     for each in lives:
-        each.begin(0.0, True)
-    answered, failed = asked(lives, [each.next().at for each in lives], a_call)
+        each.on_start(0.0, True)
+    answered, failed = asked(lives, [each.next_call().at for each in lives], a_call)
     assert len(answered) == nodes
     return max(answered), failed
 
@@ -82,27 +82,27 @@
             rng, lives, at = random.Random(seed), [], []
             for number in range(nodes):
                 each = life(nodes, f"{seed}/{number}")
-                each.begin(0.0, True)
+                each.on_start(0.0, True)
                 made = rng.uniform(0.0, 1.0)  # every watch is somewhere in its second when all fall silent
-                each.made(made - 2.0)
-                each.ended(End.ANSWERED, made)
-                each.made(made)
-                each.ended(End.SILENT, made + each.next().within)
+                each.on_call_started(made - 2.0)
+                each.on_call_ended(CallResult.ANSWERED, made)
+                each.on_call_started(made)
+                each.on_call_ended(CallResult.SILENT, made + each.next_call().timeout_seconds)
                 lives.append(each)
-                at.append(each.next().at)
+                at.append(each.next_call().at)
             answered, _ = asked(lives, at, a_call)
             assert max(answered) <= 1.0 + 6.0 + GRACE, (nodes, seed)
 
 
 def test_a_fleet_whose_calls_fit_into_a_calls_patience_asks_at_once() -> None:
     each = life(4)
-    each.begin(5.0, True)
-    assert each.next().at == 5.0
+    each.on_start(5.0, True)
+    assert each.next_call().at == 5.0
     for failures, least, most in ((1, 0.05, 0.1), (9, 1.0, 2.0)):
         each.failures = failures - 1
-        each.made(6.0)
-        each.ended(End.FAILED, 6.0)
-        assert least <= each.next().at - 6.0 <= most
+        each.on_call_started(6.0)
+        each.on_call_ended(CallResult.FAILED, 6.0)
+        assert least <= each.next_call().at - 6.0 <= most
 
 
 @pytest.mark.parametrize("ask_within", [0.5, 2.0, 3.0, 10.0, 60.0])
@@ -110,18 +110,18 @@
     old, failed = min(6.0, ask_within), min(6.0, 4.0 * ask_within)
     for seed in range(50):
         each = life(4000, seed, ask_within=ask_within)
-        each.begin(0.0, True)
-        assert each.next().at <= max(0.0, old - 2.0)
+        each.on_start(0.0, True)
+        assert each.next_call().at <= max(0.0, old - 2.0)
         now = 0.0
         for number in range(30):
-            each.made(now)
+            each.on_call_started(now)
             lasts = random.Random(f"{seed}/{number}").uniform(0.0, 2.0)
-            end = (End.FAILED, End.UNREADABLE, End.SILENT)[number % 3]
-            each.ended(end, now + lasts)
-            allowed = 6.0 if end is End.SILENT else failed
-            assert each.next().at <= max(now + allowed - 2.0, now + lasts + 0.05)
-            assert end is End.SILENT or each.next().at >= now + lasts + 0.025  # no spin
-            now = each.next().at
+            end = (CallResult.FAILED, CallResult.UNREADABLE, CallResult.SILENT)[number % 3]
+            each.on_call_ended(end, now + lasts)
+            allowed = 6.0 if end is CallResult.SILENT else failed
+            assert each.next_call().at <= max(now + allowed - 2.0, now + lasts + 0.05)
+            assert end is CallResult.SILENT or each.next_call().at >= now + lasts + 0.025  # no spin
+            now = each.next_call().at
 
 
 def test_a_fleet_that_could_not_reach_discovery_is_back_before_the_news_counts_as_told() -> None:
@@ -131,16 +131,19 @@
             back = rng.uniform(3.0, 9.0)
             for number in range(nodes):
                 each = life(nodes, f"{seed}/{number}")
-                each.begin(0.0, True)
-                each.made(0.0)
-                each.ended(End.FAILED, rng.uniform(0.0, 0.5))
-                while each.next().at < back:  # refused at once, or left to wait until it is given up
-                    now = each.next().at
-                    each.made(now)
+                each.on_start(0.0, True)
+                each.on_call_started(0.0)
+                each.on_call_ended(CallResult.FAILED, rng.uniform(0.0, 0.5))
+                while each.next_call().at < back:  # refused at once, or left to wait until it is given up
+                    now = each.next_call().at
+                    each.on_call_started(now)
                     given_up = rng.random() < 0.5
-                    each.ended(End.SILENT if given_up else End.FAILED, now + given_up * each.next().within)
+                    each.on_call_ended(
+                        CallResult.SILENT if given_up else CallResult.FAILED,
+                        now + given_up * each.next_call().timeout_seconds,
+                    )
                 lives.append(each)
-                at.append(each.next().at)
+                at.append(each.next_call().at)
             answered, _ = asked(lives, at, a_call)
             assert max(answered) <= back + 6.0 + GRACE, (nodes, seed)
 
@@ -182,7 +185,7 @@
     """How long after it counted as told a change was heard at most; what is written in time counts as 0."""
     each = life(world.nodes, world.seed, world.pushed, world.ask_within)
     rng = random.Random(world.seed)
-    each.begin(0.0, True)
+    each.on_start(0.0, True)
     changes, silences = sorted(world.changes), sorted(world.silences)
     downs = [(since, since + lasts) for since, lasts in world.downs]
     moves, resets = sorted(world.moves), sorted(world.resets)
@@ -215,51 +218,51 @@
         return min(older, latest + 6.0) if missed else older
 
     while now < 60.0:
-        call = each.next()
+        call = each.next_call()
         now = max(now, call.at)
         goes_on = now <= last_answer + 0.2
         turn = 0.0 if world.pushed or goes_on else rng.uniform(0.0, 0.95 * PATIENCE)
         begins = now + turn
-        each.made(now)
+        each.on_call_started(now)
         last_call = now
         news = max(begins, changes[heard]) if heard < len(changes) else math.inf
-        answer = begins if call.whole else min(news, begins + call.wait)
+        answer = begins if call.is_full_list else min(news, begins + call.wait_seconds)
         # One that opens anew does not fail as well, nor one of many in its turn: a second try would be late.
         spared = not goes_on and (missed or world.nodes > 10)
         for faults in (resets, silences):
             while faults and (faults[0] < now or (spared and faults[0] < answer)):
                 faults.pop(0)
         down = next(((a, b) for a, b in downs if a < answer and now < b), None)
-        over, end, since = answer, End.ANSWERED, None
+        over, end, since = answer, CallResult.ANSWERED, None
         if down is not None and world.pushed:
-            over, end = now + call.within, End.SILENT
+            over, end = now + call.timeout_seconds, CallResult.SILENT
         elif down is not None:
-            over, end = max(now + rng.uniform(0.01, PATIENCE), down[0]), End.FAILED
+            over, end = max(now + rng.uniform(0.01, PATIENCE), down[0]), CallResult.FAILED
         elif silences and silences[0] < answer:
-            over, end, since = now + call.within, End.SILENT, silences[0]
+            over, end, since = now + call.timeout_seconds, CallResult.SILENT, silences[0]
         elif resets and resets[0] < answer:
-            over, end = max(now, resets[0]), End.FAILED
+            over, end = max(now, resets[0]), CallResult.FAILED
         elif spoilt and spoilt[0] <= answer and not spared:
             spoilt.pop(0)
-            end = End.UNREADABLE
+            end = CallResult.UNREADABLE
         else:
-            assert answer - now <= call.within  # an answer in time is never given up
+            assert answer - now <= call.timeout_seconds  # an answer in time is never given up
         if moves and moves[0] < over:
             moved = now = max(now, moves.pop(0))
-            each.moved(now)
+            each.on_address_changed(now)
             lost, last_answer, failed, missed = None, -math.inf, False, False
             continue
         if since is not None and lost is None:
-            lost = (since, now + call.wait)
-        while end is End.ANSWERED and heard < len(changes) and changes[heard] <= answer:
+            lost = (since, now + call.wait_seconds)
+        while end is CallResult.ANSWERED and heard < len(changes) and changes[heard] <= answer:
             worst = max(worst, answer - told(changes[heard]))
             heard += 1
-        if end is End.ANSWERED:
+        if end is CallResult.ANSWERED:
             last_answer, failed, missed, lost = answer, False, False, None
         else:
             failed, missed = failed or down is not None, True
         now = over
-        each.ended(end, now)
+        each.on_call_ended(end, now)
     return worst
 
 
@@ -277,13 +280,13 @@
 def failed_calls_back_off(monkeypatch: pytest.MonkeyPatch) -> None:
     """The wait after failed calls that was at fault: it grew to the spread of a whole fleet."""
 
-    def later(self: Watching, end: End, now: float) -> None:
+    def later(self: WatchSchedule, end: CallResult, now: float) -> None:
         ended(self, end, now)
         if self.failures > 2:
             self._at = now + self._rng.uniform(4.0, 8.0)
 
-    ended = Watching.ended
-    monkeypatch.setattr(Watching, "ended", later)
+    ended = WatchSchedule.on_call_ended
+    monkeypatch.setattr(WatchSchedule, "ended", later)
 
 
 def given_up_when_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -329,17 +332,17 @@
     at: list[float] = []
 
     class Busy:
-        async def call(self, *_: object) -> Reply:
+        async def call(self, *_: object) -> Response:
             at.append(trio.current_time())
-            raise BrokenReply("status 503")
+            raise BrokenResponseError("status 503")
 
     def deaf(*_: object, **__: object) -> None:
         return
 
     async def story() -> None:
-        group = TargetGroup(cast(Any, None), cast(Any, None), lambda unix: unix, deaf)
+        group = EndpointDirectory(cast(Any, None), cast(Any, None), lambda unix: unix, deaf)
         group.version = 41  # a list, if an old one
-        watch = Watch(group, cast(Any, Busy()), "127.0.0.1:1", life(40, 3), deaf)
+        watch = DiscoveryClient(group, cast(Any, Busy()), "127.0.0.1:1", life(40, 3), deaf)
         began = trio.current_time()
         with trio.move_on_after(20.0):
             await watch.run()
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -5,20 +5,20 @@
 import pytest
 
 from burlmoor import messages as m
-from burlmoor.worth import Standings
+from burlmoor.worth import ClassWeights
 from tests.talk import LOOKUP, ONCE, Talk, settings
 
-BLEND = m.Blend(whole=0.4, worst_class=0.4)
+BLEND = m.ObjectiveWeights(overall=0.4, worst_class=0.4)
 
 
-def counted(blend: m.Blend, **shares: float) -> Standings:
+def counted(blend: m.ObjectiveWeights, **shares: float) -> ClassWeights:
     """Classes of equal worth of which these shares were served."""
-    standings = Standings(blend)
+    standings = ClassWeights(blend)
     for number in range(1000):
         for name, share in shares.items():
-            standings.ask(name, 10.0, float(number))
+            standings.record_request(name, 10.0, float(number))
             if number < 1000 * share:
-                standings.serve(name, 10.0, float(number))
+                standings.record_served(name, 10.0, float(number))
     return standings
 
 
@@ -37,22 +37,22 @@
 
 
 def test_a_blend_that_looks_at_the_whole_alone_weighs_nobody() -> None:
-    assert counted(m.Blend(), few=0.2, many=0.9).weight("few", 1000.0) == pytest.approx(1.0)
+    assert counted(m.ObjectiveWeights(), few=0.2, many=0.9).weight("few", 1000.0) == pytest.approx(1.0)
 
 
 def test_a_class_that_is_served_worst_goes_before_one_of_more_worth() -> None:
     # Guards against a class that comes off worst by its worth alone, where the site counts the worst-served.
-    def standing(blend: m.Blend) -> tuple[float, float]:
-        talk = Talk(settings(classes=(LOOKUP, ONCE), blend=blend))
+    def standing(blend: m.ObjectiveWeights) -> tuple[float, float]:
+        talk = Talk(settings(classes=(LOOKUP, ONCE), objective=blend))
         for _ in range(100):
             for name, served in (("lookup", 0.0), ("once", 300.0)):
-                talk.node.standings.ask(name, 300.0, talk.now)
-                talk.node.standings.serve(name, served, talk.now)
+                talk.node.standings.record_request(name, 300.0, talk.now)
+                talk.node.standings.record_served(name, served, talk.now)
         talk.ask(1001, "lookup")
         talk.ask(1002, "once")
         return talk.node.jobs[1001].standing, talk.node.jobs[1002].standing
 
-    lookup, once = standing(m.Blend())
+    lookup, once = standing(m.ObjectiveWeights())
     assert lookup < once
-    lookup, once = standing(m.Blend(0.2, 0.8))
+    lookup, once = standing(m.ObjectiveWeights(0.2, 0.8))
     assert lookup > once
--- a/tests/waiting/test_stories.py
+++ b/tests/waiting/test_stories.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from burlmoor.options import Options, Waiting
+from burlmoor.options import DeferredOptions, Options
 from burlmoor.rig.node import call
 from burlmoor.rig.wire import Wire
 from tests import peers
@@ -20,7 +20,7 @@
 
 
 def play(story: Callable[[Stage], Awaitable[Any]], sockets: int = 1024, **given: Any) -> Any:
-    options = Options(waiting=Waiting(**{"unknown": 300.0, **given}))
+    options = Options(waiting=DeferredOptions(**{"unknown": 300.0, **given}))
     return peers.play(story, options=options, sockets=sockets)
 
 
@@ -42,8 +42,8 @@
 
 
 async def shown(made: Stage) -> dict[str, Any]:
-    assert made.node.control is not None
-    answer = await call(made.node.control.address, "GET", "/waiting")
+    assert made.node.admin_server is not None
+    answer = await call(made.node.admin_server.address, "GET", "/waiting")
     assert answer.status == 200
     told: dict[str, Any] = json.loads(answer.body)
     return told
@@ -80,8 +80,8 @@
         await made.until(lambda: made.jobs)
         await made.tell("done", "at once")
         assert (await made.answer(wire)).body == b"at once"
-        assert made.node.control is not None
-        assert (await call(made.node.control.address, "GET", "/waiting")).status == 404
+        assert made.node.admin_server is not None
+        assert (await call(made.node.admin_server.address, "GET", "/waiting")).status == 404
 
     peers.play(story)
 
@@ -173,7 +173,7 @@
     async def story(made: Stage) -> None:
         await ask(made, "p")
         await sent(made, "p")
-        size = made.node.front.size
+        size = made.node.server.max_connections
         wires = [await ask(made, f"c{number}", "p") for number in range(size // 2)]
         with trio.fail_after(10.0):
             while (await shown(made))["turned_away"] < size // 2 - size // 4:
@@ -198,9 +198,9 @@
         await held(made, 1)
         await sent(made, "p")
         if how == "drain":
-            made.node.service.drain()
+            made.node.drain.begin_drain()
         else:
-            made.node._nursery.start_soon(made.node.stop)
+            made.node._nursery.start_soon(made.node.shut_down)
         answer = await made.answer(child)
         assert answer.status == 503
         assert answer.headers["connection"] == "close"
@@ -236,14 +236,14 @@
         await sent(made, "p", "c3", "c1")
         await made.tell("done", "waited")
         assert (await made.answer(first)).body == b"waited"
-        await made.until(lambda: made.node.core.holder is None)
+        await made.until(lambda: made.node.engine.deferral is None)
         path.write_text("[waiting]\n")
         made.node.reload(given)
         await ask(made, "p2")
         await ask(made, "c4", "p2")
         await held(made, 1)
 
-    options = Options(waiting=Waiting())
+    options = Options(waiting=DeferredOptions())
     peers.play(story, options=options, lines=lines)
     failed = [json.loads(line) for line in lines if "reload-failed" in line]
     assert len(failed) == 1
@@ -252,7 +252,7 @@
 
 def test_a_child_at_the_new_process_of_a_parent_at_the_old_one_has_a_defined_end() -> None:
     async def story(made: Stage) -> None:
-        made.node.core.elsewhere.add("p")  # as the old process has told
+        made.node.engine.ids_in_other_process.add("p")  # as the old process has told
         answer = await made.answer(await ask(made, "c", "p"))
         assert answer.status == 503
 
--- a/tests/waiting/test_ward.py
+++ b/tests/waiting/test_ward.py
@@ -11,19 +11,19 @@
 
 from burlmoor import messages as m
 from burlmoor.core import (
-    Answer,
-    BadCondition,
-    Conditions,
+    DependencyFailed,
+    EndedJob,
     Failed,
-    FixedResponse,
+    FinalAnswer,
+    InvalidConditionError,
     Job,
-    Release,
+    Rejected,
+    ReleasedJob,
+    RunConditions,
     Served,
-    Turned,
-    Unmet,
 )
-from burlmoor.options import Waiting
-from burlmoor.waiting import Reader, Ward
+from burlmoor.options import DeferredOptions
+from burlmoor.waiting import ConditionParser, DeferredJobQueue
 from burlmoor.waiting.pace import Bucket, Line, Window
 from burlmoor.waiting.view import show
 from tests.test_core import Client, World
@@ -37,8 +37,10 @@
     def __init__(self, places: int = 100_000, **given: Any) -> None:
         super().__init__()
         self.off = 0.0
-        self.ward = Ward(Waiting(**given), places, 1000.0, 1, self.say, self.now, self.unix)
-        self.core.hold_with(self.ward)
+        self.ward = DeferredJobQueue(
+            DeferredOptions(**given), places, 1000.0, 1, self.say, self.now, self.unix
+        )
+        self.core.enable_deferral(self.ward)
 
     def unix(self) -> float:
         return UNIX + self.now + self.off
@@ -53,26 +55,26 @@
         **more: Any,
     ) -> Client:
         client = Client()
-        request = m.Request(0, more.get("name", "lookup"), patience, work)
-        job = self.core.take(client, ref, request, None, Conditions(after, at, more.get("size", 10)))
+        request = m.JobRequest(0, more.get("name", "lookup"), patience, work)
+        job = self.core.admit(client, ref, request, None, RunConditions(after, at, more.get("size", 10)))
         assert job is not None
         return client
 
     def parent(self, ref: str = "p", patience: float = 5000.0) -> Job:
         """A job that must run once and has begun to run."""
-        _, job = self.ask("once", ref=ref, patience=patience)
+        _, job = self.ask("once", ref=ref, timeout_ms=patience)
         self.run(60.0)
-        self.core.started(job.forwards[-1])
+        self.core.on_attempt_started(job.attempts[-1])
         return job
 
     def serve(self, ref: str, outcome: m.Outcome = m.Outcome.SERVED) -> None:
         """The forward of a job that was sent ends."""
-        forward = next(each for each in self.sent if each.job.id == ref and not each.over)
-        self.core.ended(forward, outcome, b"done" if outcome is m.Outcome.SERVED else None)
+        forward = next(each for each in self.sent if each.job.id == ref and not each.is_over)
+        self.core.on_attempt_ended(forward, outcome, b"done" if outcome is m.Outcome.SERVED else None)
         self.run(50.0)
 
 
-def kinds(client: Client) -> list[type[Answer]]:
+def kinds(client: Client) -> list[type[FinalAnswer]]:
     return [type(each) for each in client.answers]
 
 
@@ -82,12 +84,12 @@
     child = world.wait("c", "p", patience=20_000.0)
     world.run(4000.0)
     assert [each.job.id for each in world.sent] == ["p"]
-    assert parent.forwards
+    assert parent.attempts
     world.serve("p")
     assert [each.job.id for each in world.sent] == ["p", "c"]
     world.serve("c")
     assert child.answers == [Served(b"done")]
-    assert world.core.open_jobs == 0
+    assert world.core.open_job_count == 0
 
 
 @pytest.mark.parametrize("how", ["fails", "is refused", "leaves", "deadline"])
@@ -96,35 +98,35 @@
     parent = world.parent(patience=3000.0)
     children = [world.wait("c0", "p")] + [world.wait(f"c{n}", f"c{n - 1}") for n in range(1, 20)]
     if how == "fails":
-        world.core.ended(parent.forwards[-1], m.Outcome.ERROR)
+        world.core.on_attempt_ended(parent.attempts[-1], m.Outcome.ERROR)
     elif how == "is refused":
-        actions: list[m.Action] = [m.Refuse(parent.number)]
-        world.core.ended(parent.forwards[-1], m.Outcome.FULL)
-        monkeypatch.setattr(world.core._node, "handle", lambda *_: [actions.pop()] if actions else [])
+        actions: list[m.Action] = [m.RejectJob(parent.number)]
+        world.core.on_attempt_ended(parent.attempts[-1], m.Outcome.OVERLOADED)
+        monkeypatch.setattr(world.core._policy, "handle", lambda *_: [actions.pop()] if actions else [])
     elif how == "leaves":
-        world.core.gone(parent)
+        world.core.on_client_disconnected(parent)
     else:
         world.run(3000.0)
     world.run(50.0)
     for child in children:
-        assert kinds(child) == [Unmet]
-    assert world.core.open_jobs == 0
+        assert kinds(child) == [DependencyFailed]
+    assert world.core.open_job_count == 0
 
 
 def test_a_chain_ends_in_pieces_and_each_link_is_answered_once() -> None:
     world = Held(jobs=20_000)
     parent = world.parent()
     clients = [world.wait("c0", "p")] + [world.wait(f"c{n}", f"c{n - 1}") for n in range(1, 10_000)]
-    world.core.gone(parent)
+    world.core.on_client_disconnected(parent)
     steps = 0
     while any(not client.answers for client in clients):
         answered = sum(bool(client.answers) for client in clients)
-        world.now = max(world.now, world.core.due())
+        world.now = max(world.now, world.core.next_due())
         world.core.step()
         steps += 1
         assert sum(bool(client.answers) for client in clients) - answered <= 100
     assert steps >= 100
-    assert all(kinds(client) == [Unmet] for client in clients)
+    assert all(kinds(client) == [DependencyFailed] for client in clients)
 
 
 def test_a_job_released_late_has_its_class_time_before_it_and_is_no_late_try() -> None:
@@ -138,9 +140,9 @@
     job = world.core._ids["c"]
     assert [each.job.id for each in world.sent][-1] == "c"
     assert 2500.0 < job.deadline - world.now < 3000.0
-    known = world.core._node.jobs[job.number]
+    known = world.core._policy.jobs[job.number]
     # The aim counts from the release: nothing of it was spent on earlier tries.
-    assert known.aim_at == pytest.approx(job.taken + known.aim, abs=10.0)
+    assert known.aim_at == pytest.approx(job.admitted_at + known.aim, abs=10.0)
     world.serve("c")
     assert kinds(child) == [Served]
 
@@ -152,20 +154,20 @@
     world.run(1390.0)
     assert child.answers == []
     world.run(20.0)
-    assert kinds(child) == [FixedResponse]
-    assert child.answers[0].retry_after > 0.0  # type: ignore[union-attr]
+    assert kinds(child) == [Rejected]
+    assert child.answers[0].retry_after_ms > 0.0  # type: ignore[union-attr]
     too_far = world.wait("d", at=UNIX + world.now + 5000.0, patience=5200.0, work=500.0)
     world.run(5.0)
-    assert kinds(too_far) == [FixedResponse]
-    assert too_far.answers[0].retry_after == pytest.approx(5000.0, abs=10.0)  # type: ignore[union-attr]
+    assert kinds(too_far) == [Rejected]
+    assert too_far.answers[0].retry_after_ms == pytest.approx(5000.0, abs=10.0)  # type: ignore[union-attr]
 
 
 def test_nobody_waits_longer_than_the_longest_and_all_are_answered_in_time() -> None:
     world = Held(longest=10_000.0)
-    world.ask(ref="p", patience=5000.0)
+    world.ask(ref="p", timeout_ms=5000.0)
     client = world.wait("c", "p", at=UNIX + 1e9, patience=1e8)
     world.run(10.0)
-    assert kinds(client) == [FixedResponse]
+    assert kinds(client) == [Rejected]
 
 
 @pytest.mark.parametrize(
@@ -177,10 +179,10 @@
     world.ask(ref="p")
     clients = [world.wait(f"c{n}", "p", size=size) for n in range(4)]
     world.run(10.0)
-    assert [kinds(client) for client in clients] == [[], [], [], [FixedResponse]]
-    assert clients[3].answers[0].retry_after > 0.0  # type: ignore[union-attr]
-    assert "waiting-full" in world.said
-    world.core.gone(world.core._ids["c0"])
+    assert [kinds(client) for client in clients] == [[], [], [], [Rejected]]
+    assert clients[3].answers[0].retry_after_ms > 0.0  # type: ignore[union-attr]
+    assert "deferred-full" in world.said
+    world.core.on_client_disconnected(world.core._ids["c0"])
     late = world.wait("late", "p", size=size)
     world.run(10.0)
     assert late.answers == []
@@ -190,13 +192,13 @@
     world = Held()
     world.ask(ref="p")
     client = world.wait("c", "p")
-    assert world.core.take(Client(), "c", m.Request(0, "lookup", 500.0), None) is None
-    world.core.gone(world.core._ids["c"])
+    assert world.core.admit(Client(), "c", m.JobRequest(0, "lookup", 500.0), None) is None
+    world.core.on_client_disconnected(world.core._ids["c"])
     world.serve("p") if world.sent else world.run(60.0)
     world.run(100.0)
     assert client.answers == []
     assert world.ward.held == world.ward.bytes == len(world.ward.seen) == 0
-    assert world.core.open_jobs <= 1
+    assert world.core.open_job_count <= 1
 
 
 def test_a_herd_takes_the_room_there_is_and_then_a_steady_pace() -> None:
@@ -213,19 +215,19 @@
 
 def test_what_waited_has_a_claim_that_is_bounded() -> None:
     world = Held(ageing=5000.0)
-    told: list[m.Request] = []
-    handle = world.core._node.handle
+    told: list[m.JobRequest] = []
+    handle = world.core._policy.handle
 
     def spy(now: float, events: Any) -> list[m.Action]:
-        told.extend(event for event in events if isinstance(event, m.Request))
+        told.extend(event for event in events if isinstance(event, m.JobRequest))
         return handle(now, events)
 
-    world.core._node.handle = spy  # type: ignore[method-assign]
+    world.core._policy.handle = spy  # type: ignore[method-assign]
     for ref, wait in (("a", 1000.0), ("b", 60_000.0)):
         world.wait(ref, at=UNIX + world.now + wait, patience=100_000.0)
     world.run(61_000.0)
-    assert [round(each.claim, 1) for each in told] == [0.2, 1.0]
-    plain = world.core._node
+    assert [round(each.deferral_credit, 1) for each in told] == [0.2, 1.0]
+    plain = world.core._policy
     world.ask(ref="plain")
     world.run(2.0)
     jobs = {job.id: job for job in plain.jobs.values()}
@@ -247,10 +249,10 @@
     child, grandchild = world.wait("c", "p"), world.wait("g", "c")
     world.ward.shut(True)
     world.run(10.0)
-    assert kinds(child) == kinds(grandchild) == [FixedResponse]
+    assert kinds(child) == kinds(grandchild) == [Rejected]
     late = world.wait("late", "p")
     world.run(10.0)
-    assert kinds(late) == [FixedResponse]
+    assert kinds(late) == [Rejected]
     world.ward.shut(False)
     again = world.wait("again", "p")
     world.run(10.0)
@@ -263,27 +265,29 @@
     child = world.wait("c", "p", patience=60_000.0)
     world.core.answer_all_by(world.now + 3300.0)
     world.run(3301.0)
-    assert kinds(child) == [FixedResponse]
-    assert parent.over
+    assert kinds(child) == [Rejected]
+    assert parent.is_over
 
 
 def test_options_that_change_hold_for_whoever_comes_next() -> None:
     world = Held(fan_out=2)
     world.ask(ref="p")
     clients = [world.wait(f"a{n}", "p") for n in range(2)]
-    world.ward.take_up(Waiting(fan_out=1), world.now)
+    world.ward.take_up(DeferredOptions(max_dependents=1), world.now)
     clients.append(world.wait("b", "p"))
     world.run(10.0)
-    assert [kinds(each) for each in clients] == [[], [], [FixedResponse]]
+    assert [kinds(each) for each in clients] == [[], [], [Rejected]]
 
 
 def test_jobs_that_were_open_before_are_known() -> None:
     world = World()
     world.ask(ref="p")
-    ward = Ward(Waiting(unknown=100.0), 1000, 1000.0, 1, world.say, world.now)
-    world.core.hold_with(ward)
+    ward = DeferredJobQueue(DeferredOptions(unknown_timeout_ms=100.0), 1000, 1000.0, 1, world.say, world.now)
+    world.core.enable_deferral(ward)
     client = Client()
-    world.core.take(client, "c", m.Request(0, "lookup", 5000.0, 10.0), None, Conditions(("p",), 0.0, 1))
+    world.core.admit(
+        client, "c", m.JobRequest(0, "lookup", 5000.0, 10.0), None, RunConditions(("p",), 0.0, 1)
+    )
     world.run(500.0)
     assert client.answers == []
 
@@ -305,20 +309,20 @@
             clients[ref], _ = world.ask(rng.choice(["lookup", "once"]), ref=ref)
         if rng.random() < 0.1:
             gone = rng.choice(list(world.core._ids.values()))
-            clients[gone.id].answers.append(Failed()) if not gone.over else None
-            world.core.gone(gone)
-        for forward in [each for each in world.sent if not each.over]:
+            clients[gone.id].answers.append(Failed()) if not gone.is_over else None
+            world.core.on_client_disconnected(gone)
+        for forward in [each for each in world.sent if not each.is_over]:
             if rng.random() < 0.5:
-                outcome = rng.choice([m.Outcome.SERVED] * 4 + [m.Outcome.ERROR, m.Outcome.FULL])
-                world.core.ended(forward, outcome, b"x")
+                outcome = rng.choice([m.Outcome.SERVED] * 4 + [m.Outcome.ERROR, m.Outcome.OVERLOADED])
+                world.core.on_attempt_ended(forward, outcome, b"x")
         world.run(rng.choice([2.0, 20.0, 100.0]))
         for forward in world.sent:
             job = forward.job.id
             for name in after.get(job, ()):
                 assert any(isinstance(each, Served) for each in clients[name].answers), (job, name)
     for _ in range(200):
-        for forward in [each for each in world.sent if not each.over]:
-            world.core.ended(forward, m.Outcome.SERVED, b"x")
+        for forward in [each for each in world.sent if not each.is_over]:
+            world.core.on_attempt_ended(forward, m.Outcome.SERVED, b"x")
         world.run(200.0)
     served = [ref for ref, client in clients.items() if kinds(client) == [Served]]
     assert all(len(client.answers) == 1 for client in clients.values())
@@ -350,7 +354,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(view)
             await began.wait()
-            world.core.gone(world.core._ids["c7"])  # while it is counted
+            world.core.on_client_disconnected(world.core._ids["c7"])  # while it is counted
             world.core.step()
         return seen
 
@@ -384,16 +388,16 @@
 def test_conditions_that_cannot_be_meant_name_their_header(
     headers: list[tuple[bytes, bytes]], words: str
 ) -> None:
-    with pytest.raises(BadCondition, match=words):
-        Reader(8)(headers, "me", 0)
+    with pytest.raises(InvalidConditionError, match=words):
+        ConditionParser(8)(headers, "me", 0)
 
 
 def test_conditions_are_read_as_lists_are() -> None:
-    read = Reader(8)
+    read = ConditionParser(8)
     assert read([(b"host", b"x")], "me", 5) is None
     headers = [(b"run-after", b"a, b,,a"), (b"x", b"y"), (b"run-after", b"c\t"), (b"not-before", b"12")]
-    assert read(headers, "me", 5) == Conditions(("a", "b", "c"), 12.0, 5)
-    assert read([(b"not-before", b"0")], "me", 5) == Conditions((), 0.0, 5)
+    assert read(headers, "me", 5) == RunConditions(("a", "b", "c"), 12.0, 5)
+    assert read([(b"not-before", b"0")], "me", 5) == RunConditions((), 0.0, 5)
     names = b",".join(b"n%d" % (n % 8) for n in range(1000))
     assert len(read([(b"run-after", names)], "me", 5).after) == 8  # type: ignore[union-attr]
 
@@ -418,14 +422,14 @@
 
 def test_the_ward_says_nothing_before_its_step() -> None:
     # Guards the front: an answer from within `take` would come before it has noted its job.
-    ward = Ward(Waiting(), 1000, 1000.0, 1, lambda *_a, **_k: None, 0.0, lambda: UNIX)
-    ward.opened("c")
-    ward.hold("c", m.Request(0, "lookup", 1.0, 500.0), Conditions(("x",), 0.0, 1), 1.0, 0.0)
-    assert ward.due(0.0) == 0.0
-    assert [type(each) for each in ward.step(0.0, lambda: 0.0)] == [Turned]
-    ward.opened("d")
-    ward.hold("d", m.Request(0, "lookup", 1e4, 500.0), Conditions((), 5.0, 1), 1e4, 0.0)
-    assert [type(each) for each in ward.step(0.0, lambda: 0.0)] == [Release]
+    ward = DeferredJobQueue(DeferredOptions(), 1000, 1000.0, 1, lambda *_a, **_k: None, 0.0, lambda: UNIX)
+    ward.on_job_opened("c")
+    ward.defer("c", m.JobRequest(0, "lookup", 1.0, 500.0), RunConditions(("x",), 0.0, 1), 1.0, 0.0)
+    assert ward.next_due(0.0) == 0.0
+    assert [type(each) for each in ward.step(0.0, lambda: 0.0)] == [EndedJob]
+    ward.on_job_opened("d")
+    ward.defer("d", m.JobRequest(0, "lookup", 1e4, 500.0), RunConditions((), 5.0, 1), 1e4, 0.0)
+    assert [type(each) for each in ward.step(0.0, lambda: 0.0)] == [ReleasedJob]
 
 
 def test_the_pace_falls_while_released_jobs_are_refused_and_rises_again() -> None:
@@ -462,13 +466,13 @@
     world.parent()
     clients = [world.wait(f"c{number}", "p") for number in range(3)]
 
-    def broken(*_given: Any) -> list[Release | Turned]:
+    def broken(*_given: Any) -> list[ReleasedJob | EndedJob]:
         raise ZeroDivisionError
 
     monkeypatch.setattr(world.ward, "step", broken)
     world.run(10.0)
-    assert [kinds(client) for client in clients] == [[FixedResponse]] * 3
-    assert "waiting-failed" in world.said
+    assert [kinds(client) for client in clients] == [[Rejected]] * 3
+    assert "deferred-failed" in world.said
     world.serve("p")
     plain = world.wait("late", "p")  # nothing waits any more, so it runs as any job
     world.run(60.0)
