--- a/benchmarks/limit.py
+++ b/benchmarks/limit.py
@@ -16,11 +16,11 @@
 
 import trio
 
-from burlmoor.rig.clients import Clients
-from burlmoor.rig.ledger import Ledger
-from burlmoor.rig.load import Generator, Meter, draw
-from burlmoor.rig.own import own_node, roomy
-from burlmoor.rig.town import KINDS
+from burlmoor.testbed.clients import Clients
+from burlmoor.testbed.event_record import Ledger
+from burlmoor.testbed.load import Generator, Meter, draw
+from burlmoor.testbed.local_cluster import KINDS
+from burlmoor.testbed.single_node import own_node, roomy
 
 _EXECUTORS, _RUN_MS = 14, 50.0
 _RATES = ("40", "100", "200", "400", "500", "600", "700", "800", "1000", "1200")
--- a/benchmarks/long_list.py
+++ b/benchmarks/long_list.py
@@ -14,9 +14,9 @@
 import psutil
 import trio
 
-from burlmoor.rig.discovery import Discovery
-from burlmoor.rig.node import Node
-from burlmoor.rig.town import KINDS, settings
+from burlmoor.testbed.discovery import Discovery
+from burlmoor.testbed.local_cluster import KINDS, settings
+from burlmoor.testbed.node_process import Node
 
 _QUIET, _CHANGES = 10.0, 50
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -9,7 +9,7 @@
 import sys
 import time
 
-from burlmoor.model.gossip import GossipSimulation
+from burlmoor.simulation.gossip import GossipSimulation
 
 _REST = 20.0
 
--- a/benchmarks/sampled.py
+++ b/benchmarks/sampled.py
@@ -46,7 +46,7 @@
             at = at.f_back
         whole.update(seen)
 
-    from burlmoor.__main__ import main as run  # noqa: PLC0415
+    from burlmoor.lifecycle.node import main as run  # noqa: PLC0415
 
     signal.signal(signal.SIGPROF, sample)
     signal.setitimer(signal.ITIMER_PROF, _EVERY, _EVERY)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -14,7 +14,7 @@
 import psutil
 import trio
 
-from burlmoor.rig.town import fleet, town
+from burlmoor.testbed.local_cluster import fleet, town
 
 
 async def _one(folder: Path, options: str | None) -> tuple[float, float]:
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -17,15 +17,16 @@
 
 import trio
 
-from burlmoor import messages as m
-from burlmoor.core import ReleasedJob, RunConditions, Served
-from burlmoor.options import DeferredOptions
-from burlmoor.waiting import DeferredJobQueue
-from burlmoor.waiting.view import show
+from burlmoor.config.options import DeferredOptions
+from burlmoor.deferred import DeferredJobQueue
+from burlmoor.deferred.status import show
+from burlmoor.engine.answers import Served
+from burlmoor.engine.deferral import ReleasedJob, RunConditions
+from burlmoor.types.events import JobRequest
 
 SIZES = (10, 1_000, 10_000, 100_000)
 _ROUND = 2000
-_REQUEST = m.JobRequest(0, "slot-search", 60_000.0, 100.0)
+_REQUEST = JobRequest(0, "slot-search", 60_000.0, 100.0)
 _UNIX = 1_700_000_000_000.0
 
 
--- a/burlmoor/__init__.py
+++ b/burlmoor/__init__.py
@@ -1,5 +1,5 @@
 """burlmoor: the decisions of a dispatcher that pushes jobs to workers."""
 
-from burlmoor.decide import Dispatcher
+from burlmoor.policy.dispatcher import Dispatcher
 
 __all__ = ["Dispatcher"]
--- /dev/null
+++ b/burlmoor/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP server and what operators override."""
--- a/burlmoor/net/control.py
+++ b/burlmoor/admin/server.py
@@ -8,8 +8,8 @@
 import msgspec
 import trio
 
-from burlmoor.core import EventLogger
-from burlmoor.net.stream import SocketStream, accept, open_listener
+from burlmoor.log import EventLogger
+from burlmoor.transport.stream import SocketStream, accept, open_listener
 
 _HEAD_LIMIT, _BODY_LIMIT = 4096, 4096
 _ANSWER_LIMIT = 1 << 20  # every executor may be out by hand, and is named; memory is taken as it is needed
--- a/burlmoor/operators.py
+++ b/burlmoor/admin/service.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from burlmoor.core import EventLogger
-from burlmoor.net.control import NAMED, AdminRequest, AdminResponse
-from burlmoor.net.serving import DrainController, ServiceState
-from burlmoor.net.target_group import EndpointDirectory, EndpointOverrides
+from burlmoor.admin.server import NAMED, AdminRequest, AdminResponse
+from burlmoor.downstream.drain import DrainController, ServiceState
+from burlmoor.endpoints.directory import EndpointDirectory, EndpointOverrides
+from burlmoor.log import EventLogger
 
 # As the operators' page gives them.
 _STATE_NAMES = {
--- a/burlmoor/cli/drill.py
+++ b/burlmoor/cli/drill.py
@@ -13,10 +13,10 @@
 from rich.console import Console
 from rich.table import Table
 
-from burlmoor.rig.drill import Ask, Drill, Verdict
-from burlmoor.rig.drill_spread import SPREAD
-from burlmoor.rig.drill_waiting import WAITING
-from burlmoor.rig.drill_watch import WATCH
+from burlmoor.testbed.drill import Ask, Drill, Verdict
+from burlmoor.testbed.drill_deferred import WAITING
+from burlmoor.testbed.drill_spread import SPREAD
+from burlmoor.testbed.drill_watch import WATCH
 
 DRILLS: dict[str, Drill] = {"waiting": WAITING, "spread": SPREAD, "watch": WATCH}
 
--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -14,11 +14,11 @@
 
 from burlmoor.cli.drill import told
 from burlmoor.cli.main import complain
-from burlmoor.rig.drill import Verdict
-from burlmoor.rig.fleet import record as records
-from burlmoor.rig.fleet.run import Fleet
-from burlmoor.rig.fleet.troubles import draw, read
-from burlmoor.rig.fleet.verdict import found
+from burlmoor.testbed.drill import Verdict
+from burlmoor.testbed.fleet import record as records
+from burlmoor.testbed.fleet.faults import draw, read
+from burlmoor.testbed.fleet.run import Fleet
+from burlmoor.testbed.fleet.verdict import found
 
 
 @click.group()
@@ -104,7 +104,7 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="The picture; RUN/report.png.")
 def report(run: Path, out: Path | None) -> None:
     """Draw the record that a RUN has kept, and tell its figures again."""
-    from burlmoor.rig.fleet.report import draw as draw_report  # noqa: PLC0415
+    from burlmoor.testbed.fleet.report import draw as draw_report  # noqa: PLC0415
 
     try:
         record = records.read(run)
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -15,12 +15,12 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from burlmoor.net.stream import parse_address
-from burlmoor.rig.clients import Clients
-from burlmoor.rig.ledger import Ledger
-from burlmoor.rig.load import Generator, Meter, Report, draw
-from burlmoor.rig.own import own_node, roomy
-from burlmoor.rig.town import KINDS, Kind, fleet, town
+from burlmoor.testbed.clients import Clients
+from burlmoor.testbed.event_record import Ledger
+from burlmoor.testbed.load import Generator, Meter, Report, draw
+from burlmoor.testbed.local_cluster import KINDS, Kind, fleet, town
+from burlmoor.testbed.single_node import own_node, roomy
+from burlmoor.transport.stream import parse_address
 
 _ERR = Console(stderr=True)
 
--- a/burlmoor/cli/node.py
+++ b/burlmoor/cli/node.py
@@ -20,7 +20,7 @@
 def run(config: Path | None, options: Path | None) -> None:
     """Run one node until it is told to stop (SIGTERM); SIGHUP reads its files again."""
     environment(config, options)
-    from burlmoor.__main__ import main  # noqa: PLC0415 - a check needs no node
+    from burlmoor.lifecycle.node import main  # noqa: PLC0415 - a check needs no node
 
     sys.exit(main())
 
@@ -31,7 +31,7 @@
 def check(config: Path | None, options: Path | None) -> None:
     """Whether the files can be meant: status 2, and a line a fault on standard error, if not."""
     environment(config, options)
-    from burlmoor import config as reading  # noqa: PLC0415
+    from burlmoor.config import node_config as reading  # noqa: PLC0415
 
     told = [name for name in ("RELAY_CONFIG", "BURLMOOR_OPTIONS") if os.environ.get(name)]
     if not told:
--- /dev/null
+++ b/burlmoor/config/__init__.py
@@ -0,0 +1,1 @@
+"""Everything that a node reads from files and the environment."""
--- a/burlmoor/config.py
+++ b/burlmoor/config/node_config.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from burlmoor.net.stream import parse_address
-from burlmoor.net.target_group import DiscoveredList
-from burlmoor.settings import NodeSettings, parse_settings
+from burlmoor.config.settings import NodeSettings, parse_settings
+from burlmoor.endpoints.discovered_list import DiscoveredList
+from burlmoor.transport.stream import parse_address
 
 if TYPE_CHECKING:
-    from burlmoor.options import Options
+    from burlmoor.config.options import Options
 
 
 class InvalidConfigError(Exception):
@@ -133,7 +133,7 @@
     if not path:
         return None
     # Imported only here: a node without the file starts without what reads it.
-    from burlmoor.options import InvalidOptionsError, read_options  # noqa: PLC0415
+    from burlmoor.config.options import InvalidOptionsError, read_options  # noqa: PLC0415
 
     try:
         return read_options(Path(path))
--- a/burlmoor/options/reading.py
+++ b/burlmoor/config/options/parser.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec.inspect import Metadata, type_info
 
-from burlmoor.options.sections import Options, Section
-from burlmoor.options.units import value, written
+from burlmoor.config.options.sections import Options, Section
+from burlmoor.config.options.units import value, written
 
 _NO_DEFAULTS = "\0"  # no section's keys hold for all others
 _MOST = 1 << 20  # bytes of a file
--- a/burlmoor/options/sections.py
+++ b/burlmoor/config/options/sections.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from burlmoor.options.units import duration, share, size
+from burlmoor.config.options.units import duration, share, size
 
 _Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 
--- a/burlmoor/settings.py
+++ b/burlmoor/config/settings.py
@@ -11,15 +11,25 @@
 
 import msgspec
 
-from burlmoor import messages as m
+from burlmoor.types.settings import (
+    DeduplicationScope,
+    Idempotency,
+    JobClass,
+    Limits,
+    ObjectiveWeights,
+    Prices,
+    Rules,
+    Settings,
+    Tenant,
+)
 
 _T = TypeVar("_T")
 _EFFECTS = {
-    "repeatable": m.Idempotency.IDEMPOTENT,
-    "by_key": m.Idempotency.IDEMPOTENT_WITH_KEY,
-    "once": m.Idempotency.NON_IDEMPOTENT,
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.IDEMPOTENT_WITH_KEY,
+    "once": Idempotency.NON_IDEMPOTENT,
 }
-_GROUPS = {group.value: group for group in m.DeduplicationScope}
+_GROUPS = {group.value: group for group in DeduplicationScope}
 
 
 class _Table(msgspec.Struct, rename="pascal"):
@@ -110,7 +120,7 @@
 class NodeSettings(NamedTuple):
     """The settings of the decisions, and those that only a node on real sockets needs."""
 
-    policy: m.Settings
+    policy: Settings
     keepalive_ms: float  # ms after which a target's machine closes an idle connection
 
 
@@ -120,12 +130,12 @@
     limits, rules = given.limits or _Limits(), given.rules or _Rules()
     prices, specifics = given.prices or _Prices(), given.specifics or _Specifics()
     blend = given.blend or _Blend()
-    decisions = m.Settings(
+    decisions = Settings(
         classes=tuple(_classes(given, specifics)),
         tenants=tuple(
-            m.Tenant(org.name, _or(org.portion, 0.0), _or(org.quota_rps, 0.0)) for org in given.orgs or ()
+            Tenant(org.name, _or(org.portion, 0.0), _or(org.quota_rps, 0.0)) for org in given.orgs or ()
         ),
-        limits=m.Limits(
+        limits=Limits(
             max_attempts=int(_or(limits.send_cap, 3.0)),
             may_cancel=bool(limits.cancel),
             may_check_health=bool(limits.probes),
@@ -134,7 +144,7 @@
             max_retry_after_ms=_or(limits.max_retry_after, 1000.0),
             connect_timeout_ms=_or(limits.connect_timeout, 250.0),
         ),
-        rules=m.Rules(
+        rules=Rules(
             response_slack_ms=_or(rules.answer_slack, 0.0),
             drain_grace_ms=_or(rules.stop_sending_within, 0.0),
             initial_capacity=_or(rules.start_capacity, 0.1),
@@ -143,13 +153,13 @@
             overload_window_ms=_or(rules.overload_for, 1000.0),
             poll_interval_ms=_or(rules.must_ask_in, 10_000.0),
         ),
-        prices=m.Prices(
+        prices=Prices(
             cross_zone=_or(prices.cross_zone, 0.0),
             waste=_or(prices.waste, 0.0),
             health_check=_or(prices.probe, 0.0),
             late_failure=_or(prices.late_fail, 0.0),
         ),
-        objective=m.ObjectiveWeights(_or(blend.whole, 1.0), _or(blend.worst_class, 0.0)),
+        objective=ObjectiveWeights(_or(blend.whole, 1.0), _or(blend.worst_class, 0.0)),
         zone=_or(given.zone, ""),
         node_index=given.me,
         node_count=max(1, _or(given.balancers, 1)),
@@ -163,17 +173,17 @@
     return NodeSettings(decisions, _or(limits.keepalive, 30_000.0))
 
 
-def _classes(given: _Options, specifics: _Specifics) -> list[m.JobClass]:
+def _classes(given: _Options, specifics: _Specifics) -> list[JobClass]:
     kinds = given.kinds or []
     return [
-        m.JobClass(
+        JobClass(
             name=row.name,
             priority_weight=_or(row.credit, 1.0),
             latency_objective_ms=_or(row.target, 1000.0),
             objective_stretch=_or(_at(specifics.class_stretch, index), _or(row.aim_stretch, 0.0)),
             deadline_ms=_or(row.hard_limit, 10_000.0),
-            idempotency=_EFFECTS.get(row.idempotency or "", m.Idempotency.NON_IDEMPOTENT),
-            deduplication_scope=_GROUPS.get(row.dedup_scope or "", m.DeduplicationScope.CELL),
+            idempotency=_EFFECTS.get(row.idempotency or "", Idempotency.NON_IDEMPOTENT),
+            deduplication_scope=_GROUPS.get(row.dedup_scope or "", DeduplicationScope.CELL),
             deduplication_window_ms=_or(row.repeat_window, 0.0),
             late_fraction=_or(row.late_worth, 0.0),
             required_kind=_at(kinds, _or(_at(specifics.class_kind, index), -1)),
--- /dev/null
+++ b/burlmoor/deferred/__init__.py
@@ -0,0 +1,7 @@
+"""Jobs that wait for other jobs or for a time. Imported only where `[waiting]` is on."""
+
+from burlmoor.deferred.conditions import ConditionParser
+from burlmoor.deferred.queue import DeferredJobQueue
+from burlmoor.deferred.service import DeferredService
+
+__all__ = ["ConditionParser", "DeferredJobQueue", "DeferredService"]
--- a/burlmoor/waiting/conditions.py
+++ b/burlmoor/deferred/conditions.py
@@ -9,8 +9,8 @@
 import re
 from collections.abc import Sequence
 
-from burlmoor.core import InvalidConditionError, RunConditions
-from burlmoor.net.listener import REQUEST_ID
+from burlmoor.downstream.http import REQUEST_ID
+from burlmoor.engine.deferral import InvalidConditionError, RunConditions
 
 RUN_AFTER, NOT_BEFORE = b"run-after", b"not-before"
 _TIME = re.compile(r"[0-9]{1,15}")
--- a/burlmoor/waiting/graph.py
+++ b/burlmoor/deferred/dependency_graph.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from burlmoor.waiting.agenda import Agenda
+from burlmoor.deferred.timer_queue import Agenda
 
 
 class Reason(Enum):
--- a/burlmoor/waiting/ward.py
+++ b/burlmoor/deferred/queue.py
@@ -13,20 +13,13 @@
 
 from immutables import Map
 
-from burlmoor import messages as m
-from burlmoor.core import (
-    DependencyFailed,
-    EndedJob,
-    EventLogger,
-    FinalAnswer,
-    Rejected,
-    ReleasedJob,
-    RunConditions,
-    Served,
-)
-from burlmoor.options.sections import DeferredOptions
-from burlmoor.waiting.graph import Bounds, Graph, Reason, Waiter
-from burlmoor.waiting.pace import Bucket, Line, Window
+from burlmoor.config.options.sections import DeferredOptions
+from burlmoor.deferred.dependency_graph import Bounds, Graph, Reason, Waiter
+from burlmoor.deferred.rate_control import Bucket, Line, Window
+from burlmoor.engine.answers import DependencyFailed, FinalAnswer, Rejected, Served
+from burlmoor.engine.deferral import EndedJob, ReleasedJob, RunConditions
+from burlmoor.log import EventLogger
+from burlmoor.types.events import JobRequest
 
 _AT_ONCE = 100  # jobs handed out by one step, so that the loop is not held up by a long chain
 _LONGEST_ADVICE = 3_600_000.0  # ms
@@ -132,7 +125,7 @@
                 self._window.learn(served, now)
 
     def defer(
-        self, ref: str, request: m.JobRequest, conditions: RunConditions, deadline: float, now: float
+        self, ref: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
         """A job that was just opened is to wait; what becomes of it comes out of `step`, never at once."""
         latest = deadline - request.work_ms - self._given.min_remaining_ms
--- a/burlmoor/waiting/service.py
+++ b/burlmoor/deferred/service.py
@@ -4,13 +4,14 @@
 
 from typing import Any
 
-from burlmoor.core import Engine, EventLogger
-from burlmoor.net.front import DownstreamServer
-from burlmoor.operators import AdminService
-from burlmoor.options.sections import DeferredOptions
-from burlmoor.waiting.conditions import ConditionParser
-from burlmoor.waiting.view import show
-from burlmoor.waiting.ward import DeferredJobQueue
+from burlmoor.admin.service import AdminService
+from burlmoor.config.options.sections import DeferredOptions
+from burlmoor.deferred.conditions import ConditionParser
+from burlmoor.deferred.queue import DeferredJobQueue
+from burlmoor.deferred.status import show
+from burlmoor.downstream.server import DownstreamServer
+from burlmoor.engine.engine import Engine
+from burlmoor.log import EventLogger
 
 PATH = "/waiting"
 
--- a/burlmoor/waiting/view.py
+++ b/burlmoor/deferred/status.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from burlmoor.waiting.ward import DeferredJobQueue
+from burlmoor.deferred.queue import DeferredJobQueue
 
 _PIECE = 2000  # entries between two chances for others to run
 
--- a/burlmoor/net/watch.py
+++ b/burlmoor/discovery/client.py
@@ -4,11 +4,11 @@
 
 import trio
 
-from burlmoor.core import EventLogger
-from burlmoor.net.pool import ConnectionPool
-from burlmoor.net.target import BrokenResponseError
-from burlmoor.net.target_group import EndpointDirectory
-from burlmoor.net.watching import CallResult, DiscoveryCall, WatchSchedule
+from burlmoor.discovery.schedule import CallResult, DiscoveryCall, WatchSchedule
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.log import EventLogger
+from burlmoor.upstream.http import BrokenResponseError
+from burlmoor.upstream.pool import ConnectionPool
 
 _PATH = b"/registry/instances"
 
--- a/burlmoor/net/callbacks.py
+++ b/burlmoor/downstream/callbacks.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from burlmoor import messages as m
-from burlmoor.core import Engine
+from burlmoor.engine.engine import Engine
+from burlmoor.types.outcome import Outcome
 
 
 class _Event(msgspec.Struct):
@@ -20,10 +20,10 @@
 
 _DECODER = msgspec.json.Decoder(_Event)
 _ENDS = {
-    "done": m.Outcome.SERVED,
-    "failed": m.Outcome.ERROR,
-    "returned": m.Outcome.OVERLOADED,
-    "lost": m.Outcome.RESET,
+    "done": Outcome.SERVED,
+    "failed": Outcome.ERROR,
+    "returned": Outcome.OVERLOADED,
+    "lost": Outcome.RESET,
 }
 
 
--- a/burlmoor/net/listener.py
+++ b/burlmoor/downstream/http.py
@@ -11,8 +11,8 @@
 
 import h11
 
-from burlmoor import messages as m
-from burlmoor.core import InvalidConditionError, RunConditions
+from burlmoor.engine.deferral import InvalidConditionError, RunConditions
+from burlmoor.types.events import JobRequest
 
 BODY_LIMIT = 64 * 1024
 READY_PATH = "/health/ready"
@@ -47,7 +47,7 @@
     """A client submits a job."""
 
     request_id: str
-    request: m.JobRequest
+    request: JobRequest
     payload: Payload
     conditions: RunConditions | None = None
 
@@ -207,7 +207,7 @@
             raise _BadHeader("Idempotency-Key is missing")
         if key is not None and not _IDEMPOTENCY_KEY.fullmatch(key):
             raise _BadHeader("Idempotency-Key is empty, too long or not printable")
-        request = m.JobRequest(
+        request = JobRequest(
             id=0,
             job_class=parts[1],
             timeout_ms=float(patience),
--- a/burlmoor/net/front.py
+++ b/burlmoor/downstream/server.py
@@ -8,10 +8,9 @@
 
 import trio
 
-from burlmoor import core as c
-from burlmoor import messages as m
-from burlmoor.net import callbacks
-from burlmoor.net.listener import (
+from burlmoor.downstream import callbacks
+from burlmoor.downstream.drain import DrainController, ServiceState
+from burlmoor.downstream.http import (
     HttpServerConnection,
     InvalidRequest,
     JobCallback,
@@ -19,8 +18,13 @@
     ReadConditions,
     ReadinessCheck,
 )
-from burlmoor.net.serving import DrainController, ServiceState
-from burlmoor.net.stream import SocketStream, accept
+from burlmoor.engine.answers import DependencyFailed, Failed, FinalAnswer, Rejected, Served
+from burlmoor.engine.deferral import RunConditions
+from burlmoor.engine.engine import Engine
+from burlmoor.engine.job import Job
+from burlmoor.log import EventLogger
+from burlmoor.transport.stream import SocketStream, accept
+from burlmoor.types.settings import Idempotency
 
 _RING_IN, _RING_OUT = 16 * 1024, 128 * 1024
 # Seconds that a request may take to come in, the first one counted from the accept. True clients take up to
@@ -47,7 +51,7 @@
         self._front = front
         self._stream = SocketStream(sock, _RING_IN, _RING_OUT)
         self._http = HttpServerConnection(front.classes, front.read_conditions, front.keyed)
-        self._job: c.Job | None = None
+        self._job: Job | None = None
         self._scope = trio.CancelScope()
         self._advancing = False
         self.used = used  # whether a whole request has come
@@ -257,19 +261,19 @@
             self._front.log("connection-failed", error=repr(error))
             self.end()
 
-    def respond(self, answer: c.FinalAnswer) -> None:
+    def respond(self, answer: FinalAnswer) -> None:
         """The job's one final answer."""
         self._job = None
         self._front.waiting_clients -= 1
         match answer:
-            case c.Served(result):
+            case Served(result):
                 self._write_response(200, result)
-            case c.Rejected(retry_after):
+            case Rejected(retry_after):
                 advice = [("Retry-After", f"{retry_after / 1000.0:.3f}")] if retry_after > 0.0 else []
                 self._write_response(503, b"", advice)
-            case c.Failed():
+            case Failed():
                 self._write_response(502, b"the job failed and may have run\n")
-            case c.DependencyFailed(reason):
+            case DependencyFailed(reason):
                 self._write_response(424, reason.encode() + b"\n")
         self.advance()
 
@@ -308,19 +312,19 @@
 
     def __init__(
         self,
-        engine: c.Engine,
+        engine: Engine,
         classes: list[str],
         sock: socket.socket,
         size: int,
         drain: DrainController,
         nursery: trio.Nursery,
-        log: c.EventLogger,
+        log: EventLogger,
     ) -> None:
         self.engine, self.classes, self.nursery, self.log = engine, classes, nursery, log
         self.keyed = [
             each.name
             for each in engine.settings.classes
-            if each.idempotency is m.Idempotency.IDEMPOTENT_WITH_KEY
+            if each.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         ]
         self.max_connections, self.drain = size, drain
         self.connections: set[DownstreamConnection] = set()
@@ -386,7 +390,7 @@
 
     def read_conditions(
         self, headers: Sequence[tuple[bytes, bytes]], request_id: str, size: int
-    ) -> c.RunConditions | None:
+    ) -> RunConditions | None:
         """What a request's headers ask its job to wait for; nothing where jobs may not wait."""
         return None if self.parse_conditions is None else self.parse_conditions(headers, request_id, size)
 
--- a/burlmoor/net/target_group.py
+++ b/burlmoor/endpoints/directory.py
@@ -8,34 +8,17 @@
 
 import msgspec
 
-from burlmoor import messages as m
-from burlmoor.core import Engine, EventLogger
-from burlmoor.net.pool import ConnectionPool
-from burlmoor.net.stream import parse_address
-
-_STATES = {"active": m.EndpointState.LIVE, "leaving": m.EndpointState.DRAINING, "left": m.EndpointState.GONE}
+from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.engine.engine import Engine
+from burlmoor.log import EventLogger
+from burlmoor.transport.stream import parse_address
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+from burlmoor.upstream.pool import ConnectionPool
+
+_STATES = {"active": EndpointState.LIVE, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 _HEALTH = {state: health for health, state in _STATES.items()}
 
 
-class DiscoveredEndpoint(msgspec.Struct):
-    name: str = msgspec.field(name="host")
-    address: str = msgspec.field(name="dial", default="")
-    zone: str = msgspec.field(name="site", default="")
-    kind: str = msgspec.field(name="class", default="")
-    cell: int = msgspec.field(name="block", default=0)
-    health: str = "left"
-    weight: float = msgspec.field(name="share", default=1.0)
-    started_unix_ms: float = msgspec.field(name="born_ms", default=0.0)
-
-
-class DiscoveredList(msgspec.Struct):
-    """A list in discovery's form."""
-
-    version: int = msgspec.field(name="seq")
-    is_complete: bool = msgspec.field(name="whole", default=True)
-    endpoints: list[DiscoveredEndpoint] = msgspec.field(name="hosts", default=[])
-
-
 _NAMED = 8  # targets that a log line names
 _DECODER = msgspec.json.Decoder(DiscoveredList | None)
 
@@ -44,16 +27,16 @@
     """Where one executor listens, and whether it wants new work."""
 
     address: str
-    state: m.EndpointState
+    state: EndpointState
     started_unix_ms: float
 
 
-def _listed(host: DiscoveredEndpoint) -> m.EndpointState:
-    return _STATES.get(host.health, m.EndpointState.GONE)
+def _listed(host: DiscoveredEndpoint) -> EndpointState:
+    return _STATES.get(host.health, EndpointState.GONE)
 
 
 def _leaves(host: DiscoveredEndpoint) -> bool:
-    return _listed(host) is not m.EndpointState.LIVE
+    return _listed(host) is not EndpointState.LIVE
 
 
 def _fault(host: DiscoveredEndpoint, known: dict[str, DiscoveredEndpoint]) -> str | None:
@@ -94,11 +77,7 @@
     def find_live(self, name: str) -> ListedEndpoint | None:
         """The target, if it may be sent new work now."""
         target = self._targets.get(name)
-        if (
-            target is None
-            or target.state is not m.EndpointState.LIVE
-            or name in self.overrides.disabled_since
-        ):
+        if target is None or target.state is not EndpointState.LIVE or name in self.overrides.disabled_since:
             return None
         return target
 
@@ -140,7 +119,7 @@
     def _tell(self, names: Iterable[str]) -> None:
         hosts = [self._hosts[name] for name in names if name in self._hosts]
         if hosts:
-            self._engine.on_endpoint_list(m.ListKind.DELTA, self._entries(hosts))
+            self._engine.on_endpoint_list(ListKind.DELTA, self._entries(hosts))
 
     def address_of(self, name: str) -> str | None:
         """The target's address, whatever its state."""
@@ -151,7 +130,7 @@
         """Take in the list as this node last had it."""
         if given is not None:
             self._apply(given)
-        self._engine.on_endpoint_list(m.ListKind.CACHED, self._entries(given.endpoints if given else []))
+        self._engine.on_endpoint_list(ListKind.CACHED, self._entries(given.endpoints if given else []))
 
     def snapshot(self) -> DiscoveredList | None:
         """The list as this node has it."""
@@ -163,7 +142,7 @@
         """Go on from the list that the process before this one had: it is newer than `known`."""
         if given is not None:
             self._apply(given)
-            self._engine.on_endpoint_list(m.ListKind.SNAPSHOT, self._entries(given.endpoints))
+            self._engine.on_endpoint_list(ListKind.SNAPSHOT, self._entries(given.endpoints))
 
     def apply_response(self, body: bytes) -> None:
         """Take in an answer of discovery; ValueError naming the field, and nothing changed, if it is none."""
@@ -181,11 +160,11 @@
             self._log("endpoints-draining", count=len(left), names=left[:_NAMED], version=given.version)
         if given.is_complete or given.endpoints:
             self._engine.on_endpoint_list(
-                m.ListKind.SNAPSHOT if given.is_complete else m.ListKind.DELTA, self._entries(given.endpoints)
+                ListKind.SNAPSHOT if given.is_complete else ListKind.DELTA, self._entries(given.endpoints)
             )
 
     def _live(self) -> set[str]:
-        return {name for name, each in self._targets.items() if each.state is m.EndpointState.LIVE}
+        return {name for name, each in self._targets.items() if each.state is EndpointState.LIVE}
 
     def _usable(self, hosts: list[DiscoveredEndpoint]) -> list[DiscoveredEndpoint]:
         """The entries that can be meant, one a host.
@@ -226,7 +205,7 @@
                 older
                 and old is not None
                 and old.started_unix_ms == host.started_unix_ms
-                and old.state is not m.EndpointState.LIVE
+                and old.state is not EndpointState.LIVE
             ):
                 # Guards the drain rule: a list from before a drain was told does not undo it.
                 state = old.state
@@ -240,9 +219,9 @@
             self._hosts[host.name] = given.endpoints[number]
         self.version = given.version
 
-    def _entries(self, hosts: list[DiscoveredEndpoint]) -> list[m.EndpointEntry]:
+    def _entries(self, hosts: list[DiscoveredEndpoint]) -> list[EndpointEntry]:
         return [
-            m.EndpointEntry(
+            EndpointEntry(
                 endpoint=host.name,
                 state=self._state(host),
                 zone=host.zone,
@@ -256,10 +235,10 @@
             for host in hosts
         ]
 
-    def _state(self, host: DiscoveredEndpoint) -> m.EndpointState:
+    def _state(self, host: DiscoveredEndpoint) -> EndpointState:
         state = _listed(host)
         return (
-            m.EndpointState.DRAINING
-            if state is m.EndpointState.LIVE and host.name in self.overrides.disabled_since
+            EndpointState.DRAINING
+            if state is EndpointState.LIVE and host.name in self.overrides.disabled_since
             else state
         )
--- a/burlmoor/core.py
+++ b/burlmoor/engine/engine.py
@@ -10,172 +10,45 @@
 import heapq
 import math
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple, Protocol
-
-from burlmoor import learnt
-from burlmoor import messages as m
-from burlmoor.decide import Dispatcher
-
-_RELEASED_ROOM = 0.8  # of the room at executors: a herd of released jobs leaves the rest to those who come
-
-
-@dataclass(frozen=True, slots=True)
-class Served:
-    """The answer that an executor gave."""
-
-    body: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class Rejected:
-    """A refusal: the job has not run, or may run again; come back after so many ms."""
-
-    retry_after_ms: float = 0.0
-
-
-@dataclass(frozen=True, slots=True)
-class Failed:
-    """The job failed and may have run."""
-
-
-@dataclass(frozen=True, slots=True)
-class DependencyFailed:
-    """The job has not run and can't: another try that asks for the same is in vain."""
-
-    reason: str
-
-
-FinalAnswer = Served | Rejected | Failed | DependencyFailed
-
-
-class InvalidConditionError(ValueError):
-    """What a client asks its job to wait for cannot be meant; the text names the header."""
-
-
-class RunConditions(NamedTuple):
-    """What a job is to wait for: jobs that are to be served first, and a Unix time in ms (0: none)."""
-
-    after: tuple[str, ...]
-    not_before_unix_ms: float
-    size_bytes: int  # bytes held meanwhile
-
-
-class ReleasedJob(NamedTuple):
-    """A job that waited may run; `claim`, from 0 to 1, is what its waiting has earned."""
-
-    id: str
-    credit: float
-
-
-class EndedJob(NamedTuple):
-    """A job that waited is not to run."""
-
-    id: str
-    answer: FinalAnswer
-
-
-class JobDeferral(Protocol):
-    """Who keeps jobs that wait: told of every job, it says in `step` what becomes of those it holds."""
-
-    @property
-    def max_deferral_ms(self) -> float:
-        """The most that a job may wait in all, in ms."""
-
-    def on_job_opened(self, ref: str) -> None:
-        """The node has taken a job."""
-
-    def on_job_ended(self, ref: str, answer: FinalAnswer | None, now: float) -> None:
-        """A job is over, with its answer; None where its client has left."""
-
-    def defer(
-        self, ref: str, request: m.JobRequest, conditions: RunConditions, deadline: float, now: float
-    ) -> None:
-        """A job that was just opened is to wait, until its deadline at most."""
-
-    def next_due(self, now: float) -> float:
-        """When `step` is needed next."""
-
-    def step(self, now: float, free_slots: Callable[[], float]) -> Iterable[ReleasedJob | EndedJob]:
-        """What becomes of some jobs now; `room`: slots known to be free."""
-
-
-class Responder(Protocol):
-    """The client's side of one job."""
-
-    def respond(self, answer: FinalAnswer) -> None:
-        """Give the client its one final answer."""
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    """One attempt of a job at one target."""
-
-    job: Job
-    number: int
-    endpoint: str
-    sent_at: float
-    deadline: float
-    outcome: m.Outcome | None = None
-
-    @property
-    def is_over(self) -> bool:
-        """Whether its end is known."""
-        return self.outcome is not None
-
-
-@dataclass(slots=True, eq=False)
-class Job:
-    """A request that this node has taken."""
-
-    id: str
-    number: int
-    responder: Responder
-    payload: Any  # what the targets need of the request; the core does not look at it
-    admitted_at: float
-    deadline: float
-    is_non_idempotent: bool
-    is_over: bool = False
-    deferred_request: m.JobRequest | None = (
-        None  # what is asked, while the job waits and the module does not know of it
-    )
-    attempts: list[Attempt] = field(default_factory=list)
-
-    def open_attempts(self) -> list[Attempt]:
-        """The forwards whose end is not known."""
-        return [forward for forward in self.attempts if not forward.is_over]
-
-    def may_have_run(self) -> bool:
-        """Whether some forward is not proved to have never run."""
-        return any(
-            forward.outcome is None or not forward.outcome.proves_not_started for forward in self.attempts
-        )
-
-
-class Upstream(Protocol):
-    """The executors' side."""
-
-    def start_attempt(self, forward: Attempt) -> None:
-        """Start the forward; `Core.ended` is told how it ends."""
-
-    def cancel_attempt(self, forward: Attempt) -> None:
-        """Nobody waits for this forward any more: give it up at the target; `Core.given_up` is told."""
-
-    def check_health(self, target: str) -> None:
-        """Look at a target; `Core.probed` is told."""
-
-
-class Discovery(Protocol):
-    """Discovery's side."""
-
-    def watch(self) -> None:
-        """See to it that changes are told."""
-
-    def fetch(self) -> None:
-        """Ask once for the whole list."""
-
-
-EventLogger = Callable[..., None]
+from typing import Any
+
+from burlmoor.engine.answers import Failed, FinalAnswer, Rejected, Served
+from burlmoor.engine.deferral import EndedJob, JobDeferral, ReleasedJob, RunConditions
+from burlmoor.engine.interfaces import Discovery, Responder, Upstream
+from burlmoor.engine.job import Attempt, Job
+from burlmoor.log import EventLogger
+from burlmoor.policy.dispatcher import Dispatcher
+from burlmoor.stats import snapshot
+from burlmoor.types.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailJob,
+    FetchEndpoints,
+    LogWarning,
+    RejectJob,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from burlmoor.types.endpoint_list import EndpointEntry, ListKind
+from burlmoor.types.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    HandoverChanged,
+    HealthChecked,
+    JobRequest,
+    TimerFired,
+)
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import Idempotency, Settings
+
+# Of the free slots at endpoints: released jobs leave the rest to the jobs that arrive meanwhile.
+_RELEASABLE_SHARE = 0.8
 
 
 class Engine:
@@ -183,7 +56,7 @@
 
     def __init__(
         self,
-        settings: m.Settings,
+        settings: Settings,
         seed: int,
         clock: Callable[[], float],
         log: EventLogger,
@@ -193,14 +66,14 @@
         self._policy = Dispatcher(settings, seed)
         self._longest = {each.name: each.deadline_ms for each in settings.classes}
         self._once = {
-            each.name for each in settings.classes if each.idempotency is m.Idempotency.NON_IDEMPOTENT
+            each.name for each in settings.classes if each.idempotency is Idempotency.NON_IDEMPOTENT
         }
         self.answer_by = math.inf  # a node that stops answers what it still takes by then
         self._numbers = 0
         self._jobs: dict[int, Job] = {}
         self._ids: dict[str, Job] = {}
         self.ids_in_other_process: set[str] = set()  # ids of jobs that another process of this node has taken
-        self._events: list[m.Event] = []
+        self._events: list[Event] = []
         self._timers: list[tuple[float, int]] = []
         self._limits: list[tuple[float, int, Job | Attempt]] = []  # deadlines of jobs and forwards
         self._order = 0
@@ -220,18 +93,18 @@
         """The ids of the jobs taken here that are not forgotten."""
         return list(self._ids)
 
-    def statistics_snapshot(self) -> learnt.StatisticsSnapshot:
+    def statistics_snapshot(self) -> snapshot.StatisticsSnapshot:
         """What the module has learnt."""
-        return learnt.take_snapshot(self._policy, self.clock())
+        return snapshot.take_snapshot(self._policy, self.clock())
 
-    def restore_statistics(self, given: learnt.StatisticsSnapshot) -> None:
+    def restore_statistics(self, given: snapshot.StatisticsSnapshot) -> None:
         """Go on from what the module of the process before this one has learnt."""
         self.step()  # the list that was told comes first: figures are taken up for whom it names
-        learnt.restore_snapshot(self._policy, given, self.clock())
+        snapshot.restore_snapshot(self._policy, given, self.clock())
 
     def set_handed_over(self, yielded: bool) -> None:
         """Whether another process takes this node's jobs in this one's place."""
-        self._post(m.HandoverChanged(yielded))
+        self._post(HandoverChanged(yielded))
 
     def answer_all_by(self, at: float) -> None:
         """What is open then is answered then, whatever its deadline."""
@@ -245,7 +118,7 @@
         self,
         listener: Responder,
         request_id: str,
-        request: m.JobRequest,
+        request: JobRequest,
         payload: Any,
         conditions: RunConditions | None = None,
     ) -> Job | None:
@@ -295,7 +168,7 @@
         """What is due next may be due sooner than it was."""
         self._wake()
 
-    def _may_take(self, request: m.JobRequest) -> float:
+    def _may_take(self, request: JobRequest) -> float:
         """The longest that a request may be open with the module."""
         return self._longest.get(request.job_class, math.inf)
 
@@ -304,7 +177,7 @@
         if not job.is_over:
             self._close(job, None)
             if job.deferred_request is None:
-                self._post(m.ClientDisconnected(job.number))
+                self._post(ClientDisconnected(job.number))
             self._forget(job)
 
     def find_attempt(self, request_id: str, target: str) -> Attempt | None:
@@ -315,38 +188,36 @@
     def on_attempt_started(self, forward: Attempt) -> None:
         """The target has begun the job."""
         if not forward.is_over:
-            self._post(m.AttemptStarted(forward.job.number, forward.number, forward.endpoint))
+            self._post(AttemptStarted(forward.job.number, forward.number, forward.endpoint))
 
     def on_attempt_progressed(self, forward: Attempt, share: float) -> None:
         """The target has done this share of the job."""
         if not forward.is_over:
-            self._post(m.AttemptProgressed(forward.job.number, forward.number, forward.endpoint, share))
+            self._post(AttemptProgressed(forward.job.number, forward.number, forward.endpoint, share))
 
-    def on_attempt_ended(self, forward: Attempt, outcome: m.Outcome, result: bytes | None = None) -> None:
+    def on_attempt_ended(self, forward: Attempt, outcome: Outcome, result: bytes | None = None) -> None:
         """A forward's end is known. Told again, or after it was given up, it changes nothing."""
         if forward.is_over:
             return
         forward.outcome = outcome
         job = forward.job
-        if outcome is m.Outcome.SERVED and not job.is_over:
+        if outcome is Outcome.SERVED and not job.is_over:
             self._answer(job, Served(result or b""))
         elapsed = self.clock() - forward.sent_at
-        self._post(
-            m.AttemptEnded(job.number, forward.number, forward.endpoint, outcome, elapsed, job.is_over)
-        )
+        self._post(AttemptEnded(job.number, forward.number, forward.endpoint, outcome, elapsed, job.is_over))
         self._forget(job)
 
     def on_attempt_cancelled(self, forward: Attempt) -> None:
         """The target has heard that nobody waits for this forward any more, or can hold nothing."""
-        self.on_attempt_ended(forward, m.Outcome.CANCELLED)
+        self.on_attempt_ended(forward, Outcome.CANCELLED)
 
-    def on_endpoint_list(self, form: m.ListKind, entries: Iterable[m.EndpointEntry]) -> None:
+    def on_endpoint_list(self, form: ListKind, entries: Iterable[EndpointEntry]) -> None:
         """Discovery has spoken."""
-        self._post(m.EndpointListUpdate(form, list(entries)))
+        self._post(EndpointListUpdate(form, list(entries)))
 
-    def on_health_checked(self, target: str, outcome: m.Outcome, elapsed: float) -> None:
+    def on_health_checked(self, target: str, outcome: Outcome, elapsed: float) -> None:
         """What a probe found."""
-        self._post(m.HealthChecked(target, outcome, elapsed))
+        self._post(HealthChecked(target, outcome, elapsed))
 
     # --- time -----------------------------------------------------------------------------------
 
@@ -366,7 +237,7 @@
         if self.deferral is not None:
             self._step_holder(self.deferral, now)
         while self._timers and self._timers[0][0] <= now:
-            self._events.append(m.TimerFired(heapq.heappop(self._timers)[1]))
+            self._events.append(TimerFired(heapq.heappop(self._timers)[1]))
         events, self._events = [self._aged(event, now) for event in self._events], []
         if events:
             try:
@@ -387,12 +258,12 @@
                 self._log("answered-at-stop" if now >= self.answer_by else "answered-at-deadline", id=job.id)
                 self._answer(job, Failed() if job.may_have_run() else Rejected())
                 if job.deferred_request is None:
-                    self._post(m.ClientDisconnected(job.number))
+                    self._post(ClientDisconnected(job.number))
                 self._forget(job)
 
     def _step_holder(self, holder: JobDeferral, now: float) -> None:
         try:
-            for verdict in holder.step(now, self._room):
+            for verdict in holder.step(now, self._releasable_slots):
                 self._obey(verdict, now)
         except Exception as error:
             # Guards the node, and rule 1, against a fault there: what waits is refused, none waits then on.
@@ -426,23 +297,19 @@
         )
         self._post(told)
 
-    def _room(self) -> float:
-        """Slots known to be free at warm executors, beyond what waits for some and a part kept free."""
-        node, now = self._policy, self.clock()
-        warm = (
-            worker.room
-            for worker in node.members.workers.values()
-            if worker.live and not worker.overdue and node.members.warmth(worker, now) >= 1.0
-        )
-        return _RELEASED_ROOM * sum(warm) - node.held - sum(job.slots for job in node.waiting.values())
+    def _releasable_slots(self) -> float:
+        """Slots for deferred jobs: a share of the warm capacity less what is in flight or queued."""
+        policy = self._policy
+        capacity = _RELEASABLE_SHARE * policy.warm_capacity(self.clock())
+        return capacity - policy.slots_in_flight - policy.slots_queued
 
-    def _aged(self, event: m.Event, now: float) -> m.Event:
+    def _aged(self, event: Event, now: float) -> Event:
         """What is left of a request's patience when the module hears of it.
 
         Guards against the module's give-up, and its advice to the client, coming after the deadline here.
         """
-        job = self._jobs.get(event.id) if isinstance(event, m.JobRequest) else None
-        if job is None or not isinstance(event, m.JobRequest):
+        job = self._jobs.get(event.id) if isinstance(event, JobRequest) else None
+        if job is None or not isinstance(event, JobRequest):
             return event
         return event._replace(timeout_ms=max(0.0, event.timeout_ms - (now - job.admitted_at)))
 
@@ -460,34 +327,34 @@
 
     def _time_out(self, forward: Attempt) -> None:
         if not forward.is_over:
-            self.on_attempt_ended(forward, m.Outcome.TIMEOUT)
+            self.on_attempt_ended(forward, Outcome.TIMEOUT)
             # Guards against a second copy: what is timed out here may still run there.
             self.upstream.cancel_attempt(forward)
 
     # --- what the module decides ----------------------------------------------------------------
 
-    def _carry_out(self, action: m.Action, now: float) -> None:
+    def _carry_out(self, action: Action, now: float) -> None:
         match action:
-            case m.StartAttempt():
+            case StartAttempt():
                 self._send(action, now)
-            case m.RejectJob():
+            case RejectJob():
                 self._finish(action.id, Rejected(action.retry_after_ms))
-            case m.FailJob():
+            case FailJob():
                 self._finish(action.id, Failed())
-            case m.CancelAttempt():
+            case CancelAttempt():
                 self._cancel(action)
-            case m.SetTimer():
+            case SetTimer():
                 heapq.heappush(self._timers, (now + max(0.0, action.delay_ms), action.token))
-            case m.WatchEndpoints():
+            case WatchEndpoints():
                 self.discovery.watch()
-            case m.FetchEndpoints():
+            case FetchEndpoints():
                 self.discovery.fetch()
-            case m.CheckHealth():
+            case CheckHealth():
                 self.upstream.check_health(action.endpoint)
-            case m.LogWarning():
+            case LogWarning():
                 self._log("policy-warning", text=action.text)
 
-    def _send(self, action: m.StartAttempt, now: float) -> None:
+    def _send(self, action: StartAttempt, now: float) -> None:
         job = self._jobs.get(action.id)
         if job is None:
             return
@@ -497,9 +364,9 @@
         again = any(each.endpoint == action.endpoint for each in job.attempts)
         job.attempts.append(forward)
         if job.is_over or again or now >= job.deadline or forward.number >= self.settings.limits.max_attempts:
-            self.on_attempt_ended(forward, m.Outcome.UNSENT)
+            self.on_attempt_ended(forward, Outcome.UNSENT)
         elif until <= now:
-            self.on_attempt_ended(forward, m.Outcome.TIMEOUT)
+            self.on_attempt_ended(forward, Outcome.TIMEOUT)
         else:
             if until < job.deadline:
                 self._limit(until, forward)
@@ -514,14 +381,14 @@
             self._answer(job, answer)
             self._forget(job)
 
-    def _cancel(self, action: m.CancelAttempt) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         job = self._jobs.get(action.id)
         if job is not None and 0 <= action.attempt < len(job.attempts):
             forward = job.attempts[action.attempt]
             if forward.is_over:
                 return
             if job.is_over or self.settings.limits.may_hedge:
-                self.on_attempt_ended(forward, m.Outcome.CANCELLED)
+                self.on_attempt_ended(forward, Outcome.CANCELLED)
             # Guards rule 2: elsewhere the job may go again only once this forward has been given up, and a
             # target that can't be reached does not hear of it.
             self.upstream.cancel_attempt(forward)
@@ -539,7 +406,7 @@
 
     # --- bookkeeping ----------------------------------------------------------------------------
 
-    def _post(self, event: m.Event) -> None:
+    def _post(self, event: Event) -> None:
         if not self._events:
             self._wake()
         self._events.append(event)
--- a/burlmoor/succession.py
+++ b/burlmoor/lifecycle/handover.py
@@ -7,11 +7,13 @@
 
 import trio
 
-from burlmoor.core import Engine, EventLogger
-from burlmoor.net import callbacks
-from burlmoor.net.control import AdminRequest
-from burlmoor.net.front import DownstreamServer
-from burlmoor.net.peer import (
+from burlmoor.admin.server import AdminRequest
+from burlmoor.admin.service import AdminService
+from burlmoor.downstream import callbacks
+from burlmoor.downstream.server import DownstreamServer
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.engine.engine import Engine
+from burlmoor.lifecycle.handover_channel import (
     VERSION,
     Accepting,
     Acknowledged,
@@ -27,9 +29,8 @@
     connect_to,
     listen,
 )
-from burlmoor.net.pool import ConnectionPool
-from burlmoor.net.target_group import EndpointDirectory
-from burlmoor.operators import AdminService
+from burlmoor.log import EventLogger
+from burlmoor.upstream.pool import ConnectionPool
 
 _SNAPSHOT_WITHIN = 1.5  # seconds after which a process that does not answer is taken to be stuck
 _YIELD_WITHIN = 0.5
--- a/burlmoor/net/peer.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -12,10 +12,10 @@
 import msgspec
 import trio
 
-from burlmoor.core import EventLogger
-from burlmoor.learnt import StatisticsSnapshot
-from burlmoor.net.target_group import DiscoveredList
-from burlmoor.operators import Overrides
+from burlmoor.admin.service import Overrides
+from burlmoor.endpoints.discovered_list import DiscoveredList
+from burlmoor.log import EventLogger
+from burlmoor.stats.snapshot import StatisticsSnapshot
 
 VERSION = 2
 _MESSAGE_LIMIT = 160 * 1024  # bytes of one datagram; the kernel takes little more
--- a/burlmoor/log.py
+++ b/burlmoor/log.py
@@ -48,3 +48,6 @@
         except (OSError, ValueError):
             # Guards against a full or closed log ending the node.
             return
+
+
+EventLogger = Callable[..., None]
--- a/burlmoor/membership/wire.py
+++ b/burlmoor/membership/codec.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from burlmoor.membership.facts import MemberState, MemberStatus
+from burlmoor.membership.member import MemberState, MemberStatus
 
 MAX_DATAGRAM_BYTES = 256  # bytes of a datagram, by the platform's protocol
 NAME_MOST = 64  # bytes of a node's name
--- a/burlmoor/membership/swim.py
+++ b/burlmoor/membership/swim.py
@@ -18,9 +18,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from burlmoor.membership.facts import MAX_INCARNATION, Address, MemberState, MemberStatus
+from burlmoor.membership.codec import Message, MessageKind, encode, pieces
+from burlmoor.membership.member import MAX_INCARNATION, Address, MemberState, MemberStatus
 from burlmoor.membership.view import MembershipView
-from burlmoor.membership.wire import Message, MessageKind, encode, pieces
 
 MOST = 4096  # nodes that are known at a time
 _HEALTH_MOST = 8
--- a/burlmoor/membership/view.py
+++ b/burlmoor/membership/view.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from burlmoor.membership.facts import MemberState
+from burlmoor.membership.member import MemberState
 
 
 class MembershipView(NamedTuple):
--- /dev/null
+++ b/burlmoor/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of one node: admission, dispatch rounds, endpoint selection, retries and hedging."""
--- a/burlmoor/decide.py
+++ b/burlmoor/policy/dispatcher.py
@@ -1,6 +1,6 @@
 """Every decision of one node: which executor runs which job, when, how often, or whether it is turned away.
 
-Types: `burlmoor/messages.py`; design: `docs/design.md`. A job waits in the queue, a round matches it to an
+Types: `burlmoor/types`; design: `docs/design.md`. A job waits in the queue, a round matches it to an
 executor by what the worker book has learned, the gate lets each attempt and answer through or not, outcomes
 teach the book. `Dispatcher.handle` is the only entry.
 """
@@ -12,15 +12,36 @@
 import random
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass
-from itertools import accumulate
 from typing import Any
-from zlib import crc32
 
-from burlmoor import messages as m
-from burlmoor.book import SKILL_HALF, Endpoint, EndpointStatistics
-from burlmoor.means import DecayedMean
-from burlmoor.worth import ClassWeights
+from burlmoor.endpoints.endpoint_list import KEY_HOMES, MOST_KEYS, EndpointList
+from burlmoor.policy.job import ScheduledAttempt, ScheduledJob
+from burlmoor.policy.safety import Gate
+from burlmoor.stats.class_weights import ClassWeights
+from burlmoor.stats.decayed_mean import DecayedMean
+from burlmoor.stats.endpoint import Endpoint
+from burlmoor.stats.endpoint_statistics import SKILL_HALF, EndpointStatistics
+from burlmoor.types.actions import (
+    Action,
+    CancelAttempt,
+    LogWarning,
+    SetTimer,
+    WatchEndpoints,
+)
+from burlmoor.types.endpoint_list import ListKind
+from burlmoor.types.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    HandoverChanged,
+    JobRequest,
+    ResponseStarted,
+)
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import Idempotency, Settings
 
 # Weights of priority, P = ALPHA * Tmin/T + BETA * N/Nmax + DELTA * Pgroup, and what a round's wait adds.
 ALPHA, BETA, DELTA, AGING = 1.0, 1.0, 8.0, 0.05
@@ -29,7 +50,6 @@
 WIDE, SAVED = 2.5, 0.25  # for jobs of more slots an executor is kept free, of this share of all at most
 MISSES = 4  # a round ends after this many jobs in a row found no place
 SAMPLE = 4  # executors drawn per job, beside as many that had a slot free a moment ago
-KEY_HOMES = 4  # executors that may get a key's jobs: each more of them has to fetch it
 KEY_ROOM = 1.5  # as many times the executors that a key's jobs fill are its homes, where that is more
 COST_HALF = 64_000.0  # and on what a job costs: nodes that see few jobs need many to agree on it
 FULL = 0.8  # jobs are refused once what the waiting ones will have taken passes this share of their aims
@@ -40,273 +60,23 @@
 TASTE = 0.05  # what a preference among executors weighs beside the chance to be in time
 FETCH = 2.0  # what the share of a slot's time spent fetching a key weighs beside it: others wait meanwhile
 TRIAL = 0.06  # the share of jobs sent even where they look hopeless, lest a wrong estimate stay for good
-CAUTION = 0.3  # the share of a cold executor's budget that many nodes plan to use: 3 times is the worst
-LARGE = 2.0  # a cold executor gets no job of more than this many times the mean cost
 MOVES, MOVED = 3.0, 0.03  # moves of jobs that have not started: at once, and by each send
-MOST_KEYS = 1000  # whose homes and shares are kept
 MUTE = 3000.0  # an executor that has told nothing for this long may not be working
 FAULTS = 2  # an executor with so many faults in a row is left out, but for a test now and then
 TEST_AFTER = 500.0  # the first test; each that fails doubles the wait for the next, up to 16 times
 SILENCE = 1.5  # an attempt silent for this many progress intervals is taken to hang
 
-_FAULTS = (m.Outcome.ERROR, m.Outcome.RESET, m.Outcome.UNREACHABLE)
-
-
-@dataclass(slots=True)
-class ScheduledAttempt:
-    """One send of a job."""
-
-    number: int
-    worker: Endpoint
-    sent: float
-    missed_key: bool
-    look_at: float  # something should have been heard of it by then
-    started: float | None = None
-    ended: m.Outcome | None = None
-    overdue: bool = False
-    expected: float = 0.0  # time from the send to its end
-
-
-class ScheduledJob:
-    """A request that this node has taken."""
-
-    def __init__(self, request: m.JobRequest, job_class: m.JobClass, work: float) -> None:
-        self.job_class = job_class
-        self.id, self.slots, self.memory, self.key = (
-            request.id,
-            request.slots,
-            request.memory,
-            request.affinity_key,
-        )
-        self.work = work
-        self.aim = min(
-            job_class.latency_objective_ms + job_class.objective_stretch * work, job_class.deadline_ms
-        )
-        self.aim_at = self.useful_until = self.deadline_at = 0.0  # the second: an answer earns nothing after
-        self.attempts: list[ScheduledAttempt] = []
-        self.worth = self.standing = self.rounds = 0.0
-        self.counted = 0.0  # what it is worth to the site, within its tenant's share
-        self.waiting = self.urgent = self.trial = self.done = self.streaming = False
-        self.share = 0.0  # the part of all jobs that its key has
-        self.check_at = 0.0
-
-    def out(self) -> list[ScheduledAttempt]:
-        """The attempts whose outcome is not known yet."""
-        return [attempt for attempt in self.attempts if attempt.ended is None]
-
-    def risky(self) -> list[ScheduledAttempt]:
-        """The attempts that are not proved to have never run."""
-        return [
-            attempt for attempt in self.attempts if not (attempt.ended and attempt.ended.proves_not_started)
-        ]
-
-
-class Gate:
-    """Holds rules 1 and 2: every send, refusal, failure and cancel of every job passes here."""
-
-    def __init__(self, settings: m.Settings, actions: list[m.Action]) -> None:
-        self.limits, self.actions = settings.limits, actions
-
-    def may_send(self, job: ScheduledJob, worker: Endpoint, now: float) -> bool:
-        """Whether one more attempt, at this worker, can break neither rule."""
-        if (
-            job.done
-            or job.streaming
-            or now >= job.deadline_at
-            or len(job.attempts) >= self.limits.max_attempts
-        ):
-            return False
-        risky, effect = job.risky(), job.job_class.idempotency
-        if not risky or effect is m.Idempotency.NON_IDEMPOTENT:
-            return not risky
-        if len(job.out()) > (1 if self.limits.may_hedge else 0):
-            return False
-        if effect is m.Idempotency.IDEMPOTENT:
-            return True
-        first, group = risky[0], job.job_class.deduplication_scope
-        near = first.worker.zone == worker.zone
-        if group is m.DeduplicationScope.CELL:
-            near = near and first.worker.entry.cell == worker.entry.cell
-        return now < first.sent + job.job_class.deduplication_window_ms and (
-            near or group is m.DeduplicationScope.ALL
-        )
-
-    def may_refuse(self, job: ScheduledJob) -> bool:
-        """Whether the client may be told that a retry does no harm."""
-        effect, group = job.job_class.idempotency, job.job_class.deduplication_scope
-        repeatable = effect is m.Idempotency.IDEMPOTENT or (
-            effect is m.Idempotency.IDEMPOTENT_WITH_KEY and group is m.DeduplicationScope.ALL
-        )
-        return repeatable or not job.risky()
-
-    def send(self, job: ScheduledJob, attempt: ScheduledAttempt) -> None:
-        """Send an attempt that `may_send` has allowed."""
-        job.attempts.append(attempt)
-        self.actions.append(m.StartAttempt(job.id, attempt.worker.id, 0.0))
-
-    def finish(self, job: ScheduledJob, retry_after: float = 0.0) -> None:
-        """Give the one final answer: a refusal where the rules allow it, else a failure."""
-        if job.done or job.streaming:
-            return
-        # The advice is given also where the platform's own clients are not told of it: others may read it.
-        self.actions.append(m.RejectJob(job.id, retry_after) if self.may_refuse(job) else m.FailJob(job.id))
-        self.close(job)
-
-    def close(self, job: ScheduledJob) -> None:
-        """The request is over: nothing more goes out for it."""
-        if not job.done:
-            job.done = True
-            self.drop(job)
-
-    def drop(self, job: ScheduledJob, but: ScheduledAttempt | None = None) -> None:
-        """Cancel the attempts that can no longer count, where the site lets us."""
-        for attempt in job.out():
-            if attempt is not but and self.limits.may_cancel and not job.streaming:
-                self.actions.append(m.CancelAttempt(job.id, attempt.number))
-
-
-class Reach:
-    """The executors that may take a job, near ones first, drawn by size; and each key's home among them."""
-
-    def __init__(self, workers: Iterable[Endpoint], zone: str) -> None:
-        usable = list(workers)
-        self.near = [worker for worker in usable if worker.zone == zone]
-        self.far = [worker for worker in usable if worker.zone != zone]
-        if not self.near:
-            self.near, self.far = self.far, []
-        self.near_sums = list(accumulate(worker.weight for worker in self.near))
-        self.far_sums = list(accumulate(worker.weight for worker in self.far))
-        self.homes: dict[str, list[Endpoint]] = {}
-
-    def sample(self, rng: random.Random, near: int, far: int) -> list[Endpoint]:
-        """A few executors, each as likely as it is large."""
-        drawn = rng.choices(self.near, cum_weights=self.near_sums, k=near) if self.near else []
-        return drawn + (rng.choices(self.far, cum_weights=self.far_sums, k=far) if self.far else [])
-
-    def home(self, key: str) -> list[Endpoint]:
-        """A key's executors, near or far, in an order that all nodes with the same list share."""
-        if not key:
-            return []
-        if key not in self.homes:
-            if len(self.homes) >= MOST_KEYS:
-                self.homes.clear()
-            mark = crc32(key.encode())
-
-            def order(worker: Endpoint) -> float:
-                # Rendezvous hashing by weight: a change of the list moves no more keys than it must.
-                return ((mark ^ worker.mark) * 2654435761 % 2**32) / worker.weight
-
-            # In all zones: homes of each zone's own made every zone fetch every key, and filled the store.
-            self.homes[key] = sorted(self.near + self.far, key=order)
-        return self.homes[key]
-
-
-class EndpointList:
-    """The list of executors, the subscription to it, and the budgets of cold ones."""
-
-    def __init__(self, settings: m.Settings, rng: random.Random) -> None:
-        self.settings, self.rules, self.rng = settings, settings.rules, rng
-        self.workers: dict[str, Endpoint] = {}
-        self.failures, self.size, self.live, self.most = 0, 0.0, list[Endpoint](), 1
-        self.cost = 1.0  # what a job takes on average: its work times its slots
-        # Work a ms, in jobs, that the fleet is there for: what its tenants may send together.
-        self.planned = sum(tenant.quota_per_second for tenant in settings.tenants) / 1000.0
-        self.caution = max(CAUTION, 0.5 - 0.005 * settings.node_count)  # few nodes save up and owe little
-        self.yielded = False  # whether this node's part of the budgets is another process's now
-        self._reach: dict[str | None, Reach] = {}
-
-    def update(self, event: m.EndpointListUpdate) -> None:
-        """Take in a list. Rule 3 is kept at once: what is not listed as live gets nothing new."""
-        self.failures = 0
-        if event.kind is not m.ListKind.DELTA:
-            listed = {entry.endpoint for entry in event.entries}
-            for name in [name for name in self.workers if name not in listed]:
-                self.workers.pop(name).live = False
-        for entry in event.entries:
-            known = self.workers.get(entry.endpoint)
-            if known is not None:
-                known.live = entry.state is m.EndpointState.LIVE
-                known.weight = max(entry.weight, 1e-3)
-                if entry.started_at == known.entry.started_at and entry.state is not m.EndpointState.GONE:
-                    continue
-                # A restarted process holds nothing of ours: what was learnt of the old one is void.
-                self.workers.pop(entry.endpoint).live = False
-            if entry.state is not m.EndpointState.GONE:
-                self.workers[entry.endpoint] = worker = Endpoint(entry)
-                worker.turn = self._turn(worker.mark)
-        self._reach.clear()
-        self.live = [worker for worker in self.workers.values() if worker.live]
-        self.size = sum(worker.weight for worker in self.live)
-        self.most = max(self.most, len(self.live))  # those that are lost leave their part to nobody
-
-    def _turn(self, mark: int) -> int:
-        """This node's place in an executor's own order of all nodes, which is the same at each of them."""
-        nodes, me = self.settings.node_count, self.settings.node_index
-        step = mark // nodes % nodes
-        while math.gcd(step, nodes) != 1:
-            step += 1
-        return self.rng.randrange(nodes) if me is None else (me * step + mark) % nodes
-
-    def reach(self, kind: str | None) -> Reach:
-        """The executors for jobs that need this kind (None: any)."""
-        if kind not in self._reach:
-            workers = (worker for worker in self.live if kind in (None, worker.kind))
-            self._reach[kind] = Reach(workers, self.settings.zone)
-        return self._reach[kind]
-
-    def next_call(self, failed: bool) -> float:
-        """How long to wait before subscribing: spread over the nodes, longer after each failure."""
-        self.failures += failed
-        step = 0.1 * self.rules.poll_interval_ms * 2.0 ** min(max(self.failures - 1, 0), 3)
-        return step * (self.rng.uniform(0.5, 1.5) if failed else self.rng.uniform(0.0, 4.0))
-
-    def warmth(self, worker: Endpoint, now: float) -> float:
-        """The share of its capacity that an executor has at least."""
-        age = now - worker.entry.started_at
-        if worker.entry.started_at <= 0.0 or age >= self.rules.slow_start_ms:
-            return 1.0
-        low = self.rules.initial_capacity
-        return low + (1.0 - low) * max(0.0, age) / self.rules.slow_start_ms
-
-    def part(self, worker: Endpoint, book: EndpointStatistics, now: float) -> tuple[float, float]:
-        """Jobs of mean cost that a cold executor bears within a window, and those that this node may send.
-
-        Its part of what tenants may send together, or what starts promptly on warm ones: docs/design.md.
-        """
-        cost, pace = self.cost, book.kind(worker.kind, now)
-        faster = max(0.5, min(1.5, book.fleet_slow.read(now, SKILL_HALF, 1.0) / pace))
-        able = self.planned * cost / self.most * faster
-        if not self.planned:
-            peers = (each for each in self.live if each.kind == worker.kind)
-            able = min((each.room for each in peers if self.warmth(each, now) >= 1.0), default=0.0) / pace
-        able = self.rules.overload_multiple * max(worker.weight, able) * self.warmth(worker, now)
-        budget = able * self.rules.overload_window_ms / cost
-        rounds, rest = divmod(self.caution * budget, self.settings.node_count)
-        return budget, 0.0 if self.yielded else rounds + max(0.0, min(1.0, rest - worker.turn))
-
-    def lent(self, book: EndpointStatistics, now: float) -> list[Endpoint]:
-        """The cold executors dealt to this node and to less than a tenth of all: few look at them."""
-        cold = (each for each in self.live if self.warmth(each, now) < 1.0)
-        parts = ((each, *self.part(each, book, now)) for each in cold)
-        return [each for each, all_, own in parts if own > 0.0 and 3.0 * all_ < self.settings.node_count]
-
-    def cold_allows(self, worker: Endpoint, cost: float, book: EndpointStatistics, now: float) -> bool:
-        """Rule 4, summed over all nodes: each saves up one job at most, and owes one at most."""
-        budget, part = self.part(worker, book, now)
-        gained = part * (now - worker.credit_at) / self.rules.overload_window_ms
-        worker.credit, worker.credit_at = min(1.0, worker.credit + gained), now
-        jobs = cost / self.cost
-        return part > 0.0 and jobs <= min(LARGE, 0.5 * budget) and worker.credit >= min(1.0, jobs)
+_FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE)
 
 
 class Dispatcher:
     """The decisions of one node. `handle` takes the events of one moment and returns the actions."""
 
-    def __init__(self, settings: m.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         self.settings, self.limits = settings, settings.limits
         self.rng = random.Random(seed)
-        self.actions: list[m.Action] = []
+        self.actions: list[Action] = []
         self.gate = Gate(settings, self.actions)
         self.book = EndpointStatistics(settings.tick_ms)
         self.members = EndpointList(settings, self.rng)
@@ -343,12 +113,12 @@
         )
         self.logged_at: dict[str, float] = {}
         self.handlers: dict[type, Callable[[Any, float], None]] = {
-            m.EndpointListUpdate: self._listed, m.JobRequest: self._arrived, m.AttemptStarted: self._started,
-            m.AttemptProgressed: self._progressed, m.ResponseStarted: self._opened, m.AttemptEnded: self._ended,
-            m.ClientDisconnected: self._left, m.HandoverChanged: self._yielded,
+            EndpointListUpdate: self._listed, JobRequest: self._arrived, AttemptStarted: self._started,
+            AttemptProgressed: self._progressed, ResponseStarted: self._opened, AttemptEnded: self._ended,
+            ClientDisconnected: self._left, HandoverChanged: self._yielded,
         }  # fmt: skip
 
-    def handle(self, now: float, events: Iterable[m.Event]) -> list[m.Action]:
+    def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         """Take in what happened at `now` and decide."""
         self.actions.clear()
         for event in events:
@@ -358,6 +128,25 @@
         self._due(now)
         return list(self.actions)
 
+    def warm_capacity(self, now: float) -> float:
+        """Slots that endpoints past their slow start, with no overdue attempt, are known to have."""
+        members = self.members
+        return sum(
+            worker.room
+            for worker in members.workers.values()
+            if worker.live and not worker.overdue and members.warmth(worker, now) >= 1.0
+        )
+
+    @property
+    def slots_in_flight(self) -> float:
+        """Slots that this node's attempts hold."""
+        return self.held
+
+    @property
+    def slots_queued(self) -> float:
+        """Slots that the jobs in the queue ask for."""
+        return sum(job.slots for job in self.waiting.values())
+
     def _schedule(self, at: float, job: ScheduledJob | None) -> None:
         self.entries += 1
         heapq.heappush(self.agenda, (at, self.entries, job))
@@ -368,7 +157,7 @@
         while self.agenda and self.agenda[0][0] <= now:
             at, _, job = heapq.heappop(self.agenda)
             if job is None:
-                self.actions.append(m.WatchEndpoints())
+                self.actions.append(WatchEndpoints())
             elif at == job.check_at:
                 self._check(job, now)
         if self.round_at <= now:
@@ -376,25 +165,25 @@
         wake = min([self.round_at] + [entry[0] for entry in self.agenda[:1]])
         if wake < self.timer_at:
             self.timer_at = wake
-            self.actions.append(m.SetTimer(max(wake - now, 0.0), 0))
+            self.actions.append(SetTimer(max(wake - now, 0.0), 0))
 
     def _say(self, what: str, now: float) -> None:
         if now >= self.logged_at.get(what, -math.inf) + 10_000.0:  # not once per job
             self.logged_at[what] = now
-            self.actions.append(m.LogWarning(what))
+            self.actions.append(LogWarning(what))
 
-    def _listed(self, event: m.EndpointListUpdate, now: float) -> None:
-        failed = event.kind is m.ListKind.FAILED
-        if self.settings.must_poll and (failed or event.kind is m.ListKind.CACHED):
+    def _listed(self, event: EndpointListUpdate, now: float) -> None:
+        failed = event.kind is ListKind.FAILED
+        if self.settings.must_poll and (failed or event.kind is ListKind.CACHED):
             self._schedule(now + self.members.next_call(failed), None)
         if not failed:
             self.members.update(event)
             self.wards_at = 0.0
 
-    def _yielded(self, event: m.HandoverChanged, _now: float) -> None:
+    def _yielded(self, event: HandoverChanged, _now: float) -> None:
         self.members.yielded = event.is_handed_over
 
-    def _arrived(self, event: m.JobRequest, now: float) -> None:
+    def _arrived(self, event: JobRequest, now: float) -> None:
         job_class = self.classes.get(event.job_class) or self.settings.classes[0]
         work = event.work_ms
         if not 0.0 < work < math.inf:
@@ -532,11 +321,11 @@
         """
         if worker.faults < FAULTS:
             return not (
-                worker.faults and self.wary and job.job_class.idempotency is m.Idempotency.NON_IDEMPOTENT
+                worker.faults and self.wary and job.job_class.idempotency is Idempotency.NON_IDEMPOTENT
             )
         if not self.strict:
             return True
-        harmless = job.job_class.idempotency is m.Idempotency.IDEMPOTENT
+        harmless = job.job_class.idempotency is Idempotency.IDEMPOTENT
         return harmless and worker.slots <= 0.0 and now >= worker.test_at
 
     def _open(self, job: ScheduledJob, drawn: list[Endpoint], now: float) -> Iterator[Endpoint]:
@@ -672,7 +461,7 @@
                 # had, from executors that tell nothing. What is moved may run there all the same.
                 pays = self.book.promptness.read(now, SKILL_HALF, 1.0) * self.limits.max_attempts > 1.0
                 mute = attempt.worker.heard < now - MUTE and self.moves >= 1.0
-                if pays and mute and job.job_class.idempotency is m.Idempotency.IDEMPOTENT:
+                if pays and mute and job.job_class.idempotency is Idempotency.IDEMPOTENT:
                     self.moves -= 1.0
                     self._move(job, attempt, now)
             else:
@@ -688,15 +477,15 @@
             spent
             or job.waiting
             or not self.limits.may_cancel
-            or job.job_class.idempotency is m.Idempotency.NON_IDEMPOTENT
+            or job.job_class.idempotency is Idempotency.NON_IDEMPOTENT
         ):
             return
         if not self.limits.may_hedge:
-            self.actions.append(m.CancelAttempt(job.id, attempt.number))
+            self.actions.append(CancelAttempt(job.id, attempt.number))
         elif len(job.out()) == 1:
             self._wait(job, now, 1.0)
 
-    def _started(self, event: m.AttemptStarted, now: float) -> None:
+    def _started(self, event: AttemptStarted, now: float) -> None:
         found = self._attempt(event.id, event.attempt)
         if found is None:
             return
@@ -712,7 +501,7 @@
             job.waiting = False
             self.gate.drop(job, but=attempt)
 
-    def _progressed(self, event: m.AttemptProgressed, now: float) -> None:
+    def _progressed(self, event: AttemptProgressed, now: float) -> None:
         found = self._attempt(event.id, event.attempt)
         if found is None:
             return
@@ -730,14 +519,14 @@
         if len(self.fresh) > SAMPLE:
             del self.fresh[next(iter(self.fresh))]
 
-    def _ended(self, event: m.AttemptEnded, now: float) -> None:
+    def _ended(self, event: AttemptEnded, now: float) -> None:
         found = self._attempt(event.id, event.attempt)
         if found is None:
             return
         job, attempt = found
         worker = attempt.worker
         attempt.ended = event.outcome
-        if event.outcome is m.Outcome.SERVED:
+        if event.outcome is Outcome.SERVED:
             worker.heard = now
         if attempt.overdue:
             self.book.learn_delay(worker, now - attempt.sent, now, started=False)
@@ -755,13 +544,13 @@
 
     def _learn(self, job: ScheduledJob, attempt: ScheduledAttempt, elapsed: float, now: float) -> None:
         worker, outcome = attempt.worker, attempt.ended
-        mute = outcome in (m.Outcome.CANCELLED, m.Outcome.TIMEOUT) and worker.heard < attempt.sent
-        if outcome is m.Outcome.SERVED:
+        mute = outcome in (Outcome.CANCELLED, Outcome.TIMEOUT) and worker.heard < attempt.sent
+        if outcome is Outcome.SERVED:
             worker.faults = 0
         elif outcome in _FAULTS or (mute and now - attempt.sent > TEST_AFTER):
             worker.faults += 1
             worker.test_at = now + TEST_AFTER * 2.0 ** max(0, min(worker.faults - FAULTS, 4))
-        if outcome is m.Outcome.SERVED:
+        if outcome is Outcome.SERVED:
             self.book.learn_finish(job.job_class.name, attempt.expected, now - attempt.sent, now)
             if not job.done:
                 part = 1.0 if now <= job.aim_at else job.job_class.late_fraction
@@ -780,7 +569,7 @@
                 self._freed(worker)
         elif outcome in _FAULTS:
             self.book.learn_clean(worker, False, now)
-        elif outcome is m.Outcome.OVERLOADED:
+        elif outcome is Outcome.OVERLOADED:
             worker.delay.add(now, self.book.pace(now), self.book.pace(now), 2.0)
             worker.room = max(1.0, 0.9 * worker.room)
             self.fresh.pop(worker, None)
@@ -796,11 +585,11 @@
         else:
             self._give_up(job, now)
 
-    def _opened(self, event: m.ResponseStarted, _now: float) -> None:
+    def _opened(self, event: ResponseStarted, _now: float) -> None:
         if event.id in self.jobs:
             self.jobs[event.id].streaming = True
 
-    def _left(self, event: m.ClientDisconnected, _now: float) -> None:
+    def _left(self, event: ClientDisconnected, _now: float) -> None:
         job = self.jobs.get(event.id)
         if job is not None:
             self.gate.close(job)
--- a/burlmoor/model/audit.py
+++ b/burlmoor/simulation/audit.py
@@ -5,10 +5,11 @@
 import math
 from collections import defaultdict
 
-from burlmoor import core as c
-from burlmoor import messages as m
-from burlmoor.model.world import DROPPED, ClientRecord, ExecutorRecord, SimulatedCluster
-from burlmoor.rig.machine import most_calls
+from burlmoor.engine.answers import Rejected, Served
+from burlmoor.simulation.cluster import DROPPED, ClientRecord, ExecutorRecord, SimulatedCluster
+from burlmoor.testbed.executor_model import most_calls
+from burlmoor.types.endpoint_list import EndpointState
+from burlmoor.types.settings import DeduplicationScope, Idempotency, JobClass, Limits
 
 GONE, FEW = 100.0, 2  # ms in which an attempt may still begin once its client has left; so many may be later
 SLACK = 50.0  # ms beyond each limit, as on sockets
@@ -38,7 +39,7 @@
     broken = []
     if at > row.sent + row.patience + world.town.settings.rules.response_slack_ms + SLACK:
         broken.append(f"{row.id}: answered {at - row.sent - row.patience:.0f} ms late")
-    if isinstance(answer, c.Served):
+    if isinstance(answer, Served):
         makers = {f"{row.id}@{each.executor}".encode() for each in attempts if each.began is not None}
         if answer.body not in makers and not (answer.body == DROPPED and makers):
             broken.append(f"{row.id}: served with what no executor made: {answer.body!r}")
@@ -53,7 +54,7 @@
 
 
 def _repeated(
-    limits: m.Limits, given: m.JobClass, row: ClientRecord, attempts: list[ExecutorRecord]
+    limits: Limits, given: JobClass, row: ClientRecord, attempts: list[ExecutorRecord]
 ) -> list[str]:
     broken = []
     if len(attempts) > limits.max_attempts:
@@ -63,25 +64,25 @@
         out = sum(each.known_at > attempt.sent for each in attempts[:number])
         if out > limits.may_hedge:
             broken.append(f"{row.id}: {out + 1} attempts out at once")
-        if not risky or given.idempotency is m.Idempotency.IDEMPOTENT:
+        if not risky or given.idempotency is Idempotency.IDEMPOTENT:
             continue
-        if given.idempotency is m.Idempotency.NON_IDEMPOTENT:
+        if given.idempotency is Idempotency.NON_IDEMPOTENT:
             broken.append(f"{row.id}: sent again though it may have run")
             continue
         first = risky[0]
-        near = given.deduplication_scope is m.DeduplicationScope.ALL or first.zone == attempt.zone
-        if given.deduplication_scope is m.DeduplicationScope.CELL:
+        near = given.deduplication_scope is DeduplicationScope.ALL or first.zone == attempt.zone
+        if given.deduplication_scope is DeduplicationScope.CELL:
             near = near and first.cell == attempt.cell
         if not near or attempt.sent > first.sent + given.deduplication_window_ms:
             broken.append(f"{row.id}: a keyed job was sent again out of its group or its time")
     runs = sum(each.began is not None for each in attempts)
-    if given.idempotency is m.Idempotency.NON_IDEMPOTENT and runs > 1:
+    if given.idempotency is Idempotency.NON_IDEMPOTENT and runs > 1:
         broken.append(f"{row.id}: ran {runs} times")
-    harmless = given.idempotency is m.Idempotency.IDEMPOTENT or (
-        given.idempotency is m.Idempotency.IDEMPOTENT_WITH_KEY
-        and given.deduplication_scope is m.DeduplicationScope.ALL
+    harmless = given.idempotency is Idempotency.IDEMPOTENT or (
+        given.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and given.deduplication_scope is DeduplicationScope.ALL
     )
-    refused = [at for at, answer in row.answers if isinstance(answer, c.Rejected)]
+    refused = [at for at, answer in row.answers if isinstance(answer, Rejected)]
     if refused and not harmless and _risky(attempts, refused[0]):
         broken.append(f"{row.id}: refused though it may have run")
     return broken
@@ -89,7 +90,7 @@
 
 def _drained(world: SimulatedCluster) -> list[str]:
     """Sends to executors that their node had been told to leave alone."""
-    told: dict[tuple[int, str], list[tuple[float, m.EndpointState]]] = defaultdict(list)
+    told: dict[tuple[int, str], list[tuple[float, EndpointState]]] = defaultdict(list)
     for at, node, name, state, _ in world.told:
         told[node, name].append((at, state))
     broken = []
@@ -98,7 +99,7 @@
         for at, state in told[attempt.node, attempt.executor]:
             if at > attempt.sent:
                 break
-            since = math.inf if state is m.EndpointState.LIVE else min(since, at)
+            since = math.inf if state is EndpointState.LIVE else min(since, at)
         if attempt.sent > since + world.town.settings.rules.drain_grace_ms + SLACK:
             broken.append(
                 f"{attempt.id}: sent to {attempt.executor}, which node {attempt.node} knew had left"
--- a/burlmoor/model/world.py
+++ b/burlmoor/simulation/cluster.py
@@ -1,7 +1,7 @@
 """A town of nodes, executors, clients and a list, on one event queue with a virtual clock.
 
-Nodes are the shipped `Core` with its `Dispatcher`; executors are `rig/machine.py`. What the sockets of
-a real node would tell is told here as outcomes, by the protocol's table. Everything is drawn from one
+Nodes are the shipped `Engine` with its `Dispatcher`; executors are `testbed/executor_model.py`. What the
+sockets of a real node would tell is told here as outcomes, by the protocol's table. Everything is drawn from one
 seed, and the same seed plays the same town. Times are ms. What the far sides saw stands in `Asked` and
 `Attempt`; `audit.py` judges it.
 """
@@ -15,9 +15,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from burlmoor import core as c
-from burlmoor import messages as m
-from burlmoor.rig.machine import Machine, Note, Spec
+from burlmoor.engine.answers import FinalAnswer
+from burlmoor.engine.engine import Engine
+from burlmoor.engine.job import Attempt, Job
+from burlmoor.testbed.executor_model import Machine, Note, Spec
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+from burlmoor.types.events import JobRequest
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import DeduplicationScope, Idempotency, Settings
 
 DROPPED = b"dropped"  # stands for the answer to a repeat that executors knew by its key
 
@@ -29,7 +34,7 @@
 class ClusterSpec:
     """What a town is made of."""
 
-    settings: m.Settings
+    settings: Settings
     zones: tuple[str, ...] = ("a",)
     executors: int = 6
     spec: Spec = SPEC
@@ -52,7 +57,7 @@
     patience: float
     work: float
     node: int
-    answers: list[tuple[float, c.FinalAnswer]] = field(default_factory=list)
+    answers: list[tuple[float, FinalAnswer]] = field(default_factory=list)
     died: bool = False  # its node was killed: nobody owes it anything
     left: float = math.inf  # when its client closed its connection
 
@@ -71,17 +76,17 @@
     start: float  # when that executor had started; 0: long ago
     life: int = 0  # of the node: what an earlier one sent is nothing to the next
     began: float | None = None
-    known: m.Outcome | None = None
+    known: Outcome | None = None
     known_at: float = math.inf
 
 
 @dataclass(slots=True)
 class _Stand:
-    entry: m.EndpointEntry
+    entry: EndpointEntry
     machine: Machine
     up: bool = True
     due: float = math.inf
-    holds: dict[str, tuple[ExecutorRecord, c.Attempt]] = field(default_factory=dict)
+    holds: dict[str, tuple[ExecutorRecord, Attempt]] = field(default_factory=dict)
 
 
 class SimulatedCluster:
@@ -92,7 +97,7 @@
         self.asked: dict[str, ClientRecord] = {}
         self.attempts: list[ExecutorRecord] = []
         # When, to which node, of whom; its state and start.
-        self.told: list[tuple[float, int, str, m.EndpointState, float]] = []
+        self.told: list[tuple[float, int, str, EndpointState, float]] = []
         self.faults: list[str] = []  # what nodes said of themselves that must not be
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
@@ -131,7 +136,7 @@
         self.asked[ref] = row
         key = f"k{self.rng.randrange(20)}"
         there.take(
-            row, m.JobRequest(0, job_class, given.deadline_ms, work * hint, tenant=tenant, affinity_key=key)
+            row, JobRequest(0, job_class, given.deadline_ms, work * hint, tenant=tenant, affinity_key=key)
         )
 
     def leave(self, ref: str) -> None:
@@ -144,7 +149,7 @@
 
     # --- the list -------------------------------------------------------------------------------
 
-    def entry(self, name: str) -> m.EndpointEntry:
+    def entry(self, name: str) -> EndpointEntry:
         """An executor as the list has it now."""
         stand = self.stands[name]
         cores = self.town.spec.cores
@@ -153,10 +158,10 @@
         )
         return stand.entry._replace(weight=weight)
 
-    def listed(self) -> list[m.EndpointEntry]:
+    def listed(self) -> list[EndpointEntry]:
         """The whole list: who has left is not on it."""
         entries = [self.entry(name) for name in self.stands]
-        return [entry for entry in entries if entry.state is not m.EndpointState.GONE]
+        return [entry for entry in entries if entry.state is not EndpointState.GONE]
 
     def change(self, *names: str) -> None:
         """Tell every node of these executors, each after a delay of its own."""
@@ -167,20 +172,18 @@
 
     def _start(self, name: str, zone: str, started: float) -> None:
         number = len(self.stands) if name not in self.stands else self.stands[name].entry.cell
-        entry = m.EndpointEntry(
-            name, zone=zone, cell=number // 3, kind=f"kind{number % 2}", started_at=started
-        )
+        entry = EndpointEntry(name, zone=zone, cell=number // 3, kind=f"kind{number % 2}", started_at=started)
         self.stands[name] = _Stand(entry, Machine(self.town.spec, self.now, cold=started > 0.0))
 
     def drain(self, name: str, for_: float) -> None:
         """An executor wants nothing new, finishes what it has, and is gone after a while."""
         stand = self.stands[name]
-        if not stand.up or stand.entry.state is not m.EndpointState.LIVE:
+        if not stand.up or stand.entry.state is not EndpointState.LIVE:
             return
-        stand.entry = stand.entry._replace(state=m.EndpointState.DRAINING)
+        stand.entry = stand.entry._replace(state=EndpointState.DRAINING)
         self.change(name)
         for job in stand.machine.hand_back(self.now):
-            self._end(stand, job, m.Outcome.OVERLOADED)
+            self._end(stand, job, Outcome.OVERLOADED)
         self.at(self.now + for_, lambda: self.kill(name))
 
     def kill(self, name: str, again: float = 0.0) -> None:
@@ -189,9 +192,9 @@
         if not stand.up:
             return
         stand.up = False
-        stand.entry = stand.entry._replace(state=m.EndpointState.GONE)
+        stand.entry = stand.entry._replace(state=EndpointState.GONE)
         for job in list(stand.holds):
-            self._end(stand, job, m.Outcome.RESET)
+            self._end(stand, job, Outcome.RESET)
         stand.due = math.inf
         self.change(name)
         if again > 0.0:
@@ -217,33 +220,33 @@
 
     # --- executors ------------------------------------------------------------------------------
 
-    def deliver(self, forward: c.Attempt, attempt: ExecutorRecord) -> None:
+    def deliver(self, forward: Attempt, attempt: ExecutorRecord) -> None:
         """A forward's last byte reaches its executor."""
         stand, row = self.stands[forward.endpoint], self.asked[forward.job.id]
         if not stand.up:
-            self.tell(forward, attempt, m.Outcome.UNREACHABLE)
+            self.tell(forward, attempt, Outcome.UNREACHABLE)
             return
         if self._seen(row, attempt):
-            self.tell(forward, attempt, m.Outcome.SERVED, DROPPED)
+            self.tell(forward, attempt, Outcome.SERVED, DROPPED)
             return
-        draining = stand.entry.state is not m.EndpointState.LIVE
+        draining = stand.entry.state is not EndpointState.LIVE
         if draining or not stand.machine.offer(self.now, row.id, row.work):
-            self.tell(forward, attempt, m.Outcome.OVERLOADED)
+            self.tell(forward, attempt, Outcome.OVERLOADED)
             return
         stand.holds[row.id] = attempt, forward
         if self.rng.random() < self.town.reset:
-            self.tell(forward, attempt, m.Outcome.RESET)
+            self.tell(forward, attempt, Outcome.RESET)
         self.look(stand)
 
     def _seen(self, row: ClientRecord, attempt: ExecutorRecord) -> bool:
         """Whether executors that drop repeats together have begun this keyed job before."""
         given = next(each for each in self.town.settings.classes if each.name == row.job_class)
-        if given.idempotency is not m.Idempotency.IDEMPOTENT_WITH_KEY:
+        if given.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return False
-        near: dict[m.DeduplicationScope, Callable[[ExecutorRecord], bool]] = {
-            m.DeduplicationScope.ALL: lambda _: True,
-            m.DeduplicationScope.ZONE: lambda each: each.zone == attempt.zone,
-            m.DeduplicationScope.CELL: lambda each: each.zone == attempt.zone and each.cell == attempt.cell,
+        near: dict[DeduplicationScope, Callable[[ExecutorRecord], bool]] = {
+            DeduplicationScope.ALL: lambda _: True,
+            DeduplicationScope.ZONE: lambda each: each.zone == attempt.zone,
+            DeduplicationScope.CELL: lambda each: each.zone == attempt.zone and each.cell == attempt.cell,
         }
         return any(
             each.began is not None
@@ -253,7 +256,7 @@
             for each in self.attempts
         )
 
-    def give_up(self, forward: c.Attempt) -> None:
+    def give_up(self, forward: Attempt) -> None:
         """A node waits for this forward no longer."""
         stand = self.stands[forward.endpoint]
         if forward.job.id in stand.holds and self.town.cancels != "none":
@@ -281,7 +284,7 @@
         if attempt is None or forward is None:
             return
         if note.state == "done":
-            self._end(stand, note.job, m.Outcome.SERVED)
+            self._end(stand, note.job, Outcome.SERVED)
         elif note.state == "started":
             attempt.began = self.now
             if self.town.settings.reports_start:
@@ -289,28 +292,28 @@
         elif self.town.settings.progress_interval_ms > 0.0:
             self._tell_node(attempt, lambda core: core.on_attempt_progressed(forward, note.share))
 
-    def _end(self, stand: _Stand, job: str, outcome: m.Outcome) -> None:
+    def _end(self, stand: _Stand, job: str, outcome: Outcome) -> None:
         held = stand.holds.pop(job, None)
         if held is None:
             return
         attempt, forward = held
-        if outcome is not m.Outcome.SERVED or self.rng.random() >= self.town.lost:
-            result = f"{job}@{attempt.executor}".encode() if outcome is m.Outcome.SERVED else None
+        if outcome is not Outcome.SERVED or self.rng.random() >= self.town.lost:
+            result = f"{job}@{attempt.executor}".encode() if outcome is Outcome.SERVED else None
             self.tell(forward, attempt, outcome, result)
 
     def tell(
-        self, forward: c.Attempt, attempt: ExecutorRecord, outcome: m.Outcome, result: bytes | None = None
+        self, forward: Attempt, attempt: ExecutorRecord, outcome: Outcome, result: bytes | None = None
     ) -> None:
         """A node hears how a forward ended, if it lives and still waits for it."""
 
-        def then(core: c.Engine) -> None:
+        def then(core: Engine) -> None:
             if attempt.known is None:
                 attempt.known, attempt.known_at = outcome, self.now
             core.on_attempt_ended(forward, outcome, result)
 
         self._tell_node(attempt, then)
 
-    def _tell_node(self, attempt: ExecutorRecord, what: Callable[[c.Engine], None]) -> None:
+    def _tell_node(self, attempt: ExecutorRecord, what: Callable[[Engine], None]) -> None:
         node = self.nodes[attempt.node]
 
         def then() -> None:
@@ -326,14 +329,14 @@
     def __init__(self, world: SimulatedCluster, number: int, life: int) -> None:
         self.world, self.number, self.life, self.alive = world, number, life, True
         self._planned = math.inf
-        self.jobs: dict[str, c.Job] = {}
+        self.jobs: dict[str, Job] = {}
         seed = hash((world._seed, number, life)) & 0xFFFF
         zone = world.town.zones[number % len(world.town.zones)]
         given = replace(world.town.settings, node_index=number, zone=zone)
-        self.core = c.Engine(given, seed, lambda: world.now, self._say, self._wake)
+        self.core = Engine(given, seed, lambda: world.now, self._say, self._wake)
         self.core.upstream = self
         self.core.discovery = self
-        self.hear(world.listed(), m.ListKind.CACHED)
+        self.hear(world.listed(), ListKind.CACHED)
 
     def _say(self, event: str, **fields: Any) -> None:
         if event in ("policy-failed", "action-failed", "answered-at-deadline"):
@@ -352,24 +355,24 @@
             self._planned = due
             self.world.at(due, self._step)
 
-    def hear(self, entries: list[m.EndpointEntry], form: m.ListKind = m.ListKind.DELTA) -> None:
+    def hear(self, entries: list[EndpointEntry], form: ListKind = ListKind.DELTA) -> None:
         """The list, or changes to it, reaches this node."""
         if not self.alive:
             return
         told = {entry.endpoint: (entry.state, entry.started_at) for entry in entries}
-        if form is not m.ListKind.DELTA:
-            told = {**{name: (m.EndpointState.GONE, 0.0) for name in self.world.stands}, **told}
+        if form is not ListKind.DELTA:
+            told = {**{name: (EndpointState.GONE, 0.0) for name in self.world.stands}, **told}
         for name, (state, started) in told.items():
             self.world.told.append((self.world.now, self.number, name, state, started))
         self.core.on_endpoint_list(form, entries)
         self._wake()
 
-    def take(self, row: ClientRecord, request: m.JobRequest) -> None:
+    def take(self, row: ClientRecord, request: JobRequest) -> None:
         """A client's job comes in."""
         world = self.world
 
         class Client:
-            def respond(self, answer: c.FinalAnswer) -> None:
+            def respond(self, answer: FinalAnswer) -> None:
                 row.answers.append((world.now, answer))
 
         job = self.core.admit(Client(), row.id, request, None)
@@ -379,24 +382,24 @@
 
     # --- what the core asks of its sockets ------------------------------------------------------
 
-    def start_attempt(self, forward: c.Attempt) -> None:
+    def start_attempt(self, forward: Attempt) -> None:
         """Start a forward: on its way for as long as the network takes."""
         world = self.world
         stand, row = world.stands[forward.endpoint], world.asked[forward.job.id]
         entry = stand.entry
         attempt = ExecutorRecord(
-            row.id, entry.endpoint, entry.zone, entry.cell, self.number, world.now, row.work, entry.started_at,
-            self.life,
+            row.id, entry.endpoint, entry.zone, entry.cell, self.number, world.now, row.work,
+            entry.started_at, self.life,
         )  # fmt: skip
         world.attempts.append(attempt)
         world.at(world.now + world.town.net, lambda: world.deliver(forward, attempt))
 
-    def cancel_attempt(self, forward: c.Attempt) -> None:
+    def cancel_attempt(self, forward: Attempt) -> None:
         """Give a forward up."""
         for attempt in reversed(self.world.attempts):
             if attempt.id == forward.job.id and attempt.executor == forward.endpoint:
                 if attempt.known is None:
-                    attempt.known, attempt.known_at = forward.outcome or m.Outcome.CANCELLED, self.world.now
+                    attempt.known, attempt.known_at = forward.outcome or Outcome.CANCELLED, self.world.now
                 break
         self.world.at(self.world.now + self.world.town.net, lambda: self.world.give_up(forward))
         self.world.at(
@@ -405,7 +408,7 @@
 
     def check_health(self, target: str) -> None:
         """Look at an executor."""
-        outcome = m.Outcome.SERVED if self.world.stands[target].up else m.Outcome.UNREACHABLE
+        outcome = Outcome.SERVED if self.world.stands[target].up else Outcome.UNREACHABLE
         self.world.at(
             self.world.now + 2.0 * self.world.town.net,
             lambda: self.core.on_health_checked(target, outcome, 4.0),
@@ -415,7 +418,7 @@
         """Changes are told in any case; the call is answered with the list."""
         world = self.world
         entries = world.listed()
-        world.at(world.now + world.town.list_delay[0], lambda: self.hear(entries, m.ListKind.SNAPSHOT))
+        world.at(world.now + world.town.list_delay[0], lambda: self.hear(entries, ListKind.SNAPSHOT))
 
     def fetch(self) -> None:
         """Ask once for the whole list."""
--- a/burlmoor/model/gossip.py
+++ b/burlmoor/simulation/gossip.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from burlmoor.membership.facts import Address, MemberStatus
+from burlmoor.membership.codec import MAX_DATAGRAM_BYTES, decode, encode
+from burlmoor.membership.member import Address, MemberStatus
 from burlmoor.membership.swim import Datagram, Membership
-from burlmoor.membership.wire import MAX_DATAGRAM_BYTES, decode, encode
 
 STEP = 0.05
 
--- a/burlmoor/simhost.py
+++ b/burlmoor/simulator_adapter.py
@@ -10,28 +10,53 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from burlmoor import messages as m
-from burlmoor.decide import Dispatcher
-from burlmoor.settings import parse_settings
+from burlmoor.config.settings import parse_settings
+from burlmoor.policy.dispatcher import Dispatcher
+from burlmoor.types.actions import (
+    CancelAttempt,
+    CheckHealth,
+    FailJob,
+    FetchEndpoints,
+    LogWarning,
+    RejectJob,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+from burlmoor.types.events import (
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    HealthChecked,
+    JobRequest,
+    PeerMessageReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from burlmoor.types.outcome import Outcome
 
 Row = list[Any]
 
 _OUTCOMES = {
-    "served": m.Outcome.SERVED,
-    "server_error": m.Outcome.ERROR,
-    "turned_away": m.Outcome.OVERLOADED,
-    "no_answer": m.Outcome.TIMEOUT,
-    "no_connection": m.Outcome.UNREACHABLE,
-    "connection_lost": m.Outcome.RESET,
-    "called_off": m.Outcome.CANCELLED,
-    "not_sent": m.Outcome.UNSENT,
+    "served": Outcome.SERVED,
+    "server_error": Outcome.ERROR,
+    "turned_away": Outcome.OVERLOADED,
+    "no_answer": Outcome.TIMEOUT,
+    "no_connection": Outcome.UNREACHABLE,
+    "connection_lost": Outcome.RESET,
+    "called_off": Outcome.CANCELLED,
+    "not_sent": Outcome.UNSENT,
 }
-_STATES = {"live": m.EndpointState.LIVE, "quiescing": m.EndpointState.DRAINING, "dead": m.EndpointState.GONE}
+_STATES = {"live": EndpointState.LIVE, "quiescing": EndpointState.DRAINING, "dead": EndpointState.GONE}
 _FORMS = {
-    "diff": m.ListKind.DELTA,
-    "snapshot": m.ListKind.SNAPSHOT,
-    "disk": m.ListKind.CACHED,
-    "error": m.ListKind.FAILED,
+    "diff": ListKind.DELTA,
+    "snapshot": ListKind.SNAPSHOT,
+    "disk": ListKind.CACHED,
+    "error": ListKind.FAILED,
 }
 _HINT_VALID, _CLIENT_RETRY = 1, 2
 _STARTED, _PROGRESS = 1, 2
@@ -48,14 +73,14 @@
 # --- events -----------------------------------------------------------------------------------
 
 
-def _members(row: Row) -> m.Event | None:
+def _members(row: Row) -> Event | None:
     form = _FORMS.get(row[1])
     if form is None:
         return None
     entries = [
-        m.EndpointEntry(
+        EndpointEntry(
             endpoint=str(entry[6]),
-            state=_STATES.get(entry[0], m.EndpointState.GONE),
+            state=_STATES.get(entry[0], EndpointState.GONE),
             zone=str(entry[1] or ""),
             weight=1.0 if entry[2] is None else float(entry[2]),
             cell=int(entry[3] or 0),
@@ -64,13 +89,13 @@
         )
         for entry in _at(row, 3) or ()
     ]
-    return m.EndpointListUpdate(form, entries)
+    return EndpointListUpdate(form, entries)
 
 
-def _request(row: Row) -> m.Event | None:
+def _request(row: Row) -> Event | None:
     _, ref, job_class, slots, memory, patience, work, tenant, key, marks = (row + [None] * 9)[:10]
     flags = int(marks or 0)
-    return m.JobRequest(
+    return JobRequest(
         id=int(ref),
         job_class=str(job_class),
         timeout_ms=float(patience or 0.0),
@@ -83,52 +108,52 @@
     )
 
 
-def _note(row: Row) -> m.Event | None:
+def _note(row: Row) -> Event | None:
     _, ref, what, executor, value, attempt = (row + [None] * 5)[:6]
     if what == _STARTED:
-        return m.AttemptStarted(int(ref), int(attempt or 0), str(executor))
+        return AttemptStarted(int(ref), int(attempt or 0), str(executor))
     if what == _PROGRESS:
-        return m.AttemptProgressed(int(ref), int(attempt or 0), str(executor), float(value or 0.0))
+        return AttemptProgressed(int(ref), int(attempt or 0), str(executor), float(value or 0.0))
     return None
 
 
-def _settled(row: Row) -> m.Event | None:
+def _settled(row: Row) -> Event | None:
     _, ref, elapsed, how, _note_value, attempt, closed, executor = (row + [None] * 7)[:8]
-    outcome = _OUTCOMES.get(how, m.Outcome.ERROR)
-    return m.AttemptEnded(
+    outcome = _OUTCOMES.get(how, Outcome.ERROR)
+    return AttemptEnded(
         int(ref), int(attempt or 0), str(executor), outcome, float(elapsed or 0.0), bool(closed)
     )
 
 
-def _health(row: Row) -> m.Event | None:
-    return m.HealthChecked(str(row[1]), _OUTCOMES.get(row[2], m.Outcome.ERROR), float(_at(row, 3) or 0.0))
+def _health(row: Row) -> Event | None:
+    return HealthChecked(str(row[1]), _OUTCOMES.get(row[2], Outcome.ERROR), float(_at(row, 3) or 0.0))
 
 
-_EVENTS: dict[str, Callable[[Row], m.Event | None]] = {
+_EVENTS: dict[str, Callable[[Row], Event | None]] = {
     "Registry": _members,
     "Knock": _request,
-    "UnderWay": lambda row: m.ResponseStarted(int(row[1]), int(_at(row, 3) or 0), str(_at(row, 4))),
+    "UnderWay": lambda row: ResponseStarted(int(row[1]), int(_at(row, 3) or 0), str(_at(row, 4))),
     "Heartbeat": _note,
     "Settled": _settled,
-    "Withdrawn": lambda row: m.ClientDisconnected(int(row[1])),
+    "Withdrawn": lambda row: ClientDisconnected(int(row[1])),
     "Health": _health,
     # A message's bytes are opaque here: the module reads none.
-    "Mail": lambda row: m.PeerMessageReceived(int(row[1] or 0), str(_at(row, 2) or "").encode()),
-    "Fired": lambda row: m.TimerFired(int(row[1])),
+    "Mail": lambda row: PeerMessageReceived(int(row[1] or 0), str(_at(row, 2) or "").encode()),
+    "Fired": lambda row: TimerFired(int(row[1])),
 }
 
 # --- actions ----------------------------------------------------------------------------------
 
 _ACTIONS: dict[type, Callable[[Any], Row]] = {
-    m.StartAttempt: lambda a: ["Issue", a.id, a.endpoint, a.timeout_ms],
-    m.RejectJob: lambda a: ["OverloadReply", a.id, a.retry_after_ms],
-    m.FailJob: lambda a: ["ReportFailure", a.id],
-    m.CancelAttempt: lambda a: ["Abandon", a.id, a.attempt],
-    m.SetTimer: lambda a: ["Remind", a.delay_ms, a.token],
-    m.WatchEndpoints: lambda a: ["KeepInformed", True],
-    m.FetchEndpoints: lambda a: ["Reload"],
-    m.CheckHealth: lambda a: ["Check", a.endpoint],
-    m.LogWarning: lambda a: ["Debug", a.text],
+    StartAttempt: lambda a: ["Issue", a.id, a.endpoint, a.timeout_ms],
+    RejectJob: lambda a: ["OverloadReply", a.id, a.retry_after_ms],
+    FailJob: lambda a: ["ReportFailure", a.id],
+    CancelAttempt: lambda a: ["Abandon", a.id, a.attempt],
+    SetTimer: lambda a: ["Remind", a.delay_ms, a.token],
+    WatchEndpoints: lambda a: ["KeepInformed", True],
+    FetchEndpoints: lambda a: ["Reload"],
+    CheckHealth: lambda a: ["Check", a.endpoint],
+    LogWarning: lambda a: ["Debug", a.text],
 }
 
 
@@ -154,7 +179,7 @@
         return json.dumps({"parts": answers}, separators=(",", ":"))
 
     def _decide(self, now: float, instance: int, rows: Iterable[Row]) -> list[Row]:
-        events: list[m.Event] = []
+        events: list[Event] = []
         decisions: list[Row] = []
         for row in rows:
             try:
--- a/burlmoor/worth.py
+++ b/burlmoor/stats/class_weights.py
@@ -13,8 +13,8 @@
 
 import math
 
-from burlmoor import messages as m
-from burlmoor.means import DecayedMean
+from burlmoor.stats.decayed_mean import DecayedMean
+from burlmoor.types.settings import ObjectiveWeights
 
 HALF = 60_000.0  # evidence halves in this time: the result counts whole days, and a node sees little of one
 TRUST = 5.0  # jobs as good as served that each class starts with
@@ -26,7 +26,7 @@
 class ClassWeights:
     """What was asked and what was served in time, by class, and the weights that follow from it."""
 
-    def __init__(self, blend: m.ObjectiveWeights) -> None:
+    def __init__(self, blend: ObjectiveWeights) -> None:
         self.blend = blend
         self.requested: dict[str, DecayedMean] = {}  # `total` is the worth, `weight` the number of jobs
         self.served: dict[str, DecayedMean] = {}
--- a/burlmoor/book.py
+++ b/burlmoor/stats/endpoint_statistics.py
@@ -1,6 +1,6 @@
 """The worker book: what one node has learnt of executors and of how its jobs come out.
 
-It chooses nothing: `burlmoor/decide.py` asks it. Times are ms. Each figure forgets, and falls back from the
+It chooses nothing: `burlmoor/policy` asks it. Times are ms. Each figure forgets, and falls back from the
 worker to its kind to the fleet while there is little evidence.
 """
 
@@ -8,14 +8,12 @@
 
 import math
 from collections import defaultdict
-from zlib import crc32
 
-from burlmoor import messages as m
-from burlmoor.means import DecayedMean
+from burlmoor.stats.decayed_mean import DecayedMean
+from burlmoor.stats.endpoint import Endpoint
 
 SKILL_HALF = 8000.0  # evidence on speed and stability halves in this time
 BANDS = 5  # complexity classes, by the hint's size against the mean
-FIRST_ROOM = 4.0  # own slots at an executor before its starts tell more: with few, a new node queues up
 # The spread of what jobs take against what is expected, as a logarithm, before any is seen; its weight.
 OFF, OFF_TRUST = 0.4, 5.0
 LOW = -5.0  # what a ms earns before any job was sent, as a logarithm: nobody is kept away for it
@@ -23,32 +21,6 @@
 REVIEW = 100.0  # how often it is worked out anew
 
 
-class Endpoint:
-    """What one node knows of one executor."""
-
-    def __init__(self, entry: m.EndpointEntry) -> None:
-        self.entry = entry
-        self.id, self.zone, self.kind = entry.endpoint, entry.zone, entry.kind
-        self.weight = max(entry.weight, 1e-3)
-        self.mark, self.live = crc32(entry.endpoint.encode()), entry.state is m.EndpointState.LIVE
-        self.slots = self.memory = 0.0  # held by own attempts
-        # Own slots that may be out: prompt starts raise it, late ones lower it.
-        self.room = max(FIRST_ROOM, self.weight)
-        self.heard = -math.inf  # when it last told of a start or progress, or served
-        self.faults, self.test_at = 0, -math.inf  # faults in a row; when it may be tested
-        self.overdue = 0  # own attempts that should have started by now
-        self.slow, self.clean, self.delay, self.value = (
-            DecayedMean(),
-            DecayedMean(),
-            DecayedMean(),
-            DecayedMean(),
-        )
-        self.cells: dict[int, DecayedMean] = defaultdict(DecayedMean)
-        self.keys: dict[str, float] = {}
-        # While it is cold: this node's place in its order of all nodes; what it may send, in mean jobs.
-        self.turn, self.credit, self.credit_at = 0, 1.0, 0.0
-
-
 class EndpointStatistics:
     """The worker book: learned time, waiting and stability, each falling back worker -> kind -> fleet."""
 
--- a/burlmoor/learnt.py
+++ b/burlmoor/stats/snapshot.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from burlmoor.book import Endpoint
-from burlmoor.decide import Dispatcher
-from burlmoor.means import DecayedMean
+from burlmoor.policy.dispatcher import Dispatcher
+from burlmoor.stats.decayed_mean import DecayedMean
+from burlmoor.stats.endpoint import Endpoint
 
 Figure = tuple[float, float, float]  # of a mean: its total, its weight and its age
 
--- a/burlmoor/rig/__main__.py
+++ b/burlmoor/testbed/__main__.py
@@ -1,6 +1,7 @@
-"""Stand-in executors in a process of their own, told by one line of JSON, ended by the end of their input.
+"""Stand-in executors in a process of their own, told by one line of JSON, ended by the end of input.
 
-So that a load generator, the executors and the node don't share one interpreter: `python -m burlmoor.rig`.
+So that a load generator, the executors and the node don't share one interpreter:
+`python -m burlmoor.testbed`.
 What it says first is a line of JSON: where each executor listens.
 """
 
@@ -12,9 +13,9 @@
 import msgspec
 import trio
 
-from burlmoor.rig.executor import Executor
-from burlmoor.rig.ledger import Anybody, Ledger
-from burlmoor.rig.machine import Spec
+from burlmoor.testbed.event_record import Anybody, Ledger
+from burlmoor.testbed.executor import Executor
+from burlmoor.testbed.executor_model import Spec
 
 
 class Plan(msgspec.Struct):
--- a/burlmoor/rig/clients.py
+++ b/burlmoor/testbed/clients.py
@@ -9,9 +9,9 @@
 
 import trio
 
-from burlmoor.rig.executor import now
-from burlmoor.rig.ledger import Asked, Ledger
-from burlmoor.rig.wire import Message, Wire, connect
+from burlmoor.testbed.event_record import Asked, Ledger
+from burlmoor.testbed.executor import now
+from burlmoor.testbed.http_wire import Message, Wire, connect
 
 _KEPT = 5.0  # seconds that a connection may lie idle and still be used by clients that do not send again
 _SLACK = 1.0  # seconds beyond its own time for which a client still listens, so that lateness is seen
--- a/burlmoor/rig/discovery.py
+++ b/burlmoor/testbed/discovery.py
@@ -10,8 +10,8 @@
 
 import trio
 
-from burlmoor.rig.executor import now
-from burlmoor.rig.wire import Server, Wire
+from burlmoor.testbed.executor import now
+from burlmoor.testbed.http_wire import Server, Wire
 
 # ms until what a silent watch misses counts as told: after it fell silent, after its call's wait is over.
 TOLD_AFTER_SILENCE, TOLD_AFTER_WAIT = 6000.0, 2000.0
--- a/burlmoor/rig/drill_waiting.py
+++ b/burlmoor/testbed/drill_deferred.py
@@ -17,12 +17,12 @@
 import numpy as np
 import trio
 
-from burlmoor.rig.drill import Ask, Claim, Drill, Verdict
-from burlmoor.rig.executor import now
-from burlmoor.rig.ledger import Asked, Ledger
-from burlmoor.rig.machine import Spec
-from burlmoor.rig.sabotage import OF_WAITING, told
-from burlmoor.rig.town import KINDS, Kind, Town, capacity, town, unix
+from burlmoor.testbed.drill import Ask, Claim, Drill, Verdict
+from burlmoor.testbed.event_record import Asked, Ledger
+from burlmoor.testbed.executor import now
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.local_cluster import KINDS, Kind, Town, capacity, town, unix
+from burlmoor.testbed.mutations import OF_WAITING, told
 
 _SEARCH, _DETAILS, _CONFIRM = KINDS
 _ONCE = {kind.name for kind in KINDS if kind.once}
@@ -313,7 +313,7 @@
     async with town(folder, specs, nodes=2, options=_OPTIONS, start=False) as made:
         if ask.sabotage is not None:
             for node in made.nodes:
-                node.command = [sys.executable, "-m", "burlmoor.rig.sabotage", ask.sabotage]
+                node.command = [sys.executable, "-m", "burlmoor.testbed.mutations", ask.sabotage]
         await made.start()
         made.ledger.to_unix = unix() - now()
         run = _Run(made, plan)
--- a/burlmoor/rig/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -10,12 +10,12 @@
 import sys
 from pathlib import Path
 
-from burlmoor.rig.drill import Ask, Drill, Verdict
-from burlmoor.rig.fleet.record import Plan
-from burlmoor.rig.fleet.run import Fleet, Parts
-from burlmoor.rig.fleet.troubles import Schedule, Trouble
-from burlmoor.rig.fleet.verdict import found
-from burlmoor.rig.sabotage import OF_SPREAD, told
+from burlmoor.testbed.drill import Ask, Drill, Verdict
+from burlmoor.testbed.fleet.faults import Schedule, Trouble
+from burlmoor.testbed.fleet.record import Plan
+from burlmoor.testbed.fleet.run import Fleet, Parts
+from burlmoor.testbed.fleet.verdict import found
+from burlmoor.testbed.mutations import OF_SPREAD, told
 
 NODES = 12  # where none are asked for
 _A_NODE, _MOST = 3.0, 150.0  # jobs a second for each node, and at all, that this machine bears
--- a/burlmoor/rig/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -11,12 +11,12 @@
 import sys
 from pathlib import Path
 
-from burlmoor.rig.drill import Ask, Claim, Drill, Verdict
-from burlmoor.rig.fleet.audit import audit
-from burlmoor.rig.fleet.record import Plan, Record
-from burlmoor.rig.fleet.run import Fleet, Parts
-from burlmoor.rig.fleet.troubles import Schedule, Trouble
-from burlmoor.rig.sabotage import OF_WATCH, told
+from burlmoor.testbed.drill import Ask, Claim, Drill, Verdict
+from burlmoor.testbed.fleet.audit import audit
+from burlmoor.testbed.fleet.faults import Schedule, Trouble
+from burlmoor.testbed.fleet.record import Plan, Record
+from burlmoor.testbed.fleet.run import Fleet, Parts
+from burlmoor.testbed.mutations import OF_WATCH, told
 
 NODES = 6  # where none are asked for
 _A_NODE, _LEAST_RATE, _MOST_RATE = 3.0, 60.0, 150.0  # jobs a second
--- a/burlmoor/rig/executor.py
+++ b/burlmoor/testbed/executor.py
@@ -9,9 +9,9 @@
 
 import trio
 
-from burlmoor.rig.ledger import Ledger, Ran
-from burlmoor.rig.machine import Machine, Note, Spec
-from burlmoor.rig.wire import Message, Server, Wire, connect
+from burlmoor.testbed.event_record import Ledger, Ran
+from burlmoor.testbed.executor_model import Machine, Note, Spec
+from burlmoor.testbed.http_wire import Message, Server, Wire, connect
 
 _REPEATS, _REPEAT_AFTER = 10, 0.2
 _ANSWERED_WITHIN = 1.0  # seconds that a call-back waits for its answer
--- a/burlmoor/rig/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from burlmoor.rig.fleet.record import Record, Span
-from burlmoor.rig.fleet.troubles import effects
-from burlmoor.rig.ledger import Asked, Ran
-from burlmoor.rig.machine import most_calls
-from burlmoor.rig.town import KINDS, settings
+from burlmoor.testbed.event_record import Asked, Ran
+from burlmoor.testbed.executor_model import most_calls
+from burlmoor.testbed.fleet.faults import effects
+from burlmoor.testbed.fleet.record import Record, Span
+from burlmoor.testbed.local_cluster import KINDS, settings
 
 DRAIN = 250.0  # ms from when a node was told until nothing new comes
 FLIGHT = 150.0  # ms that a forward may be on its way on a loaded machine
--- a/burlmoor/rig/fleet/baselines.py
+++ b/burlmoor/testbed/fleet/baselines.py
@@ -13,10 +13,10 @@
 from collections import defaultdict
 from collections.abc import Callable, Sequence
 
-from burlmoor.rig.fleet.load import Job, draw
-from burlmoor.rig.fleet.record import Record
-from burlmoor.rig.ledger import Asked, Ran
-from burlmoor.rig.machine import Machine
+from burlmoor.testbed.event_record import Asked, Ran
+from burlmoor.testbed.executor_model import Machine
+from burlmoor.testbed.fleet.load import Job, draw
+from burlmoor.testbed.fleet.record import Record
 
 Choice = Callable[["Play", Job, Sequence[int]], int]
 
--- a/burlmoor/rig/fleet/clients.py
+++ b/burlmoor/testbed/fleet/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a share of the nodes, in a process of their own: `python -m burlmoor.rig.fleet.clients`.
+"""The clients of a share of the nodes, in a process of their own: `python -m burlmoor.testbed.fleet.clients`.
 
 Each job is sent at its time, whatever became of others, to the node that it was drawn for. Where that node
 takes no connection, the front in place of which this stands goes to another, as often as told; a job that a
@@ -15,13 +15,13 @@
 import msgspec
 import trio
 
-from burlmoor.rig.clients import Clients
-from burlmoor.rig.executor import now
-from burlmoor.rig.fleet.load import Job, Load, draw
-from burlmoor.rig.fleet.places import Ports
-from burlmoor.rig.fleet.places import node as node_at
-from burlmoor.rig.fleet.told import lines, play
-from burlmoor.rig.ledger import Asked, Ledger
+from burlmoor.testbed.clients import Clients
+from burlmoor.testbed.event_record import Asked, Ledger
+from burlmoor.testbed.executor import now
+from burlmoor.testbed.fleet.addresses import Ports
+from burlmoor.testbed.fleet.addresses import node as node_at
+from burlmoor.testbed.fleet.load import Job, Load, draw
+from burlmoor.testbed.fleet.notifications import lines, play
 
 
 class Plan(msgspec.Struct):
--- a/burlmoor/rig/fleet/switch.py
+++ b/burlmoor/testbed/fleet/datagram_switch.py
@@ -1,4 +1,6 @@
-"""The switch for datagrams between nodes, in a process of its own: `python -m burlmoor.rig.fleet.switch`.
+"""The switch for datagrams between nodes, in a process of its own.
+
+Started as `python -m burlmoor.testbed.fleet.datagram_switch`.
 
 A node sends to the address of its link with another; the switch hands the datagram on to that other from
 the address of the link back, so that an answer finds its way. What it does to datagrams is decided by
@@ -18,11 +20,11 @@
 import msgspec
 import trio
 
-from burlmoor.rig.fleet.places import ends, link, local
-from burlmoor.rig.fleet.places import node as node_at
-from burlmoor.rig.fleet.relay import Plan
-from burlmoor.rig.fleet.told import lines, play
-from burlmoor.rig.fleet.troubles import Effect
+from burlmoor.testbed.fleet.addresses import ends, link, local
+from burlmoor.testbed.fleet.addresses import node as node_at
+from burlmoor.testbed.fleet.faults import Effect
+from burlmoor.testbed.fleet.notifications import lines, play
+from burlmoor.testbed.fleet.tcp_relay import Plan
 
 MOST = 100_000  # datagrams on their way at once: more are lost, as in a switch
 _IP_PKTINFO = 8  # linux/in.h; the socket module of Python 3.11 has no name for it
--- a/burlmoor/rig/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -1,4 +1,4 @@
-"""A share of the stand-in executors, in a process of its own: `python -m burlmoor.rig.fleet.executors`.
+"""A share of the stand-in executors, in a process of its own: `python -m burlmoor.testbed.fleet.executors`.
 
 Told by a line of JSON, then by a line for each thing that befalls an executor. It ends with its input, and
 writes its ledger when it is told to end.
@@ -13,12 +13,12 @@
 import msgspec
 import trio
 
-from burlmoor.rig.executor import Executor
-from burlmoor.rig.fleet.places import Ports, ends
-from burlmoor.rig.fleet.places import executor as executor_at
-from burlmoor.rig.fleet.told import lines, play
-from burlmoor.rig.ledger import Anybody, Ledger
-from burlmoor.rig.machine import Spec
+from burlmoor.testbed.event_record import Anybody, Ledger
+from burlmoor.testbed.executor import Executor
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.fleet.addresses import Ports, ends
+from burlmoor.testbed.fleet.addresses import executor as executor_at
+from burlmoor.testbed.fleet.notifications import lines, play
 
 
 class Plan(msgspec.Struct):
--- a/burlmoor/rig/fleet/load.py
+++ b/burlmoor/testbed/fleet/load.py
@@ -7,7 +7,7 @@
 import msgspec
 import numpy as np
 
-from burlmoor.rig.town import KINDS, Kind
+from burlmoor.testbed.local_cluster import KINDS, Kind
 
 _SIGMA = 0.5  # of the logarithm of a job's work
 _WIDTHS, _WIDTH_SHARES = (1, 2, 4), (0.8, 0.15, 0.05)
--- a/burlmoor/rig/fleet/measure.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -18,10 +18,10 @@
 import msgspec
 import numpy as np
 
-from burlmoor.rig.fleet.record import Record, Span
-from burlmoor.rig.ledger import Asked, Ran
-from burlmoor.rig.machine import Spec
-from burlmoor.rig.town import KINDS
+from burlmoor.testbed.event_record import Asked, Ran
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.fleet.record import Record, Span
+from burlmoor.testbed.local_cluster import KINDS
 
 SLICE = 100.0  # ms
 HERD = 50.0  # ms
--- a/burlmoor/rig/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from burlmoor.rig.fleet.load import Load
-from burlmoor.rig.fleet.troubles import Schedule
-from burlmoor.rig.ledger import Asked, Ran
-from burlmoor.rig.machine import Spec
+from burlmoor.testbed.event_record import Asked, Ran
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.fleet.faults import Schedule
+from burlmoor.testbed.fleet.load import Load
 
 
 class Plan(msgspec.Struct):
--- a/burlmoor/rig/fleet/report.py
+++ b/burlmoor/testbed/fleet/report.py
@@ -11,9 +11,9 @@
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
 
-from burlmoor.rig.fleet.baselines import play
-from burlmoor.rig.fleet.measure import SETTLED, SLICE, Grid, variation
-from burlmoor.rig.fleet.record import Record
+from burlmoor.testbed.fleet.baselines import play
+from burlmoor.testbed.fleet.metrics import SETTLED, SLICE, Grid, variation
+from burlmoor.testbed.fleet.record import Record
 
 
 def draw(record: Record, path: Path) -> None:
--- a/burlmoor/rig/fleet/run.py
+++ b/burlmoor/testbed/fleet/run.py
@@ -14,16 +14,16 @@
 import psutil
 import trio
 
-from burlmoor.rig.discovery import Discovery
-from burlmoor.rig.executor import now
-from burlmoor.rig.fleet import clients, executors, places, relay
-from burlmoor.rig.fleet.children import Child
-from burlmoor.rig.fleet.load import Load, mean_cost
-from burlmoor.rig.fleet.record import Plan, Record, Span, Used
-from burlmoor.rig.fleet.troubles import DISCOVERY, EXECUTORS, LINK, NODES, Trouble, chosen, effects
-from burlmoor.rig.ledger import Asked, Ran
-from burlmoor.rig.node import call, inherited
-from burlmoor.rig.town import KINDS, capacity, fleet, settings
+from burlmoor.testbed.discovery import Discovery
+from burlmoor.testbed.event_record import Asked, Ran
+from burlmoor.testbed.executor import now
+from burlmoor.testbed.fleet import addresses, clients, executors, tcp_relay
+from burlmoor.testbed.fleet.child_process import Child
+from burlmoor.testbed.fleet.faults import DISCOVERY, EXECUTORS, LINK, NODES, Trouble, chosen, effects
+from burlmoor.testbed.fleet.load import Load, mean_cost
+from burlmoor.testbed.fleet.record import Plan, Record, Span, Used
+from burlmoor.testbed.local_cluster import KINDS, capacity, fleet, settings
+from burlmoor.testbed.node_process import call, inherited
 
 _READY, _PARTY = 90.0, 20.0  # seconds until all nodes, and any other party, must be up
 _LEAD = 1.0  # seconds from when all are ready until the load begins
@@ -53,7 +53,7 @@
     def __init__(self, plan: Plan, folder: Path, say: Callable[[str], None] = lambda _: None) -> None:
         self.plan, self._folder, self._say = plan, folder, say
         folder.mkdir(parents=True, exist_ok=True)
-        self.ports = places.free_ports()
+        self.ports = addresses.free_ports()
         specs = fleet(plan.executors)
         scale = plan.load * capacity(specs) * 1000.0 / (plan.rate * mean_cost())
         load = Load(
@@ -111,7 +111,7 @@
     def _party(self, sort: str, module: str, plan: msgspec.Struct) -> Child:
         number = len(self._parties[sort])
         child = Child(
-            ["-m", f"burlmoor.rig.fleet.{module}"],
+            ["-m", f"burlmoor.testbed.fleet.{module}"],
             self._folder / f"{sort}-{number}.log",
             talks=True,
             cores=self._far_cores,
@@ -128,9 +128,9 @@
     async def _stand_ins(self, parts: Parts) -> None:
         record, ports = self.record, self.ports
         for number in range(parts.relays):
-            self._party("relay", "relay", relay.Plan(ports, self.plan.seed * 10 + number))
+            self._party("relay", "tcp_relay", tcp_relay.Plan(ports, self.plan.seed * 10 + number))
         if any(trouble.peers for trouble in self.plan.schedule.troubles):
-            self._party("switch", "switch", relay.Plan(ports, self.plan.seed))
+            self._party("switch", "datagram_switch", tcp_relay.Plan(ports, self.plan.seed))
         names, shares = record.names(), max(1, min(parts.executors, self.plan.executors))
         for number in range(shares):
             own = {name: record.specs[name] for name in names[number::shares]}
@@ -141,7 +141,9 @@
                 if not await child.said(_PARTY):
                     raise self._failed(sort, "did not start")
         for number, name in enumerate(self._names):
-            dials = {n: f"{places.link(number, e)}:{self.ports.forwards}" for n, e in self._numbers.items()}
+            dials = {
+                n: f"{addresses.link(number, e)}:{self.ports.forwards}" for n, e in self._numbers.items()
+            }
             self._addresses.append(await self._discovery.listen(name, dials))
         for name, zone in zip(names, record.executor_zones, strict=True):
             # Its size, as the baselines know it, too.
@@ -151,7 +153,7 @@
     def _start_node(self, number: int) -> None:
         name, folder = self._names[number], self._folder / self._names[number]
         folder.mkdir(exist_ok=True)
-        ports, here = self.ports, places.node(number)
+        ports, here = self.ports, addresses.node(number)
         zone = self.record.node_zones[number]
         given = {
             "name": name, "listen": f"{here}:{ports.clients}", "control": f"{here}:{ports.control}",
@@ -163,7 +165,7 @@
         path = folder / "config.json"
         path.write_text(json.dumps(given))
         sabotage = self.plan.sabotage
-        command = ["-m", "burlmoor"] if sabotage is None else ["-m", "burlmoor.rig.sabotage", sabotage]
+        command = ["-m", "burlmoor"] if sabotage is None else ["-m", "burlmoor.testbed.mutations", sabotage]
         environment = {**inherited(), "RELAY_CONFIG": str(path), "TMPDIR": str(folder)}
         self._discovery.starts(name)
         self._nodes[number] = Child(command, folder / "log", environment, cores=self._node_cores)
@@ -180,7 +182,7 @@
                     nursery.start_soon(self._until_ready, number)
 
     async def _until_ready(self, number: int) -> None:
-        address = (places.node(number), self.ports.clients)
+        address = (addresses.node(number), self.ports.clients)
         while True:
             with suppress(OSError):
                 if (await call(address, "GET", "/health/ready")).status == 200:
--- a/burlmoor/rig/fleet/relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -1,7 +1,8 @@
 """The TCP relays between nodes and executors: bytes pass as the troubles of the moment let them.
 
-In a process of its own, `python -m burlmoor.rig.fleet.relay`, told by a line of JSON on standard input,
-then by a line of effects at each change; it ends with its input. Several such processes share the ports.
+In a process of its own, `python -m burlmoor.testbed.fleet.tcp_relay`, told by a line of JSON on standard
+input, then by a line of effects at each change; it ends with its input. Several such processes share
+the ports.
 What a relay cannot do is refuse a connect on a cut link: it is accepted, and then nothing comes, as with a
 peer whose machine has vanished after the handshake.
 """
@@ -16,12 +17,12 @@
 import msgspec
 import trio
 
-from burlmoor.rig.fleet.places import Ports, ends, link, local
-from burlmoor.rig.fleet.places import executor as executor_at
-from burlmoor.rig.fleet.places import node as node_at
-from burlmoor.rig.fleet.told import lines, play
-from burlmoor.rig.fleet.troubles import Effect
-from burlmoor.rig.wire import Wire, connect
+from burlmoor.testbed.fleet.addresses import Ports, ends, link, local
+from burlmoor.testbed.fleet.addresses import executor as executor_at
+from burlmoor.testbed.fleet.addresses import node as node_at
+from burlmoor.testbed.fleet.faults import Effect
+from burlmoor.testbed.fleet.notifications import lines, play
+from burlmoor.testbed.http_wire import Wire, connect
 
 _CHUNK = 65_536
 _AGAIN = 0.2  # seconds after which what was dropped is sent again, as TCP would
--- a/burlmoor/rig/fleet/verdict.py
+++ b/burlmoor/testbed/fleet/verdict.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from burlmoor.rig.drill import Claim
-from burlmoor.rig.fleet.audit import Audit, audit
-from burlmoor.rig.fleet.baselines import WAYS, play
-from burlmoor.rig.fleet.measure import Spread, spread
-from burlmoor.rig.fleet.record import Record
+from burlmoor.testbed.drill import Claim
+from burlmoor.testbed.fleet.audit import Audit, audit
+from burlmoor.testbed.fleet.baselines import WAYS, play
+from burlmoor.testbed.fleet.metrics import Spread, spread
+from burlmoor.testbed.fleet.record import Record
 
 EVEN, HERD, IDLE, HEALS = 1.5, 3.0, 0.02, 5.0
 
--- a/burlmoor/rig/load.py
+++ b/burlmoor/testbed/load.py
@@ -13,10 +13,10 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from burlmoor.rig.clients import Clients
-from burlmoor.rig.executor import now
-from burlmoor.rig.ledger import Asked
-from burlmoor.rig.town import Kind
+from burlmoor.testbed.clients import Clients
+from burlmoor.testbed.event_record import Asked
+from burlmoor.testbed.executor import now
+from burlmoor.testbed.local_cluster import Kind
 
 _LONGEST = 60_000_000  # us that a histogram reaches to
 _SIGMA = 0.5  # of the logarithm of a job's work
--- a/burlmoor/rig/town.py
+++ b/burlmoor/testbed/local_cluster.py
@@ -10,12 +10,12 @@
 
 import trio
 
-from burlmoor.rig.clients import Clients
-from burlmoor.rig.discovery import Discovery
-from burlmoor.rig.executor import Executor, now
-from burlmoor.rig.ledger import Asked, Ledger
-from burlmoor.rig.machine import Spec
-from burlmoor.rig.node import Node
+from burlmoor.testbed.clients import Clients
+from burlmoor.testbed.discovery import Discovery
+from burlmoor.testbed.event_record import Asked, Ledger
+from burlmoor.testbed.executor import Executor, now
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.node_process import Node
 
 
 class Kind(NamedTuple):
--- a/burlmoor/rig/sabotage.py
+++ b/burlmoor/testbed/mutations.py
@@ -1,4 +1,4 @@
-"""Nodes with one fault put in, for drills that must notice: `python -m burlmoor.rig.sabotage NAME`.
+"""Nodes with one fault put in, for drills that must notice: `python -m burlmoor.testbed.mutations NAME`.
 
 The program itself has no switch for any of this: the faults are laid over it here, in a process of their own.
 """
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from burlmoor import messages as m
+from burlmoor.types.endpoint_list import EndpointState
 
 
 def _forget_parents() -> None:
     """Jobs run whatever they name."""
-    from burlmoor.waiting.graph import Graph  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import Graph  # noqa: PLC0415
 
     add = Graph.add
     Graph.add = lambda self, ref, after, *rest: add(self, ref, (), *rest)  # type: ignore[method-assign]
@@ -23,7 +23,7 @@
 
 def _early() -> None:
     """Jobs run whatever time they name."""
-    from burlmoor.waiting.graph import Graph  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import Graph  # noqa: PLC0415
 
     add = Graph.add
 
@@ -35,7 +35,7 @@
 
 def _failed_is_served() -> None:
     """A parent that failed counts as served."""
-    from burlmoor.waiting.graph import Graph  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import Graph  # noqa: PLC0415
 
     ended = Graph.ended
     Graph.ended = lambda self, ref, served, now: ended(self, ref, True, now)  # type: ignore[method-assign]
@@ -43,7 +43,7 @@
 
 def _no_cascade() -> None:
     """Those that wait for a job that failed are not told."""
-    from burlmoor.waiting.graph import Graph, Reason, Waiter  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import Graph, Reason, Waiter  # noqa: PLC0415
 
     turn = Graph.turn
 
@@ -56,14 +56,14 @@
 
 def _starve() -> None:
     """What is free to run goes only where nothing else wants to."""
-    from burlmoor.waiting.pace import Line  # noqa: PLC0415
+    from burlmoor.deferred.rate_control import Line  # noqa: PLC0415
 
     Line.next = lambda self, now, room: None  # type: ignore[method-assign]
 
 
 def _same_seed() -> None:
     """All nodes draw the same numbers."""
-    from burlmoor.decide import Dispatcher  # noqa: PLC0415
+    from burlmoor.policy.dispatcher import Dispatcher  # noqa: PLC0415
 
     init = Dispatcher.__init__
     Dispatcher.__init__ = lambda self, settings, seed: init(self, settings, 1)  # type: ignore[method-assign]
@@ -71,7 +71,8 @@
 
 def _in_step() -> None:
     """All nodes send in the same moments, four times a second."""
-    from burlmoor.decide import Dispatcher, ScheduledJob  # noqa: PLC0415
+    from burlmoor.policy.dispatcher import Dispatcher  # noqa: PLC0415
+    from burlmoor.policy.job import ScheduledJob  # noqa: PLC0415
 
     def strike(now: float) -> float:
         # By the machine's clock, which is all nodes' own: each process counts from elsewhere.
@@ -94,7 +95,7 @@
 
 def _one_order() -> None:
     """All nodes look at executors in the same order, and take the first that seems to have room."""
-    from burlmoor.decide import Reach  # noqa: PLC0415
+    from burlmoor.endpoints.endpoint_list import Reach  # noqa: PLC0415
 
     def sample(self: Reach, _rng: Any, near: int, far: int) -> Any:
         return [*self.near, *self.far][: near + far]
@@ -106,7 +107,7 @@
 
 def _no_ageing() -> None:
     """What was learnt is never forgotten."""
-    from burlmoor.means import DecayedMean  # noqa: PLC0415
+    from burlmoor.stats.decayed_mean import DecayedMean  # noqa: PLC0415
 
     add, read = DecayedMean.add, DecayedMean.read
 
@@ -119,23 +120,23 @@
 
 def _late_watch() -> None:
     """A silent watch is given up some time after what it missed counts as told."""
-    from burlmoor.net import watching  # noqa: PLC0415
+    from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    watching._WAIT, watching._LATE, watching._TURN = 8.0, 4.0, 4.0
+    schedule._WAIT, schedule._LATE, schedule._TURN = 8.0, 4.0, 4.0
 
 
 def _slow_again() -> None:
     """A call that failed is made anew only some seconds after what it missed counts as told."""
-    from burlmoor.net import watching  # noqa: PLC0415
+    from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    watching._TOLD, watching._A_CALL, watching._LEAST = 12.0, 100.0, 0.8
+    schedule._TOLD, schedule._A_CALL, schedule._LEAST = 12.0, 100.0, 0.8
 
 
 def _undrained() -> None:
     """What drains gets jobs as before."""
-    from burlmoor.net.target_group import EndpointDirectory  # noqa: PLC0415
+    from burlmoor.endpoints.directory import EndpointDirectory  # noqa: PLC0415
 
-    EndpointDirectory._state = lambda self, host: m.EndpointState.LIVE  # type: ignore[method-assign]
+    EndpointDirectory._state = lambda self, host: EndpointState.LIVE  # type: ignore[method-assign]
     EndpointDirectory.find_live = lambda self, name: self._targets.get(name)  # type: ignore[method-assign]
 
 
@@ -166,7 +167,7 @@
 def main() -> int:
     """Put the fault in and run the node; its exit status."""
     SABOTAGES[sys.argv[1]]()
-    from burlmoor.__main__ import main as run  # noqa: PLC0415
+    from burlmoor.lifecycle.node import main as run  # noqa: PLC0415
 
     return run()
 
--- a/burlmoor/rig/node.py
+++ b/burlmoor/testbed/node_process.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from burlmoor.rig.wire import Message, connect
+from burlmoor.testbed.http_wire import Message, connect
 
 _READY_WITHIN = 30.0
 
--- a/burlmoor/rig/own.py
+++ b/burlmoor/testbed/single_node.py
@@ -12,10 +12,10 @@
 import msgspec
 import trio
 
-from burlmoor.rig.discovery import Discovery
-from burlmoor.rig.machine import Spec
-from burlmoor.rig.node import Node
-from burlmoor.rig.town import Kind, settings
+from burlmoor.testbed.discovery import Discovery
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.local_cluster import Kind, settings
+from burlmoor.testbed.node_process import Node
 
 _SHARDS = 4  # processes of stand-in executors: each bears some 300 jobs a second
 
@@ -28,7 +28,7 @@
 async def _shard(executors: dict[str, Spec], relay: tuple[str, int]) -> tuple[trio.Process, dict[str, str]]:
     """Executors in a process of their own, and where each listens."""
     process = await trio.lowlevel.open_process(
-        [sys.executable, "-m", "burlmoor.rig"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        [sys.executable, "-m", "burlmoor.testbed"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
     assert process.stdin is not None and process.stdout is not None
     await process.stdin.send_all(msgspec.json.encode({"executors": executors, "relay": relay}) + b"\n")
--- /dev/null
+++ b/burlmoor/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Sockets and ring buffers."""
--- a/burlmoor/net/stream.py
+++ b/burlmoor/transport/stream.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from burlmoor.net.ring import RingBuffer
+from burlmoor.transport.ring_buffer import RingBuffer
 
 _CHUNK = 16384
 _BACKLOG = 1024
--- /dev/null
+++ b/burlmoor/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""The executors' side: the connection pool and the attempts that it carries."""
--- a/burlmoor/net/forwards.py
+++ b/burlmoor/upstream/attempts.py
@@ -8,12 +8,14 @@
 
 import trio
 
-from burlmoor import messages as m
-from burlmoor.core import Attempt, Engine, EventLogger
-from burlmoor.net.listener import Payload
-from burlmoor.net.pool import ConnectError, ConnectionPool, PooledConnection, RequestNotSentError
-from burlmoor.net.target import BrokenResponseError, Response
-from burlmoor.net.target_group import EndpointDirectory, ListedEndpoint
+from burlmoor.downstream.http import Payload
+from burlmoor.endpoints.directory import EndpointDirectory, ListedEndpoint
+from burlmoor.engine.engine import Engine
+from burlmoor.engine.job import Attempt
+from burlmoor.log import EventLogger
+from burlmoor.types.outcome import Outcome
+from burlmoor.upstream.http import BrokenResponseError, Response
+from burlmoor.upstream.pool import ConnectError, ConnectionPool, PooledConnection, RequestNotSentError
 
 # Seconds in which a target takes or refuses a forward: measured 0.3 at most, where it stood still meanwhile.
 _TAKEN_WITHIN = 0.45
@@ -84,18 +86,18 @@
         except Exception as error:
             # Guards against one forward's fault ending the node. Whether it ran is not known.
             self._log("attempt-error", target=forward.endpoint, error=repr(error))
-            self._engine.on_attempt_ended(forward, m.Outcome.RESET)
+            self._engine.on_attempt_ended(forward, Outcome.RESET)
         finally:
             del self._exchanges[forward]
 
-    async def _attempt(self, forward: Attempt, exchange: _Exchange) -> m.Outcome | None:
+    async def _attempt(self, forward: Attempt, exchange: _Exchange) -> Outcome | None:
         """The forward's end as far as this exchange tells it; None once the target has taken the job."""
         try:
             link = await self._written(forward)
         except _Unwanted:
-            return m.Outcome.UNSENT
+            return Outcome.UNSENT
         except (ConnectError, RequestNotSentError):
-            return m.Outcome.UNREACHABLE
+            return Outcome.UNREACHABLE
         # What must not run twice can't go elsewhere anyway, so it waits for as long as its client does.
         limit = math.inf if forward.job.is_non_idempotent else _TAKEN_WITHIN
         reply: Response | None = None
@@ -108,7 +110,7 @@
         except BrokenResponseError:
             self._pool.broken(link)
             link.close()
-            return m.Outcome.RESET
+            return Outcome.RESET
         except BaseException:
             link.close()
             raise
@@ -180,26 +182,26 @@
 
     async def _probe(self, target: str) -> None:
         dial, began = self._directory.address_of(target), self._clock()
-        outcome = m.Outcome.UNREACHABLE
+        outcome = Outcome.UNREACHABLE
         try:
             if dial:
-                outcome = m.Outcome.TIMEOUT
+                outcome = Outcome.TIMEOUT
                 with trio.move_on_after(_PROBE_WITHIN):
                     reply = await self._pool.call(dial, b"GET", b"/health/live")
-                    outcome = m.Outcome.SERVED if reply.status == 200 else _outcome(reply)
+                    outcome = Outcome.SERVED if reply.status == 200 else _outcome(reply)
         except (ConnectError, RequestNotSentError):
-            outcome = m.Outcome.UNREACHABLE
+            outcome = Outcome.UNREACHABLE
         except BrokenResponseError:
-            outcome = m.Outcome.RESET
+            outcome = Outcome.RESET
         except Exception as error:
             # Guards against one probe's fault ending the node.
             self._log("attempt-error", target=target, error=repr(error))
         self._engine.on_health_checked(target, outcome, self._clock() - began)
 
 
-def _outcome(reply: Response) -> m.Outcome:
+def _outcome(reply: Response) -> Outcome:
     """What an answer other than 202 says of the job."""
     # Only the header proves that it has not run: without it, 503 and 504 are errors like any other.
     if reply.status in (503, 504) and reply.headers.get(b"not-started", b"").strip() == b"1":
-        return m.Outcome.OVERLOADED
-    return m.Outcome.ERROR
+        return Outcome.OVERLOADED
+    return Outcome.ERROR
--- a/burlmoor/net/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from burlmoor.net.stream import DESCRIPTORS_EXHAUSTED, SocketStream, connect
-from burlmoor.net.target import BrokenResponseError, HttpClientConnection, Response
+from burlmoor.transport.stream import DESCRIPTORS_EXHAUSTED, SocketStream, connect
+from burlmoor.upstream.http import BrokenResponseError, HttpClientConnection, Response
 
 _LIMIT = 256 * 1024  # bytes of an answer: an executor's body holds 64 KiB at most
 _STALE_WITHIN = 0.25  # seconds after a request is written in which a connection that was dead breaks
--- a/tests/test_control.py
+++ b/tests/admin/test_admin.py
@@ -10,11 +10,12 @@
 import pytest
 import trio
 
-from burlmoor import messages as m
-from burlmoor.net.control import AdminConnection, AdminRequest, AdminResponse
-from burlmoor.net.serving import DrainController, ServiceState
-from burlmoor.rig.wire import Wire
-from tests.peers import Stage, play
+from burlmoor.admin.server import AdminConnection, AdminRequest, AdminResponse
+from burlmoor.downstream.drain import DrainController, ServiceState
+from burlmoor.testbed.http_wire import Wire
+from burlmoor.types.endpoint_list import EndpointState, ListKind
+from burlmoor.types.events import EndpointListUpdate
+from tests.support.node_harness import Stage, play
 
 
 @pytest.mark.parametrize(
@@ -110,11 +111,11 @@
 def test_an_executor_put_back_counts_as_newly_started_even_where_the_list_lags() -> None:
     # Guards rule 4: it was restarted while it was out, and full load would push it over.
     async def story(made: Stage) -> None:
-        told: list[m.EndpointListUpdate] = []
+        told: list[EndpointListUpdate] = []
         listed = made.node.engine.on_endpoint_list
 
-        def listen(form: m.ListKind, entries: Any) -> None:
-            told.append(m.EndpointListUpdate(form, list(entries)))
+        def listen(form: ListKind, entries: Any) -> None:
+            told.append(EndpointListUpdate(form, list(entries)))
             listed(form, told[-1].entries)
 
         made.node.engine.on_endpoint_list = listen  # type: ignore[method-assign]
@@ -122,8 +123,8 @@
         await call(made, "/executors/disable", "e0")
         await call(made, "/executors/enable", "e0")
         out, back = (each.entries[0] for each in told)
-        assert (out.endpoint, out.state, out.started_at) == ("e0", m.EndpointState.DRAINING, 0.0)
-        assert (back.endpoint, back.state) == ("e0", m.EndpointState.LIVE)
+        assert (out.endpoint, out.state, out.started_at) == ("e0", EndpointState.DRAINING, 0.0)
+        assert (back.endpoint, back.state) == ("e0", EndpointState.LIVE)
         assert back.started_at >= before
         await made.publish(2, e0="active", e1="active")  # with the old start
         await made.until(lambda: made.node.directory.version == 2)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import importlib.util
 import os
 import subprocess
 import sys
@@ -11,7 +12,7 @@
 from click.testing import CliRunner
 
 from burlmoor.cli.main import _VERBS, main
-from tests.test_config import written
+from tests.config.test_node_config import written
 
 
 @pytest.mark.parametrize("verb", _VERBS)
@@ -63,5 +64,6 @@
         [sys.executable, "-c", text], capture_output=True, text=True, timeout=60, check=True
     )
     loaded = set(done.stdout.split())
-    off = {"burlmoor.options", "burlmoor.cli", "burlmoor.rig", "burlmoor.waiting", "configparser"}
+    off = {"burlmoor.config.options", "burlmoor.cli", "burlmoor.testbed", "burlmoor.deferred", "configparser"}
+    assert all(importlib.util.find_spec(name) for name in off)
     assert not loaded & (off | {"click", "rich", "immutables", "numpy", "psutil", "structlog"})
--- a/tests/options/test_options.py
+++ b/tests/config/options/test_options.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlmoor.options import DeferredOptions, InvalidOptionsError, Options, read_options
-from burlmoor.options.reading import parse, sections, unit_of
-from burlmoor.options.units import UNITS, value, written
+from burlmoor.config.options import DeferredOptions, InvalidOptionsError, Options, read_options
+from burlmoor.config.options.parser import parse, sections, unit_of
+from burlmoor.config.options.units import UNITS, value, written
 
-EXAMPLE = Path(__file__).parents[2] / "deploy" / "burlmoor.ini.example"
+EXAMPLE = Path(__file__).parents[3] / "deploy" / "burlmoor.ini.example"
 
 
 def test_a_section_that_is_absent_is_off() -> None:
--- a/tests/test_config.py
+++ b/tests/config/test_node_config.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from burlmoor import config
+from burlmoor.config import node_config
 
 OPTIONS: dict[str, Any] = {
     "RequestClasses": [
@@ -41,13 +41,13 @@
 
 
 def test_the_environment_wins_over_the_file(tmp_path: Path) -> None:
-    given = config.load_config({**written(tmp_path), "RELAY_NAME": "n7", "RELAY_LISTEN": "127.0.0.2:90"})
+    given = node_config.load_config({**written(tmp_path), "RELAY_NAME": "n7", "RELAY_LISTEN": "127.0.0.2:90"})
     assert (given.name, given.listen, given.discovery) == ("n7", ("127.0.0.2", 90), "127.0.0.1:8500")
     assert (given.seed, given.max_sockets) == (0x8C1F, 900)
     assert given.admin is None
     told = written(tmp_path, control="127.0.0.1:9901")
-    assert config.load_config(told).admin == ("127.0.0.1", 9901)
-    assert config.load_config({**told, "RELAY_CONTROL": "127.0.0.1:9902"}).admin == ("127.0.0.1", 9902)
+    assert node_config.load_config(told).admin == ("127.0.0.1", 9901)
+    assert node_config.load_config({**told, "RELAY_CONTROL": "127.0.0.1:9902"}).admin == ("127.0.0.1", 9902)
     assert given.settings.keepalive_ms == 30_000.0
     assert [each.name for each in given.settings.policy.classes] == ["lookup", "once", "keyed"]
 
@@ -56,10 +56,10 @@
 
 
 def test_other_nodes_are_read_where_nodes_may_talk(tmp_path: Path) -> None:
-    assert config.load_config(written(tmp_path)).peers is None
-    assert config.load_config(written(tmp_path, peer_listen="127.0.0.1:9000")).peers is None
+    assert node_config.load_config(written(tmp_path)).peers is None
+    assert node_config.load_config(written(tmp_path, peer_listen="127.0.0.1:9000")).peers is None
     for told, name in (({"n2": "127.0.0.2:9000"}, "n2"), (["127.0.0.2:9000"], "0")):
-        peers = config.load_config(written(tmp_path, peers=told, **PEERS)).peers
+        peers = node_config.load_config(written(tmp_path, peers=told, **PEERS)).peers
         assert peers is not None
         assert peers.listen == ("127.0.0.1", 9000)
         assert peers.everyone == ("127.0.0.9", 9000)
@@ -98,7 +98,7 @@
 def test_a_passed_descriptor_has_to_listen(tmp_path: Path) -> None:
     with socket.socket() as bound, socket.create_server(("127.0.0.1", 0)) as listens:
         good = {**written(tmp_path), "RELAY_PASSED_SOCKET": str(listens.fileno())}
-        assert config.load_config(good).listener_fd == listens.fileno()
+        assert node_config.load_config(good).listener_fd == listens.fileno()
         for text in ("three", "987", str(bound.fileno())):
-            with pytest.raises(config.InvalidConfigError, match="RELAY_PASSED_SOCKET"):
-                config.load_config({**good, "RELAY_PASSED_SOCKET": text})
+            with pytest.raises(node_config.InvalidConfigError, match="RELAY_PASSED_SOCKET"):
+                node_config.load_config({**good, "RELAY_PASSED_SOCKET": text})
--- a/tests/test_settings_page.py
+++ b/tests/config/test_settings_page.py
@@ -8,10 +8,11 @@
 import msgspec
 import pytest
 
-from burlmoor import config, settings
-from burlmoor.net import callbacks, target_group
+from burlmoor.config import node_config, settings
+from burlmoor.downstream import callbacks
+from burlmoor.endpoints import discovered_list
 
-PAGE = (Path(__file__).parent.parent / "docs" / "settings.md").read_text()
+PAGE = (Path(__file__).parents[2] / "docs" / "settings.md").read_text()
 # Every code word in the first column of a table, or in a heading's list of one.
 NAMED = {
     word
@@ -21,10 +22,10 @@
 }
 STRUCTS: list[type[msgspec.Struct]] = [
     *settings._Table.__subclasses__(),
-    config._File,
-    config._Limits,
-    target_group.DiscoveredList,
-    target_group.DiscoveredEndpoint,
+    node_config._File,
+    node_config._Limits,
+    discovered_list.DiscoveredList,
+    discovered_list.DiscoveredEndpoint,
     callbacks._Event,
 ]
 
--- a/tests/waiting/test_graph.py
+++ b/tests/deferred/test_dependency_graph.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from burlmoor.waiting.agenda import Agenda
-from burlmoor.waiting.graph import Bounds, Graph, Reason, Waiter
+from burlmoor.deferred.dependency_graph import Bounds, Graph, Reason, Waiter
+from burlmoor.deferred.timer_queue import Agenda
 
 BOUNDS = Bounds(jobs=10_000, fan_out=1000, unknown=2000.0, remember=1e9, remembered=10**6)
 UNIX = 1_700_000_000_000.0
--- a/tests/waiting/test_upgrade.py
+++ b/tests/deferred/test_handover.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from tests.test_succession import House, house
-from tests.waiting.test_stories import ask, sent
+from tests.deferred.test_over_sockets import ask, sent
+from tests.lifecycle.test_handover import House, house
 
 
 def test_what_waits_stays_with_its_process_and_is_answered_in_time(tmp_path: Path) -> None:
--- a/tests/waiting/test_stories.py
+++ b/tests/deferred/test_over_sockets.py
@@ -11,17 +11,17 @@
 import pytest
 import trio
 
-from burlmoor.options import DeferredOptions, Options
-from burlmoor.rig.node import call
-from burlmoor.rig.wire import Wire
-from tests import peers
-from tests.peers import Stage
-from tests.test_config import written
+from burlmoor.config.options import DeferredOptions, Options
+from burlmoor.testbed.http_wire import Wire
+from burlmoor.testbed.node_process import call
+from tests.config.test_node_config import written
+from tests.support import node_harness
+from tests.support.node_harness import Stage
 
 
 def play(story: Callable[[Stage], Awaitable[Any]], sockets: int = 1024, **given: Any) -> Any:
     options = Options(waiting=DeferredOptions(**{"unknown": 300.0, **given}))
-    return peers.play(story, options=options, sockets=sockets)
+    return node_harness.play(story, options=options, sockets=sockets)
 
 
 async def ask(made: Stage, ref: str, *after: str, wire: Wire | None = None, **head: str) -> Wire:
@@ -83,7 +83,7 @@
         assert made.node.admin_server is not None
         assert (await call(made.node.admin_server.address, "GET", "/waiting")).status == 404
 
-    peers.play(story)
+    node_harness.play(story)
 
 
 @pytest.mark.parametrize("how", ["failed", "lost", "leaves"])
@@ -244,7 +244,7 @@
         await held(made, 1)
 
     options = Options(waiting=DeferredOptions())
-    peers.play(story, options=options, lines=lines)
+    node_harness.play(story, options=options, lines=lines)
     failed = [json.loads(line) for line in lines if "reload-failed" in line]
     assert len(failed) == 1
     assert "jobs" in failed[0]["error"]
@@ -260,7 +260,7 @@
 
 
 def test_signals_meet_a_node_that_holds_jobs(tmp_path: Path) -> None:
-    from burlmoor.rig.town import KINDS, asked, fleet, town  # noqa: PLC0415
+    from burlmoor.testbed.local_cluster import KINDS, asked, fleet, town  # noqa: PLC0415
 
     async def run() -> None:
         with trio.fail_after(60.0):
--- a/tests/waiting/test_ward.py
+++ b/tests/deferred/test_queue.py
@@ -9,24 +9,17 @@
 import pytest
 import trio
 
-from burlmoor import messages as m
-from burlmoor.core import (
-    DependencyFailed,
-    EndedJob,
-    Failed,
-    FinalAnswer,
-    InvalidConditionError,
-    Job,
-    Rejected,
-    ReleasedJob,
-    RunConditions,
-    Served,
-)
-from burlmoor.options import DeferredOptions
-from burlmoor.waiting import ConditionParser, DeferredJobQueue
-from burlmoor.waiting.pace import Bucket, Line, Window
-from burlmoor.waiting.view import show
-from tests.test_core import Client, World
+from burlmoor.config.options import DeferredOptions
+from burlmoor.deferred import ConditionParser, DeferredJobQueue
+from burlmoor.deferred.rate_control import Bucket, Line, Window
+from burlmoor.deferred.status import show
+from burlmoor.engine.answers import DependencyFailed, Failed, FinalAnswer, Rejected, Served
+from burlmoor.engine.deferral import EndedJob, InvalidConditionError, ReleasedJob, RunConditions
+from burlmoor.engine.job import Job
+from burlmoor.types.actions import Action, RejectJob
+from burlmoor.types.events import JobRequest
+from burlmoor.types.outcome import Outcome
+from tests.engine.test_engine import Client, World
 
 UNIX = 1_700_000_000_000.0
 
@@ -55,7 +48,7 @@
         **more: Any,
     ) -> Client:
         client = Client()
-        request = m.JobRequest(0, more.get("name", "lookup"), patience, work)
+        request = JobRequest(0, more.get("name", "lookup"), patience, work)
         job = self.core.admit(client, ref, request, None, RunConditions(after, at, more.get("size", 10)))
         assert job is not None
         return client
@@ -67,10 +60,10 @@
         self.core.on_attempt_started(job.attempts[-1])
         return job
 
-    def serve(self, ref: str, outcome: m.Outcome = m.Outcome.SERVED) -> None:
+    def serve(self, ref: str, outcome: Outcome = Outcome.SERVED) -> None:
         """The forward of a job that was sent ends."""
         forward = next(each for each in self.sent if each.job.id == ref and not each.is_over)
-        self.core.on_attempt_ended(forward, outcome, b"done" if outcome is m.Outcome.SERVED else None)
+        self.core.on_attempt_ended(forward, outcome, b"done" if outcome is Outcome.SERVED else None)
         self.run(50.0)
 
 
@@ -98,10 +91,10 @@
     parent = world.parent(patience=3000.0)
     children = [world.wait("c0", "p")] + [world.wait(f"c{n}", f"c{n - 1}") for n in range(1, 20)]
     if how == "fails":
-        world.core.on_attempt_ended(parent.attempts[-1], m.Outcome.ERROR)
+        world.core.on_attempt_ended(parent.attempts[-1], Outcome.ERROR)
     elif how == "is refused":
-        actions: list[m.Action] = [m.RejectJob(parent.number)]
-        world.core.on_attempt_ended(parent.attempts[-1], m.Outcome.OVERLOADED)
+        actions: list[Action] = [RejectJob(parent.number)]
+        world.core.on_attempt_ended(parent.attempts[-1], Outcome.OVERLOADED)
         monkeypatch.setattr(world.core._policy, "handle", lambda *_: [actions.pop()] if actions else [])
     elif how == "leaves":
         world.core.on_client_disconnected(parent)
@@ -114,7 +107,7 @@
 
 
 def test_a_chain_ends_in_pieces_and_each_link_is_answered_once() -> None:
-    world = Held(jobs=20_000)
+    world = Held(max_jobs=20_000)
     parent = world.parent()
     clients = [world.wait("c0", "p")] + [world.wait(f"c{n}", f"c{n - 1}") for n in range(1, 10_000)]
     world.core.on_client_disconnected(parent)
@@ -148,7 +141,7 @@
 
 
 def test_a_job_is_refused_at_once_when_what_is_left_cannot_suffice() -> None:
-    world = Held(least_left=100.0)
+    world = Held(min_remaining_ms=100.0)
     world.parent()
     child = world.wait("c", "p", patience=2000.0, work=500.0)
     world.run(1390.0)
@@ -163,7 +156,7 @@
 
 
 def test_nobody_waits_longer_than_the_longest_and_all_are_answered_in_time() -> None:
-    world = Held(longest=10_000.0)
+    world = Held(max_deferral_ms=10_000.0)
     world.ask(ref="p", timeout_ms=5000.0)
     client = world.wait("c", "p", at=UNIX + 1e9, patience=1e8)
     world.run(10.0)
@@ -172,7 +165,12 @@
 
 @pytest.mark.parametrize(
     ("given", "places", "size"),
-    [({"jobs": 3}, 10_000, 10), ({}, 12, 10), ({"held": 4096.0}, 10_000, 1200), ({"fan_out": 3}, 10_000, 10)],
+    [
+        ({"max_jobs": 3}, 10_000, 10),
+        ({}, 12, 10),
+        ({"max_body_bytes": 4096.0}, 10_000, 1200),
+        ({"max_dependents": 3}, 10_000, 10),
+    ],
 )
 def test_at_a_cap_there_is_a_clean_refusal(given: dict[str, Any], places: int, size: int) -> None:
     world = Held(places, **given)
@@ -192,7 +190,7 @@
     world = Held()
     world.ask(ref="p")
     client = world.wait("c", "p")
-    assert world.core.admit(Client(), "c", m.JobRequest(0, "lookup", 500.0), None) is None
+    assert world.core.admit(Client(), "c", JobRequest(0, "lookup", 500.0), None) is None
     world.core.on_client_disconnected(world.core._ids["c"])
     world.serve("p") if world.sent else world.run(60.0)
     world.run(100.0)
@@ -214,12 +212,12 @@
 
 
 def test_what_waited_has_a_claim_that_is_bounded() -> None:
-    world = Held(ageing=5000.0)
-    told: list[m.JobRequest] = []
+    world = Held(full_credit_ms=5000.0)
+    told: list[JobRequest] = []
     handle = world.core._policy.handle
 
-    def spy(now: float, events: Any) -> list[m.Action]:
-        told.extend(event for event in events if isinstance(event, m.JobRequest))
+    def spy(now: float, events: Any) -> list[Action]:
+        told.extend(event for event in events if isinstance(event, JobRequest))
         return handle(now, events)
 
     world.core._policy.handle = spy  # type: ignore[method-assign]
@@ -270,7 +268,7 @@
 
 
 def test_options_that_change_hold_for_whoever_comes_next() -> None:
-    world = Held(fan_out=2)
+    world = Held(max_dependents=2)
     world.ask(ref="p")
     clients = [world.wait(f"a{n}", "p") for n in range(2)]
     world.ward.take_up(DeferredOptions(max_dependents=1), world.now)
@@ -285,9 +283,7 @@
     ward = DeferredJobQueue(DeferredOptions(unknown_timeout_ms=100.0), 1000, 1000.0, 1, world.say, world.now)
     world.core.enable_deferral(ward)
     client = Client()
-    world.core.admit(
-        client, "c", m.JobRequest(0, "lookup", 5000.0, 10.0), None, RunConditions(("p",), 0.0, 1)
-    )
+    world.core.admit(client, "c", JobRequest(0, "lookup", 5000.0, 10.0), None, RunConditions(("p",), 0.0, 1))
     world.run(500.0)
     assert client.answers == []
 
@@ -295,7 +291,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_random_graphs_in_a_core_get_one_answer_each_and_run_in_order(seed: int) -> None:
     rng = random.Random(seed)
-    world = Held(unknown=500.0, release_rate=200)
+    world = Held(unknown_timeout_ms=500.0, release_rate=200)
     clients: dict[str, Client] = {}
     after: dict[str, tuple[str, ...]] = {}
     served: list[str] = []
@@ -313,7 +309,7 @@
             world.core.on_client_disconnected(gone)
         for forward in [each for each in world.sent if not each.is_over]:
             if rng.random() < 0.5:
-                outcome = rng.choice([m.Outcome.SERVED] * 4 + [m.Outcome.ERROR, m.Outcome.OVERLOADED])
+                outcome = rng.choice([Outcome.SERVED] * 4 + [Outcome.ERROR, Outcome.OVERLOADED])
                 world.core.on_attempt_ended(forward, outcome, b"x")
         world.run(rng.choice([2.0, 20.0, 100.0]))
         for forward in world.sent:
@@ -322,7 +318,7 @@
                 assert any(isinstance(each, Served) for each in clients[name].answers), (job, name)
     for _ in range(200):
         for forward in [each for each in world.sent if not each.is_over]:
-            world.core.on_attempt_ended(forward, m.Outcome.SERVED, b"x")
+            world.core.on_attempt_ended(forward, Outcome.SERVED, b"x")
         world.run(200.0)
     served = [ref for ref, client in clients.items() if kinds(client) == [Served]]
     assert all(len(client.answers) == 1 for client in clients.values())
@@ -331,7 +327,7 @@
 
 
 def test_the_view_counts_by_class_and_reason_from_one_moment() -> None:
-    world = Held(jobs=100_000, fan_out=100_000)
+    world = Held(max_jobs=100_000, max_dependents=100_000)
     world.ask(ref="p", name="once")
     for number in range(5000):
         world.wait(f"c{number}", "p", size=7)
@@ -424,11 +420,11 @@
     # Guards the front: an answer from within `take` would come before it has noted its job.
     ward = DeferredJobQueue(DeferredOptions(), 1000, 1000.0, 1, lambda *_a, **_k: None, 0.0, lambda: UNIX)
     ward.on_job_opened("c")
-    ward.defer("c", m.JobRequest(0, "lookup", 1.0, 500.0), RunConditions(("x",), 0.0, 1), 1.0, 0.0)
+    ward.defer("c", JobRequest(0, "lookup", 1.0, 500.0), RunConditions(("x",), 0.0, 1), 1.0, 0.0)
     assert ward.next_due(0.0) == 0.0
     assert [type(each) for each in ward.step(0.0, lambda: 0.0)] == [EndedJob]
     ward.on_job_opened("d")
-    ward.defer("d", m.JobRequest(0, "lookup", 1e4, 500.0), RunConditions((), 5.0, 1), 1e4, 0.0)
+    ward.defer("d", JobRequest(0, "lookup", 1e4, 500.0), RunConditions((), 5.0, 1), 1e4, 0.0)
     assert [type(each) for each in ward.step(0.0, lambda: 0.0)] == [ReleasedJob]
 
 
--- a/tests/test_watch.py
+++ b/tests/discovery/test_client.py
@@ -12,13 +12,14 @@
 import pytest
 import trio
 
-from burlmoor.learnt import StatisticsSnapshot
-from burlmoor.net import peer as p
-from burlmoor.net.target_group import DiscoveredList, EndpointOverrides
-from burlmoor.operators import Overrides
-from tests.peers import Stage, play
-from tests.test_config import OPTIONS, written
-from tests.test_control import call
+from burlmoor.admin.service import Overrides
+from burlmoor.endpoints.directory import EndpointOverrides
+from burlmoor.endpoints.discovered_list import DiscoveredList
+from burlmoor.lifecycle import handover_channel as p
+from burlmoor.stats.snapshot import StatisticsSnapshot
+from tests.admin.test_admin import call
+from tests.config.test_node_config import OPTIONS, written
+from tests.support.node_harness import Stage, play
 
 PUSHED = {**OPTIONS, "RegistryMode": "push"}
 
--- a/tests/test_watching.py
+++ b/tests/discovery/test_schedule.py
@@ -14,11 +14,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from burlmoor.net import watching
-from burlmoor.net.target import BrokenResponseError, Response
-from burlmoor.net.target_group import EndpointDirectory
-from burlmoor.net.watch import DiscoveryClient
-from burlmoor.net.watching import CallResult, WatchSchedule
+from burlmoor.discovery import schedule
+from burlmoor.discovery.client import DiscoveryClient
+from burlmoor.discovery.schedule import CallResult, WatchSchedule
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.upstream.http import BrokenResponseError, Response
 
 PATIENCE, GRACE = 2.0, 0.25
 
@@ -274,7 +274,7 @@
 
 def silence_is_a_start(monkeypatch: pytest.MonkeyPatch) -> None:
     """A fleet that has fallen silent spreads its calls as one that starts, past the moment that counts."""
-    monkeypatch.setattr(watching, "_TOLD", 10.0)
+    monkeypatch.setattr(schedule, "_TOLD", 10.0)
 
 
 def failed_calls_back_off(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -286,19 +286,19 @@
             self._at = now + self._rng.uniform(4.0, 8.0)
 
     ended = WatchSchedule.on_call_ended
-    monkeypatch.setattr(WatchSchedule, "ended", later)
+    monkeypatch.setattr(WatchSchedule, "on_call_ended", later)
 
 
 def given_up_when_told(monkeypatch: pytest.MonkeyPatch) -> None:
     """The wait that was at fault: its end and the allowance add up to the moment that counts."""
-    monkeypatch.setattr(watching, "_WAIT", 8.0)
-    monkeypatch.setattr(watching, "_LATE", 2.0)
+    monkeypatch.setattr(schedule, "_WAIT", 8.0)
+    monkeypatch.setattr(schedule, "_LATE", 2.0)
 
 
 def agent_is_a_crowd(monkeypatch: pytest.MonkeyPatch) -> None:
     """An agent that is silent is asked again after a back-off."""
-    monkeypatch.setattr(watching, "_AGENT_AGAIN", 1.0)
-    monkeypatch.setattr(watching, "_AGENT_LATE", 1.0)
+    monkeypatch.setattr(schedule, "_AGENT_AGAIN", 1.0)
+    monkeypatch.setattr(schedule, "_AGENT_LATE", 1.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_listener.py
+++ b/tests/downstream/test_http.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from burlmoor.net.listener import (
+from burlmoor.downstream.http import (
     HttpServerConnection,
     InvalidRequest,
     JobCallback,
--- a/tests/test_list.py
+++ b/tests/endpoints/test_endpoint_list.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
-from burlmoor import messages as m
-from tests.talk import Talk, entries, settings
+from burlmoor.types.actions import SetTimer, WatchEndpoints
+from burlmoor.types.endpoint_list import ListKind
+from burlmoor.types.events import EndpointListUpdate
+from tests.support.dispatcher_driver import Talk, entries, settings
 
 
 def test_where_the_list_is_pushed_nobody_asks() -> None:
     talk = Talk()
     talk.run(30_000.0)
-    assert not talk.all(m.WatchEndpoints)
+    assert not talk.all(WatchEndpoints)
 
 
 def test_the_first_call_is_spread_over_the_nodes_and_in_time() -> None:
@@ -17,7 +19,7 @@
     at = []
     for seed in range(40):
         talk = Talk(settings(must_poll=True), seed=seed)
-        while not talk.all(m.WatchEndpoints):
+        while not talk.all(WatchEndpoints):
             talk.run(50.0)
         at.append(talk.now - 1000.0)
     assert max(at) <= 10_000.0
@@ -30,9 +32,9 @@
     pauses = []
     talk.run(5000.0)
     for count in range(2, 6):
-        talk.tell(m.EndpointListUpdate(m.ListKind.FAILED))
+        talk.tell(EndpointListUpdate(ListKind.FAILED))
         told = talk.now
-        while len(talk.all(m.WatchEndpoints)) < count:
+        while len(talk.all(WatchEndpoints)) < count:
             talk.run(50.0)
         pauses.append(talk.now - told)
     assert pauses[-1] > pauses[0]
@@ -41,16 +43,16 @@
 
 def test_a_failed_call_leaves_the_old_list_in_force() -> None:
     talk = Talk(settings(must_poll=True))
-    talk.tell(m.EndpointListUpdate(m.ListKind.FAILED))
+    talk.tell(EndpointListUpdate(ListKind.FAILED))
     talk.placed(1)
 
 
 def test_a_new_executor_gets_work() -> None:
     talk = Talk(listed=[])
-    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, entries(1)))
+    talk.tell(EndpointListUpdate(ListKind.DELTA, entries(1)))
     assert talk.placed(1).endpoint == "a0"
 
 
 def test_no_timer_is_armed_while_nothing_waits() -> None:
     talk = Talk()
-    assert not talk.all(m.SetTimer)
+    assert not talk.all(SetTimer)
--- a/tests/test_core.py
+++ b/tests/engine/test_engine.py
@@ -6,9 +6,15 @@
 
 import pytest
 
-from burlmoor import messages as m
-from burlmoor.core import Attempt, Engine, Failed, FinalAnswer, Job, Rejected, Served
-from tests.talk import entries, settings
+from burlmoor.engine.answers import Failed, FinalAnswer, Rejected, Served
+from burlmoor.engine.engine import Engine
+from burlmoor.engine.job import Attempt, Job
+from burlmoor.types.actions import Action, FailJob, RejectJob, StartAttempt
+from burlmoor.types.endpoint_list import ListKind
+from burlmoor.types.events import JobRequest
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import Limits
+from tests.support.dispatcher_driver import entries, settings
 
 
 class Client:
@@ -33,7 +39,7 @@
         self.core = Engine(settings(**changes), 1, lambda: self.now, self.say, self.wake)
         self.core.upstream = self
         self.core.discovery = self
-        self.core.on_endpoint_list(m.ListKind.CACHED, entries(4))
+        self.core.on_endpoint_list(ListKind.CACHED, entries(4))
         self.core.step()
 
     def say(self, event: str, **_fields: Any) -> None:
@@ -49,7 +55,7 @@
         self.abandoned.append(forward)
 
     def check_health(self, target: str) -> None:
-        self.core.on_health_checked(target, m.Outcome.SERVED, 1.0)
+        self.core.on_health_checked(target, Outcome.SERVED, 1.0)
 
     def watch(self) -> None: ...
 
@@ -66,7 +72,7 @@
         self, name: str = "lookup", timeout_ms: float = 5000.0, ref: str = "a1", work_ms: float = 100.0
     ) -> tuple[Client, Job]:
         client = Client()
-        job = self.core.admit(client, ref, m.JobRequest(0, name, timeout_ms, work_ms), None)
+        job = self.core.admit(client, ref, JobRequest(0, name, timeout_ms, work_ms), None)
         assert job is not None
         return client, job
 
@@ -76,13 +82,13 @@
         return client, job.attempts[-1]
 
 
-NEVER = [m.Outcome.OVERLOADED, m.Outcome.UNREACHABLE]
-PERHAPS = [m.Outcome.ERROR, m.Outcome.RESET]
+NEVER = [Outcome.OVERLOADED, Outcome.UNREACHABLE]
+PERHAPS = [Outcome.ERROR, Outcome.RESET]
 
 
 @pytest.mark.parametrize("name", ["lookup", "once"])
 @pytest.mark.parametrize("outcome", NEVER + PERHAPS)
-def test_only_what_never_ran_goes_out_again_where_it_must_run_once(name: str, outcome: m.Outcome) -> None:
+def test_only_what_never_ran_goes_out_again_where_it_must_run_once(name: str, outcome: Outcome) -> None:
     world = World()
     client, forward = world.placed(name)
     world.core.on_attempt_ended(forward, outcome)
@@ -101,8 +107,8 @@
     client, forward = world.placed()
     assert world.core.find_attempt("a1", forward.endpoint) is forward
     assert world.core.find_attempt("a1", "other") is None
-    world.core.on_attempt_ended(forward, m.Outcome.SERVED, b"one")
-    world.core.on_attempt_ended(forward, m.Outcome.SERVED, b"two")
+    world.core.on_attempt_ended(forward, Outcome.SERVED, b"one")
+    world.core.on_attempt_ended(forward, Outcome.SERVED, b"two")
     assert world.core.find_attempt("a1", forward.endpoint) is None
     world.run(10_000.0)
     assert client.answers == [Served(b"one")]
@@ -129,7 +135,7 @@
     world = World()
     client, _ = world.placed("once", timeout_ms=900.0) if sent else world.ask("once", timeout_ms=900.0)
 
-    def broken(*_given: Any) -> list[m.Action]:
+    def broken(*_given: Any) -> list[Action]:
         raise ZeroDivisionError
 
     monkeypatch.setattr(world.core._policy, "handle", broken)
@@ -141,7 +147,7 @@
 
 def test_the_module_gives_up_before_the_deadline_and_its_advice_is_told() -> None:
     world = World()
-    world.core.on_endpoint_list(m.ListKind.SNAPSHOT, [])
+    world.core.on_endpoint_list(ListKind.SNAPSHOT, [])
     world.run(100.0)
     client, _ = world.ask(timeout_ms=300.0, work_ms=1.0)
     world.now += 20.0  # steps may come late
@@ -164,7 +170,7 @@
 
 @pytest.mark.parametrize("copies", [False, True])
 def test_where_copies_are_barred_a_job_goes_again_only_once_it_has_been_given_up(copies: bool) -> None:
-    world = World(limits=m.Limits(max_attempts=4, may_cancel=True, may_hedge=copies))
+    world = World(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=copies))
     _, forward = world.placed(work_ms=2000.0)
     world.core.on_attempt_started(forward)  # and then nothing: an executor that cannot be reached, say
     for _ in range(80):
@@ -182,7 +188,7 @@
 
 
 def test_nothing_is_kept_of_a_job_that_ends_while_a_give_up_is_under_way() -> None:
-    world = World(limits=m.Limits(max_attempts=4, may_cancel=True, may_hedge=False))
+    world = World(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=False))
     client, forward = world.placed(work_ms=2000.0)
     world.core.on_attempt_started(forward)
     while not world.abandoned:
@@ -196,13 +202,13 @@
 def test_an_id_in_use_is_not_taken_twice() -> None:
     world = World()
     world.ask()
-    assert world.core.admit(Client(), "a1", m.JobRequest(0, "lookup", 500.0), None) is None
+    assert world.core.admit(Client(), "a1", JobRequest(0, "lookup", 500.0), None) is None
 
 
 def test_a_refusal_of_what_may_have_run_once_becomes_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World()
     client, forward = world.placed("once")
-    refuse: list[m.Action] = [m.RejectJob(forward.job.number, 50.0), m.FailJob(forward.job.number)]
+    refuse: list[Action] = [RejectJob(forward.job.number, 50.0), FailJob(forward.job.number)]
     monkeypatch.setattr(world.core._policy, "handle", lambda *_: refuse)
     world.core.on_attempt_progressed(forward, 0.5)
     world.run(10.0)
@@ -212,12 +218,12 @@
 def test_a_target_gets_one_forward_of_a_request(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World()
     _, forward = world.placed()
-    world.core.on_attempt_ended(forward, m.Outcome.RESET)
-    again: list[m.Action] = [m.StartAttempt(forward.job.number, forward.endpoint)]
+    world.core.on_attempt_ended(forward, Outcome.RESET)
+    again: list[Action] = [StartAttempt(forward.job.number, forward.endpoint)]
     monkeypatch.setattr(
         world.core._policy,
         "handle",
-        lambda *_: again.pop() and [m.StartAttempt(1, forward.endpoint)] if again else [],
+        lambda *_: again.pop() and [StartAttempt(1, forward.endpoint)] if again else [],
     )
     world.run(10.0)
     assert len(world.sent) == 1
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -8,26 +8,26 @@
 
 import pytest
 
-from burlmoor import core as c
-from burlmoor.model.gossip import GossipSimulation
-from tests.fleet import Fleet
-from tests.model.test_deployments import PLAIN, play
-from tests.talk import entries, settings
+from burlmoor.engine.answers import DependencyFailed, Failed, FinalAnswer, Rejected, Served
+from burlmoor.simulation.gossip import GossipSimulation
+from tests.simulation.test_deployments import PLAIN, play
+from tests.support.dispatcher_driver import entries, settings
+from tests.support.dispatcher_fleet import Fleet
 
 DIGESTS = json.loads((Path(__file__).parent / "data" / "digests.json").read_text())
 SEEDS = (1, 2, 3)
 
 
-def described(answer: c.FinalAnswer) -> str:
+def described(answer: FinalAnswer) -> str:
     """A final answer in words that no renaming changes."""
     match answer:
-        case c.Served(body):
+        case Served(body):
             return f"served {body.decode()}"
-        case c.Rejected(retry_after):
+        case Rejected(retry_after):
             return f"rejected {retry_after!r}"
-        case c.Failed():
+        case Failed():
             return "failed"
-        case c.DependencyFailed(reason):
+        case DependencyFailed(reason):
             return f"unmet {reason}"
 
 
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -13,21 +13,22 @@
 import msgspec
 import pytest
 
-from burlmoor import learnt
-from burlmoor.membership.facts import MemberState, MemberStatus
-from burlmoor.membership.wire import Message, MessageKind, decode, encode
-from burlmoor.net import peer
-from burlmoor.net.target_group import DiscoveredEndpoint, DiscoveredList, EndpointOverrides
-from burlmoor.operators import Overrides
-from burlmoor.options.reading import parse
-from burlmoor.rig.drill import Ask, Verdict
-from burlmoor.rig.drill_waiting import judge as judge_waiting
-from burlmoor.rig.drill_watch import judge as judge_watch
-from burlmoor.rig.fleet import record as records
-from burlmoor.rig.fleet.verdict import found
-from burlmoor.rig.ledger import Ledger
-from burlmoor.simhost import Host
-from tests.test_learnt import taught
+from burlmoor.admin.service import Overrides
+from burlmoor.config.options.parser import parse
+from burlmoor.endpoints.directory import EndpointOverrides
+from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.lifecycle import handover_channel
+from burlmoor.membership.codec import Message, MessageKind, decode, encode
+from burlmoor.membership.member import MemberState, MemberStatus
+from burlmoor.simulator_adapter import Host
+from burlmoor.stats import snapshot
+from burlmoor.testbed.drill import Ask, Verdict
+from burlmoor.testbed.drill_deferred import judge as judge_waiting
+from burlmoor.testbed.drill_watch import judge as judge_watch
+from burlmoor.testbed.event_record import Ledger
+from burlmoor.testbed.fleet import record as records
+from burlmoor.testbed.fleet.verdict import found
+from tests.stats.test_snapshot import taught
 
 DATA = Path(__file__).parent / "data"
 STATISTICS = (DATA / "statistics.msgpack").read_bytes()
@@ -41,42 +42,42 @@
         DiscoveredEndpoint("e2"),
     ],
 )
-HANDOVER: dict[str, peer.Message] = {
-    "hello": peer.Hello(),
-    "snapshot": peer.Snapshot(
+HANDOVER: dict[str, handover_channel.Message] = {
+    "hello": handover_channel.Hello(),
+    "snapshot": handover_channel.Snapshot(
         OVERRIDES,
         LISTED,
-        msgspec.msgpack.decode(STATISTICS, type=learnt.StatisticsSnapshot),
+        msgspec.msgpack.decode(STATISTICS, type=snapshot.StatisticsSnapshot),
         ["a1", "a2"],
         5,
         6,
     ),
-    "accepting": peer.Accepting(),
-    "holds": peer.ConnectionCounts(3, 4),
-    "opened": peer.JobOpened("a3"),
-    "obey": peer.ApplyOverride(9, "/executors/disable", "e1"),
-    "called-back": peer.ForwardedCallback(10, b'{"id":"a1"}'),
-    "taken": peer.Acknowledged(9),
-    "client": peer.PassedConnection(True, 1.25),
-    "part": peer.Fragment(b"xyz", True),
+    "accepting": handover_channel.Accepting(),
+    "holds": handover_channel.ConnectionCounts(3, 4),
+    "opened": handover_channel.JobOpened("a3"),
+    "obey": handover_channel.ApplyOverride(9, "/executors/disable", "e1"),
+    "called-back": handover_channel.ForwardedCallback(10, b'{"id":"a1"}'),
+    "taken": handover_channel.Acknowledged(9),
+    "client": handover_channel.PassedConnection(True, 1.25),
+    "part": handover_channel.Fragment(b"xyz", True),
 }
 
 
 @pytest.mark.parametrize("name", HANDOVER)
 def test_handover_messages_keep_their_encoding(name: str) -> None:
     recorded = (DATA / "handover" / f"{name}.msgpack").read_bytes()
-    assert msgspec.msgpack.decode(recorded, type=peer.Message) == HANDOVER[name]
+    assert msgspec.msgpack.decode(recorded, type=handover_channel.Message) == HANDOVER[name]
     assert msgspec.msgpack.encode(HANDOVER[name]) == recorded
 
 
 def test_the_statistics_snapshot_keeps_its_encoding() -> None:
-    decoded = msgspec.msgpack.decode(STATISTICS, type=learnt.StatisticsSnapshot)
+    decoded = msgspec.msgpack.decode(STATISTICS, type=snapshot.StatisticsSnapshot)
     assert msgspec.msgpack.encode(decoded) == STATISTICS
 
 
 def test_the_same_conversation_gives_the_same_statistics_snapshot() -> None:
     talk = taught()
-    assert msgspec.msgpack.encode(learnt.take_snapshot(talk.node, talk.now)) == STATISTICS
+    assert msgspec.msgpack.encode(snapshot.take_snapshot(talk.node, talk.now)) == STATISTICS
 
 
 def test_the_overrides_file_keeps_its_encoding() -> None:
--- a/tests/golden/test_takeover.py
+++ b/tests/golden/test_takeover.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from tests.test_succession import House, house
+from tests.lifecycle.test_handover import House, house
 
 CONVERSATION = Path(__file__).parent / "data" / "conversation"
 LINK = "n1.link"
--- a/tests/test_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from burlmoor.rig.wire import Message
-from tests.peers import Stage, play
-from tests.test_config import OPTIONS
+from burlmoor.testbed.http_wire import Message
+from tests.config.test_node_config import OPTIONS
+from tests.support.node_harness import Stage, play
 
 SETTINGS: dict[str, list[Any]] = {
     "kind": ["lookup", "once", "keyed"],
--- a/tests/test_endings.py
+++ b/tests/integration/test_endings.py
@@ -11,10 +11,10 @@
 import pytest
 import trio
 
-from burlmoor.net.pool import REUSE_DELAY_SECONDS, PooledConnection
-from burlmoor.net.stream import SocketStream, connect
-from tests.peers import Stage, play
-from tests.test_config import OPTIONS
+from burlmoor.transport.stream import SocketStream, connect
+from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, PooledConnection
+from tests.config.test_node_config import OPTIONS
+from tests.support.node_harness import Stage, play
 
 NO_CANCEL = {**OPTIONS, "Limits": {**OPTIONS["Limits"], "Cancel": False}}
 
@@ -222,7 +222,7 @@
             await go.wait()
             return stream
 
-        monkeypatch.setattr("burlmoor.net.pool.connect", late)
+        monkeypatch.setattr("burlmoor.upstream.pool.connect", late)
         wire = await made.submit()
         await up.wait()
         await wire.stream.aclose()
--- a/tests/test_limits_of_the_machine.py
+++ b/tests/integration/test_machine_limits.py
@@ -11,11 +11,11 @@
 import pytest
 import trio
 
-from burlmoor.rig.discovery import Discovery
-from burlmoor.rig.node import Node, call
-from burlmoor.rig.wire import Wire
-from tests.peers import Stage, play
-from tests.test_config import OPTIONS
+from burlmoor.testbed.discovery import Discovery
+from burlmoor.testbed.http_wire import Wire
+from burlmoor.testbed.node_process import Node, call
+from tests.config.test_node_config import OPTIONS
+from tests.support.node_harness import Stage, play
 
 TOLD, GRACE = 6.0, 0.25
 
--- a/tests/test_network.py
+++ b/tests/integration/test_node_over_sockets.py
@@ -12,13 +12,13 @@
 import pytest
 import trio
 
-from burlmoor import messages as m
-from burlmoor.net.pool import REUSE_DELAY_SECONDS, ConnectError
-from burlmoor.net.serving import ServiceState
-from burlmoor.net.target import BrokenResponseError
-from burlmoor.rig.wire import Message
-from tests.peers import Stage, play
-from tests.test_config import written
+from burlmoor.downstream.drain import ServiceState
+from burlmoor.testbed.http_wire import Message
+from burlmoor.types.outcome import Outcome
+from burlmoor.upstream.http import BrokenResponseError
+from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectError
+from tests.config.test_node_config import written
+from tests.support.node_harness import Stage, play
 
 
 @pytest.mark.parametrize(
@@ -268,7 +268,7 @@
         forwards.cancel_attempt(forward)
         await made.until(lambda: not forwards.pending_cancels)
         assert forward.is_over is given_up
-        assert forward.outcome is (m.Outcome.CANCELLED if given_up else None)
+        assert forward.outcome is (Outcome.CANCELLED if given_up else None)
 
     play(story)
 
@@ -504,7 +504,7 @@
 
 
 def test_a_client_that_drips_its_request_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("burlmoor.net.front._SPARE_BEGUN", 0.2)
+    monkeypatch.setattr("burlmoor.downstream.server._SPARE_BEGUN", 0.2)
 
     async def story(made: Stage) -> None:
         slow = [await made.client() for _ in range(44)]
@@ -520,7 +520,7 @@
 
 def test_a_slow_writer_among_a_crowd_that_never_ends_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against taking slow for silent: true clients take up to 2 s to write what they ask.
-    monkeypatch.setattr("burlmoor.net.front._SPARE_BEGUN", 0.2)
+    monkeypatch.setattr("burlmoor.downstream.server._SPARE_BEGUN", 0.2)
 
     async def story(made: Stage) -> None:
         stalled = [await made.client() for _ in range(40)]
@@ -550,7 +550,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The peer closes an idle connection while the DELETE is on its way: what it finds cannot tell.
-    monkeypatch.setattr("burlmoor.net.stream.SocketStream.still_quiet", lambda _self: True)
+    monkeypatch.setattr("burlmoor.transport.stream.SocketStream.still_quiet", lambda _self: True)
 
     async def story(made: Stage) -> None:
         wire = await made.submit()
@@ -581,13 +581,13 @@
     play(story)
 
 
-@pytest.mark.parametrize("place", ["callbacks.take", "front.Link.first_look"])
+@pytest.mark.parametrize("place", ["callbacks.handle_callback", "server.DownstreamConnection.first_look"])
 def test_a_fault_on_one_connection_ends_only_that(place: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(made: Stage) -> None:
         wire = await made.submit("once")
         await made.until(lambda: made.jobs)
         with monkeypatch.context() as patch:
-            patch.setattr(f"burlmoor.net.{place}", lambda *_: 1 / 0)
+            patch.setattr(f"burlmoor.downstream.{place}", lambda *_: 1 / 0)
             broken = await made.client()
             with suppress(trio.BrokenResourceError):
                 await broken.write("POST /v1/job-events HTTP/1.1", b"{}", Host="node")
--- a/tests/test_program.py
+++ b/tests/integration/test_program.py
@@ -12,11 +12,11 @@
 
 import trio
 
-from burlmoor.rig.wire import Wire
-from tests.peers import Stage
-from tests.test_config import written
+from burlmoor.testbed.http_wire import Wire
+from tests.config.test_node_config import written
+from tests.support.node_harness import Stage
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def free_address() -> str:
--- a/tests/test_succession.py
+++ b/tests/lifecycle/test_handover.py
@@ -15,12 +15,12 @@
 import pytest
 import trio
 
-from burlmoor.net import peer as p
-from burlmoor.rig.wire import Message, Wire
-from tests.peers import Stage, play
-from tests.test_config import written
-from tests.test_control import call, ready, serve
-from tests.test_program import ROOT, free_address
+from burlmoor.lifecycle import handover_channel as p
+from burlmoor.testbed.http_wire import Message, Wire
+from tests.admin.test_admin import call, ready, serve
+from tests.config.test_node_config import written
+from tests.integration.test_program import ROOT, free_address
+from tests.support.node_harness import Stage, play
 
 
 class Process:
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from burlmoor.membership import swim
-from burlmoor.membership.facts import MemberState, MemberStatus
+from burlmoor.membership.codec import InvalidDatagramError, Message, MessageKind, decode, encode
+from burlmoor.membership.member import MemberState, MemberStatus
 from burlmoor.membership.swim import Membership
-from burlmoor.membership.wire import InvalidDatagramError, Message, MessageKind, decode, encode
-from burlmoor.model.gossip import GossipSimulation
+from burlmoor.simulation.gossip import GossipSimulation
 
 facts = st.builds(
     MemberState,
