--- a/tests/test_book.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -7,19 +7,30 @@
 
 import pytest
 
-from burlmoor import messages as m
-from burlmoor.book import BANDS, Endpoint, EndpointStatistics
-from burlmoor.decide import ScheduledJob
-from burlmoor.means import DecayedMean
-from tests.talk import LOOKUP, Talk, entries, settings
+from burlmoor.policy.job import ScheduledJob
+from burlmoor.stats.decayed_mean import DecayedMean
+from burlmoor.stats.endpoint import Endpoint
+from burlmoor.stats.endpoint_statistics import BANDS, EndpointStatistics
+from burlmoor.types.actions import CheckHealth, StartAttempt
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+from burlmoor.types.events import (
+    AttemptProgressed,
+    AttemptStarted,
+    ClientDisconnected,
+    EndpointListUpdate,
+    JobRequest,
+)
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import Limits
+from tests.support.dispatcher_driver import LOOKUP, Talk, entries, settings
 
 
 def job(work: float) -> ScheduledJob:
-    return ScheduledJob(m.JobRequest(1, "lookup", 5000.0, work), LOOKUP, work)
+    return ScheduledJob(JobRequest(1, "lookup", 5000.0, work), LOOKUP, work)
 
 
 def worker(name: str = "a0", kind: str = "std") -> Endpoint:
-    return Endpoint(m.EndpointEntry(name, zone="a", weight=4.0, kind=kind))
+    return Endpoint(EndpointEntry(name, zone="a", weight=4.0, kind=kind))
 
 
 def test_a_mean_forgets_towards_its_prior() -> None:
@@ -64,9 +75,9 @@
 def test_progress_tells_of_slowness_before_the_outcome() -> None:
     talk = Talk(listed=entries(1))
     send = talk.placed(1, work_ms=1000.0)
-    talk.tell(m.AttemptStarted(1, 0, send.endpoint))
+    talk.tell(AttemptStarted(1, 0, send.endpoint))
     talk.run(1000.0)
-    talk.tell(m.AttemptProgressed(1, 0, send.endpoint, 0.25))
+    talk.tell(AttemptProgressed(1, 0, send.endpoint, 0.25))
     assert talk.node.book.kind("std", talk.now) > 1.2
 
 
@@ -76,8 +87,8 @@
     talk.run(200.0)
     talk.ask(2, "once", work_ms=300.0)
     talk.run(100.0)
-    assert not talk.all(m.StartAttempt, 2)
-    talk.tell(m.AttemptStarted(1, 0, send.endpoint))
+    assert not talk.all(StartAttempt, 2)
+    talk.tell(AttemptStarted(1, 0, send.endpoint))
     assert talk.node.members.workers["a0"].overdue == 0
 
 
@@ -87,7 +98,7 @@
     start = known.room
     for ref in range(4):
         send = talk.placed(ref)
-        talk.tell(m.AttemptStarted(ref, 0, send.endpoint))
+        talk.tell(AttemptStarted(ref, 0, send.endpoint))
     assert known.room > start
     raised = known.room
     talk.node.book.learn_delay(known, 500.0, talk.now)
@@ -97,9 +108,9 @@
 def test_full_turns_the_next_job_elsewhere() -> None:
     talk = Talk(listed=entries(2))
     send = talk.placed(1)
-    talk.end(send, m.Outcome.OVERLOADED)
+    talk.end(send, Outcome.OVERLOADED)
     talk.run(20.0)
-    assert talk.all(m.StartAttempt, 1)[1].endpoint != send.endpoint
+    assert talk.all(StartAttempt, 1)[1].endpoint != send.endpoint
 
 
 def test_when_all_looks_bad_work_is_still_spread() -> None:
@@ -108,20 +119,20 @@
     for ref in range(12):
         talk.ask(ref, "once", work_ms=500.0)
         talk.run(60.0)
-        talk.end(talk.all(m.StartAttempt, ref)[0], m.Outcome.ERROR)
-    assert len({send.endpoint for send in talk.all(m.StartAttempt)}) == 4
+        talk.end(talk.all(StartAttempt, ref)[0], Outcome.ERROR)
+    assert len({send.endpoint for send in talk.all(StartAttempt)}) == 4
 
 
-@pytest.mark.parametrize("outcome", [m.Outcome.ERROR, m.Outcome.RESET, m.Outcome.UNREACHABLE])
-def test_an_executor_that_fails_at_once_is_left_out_and_tested(outcome: m.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE])
+def test_an_executor_that_fails_at_once_is_left_out_and_tested(outcome: Outcome) -> None:
     # Guards against a sink: always free, it drew a fifth of all jobs and failed them.
     talk = Talk(listed=entries(1))
     for ref in (1, 2):
         talk.end(talk.placed(ref, work_ms=50.0), outcome)
-    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, entries(2)[1:]))
+    talk.tell(EndpointListUpdate(ListKind.DELTA, entries(2)[1:]))
 
     def sent_to_bad() -> list[int]:
-        return [send.id for send in talk.all(m.StartAttempt) if send.endpoint == "a0"]
+        return [send.id for send in talk.all(StartAttempt) if send.endpoint == "a0"]
 
     for ref in range(200, 206):  # the other one has no room for so many
         talk.ask(ref, "once", work_ms=1500.0)
@@ -137,11 +148,11 @@
 def test_a_silent_worker_loses_stability_and_repeatable_work_moves() -> None:
     talk = Talk(settings(), entries(2))
     send = talk.placed(1, work_ms=2000.0)
-    talk.tell(m.AttemptStarted(1, 0, send.endpoint))
+    talk.tell(AttemptStarted(1, 0, send.endpoint))
     talk.run(1700.0)
     known = talk.node.members.workers[send.endpoint]
     assert talk.node.book.stability(known, talk.now) < 0.8
-    assert len(talk.all(m.StartAttempt, 1)) == 2
+    assert len(talk.all(StartAttempt, 1)) == 2
 
 
 def test_a_key_returns_to_the_same_executor_at_every_node() -> None:
@@ -154,7 +165,7 @@
 
 def test_a_key_has_the_same_home_for_nodes_in_all_zones() -> None:
     # Guards against every zone fetching every key: the store they come from serves only so many at a time.
-    listed = [*entries(4), *(m.EndpointEntry(f"b{n}", zone="b", weight=4.0, kind="std") for n in range(4))]
+    listed = [*entries(4), *(EndpointEntry(f"b{n}", zone="b", weight=4.0, kind="std") for n in range(4))]
     homes = set()
     for zone in ("a", "b"):
         talk = Talk(settings(zone=zone), listed)
@@ -166,9 +177,9 @@
     # Guards against feeding an overload: what was moved may run at both, and its key is fetched once more.
     talk = Talk(settings(), entries(1))
     first, _ = talk.placed(1, work_ms=2000.0), talk.placed(2, work_ms=2000.0)
-    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, entries(2)[1:]), m.AttemptStarted(1, 0, first.endpoint))
+    talk.tell(EndpointListUpdate(ListKind.DELTA, entries(2)[1:]), AttemptStarted(1, 0, first.endpoint))
     talk.run(500.0)
-    assert len(talk.all(m.StartAttempt, 2)) == 1
+    assert len(talk.all(StartAttempt, 2)) == 1
 
 
 def test_what_is_unlikely_to_be_in_time_is_not_sent() -> None:
@@ -180,8 +191,8 @@
         if talk.node.jobs[ref].trial:
             trials.add(ref)
         talk.run(20.0)
-        talk.tell(m.ClientDisconnected(ref))
-    assert {send.id for send in talk.all(m.StartAttempt)} <= trials
+        talk.tell(ClientDisconnected(ref))
+    assert {send.id for send in talk.all(StartAttempt)} <= trials
 
 
 def test_a_chance_is_as_good_as_what_jobs_took_says() -> None:
@@ -210,18 +221,18 @@
     talk.ask(1, work_ms=100.0)
     talk.node.jobs[1].trial = False
     talk.run(60.0)
-    assert not talk.all(m.StartAttempt)
+    assert not talk.all(StartAttempt)
     filled.slots = 0.0
     talk.run(60.0)
-    assert [send.endpoint for send in talk.all(m.StartAttempt)] == ["a1"]
+    assert [send.endpoint for send in talk.all(StartAttempt)] == ["a1"]
 
 
 def test_no_probes_are_bought() -> None:
     # A few of each node are many at an executor that 40 nodes share, and tell no more than starts do.
-    limits = m.Limits(max_attempts=4, may_cancel=True, may_check_health=True)
+    limits = Limits(max_attempts=4, may_cancel=True, may_check_health=True)
     talk = Talk(settings(limits=limits), entries(6))
     assert talk.placed(2, "once")
-    assert not talk.all(m.CheckHealth)
+    assert not talk.all(CheckHealth)
 
 
 def test_nothing_is_left_behind_by_finished_work_and_forgotten_workers() -> None:
@@ -229,11 +240,11 @@
     for ref in range(300):
         talk.ask(ref, ("lookup", "keyed", "once")[ref % 3], affinity_key=str(ref))
         talk.run(40.0)
-        for send in talk.all(m.StartAttempt, ref):
-            talk.end(send, m.Outcome.SERVED, len(talk.all(m.StartAttempt, ref)) - 1)
+        for send in talk.all(StartAttempt, ref):
+            talk.end(send, Outcome.SERVED, len(talk.all(StartAttempt, ref)) - 1)
         talk.said.clear()
-        talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [m.EndpointEntry(f"n{ref}", zone="a", kind="std")]))
-        talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [m.EndpointEntry(f"n{ref}", m.EndpointState.GONE)]))
+        talk.tell(EndpointListUpdate(ListKind.DELTA, [EndpointEntry(f"n{ref}", zone="a", kind="std")]))
+        talk.tell(EndpointListUpdate(ListKind.DELTA, [EndpointEntry(f"n{ref}", EndpointState.GONE)]))
     talk.run(10_000.0)
     node = talk.node
     assert not node.jobs
@@ -257,7 +268,7 @@
     book, near, far = (
         EndpointStatistics(5.0),
         worker("a0"),
-        Endpoint(m.EndpointEntry("b0", zone="b", weight=4.0, kind="std")),
+        Endpoint(EndpointEntry("b0", zone="b", weight=4.0, kind="std")),
     )
     book.learn_delay(near, 4.0, 0.0)
     for step in range(20):
@@ -273,7 +284,7 @@
         talk.node.book.promptness.add(talk.now, 0.0, 8000.0)
     talk.placed(1, work_ms=2000.0)
     talk.run(500.0)
-    assert len(talk.all(m.StartAttempt, 1)) == 1
+    assert len(talk.all(StartAttempt, 1)) == 1
 
 
 def test_a_wait_cut_short_is_no_sign_of_a_short_wait() -> None:
--- a/tests/test_fleet.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from burlmoor import messages as m
-from tests.fleet import Fleet
-from tests.talk import RULES, entries, settings
+from burlmoor.types.endpoint_list import EndpointState, ListKind
+from burlmoor.types.settings import Rules, Tenant
+from tests.support.dispatcher_driver import RULES, entries, settings
+from tests.support.dispatcher_fleet import Fleet
 
 
 def wide(count: int = 60, slots: int = 4) -> Fleet:
@@ -41,7 +42,7 @@
 
 def test_replaced_executors_are_used_and_within_their_budget() -> None:
     # Six in ten are new and cold, and all nodes hear of it at once.
-    tenants = (m.Tenant("all", 1.0, 800.0),)
+    tenants = (Tenant("all", 1.0, 800.0),)
     fleet = Fleet(settings(node_count=40, tenants=tenants), entries(30), slots=8)
     fleet.load(850.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(4000.0)
@@ -50,7 +51,7 @@
         each._replace(endpoint=f"new{n}", started_at=started) if n % 5 < 3 else each
         for n, each in enumerate(fleet.listed)
     ]
-    fleet.list_to(range(40), m.ListKind.SNAPSHOT, replaced)
+    fleet.list_to(range(40), ListKind.SNAPSHOT, replaced)
     fleet.run(9000.0)
     cold: defaultdict[tuple[str, int], float] = defaultdict(float)
     for at, name, work in fleet.sends:
@@ -67,13 +68,13 @@
     assert sum(shares) / (18 * 2) > 0.5  # of what they can do, over the first two whole windows
 
 
-FALL = m.Rules(20.0, 500.0, 0.2, 10_000.0, 4.0, 1000.0, 10_000.0)
+FALL = Rules(20.0, 500.0, 0.2, 10_000.0, 4.0, 1000.0, 10_000.0)
 
 
 def cold_fleet(hot: bool = False, herd: bool = False, in_step: bool = False) -> Fleet:
     """200 nodes, all started a moment ago, with more work than ten warm and five cold executors can do."""
     listed = [*entries(10, weight=1.0), *entries(5, "b", weight=1.0, started_at=900.0)]
-    tenants = (m.Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work a ms at each, in jobs of 200 ms
+    tenants = (Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work a ms at each, in jobs of 200 ms
     fleet = Fleet(settings(node_count=200, tenants=tenants, rules=FALL), listed, slots=1000)
     for node in range(200):
         for at in range(1000, 3400, 200):
@@ -86,8 +87,8 @@
 
             fleet.at(when, ask)
     if herd:
-        gone = [each._replace(state=m.EndpointState.GONE) for each in listed[:10]]
-        fleet.at(2000.0, lambda: fleet.list_to(range(200), m.ListKind.DELTA, gone))
+        gone = [each._replace(state=EndpointState.GONE) for each in listed[:10]]
+        fleet.at(2000.0, lambda: fleet.list_to(range(200), ListKind.DELTA, gone))
     fleet.run(4000.0)
     return fleet
 
@@ -129,7 +130,7 @@
     lost = [name for at, name, _ in fleet.sends if at > 7000.0 and name.startswith("b")]
     assert len(lost) < 0.15 * 500.0 * 2.0  # a third of the executors, and two seconds
     back = [each._replace(started_at=fleet.now) for each in listed if each.zone == "b"]
-    fleet.list_to(range(40), m.ListKind.DELTA, back)
+    fleet.list_to(range(40), ListKind.DELTA, back)
     fleet.run(11_000.0)
     warmth = RULES.initial_capacity + (1.0 - RULES.initial_capacity) * 1000.0 / RULES.slow_start_ms
     got = Counter[str]()
--- a/tests/test_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -6,15 +6,26 @@
 
 import pytest
 
-from burlmoor import messages as m
-from tests.talk import KEYED, LIMITS, RULES, Talk, entries, settings
-
-MAY_HAVE_RUN = [m.Outcome.ERROR, m.Outcome.TIMEOUT, m.Outcome.RESET, m.Outcome.CANCELLED]
-NEVER_RAN = [m.Outcome.OVERLOADED, m.Outcome.UNREACHABLE, m.Outcome.UNSENT]
+from burlmoor.types.actions import CancelAttempt, FailJob, RejectJob, StartAttempt
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+from burlmoor.types.events import (
+    AttemptEnded,
+    AttemptStarted,
+    ClientDisconnected,
+    EndpointListUpdate,
+    HandoverChanged,
+    TimerFired,
+)
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import DeduplicationScope, Limits
+from tests.support.dispatcher_driver import KEYED, LIMITS, RULES, Talk, entries, settings
+
+MAY_HAVE_RUN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED]
+NEVER_RAN = [Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.UNSENT]
 
 
 def finals(talk: Talk, ref: int) -> int:
-    return len(talk.all(m.RejectJob, ref)) + len(talk.all(m.FailJob, ref))
+    return len(talk.all(RejectJob, ref)) + len(talk.all(FailJob, ref))
 
 
 # --- rule 1: one final answer in time ------------------------------------------------------------
@@ -26,7 +37,7 @@
     talk.ask(7, job_class, timeout_ms=3000.0)
     talk.run(2999.0)
     assert finals(talk, 7) == 1
-    assert not talk.all(m.StartAttempt, 7)
+    assert not talk.all(StartAttempt, 7)
     talk.run(10_000.0)
     assert finals(talk, 7) == 1
 
@@ -38,7 +49,7 @@
         talk.ask(ref, timeout_ms=5000.0, work_ms=50.0)
         talk.ask(ref + 10, timeout_ms=300.0, work_ms=50.0)
     talk.run(20.0)
-    assert len({send.id for send in talk.all(m.StartAttempt)}) == 6
+    assert len({send.id for send in talk.all(StartAttempt)}) == 6
 
 
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
@@ -52,20 +63,20 @@
 def test_an_answer_in_the_batch_of_the_deadline_is_not_followed_by_another() -> None:
     talk = Talk()
     send = talk.placed(7, "once")
-    talk.tell(m.AttemptStarted(7, 0, send.endpoint))
+    talk.tell(AttemptStarted(7, 0, send.endpoint))
     talk.now = 1000.0 + 5000.0
-    ended = m.AttemptEnded(7, 0, send.endpoint, m.Outcome.SERVED, 10.0, True)
-    talk.tell(ended, m.TimerFired(0))
+    ended = AttemptEnded(7, 0, send.endpoint, Outcome.SERVED, 10.0, True)
+    talk.tell(ended, TimerFired(0))
     assert finals(talk, 7) == 0
 
 
 def test_nothing_goes_out_for_a_request_whose_client_left() -> None:
     talk = Talk(listed=[])
     talk.ask(7)
-    talk.tell(m.ClientDisconnected(7))
-    talk.tell(m.EndpointListUpdate(m.ListKind.SNAPSHOT, entries(3)))
+    talk.tell(ClientDisconnected(7))
+    talk.tell(EndpointListUpdate(ListKind.SNAPSHOT, entries(3)))
     talk.run(6000.0)
-    assert not talk.all(m.StartAttempt, 7)
+    assert not talk.all(StartAttempt, 7)
     assert finals(talk, 7) == 0
 
 
@@ -74,7 +85,7 @@
     talk.ask(7, timeout_ms=0.0)
     talk.run(20.0)
     assert finals(talk, 7) == 1
-    assert not talk.all(m.StartAttempt, 7)
+    assert not talk.all(StartAttempt, 7)
 
 
 def test_what_waits_unstarted_past_its_use_is_ended_before_its_deadline() -> None:
@@ -82,7 +93,7 @@
     talk = Talk(listed=entries(1))
     talk.placed(7, "once", work_ms=100.0)
     talk.run(1000.0)
-    assert talk.all(m.CancelAttempt, 7)
+    assert talk.all(CancelAttempt, 7)
     assert finals(talk, 7) == 1
 
 
@@ -90,24 +101,24 @@
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_once_is_neither_sent_again_nor_refused_after_it_may_have_run(outcome: m.Outcome) -> None:
+def test_once_is_neither_sent_again_nor_refused_after_it_may_have_run(outcome: Outcome) -> None:
     talk = Talk()
     send = talk.placed(7, "once", work_ms=2000.0)
     talk.end(send, outcome)
     talk.run(6000.0)
-    assert len(talk.all(m.StartAttempt, 7)) == 1
-    assert not talk.all(m.RejectJob, 7)
-    assert len(talk.all(m.FailJob, 7)) == 1
+    assert len(talk.all(StartAttempt, 7)) == 1
+    assert not talk.all(RejectJob, 7)
+    assert len(talk.all(FailJob, 7)) == 1
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
-def test_what_never_ran_is_sent_elsewhere_at_once(job_class: str, outcome: m.Outcome) -> None:
+def test_what_never_ran_is_sent_elsewhere_at_once(job_class: str, outcome: Outcome) -> None:
     talk = Talk()
     send = talk.placed(7, job_class)
     talk.end(send, outcome)
     talk.run(20.0)
-    sends = talk.all(m.StartAttempt, 7)
+    sends = talk.all(StartAttempt, 7)
     assert len(sends) == 2
     assert sends[1].endpoint != send.endpoint
 
@@ -116,60 +127,60 @@
     talk = Talk(listed=entries(1, "a") + entries(3, "b"))
     send = talk.placed(7, "keyed", affinity_key="k", work_ms=2000.0)
     assert send.endpoint == "a0"
-    talk.end(send, m.Outcome.RESET)
+    talk.end(send, Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.StartAttempt, 7)) == 1
-    assert not talk.all(m.RejectJob, 7)
-    assert len(talk.all(m.FailJob, 7)) == 1
+    assert len(talk.all(StartAttempt, 7)) == 1
+    assert not talk.all(RejectJob, 7)
+    assert len(talk.all(FailJob, 7)) == 1
 
 
 def test_keyed_is_not_sent_again_after_its_window() -> None:
     talk = Talk(settings(classes=(replace(KEYED, deduplication_window_ms=300.0),)))
     send = talk.placed(7, "keyed", work_ms=2000.0)
     talk.run(400.0)
-    talk.end(send, m.Outcome.RESET)
+    talk.end(send, Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.StartAttempt, 7)) == 1
-    assert len(talk.all(m.FailJob, 7)) == 1
+    assert len(talk.all(StartAttempt, 7)) == 1
+    assert len(talk.all(FailJob, 7)) == 1
 
 
 def test_keyed_with_the_group_of_all_may_be_refused_after_it_may_have_run() -> None:
-    talk = Talk(settings(classes=(replace(KEYED, deduplication_scope=m.DeduplicationScope.ALL),)), entries(1))
-    talk.end(talk.placed(7, "keyed"), m.Outcome.RESET)
+    talk = Talk(settings(classes=(replace(KEYED, deduplication_scope=DeduplicationScope.ALL),)), entries(1))
+    talk.end(talk.placed(7, "keyed"), Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.RejectJob, 7)) == 1
+    assert len(talk.all(RejectJob, 7)) == 1
 
 
 def test_cells_with_one_number_in_two_zones_are_not_one_group() -> None:
-    given = settings(classes=(replace(KEYED, deduplication_scope=m.DeduplicationScope.CELL),))
+    given = settings(classes=(replace(KEYED, deduplication_scope=DeduplicationScope.CELL),))
     talk = Talk(
-        given, [*entries(1, cell=1), m.EndpointEntry("other", zone="a", weight=4.0, cell=2, kind="std")]
+        given, [*entries(1, cell=1), EndpointEntry("other", zone="a", weight=4.0, cell=2, kind="std")]
     )
-    talk.end(talk.placed(7, "keyed", work_ms=2000.0), m.Outcome.RESET)
+    talk.end(talk.placed(7, "keyed", work_ms=2000.0), Outcome.RESET)
     talk.run(6000.0)
-    assert len(talk.all(m.StartAttempt, 7)) == 1
+    assert len(talk.all(StartAttempt, 7)) == 1
 
 
 def test_two_attempts_are_never_out_together_where_second_copies_are_not_allowed() -> None:
-    limits = m.Limits(max_attempts=4, may_cancel=True, may_hedge=False)
+    limits = Limits(max_attempts=4, may_cancel=True, may_hedge=False)
     talk = Talk(settings(limits=limits))
     send = talk.placed(7, work_ms=2000.0)
     talk.run(300.0)
-    assert talk.all(m.CancelAttempt, 7) == [m.CancelAttempt(7, 0)]
-    assert len(talk.all(m.StartAttempt, 7)) == 1
-    talk.end(send, m.Outcome.CANCELLED)
+    assert talk.all(CancelAttempt, 7) == [CancelAttempt(7, 0)]
+    assert len(talk.all(StartAttempt, 7)) == 1
+    talk.end(send, Outcome.CANCELLED)
     talk.run(20.0)
-    assert len(talk.all(m.StartAttempt, 7)) == 2
+    assert len(talk.all(StartAttempt, 7)) == 2
 
 
 def test_a_second_copy_replaces_a_job_that_has_not_started_and_the_loser_is_cancelled() -> None:
     talk = Talk()
     talk.placed(7, work_ms=2000.0)
     talk.run(300.0)
-    sends = talk.all(m.StartAttempt, 7)
+    sends = talk.all(StartAttempt, 7)
     assert len(sends) == 2
-    talk.tell(m.AttemptStarted(7, 1, sends[1].endpoint))
-    assert talk.all(m.CancelAttempt, 7) == [m.CancelAttempt(7, 0)]
+    talk.tell(AttemptStarted(7, 1, sends[1].endpoint))
+    assert talk.all(CancelAttempt, 7) == [CancelAttempt(7, 0)]
 
 
 def test_attempts_stay_within_the_cap() -> None:
@@ -177,39 +188,39 @@
     talk.ask(7, work_ms=2000.0)
     for _ in range(10):
         talk.run(30.0)
-        for number, send in enumerate(talk.all(m.StartAttempt, 7)):
-            talk.end(send, m.Outcome.OVERLOADED, number)
-    assert len(talk.all(m.StartAttempt, 7)) == LIMITS.max_attempts
+        for number, send in enumerate(talk.all(StartAttempt, 7)):
+            talk.end(send, Outcome.OVERLOADED, number)
+    assert len(talk.all(StartAttempt, 7)) == LIMITS.max_attempts
     assert finals(talk, 7) == 1
 
 
 # --- rule 3: drains ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("state", [m.EndpointState.DRAINING, m.EndpointState.GONE])
-def test_a_drain_told_between_arrival_and_round_is_kept_at_once(state: m.EndpointState) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_a_drain_told_between_arrival_and_round_is_kept_at_once(state: EndpointState) -> None:
     talk = Talk(listed=entries(1))
     talk.ask(7)
-    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [entries(1)[0]._replace(state=state)]))
+    talk.tell(EndpointListUpdate(ListKind.DELTA, [entries(1)[0]._replace(state=state)]))
     talk.run(6000.0)
-    assert not talk.all(m.StartAttempt)
+    assert not talk.all(StartAttempt)
 
 
 def test_missing_from_a_full_list_means_gone() -> None:
     talk = Talk(listed=entries(2))
-    talk.tell(m.EndpointListUpdate(m.ListKind.SNAPSHOT, entries(1)))
+    talk.tell(EndpointListUpdate(ListKind.SNAPSHOT, entries(1)))
     for ref in range(20):
         talk.ask(ref)
         talk.run(50.0)
-    assert {send.endpoint for send in talk.all(m.StartAttempt)} == {"a0"}
+    assert {send.endpoint for send in talk.all(StartAttempt)} == {"a0"}
 
 
 def test_an_executor_named_twice_in_a_list_takes_its_last_state() -> None:
-    twice = [entries(1)[0], entries(1)[0]._replace(state=m.EndpointState.DRAINING)]
+    twice = [entries(1)[0], entries(1)[0]._replace(state=EndpointState.DRAINING)]
     talk = Talk(listed=twice)
     talk.ask(7)
     talk.run(6000.0)
-    assert not talk.all(m.StartAttempt)
+    assert not talk.all(StartAttempt)
 
 
 # --- rule 4: cold executors ----------------------------------------------------------------------
@@ -217,18 +228,18 @@
 
 @pytest.mark.parametrize("nodes", [1, 10, 100])
 def test_the_nodes_together_keep_within_a_cold_executors_budget(nodes: int) -> None:
-    cold = [m.EndpointEntry("new", zone="a", weight=4.0, kind="std", started_at=1000.0)]
+    cold = [EndpointEntry("new", zone="a", weight=4.0, kind="std", started_at=1000.0)]
     sent: list[tuple[float, float]] = []
     for node in range(nodes):
         talk = Talk(settings(node_count=nodes, node_index=node), cold, seed=node)
         for ref in range(80):
-            before = len(talk.all(m.StartAttempt))
+            before = len(talk.all(StartAttempt))
             talk.ask(ref, work_ms=150.0)
             talk.run(50.0)
-            for send in talk.all(m.StartAttempt)[before:]:
+            for send in talk.all(StartAttempt)[before:]:
                 sent.append((talk.now, 150.0))
-                talk.tell(m.AttemptStarted(send.id, 0, send.endpoint))
-                talk.end(send, m.Outcome.SERVED)
+                talk.tell(AttemptStarted(send.id, 0, send.endpoint))
+                talk.end(send, Outcome.SERVED)
     assert sent
     for start in range(1000, 5000, 100):
         window = [cost for at, cost in sent if start <= at < start + RULES.overload_window_ms]
@@ -242,35 +253,35 @@
     talk.placed(1)
     talk.now = 2000.0
     restarted = entries(1)[0]._replace(started_at=1990.0)
-    talk.tell(m.EndpointListUpdate(m.ListKind.DELTA, [restarted]))
+    talk.tell(EndpointListUpdate(ListKind.DELTA, [restarted]))
     worker = talk.node.members.workers["a0"]
     assert worker.slots == 0.0
     assert talk.node.members.warmth(worker, 2000.0) < 0.3
 
 
-def cold_sends(listed: list[m.EndpointEntry], slots: int = 4, yielded: bool = False) -> int:
+def cold_sends(listed: list[EndpointEntry], slots: int = 4, yielded: bool = False) -> int:
     """How many jobs of 300 ms a cold executor gets in two seconds beside those listed, of so many slots."""
     work = 300.0
-    cold = m.EndpointEntry("new", zone="a", weight=1.0, kind="std", started_at=1.0)
+    cold = EndpointEntry("new", zone="a", weight=1.0, kind="std", started_at=1.0)
     talk = Talk(settings(node_count=2), [*listed, cold])
     talk.now = 3000.0  # it has 0.44 of its capacity
     if yielded:
-        talk.tell(m.HandoverChanged(True))
-    running: list[tuple[float, m.StartAttempt]] = []
-    waiting: list[m.StartAttempt] = []
+        talk.tell(HandoverChanged(True))
+    running: list[tuple[float, StartAttempt]] = []
+    waiting: list[StartAttempt] = []
     for ref in range(100):
-        before = len(talk.all(m.StartAttempt))
+        before = len(talk.all(StartAttempt))
         talk.ask(ref, work_ms=work)
         talk.run(20.0)
-        waiting += talk.all(m.StartAttempt)[before:]
+        waiting += talk.all(StartAttempt)[before:]
         for send in list(waiting):
             if sum(other.endpoint == send.endpoint for _, other in running) < slots:
                 waiting.remove(send)
-                talk.tell(m.AttemptStarted(send.id, 0, send.endpoint))
+                talk.tell(AttemptStarted(send.id, 0, send.endpoint))
                 running.append((talk.now + work, send))
         while running and running[0][0] <= talk.now:
-            talk.end(running.pop(0)[1], m.Outcome.SERVED)
-    return sum(send.endpoint == "new" for send in talk.all(m.StartAttempt))
+            talk.end(running.pop(0)[1], Outcome.SERVED)
+    return sum(send.endpoint == "new" for send in talk.all(StartAttempt))
 
 
 def test_a_cold_executor_is_trusted_by_what_warm_ones_of_its_kind_bear() -> None:
--- a/tests/model/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -9,10 +9,22 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from burlmoor import core as c
-from burlmoor import messages as m
-from burlmoor.model.audit import audit
-from burlmoor.model.world import ClusterSpec, SimulatedCluster
+from burlmoor.engine.answers import FinalAnswer, Served
+from burlmoor.engine.job import Job
+from burlmoor.simulation.audit import audit
+from burlmoor.simulation.cluster import ClusterSpec, SimulatedCluster
+from burlmoor.types.endpoint_list import ListKind
+from burlmoor.types.events import EndpointListUpdate
+from burlmoor.types.settings import (
+    DeduplicationScope,
+    Idempotency,
+    JobClass,
+    Limits,
+    ObjectiveWeights,
+    Rules,
+    Settings,
+    Tenant,
+)
 
 LENGTH, TOWN_RATE = 6000.0, 0.7
 
@@ -29,7 +41,7 @@
         "zones": st.sampled_from([1, 2, 4]),
         "tenants": st.booleans(),
         "nodes": st.sampled_from([1, 2, 4, 40]),
-        "group": st.sampled_from(list(m.DeduplicationScope)),
+        "group": st.sampled_from(list(DeduplicationScope)),
         "late_worth": st.booleans(),
         "blend": st.booleans(),
         "load": st.sampled_from([0.4, 0.85, 2.5]),
@@ -44,22 +56,20 @@
 def town(d: dict[str, Any]) -> ClusterSpec:
     late = 0.5 if d["late_worth"] else 0.0
     classes = (
-        m.JobClass("plain", 2.0, 300.0, 2.0, 2500.0, m.Idempotency.IDEMPOTENT, late_fraction=late),
-        m.JobClass(
-            "keyed", 5.0, 400.0, 2.0, 3000.0, m.Idempotency.IDEMPOTENT_WITH_KEY, d["group"], 1500.0, late
-        ),
-        m.JobClass("once", 3.0, 300.0, 1.75, 4000.0, m.Idempotency.NON_IDEMPOTENT, late_fraction=late),
+        JobClass("plain", 2.0, 300.0, 2.0, 2500.0, Idempotency.IDEMPOTENT, late_fraction=late),
+        JobClass("keyed", 5.0, 400.0, 2.0, 3000.0, Idempotency.IDEMPOTENT_WITH_KEY, d["group"], 1500.0, late),
+        JobClass("once", 3.0, 300.0, 1.75, 4000.0, Idempotency.NON_IDEMPOTENT, late_fraction=late),
     )
-    tenants = (m.Tenant("big", 0.7, 45.0), m.Tenant("small", 0.3, 20.0)) if d["tenants"] else ()
-    given = m.Settings(
+    tenants = (Tenant("big", 0.7, 45.0), Tenant("small", 0.3, 20.0)) if d["tenants"] else ()
+    given = Settings(
         classes=classes,
         tenants=tenants,
-        limits=m.Limits(
+        limits=Limits(
             max_attempts=d["attempts"], may_cancel=d["cancel"] != "not allowed", may_check_health=d["probes"],
             may_hedge=d["second_copies"], sends_retry_after=True,
         ),
-        rules=m.Rules(8.0, 250.0, 0.2, 4000.0, 3.0, 1500.0, 10_000.0),
-        objective=m.ObjectiveWeights(0.4, 0.4) if d["blend"] else m.ObjectiveWeights(),
+        rules=Rules(8.0, 250.0, 0.2, 4000.0, 3.0, 1500.0, 10_000.0),
+        objective=ObjectiveWeights(0.4, 0.4) if d["blend"] else ObjectiveWeights(),
         node_count=d["nodes"],
         must_poll=d["must_ask"],
         tick_ms=4.0,
@@ -108,7 +118,7 @@
 PLAIN: dict[str, Any] = {
     "must_ask": False, "cancel": "none", "probes": False, "weights": "nominal", "tells_start": True,
     "progress": True, "second_copies": True, "attempts": 3, "zones": 1, "tenants": False, "nodes": 2,
-    "group": m.DeduplicationScope.ALL, "late_worth": False, "blend": True, "load": 0.85, "lost": 0.05,
+    "group": DeduplicationScope.ALL, "late_worth": False, "blend": True, "load": 0.85, "lost": 0.05,
     "reset": 0.05, "replaced": 1.0, "seed": 1,
 }  # fmt: skip
 
@@ -120,7 +130,7 @@
 def test_the_rules_hold_in_any_deployment(d: dict[str, Any]) -> None:
     world = play(d)
     assert audit(world) == []
-    served = sum(isinstance(row.answers[0][1], c.Served) for row in world.asked.values() if row.answers)
+    served = sum(isinstance(row.answers[0][1], Served) for row in world.asked.values() if row.answers)
     assert served > 0.15 * len(world.asked)  # a town that refuses all keeps every rule
 
 
@@ -143,8 +153,8 @@
         assert node is not None
         members = node.core._policy.members
 
-        def hear(event: m.EndpointListUpdate, real: Any = members.update) -> None:
-            if event.kind is not m.ListKind.DELTA:
+        def hear(event: EndpointListUpdate, real: Any = members.update) -> None:
+            if event.kind is not ListKind.DELTA:
                 real(event)
 
         members.update = hear  # type: ignore[method-assign]
@@ -160,7 +170,7 @@
     for node in world.nodes:
         assert node is not None
 
-        def answer(job: c.Job, answer: c.FinalAnswer, real: Any = node.core._answer) -> None:
+        def answer(job: Job, answer: FinalAnswer, real: Any = node.core._answer) -> None:
             if job.number % 50:
                 real(job, answer)
 
--- a/tests/model/test_gone.py
+++ b/tests/simulation/test_disconnects.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from burlmoor import messages as m
-from burlmoor.core import Engine
-from burlmoor.model.audit import audit
-from burlmoor.model.world import SimulatedCluster
-from tests.model.test_cold import CORES, WORK, town
+from burlmoor.engine.engine import Engine
+from burlmoor.simulation.audit import audit
+from burlmoor.simulation.cluster import SimulatedCluster
+from burlmoor.types.outcome import Outcome
+from tests.simulation.test_slow_start import CORES, WORK, town
 
 
 def play() -> SimulatedCluster:
@@ -46,4 +46,4 @@
 def test_what_was_left_alone_is_told_to_the_module_as_gone() -> None:
     world = play()
     assert not any(row.answers for row in world.asked.values() if row.left < float("inf"))
-    assert m.Outcome.CANCELLED in {each.known for each in world.attempts}
+    assert Outcome.CANCELLED in {each.known for each in world.attempts}
--- a/tests/model/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -8,33 +8,43 @@
 
 import pytest
 
-from burlmoor import core as c
-from burlmoor import messages as m
-from burlmoor.model.audit import audit
-from burlmoor.model.world import ClusterSpec, SimulatedCluster
-from burlmoor.rig.machine import Spec
+from burlmoor.engine.answers import Served
+from burlmoor.simulation.audit import audit
+from burlmoor.simulation.cluster import ClusterSpec, SimulatedCluster
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.types.endpoint_list import ListKind
+from burlmoor.types.settings import (
+    DeduplicationScope,
+    Idempotency,
+    JobClass,
+    Limits,
+    ObjectiveWeights,
+    Rules,
+    Settings,
+    Tenant,
+)
 
 CLASSES = (
-    m.JobClass(
+    JobClass(
         "booking",
         5.0,
         750.0,
         2.0,
         10_000.0,
-        m.Idempotency.IDEMPOTENT_WITH_KEY,
-        m.DeduplicationScope.ALL,
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        DeduplicationScope.ALL,
         15_000.0,
     ),
-    m.JobClass("deposit", 3.0, 500.0, 1.75, 20_000.0, m.Idempotency.NON_IDEMPOTENT),
+    JobClass("deposit", 3.0, 500.0, 1.75, 20_000.0, Idempotency.NON_IDEMPOTENT),
 )
-SETTINGS = m.Settings(
+SETTINGS = Settings(
     classes=CLASSES,
-    tenants=tuple(m.Tenant(name, share, 50.0 * share) for name, share in (("big", 0.7), ("small", 0.3))),
-    limits=m.Limits(
+    tenants=tuple(Tenant(name, share, 50.0 * share) for name, share in (("big", 0.7), ("small", 0.3))),
+    limits=Limits(
         max_attempts=5, may_cancel=True, may_check_health=True, may_hedge=True, sends_retry_after=True
     ),
-    rules=m.Rules(8.0, 250.0, 0.15, 24_000.0, 2.5, 3000.0, 10_000.0),
-    objective=m.ObjectiveWeights(0.4, 0.4),
+    rules=Rules(8.0, 250.0, 0.15, 24_000.0, 2.5, 3000.0, 10_000.0),
+    objective=ObjectiveWeights(0.4, 0.4),
     node_count=2,
     must_poll=False,
     tick_ms=4.0,
@@ -84,7 +94,7 @@
     """The share of what was asked from `since` on (ms into the run) that was served."""
     began = min(row.sent for row in world.asked.values())
     rows = [row for row in world.asked.values() if row.sent >= began + since]
-    return sum(isinstance(row.answers[0][1], c.Served) for row in rows if row.answers) / len(rows)
+    return sum(isinstance(row.answers[0][1], Served) for row in rows if row.answers) / len(rows)
 
 
 def replace_all(world: SimulatedCluster) -> None:
@@ -109,7 +119,7 @@
     def push() -> None:
         for node in world.nodes:
             if node is not None:
-                node.hear(world.listed(), m.ListKind.SNAPSHOT)
+                node.hear(world.listed(), ListKind.SNAPSHOT)
         if world.now < began + LENGTH:
             world.at(world.now + 40.0, push)
 
@@ -146,7 +156,7 @@
     shares = {}
     for name in ("big", "small"):
         rows = [row for row in world.asked.values() if row.tenant == name]
-        shares[name] = sum(isinstance(row.answers[0][1], c.Served) for row in rows) / len(rows)
+        shares[name] = sum(isinstance(row.answers[0][1], Served) for row in rows) / len(rows)
     assert shares["big"] > shares["small"]
 
 
--- a/tests/model/test_cold.py
+++ b/tests/simulation/test_slow_start.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from burlmoor import messages as m
-from burlmoor.decide import EndpointList
-from burlmoor.model.audit import audit
-from burlmoor.model.world import ClusterSpec, SimulatedCluster
-from burlmoor.rig.machine import Spec, most_calls
+from burlmoor.endpoints.endpoint_list import EndpointList
+from burlmoor.simulation.audit import audit
+from burlmoor.simulation.cluster import ClusterSpec, SimulatedCluster
+from burlmoor.testbed.executor_model import Spec, most_calls
+from burlmoor.types.settings import Idempotency, JobClass, Limits, Rules, Settings, Tenant
 
 WORK, CORES, COLD, LENGTH = 250.0, 4.0, 12_000.0, 7000.0
 SPEC = Spec(cores=CORES, slots=4, queue=40, cold_share=0.2, cold_ms=COLD, progress_ms=1000.0)
@@ -18,14 +18,14 @@
 
 def town(nodes: int, executors: int) -> ClusterSpec:
     """An installation whose tenants may send 0.85 of what it can do."""
-    settings = m.Settings(
+    settings = Settings(
         classes=(
-            m.JobClass("quote", 2.0, 600.0, 2.0, 6000.0, m.Idempotency.IDEMPOTENT),
-            m.JobClass("order", 10.0, 400.0, 2.0, 5000.0, m.Idempotency.NON_IDEMPOTENT),
+            JobClass("quote", 2.0, 600.0, 2.0, 6000.0, Idempotency.IDEMPOTENT),
+            JobClass("order", 10.0, 400.0, 2.0, 5000.0, Idempotency.NON_IDEMPOTENT),
         ),
-        tenants=(m.Tenant("all", 1.0, 0.85 * 1000.0 * executors * CORES / WORK),),
-        limits=m.Limits(max_attempts=5, may_cancel=True, may_hedge=True),
-        rules=m.Rules(8.0, 250.0, 0.2, COLD, 4.0, 1000.0, 10_000.0),
+        tenants=(Tenant("all", 1.0, 0.85 * 1000.0 * executors * CORES / WORK),),
+        limits=Limits(max_attempts=5, may_cancel=True, may_hedge=True),
+        rules=Rules(8.0, 250.0, 0.2, COLD, 4.0, 1000.0, 10_000.0),
         node_count=nodes,
         must_poll=False,
         tick_ms=2.0,
--- a/tests/test_worth.py
+++ b/tests/stats/test_class_weights.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from burlmoor import messages as m
-from burlmoor.worth import ClassWeights
-from tests.talk import LOOKUP, ONCE, Talk, settings
+from burlmoor.stats.class_weights import ClassWeights
+from burlmoor.types.settings import ObjectiveWeights
+from tests.support.dispatcher_driver import LOOKUP, ONCE, Talk, settings
 
-BLEND = m.ObjectiveWeights(overall=0.4, worst_class=0.4)
+BLEND = ObjectiveWeights(overall=0.4, worst_class=0.4)
 
 
-def counted(blend: m.ObjectiveWeights, **shares: float) -> ClassWeights:
+def counted(blend: ObjectiveWeights, **shares: float) -> ClassWeights:
     """Classes of equal worth of which these shares were served."""
     standings = ClassWeights(blend)
     for number in range(1000):
@@ -37,12 +37,12 @@
 
 
 def test_a_blend_that_looks_at_the_whole_alone_weighs_nobody() -> None:
-    assert counted(m.ObjectiveWeights(), few=0.2, many=0.9).weight("few", 1000.0) == pytest.approx(1.0)
+    assert counted(ObjectiveWeights(), few=0.2, many=0.9).weight("few", 1000.0) == pytest.approx(1.0)
 
 
 def test_a_class_that_is_served_worst_goes_before_one_of_more_worth() -> None:
     # Guards against a class that comes off worst by its worth alone, where the site counts the worst-served.
-    def standing(blend: m.ObjectiveWeights) -> tuple[float, float]:
+    def standing(blend: ObjectiveWeights) -> tuple[float, float]:
         talk = Talk(settings(classes=(LOOKUP, ONCE), objective=blend))
         for _ in range(100):
             for name, served in (("lookup", 0.0), ("once", 300.0)):
@@ -52,7 +52,7 @@
         talk.ask(1002, "once")
         return talk.node.jobs[1001].standing, talk.node.jobs[1002].standing
 
-    lookup, once = standing(m.ObjectiveWeights())
+    lookup, once = standing(ObjectiveWeights())
     assert lookup < once
-    lookup, once = standing(m.ObjectiveWeights(0.2, 0.8))
+    lookup, once = standing(ObjectiveWeights(0.2, 0.8))
     assert lookup > once
--- a/tests/test_learnt.py
+++ b/tests/stats/test_snapshot.py
@@ -4,26 +4,29 @@
 
 import msgspec
 
-from burlmoor import learnt
-from burlmoor import messages as m
-from tests.talk import Talk, entries
+from burlmoor.stats import snapshot
+from burlmoor.types.events import AttemptStarted
+from burlmoor.types.outcome import Outcome
+from tests.support.dispatcher_driver import Talk, entries
 
 
 def taught() -> Talk:
     talk = Talk(listed=entries(4))
     for ref in range(40):
         send = talk.placed(ref, "lookup" if ref % 3 else "keyed", affinity_key=f"k{ref % 5}", tenant="t")
-        talk.tell(m.AttemptStarted(send.id, 0, send.endpoint))
+        talk.tell(AttemptStarted(send.id, 0, send.endpoint))
         talk.run(70.0 * (1 + ref % 4))
-        talk.end(send, m.Outcome.SERVED if ref % 7 else m.Outcome.ERROR)
+        talk.end(send, Outcome.SERVED if ref % 7 else Outcome.ERROR)
     return talk
 
 
 def test_what_was_learnt_is_the_same_in_a_process_with_another_clock() -> None:
     old = taught()
-    data = msgspec.msgpack.encode(learnt.take_snapshot(old.node, old.now))
+    data = msgspec.msgpack.encode(snapshot.take_snapshot(old.node, old.now))
     new = Talk(listed=entries(4), now=90_000.0, seed=2)
-    learnt.restore_snapshot(new.node, msgspec.msgpack.decode(data, type=learnt.StatisticsSnapshot), new.now)
+    snapshot.restore_snapshot(
+        new.node, msgspec.msgpack.decode(data, type=snapshot.StatisticsSnapshot), new.now
+    )
     for name, worker in old.node.members.workers.items():
         other = new.node.members.workers[name]
         assert (worker.room, worker.faults, list(worker.keys)) == (other.room, other.faults, list(other.keys))
@@ -44,5 +47,5 @@
 def test_executors_that_are_not_listed_are_left_out() -> None:
     old = taught()
     new = Talk(listed=entries(2))
-    learnt.restore_snapshot(new.node, learnt.take_snapshot(old.node, old.now), new.now)
+    snapshot.restore_snapshot(new.node, snapshot.take_snapshot(old.node, old.now), new.now)
     assert set(new.node.members.workers) == {"a0", "a1"}
--- a/tests/peers.py
+++ b/tests/support/node_harness.py
@@ -11,13 +11,13 @@
 import msgspec
 import trio
 
-from burlmoor.__main__ import Node
-from burlmoor.config import NodeConfig
+from burlmoor.config.node_config import NodeConfig
+from burlmoor.config.settings import parse_settings
+from burlmoor.endpoints.discovered_list import DiscoveredList
+from burlmoor.lifecycle.node import Node
 from burlmoor.log import EventLog
-from burlmoor.net.target_group import DiscoveredList
-from burlmoor.rig.wire import Message, Wire
-from burlmoor.settings import parse_settings
-from tests.test_config import OPTIONS
+from burlmoor.testbed.http_wire import Message, Wire
+from tests.config.test_node_config import OPTIONS
 
 REPLIES: dict[str, tuple[str, dict[str, Any]]] = {
     "take": ("HTTP/1.1 202 Accepted", {}),
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -33,7 +33,7 @@
 
 def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "burlmoor.simhost"],
+        [sys.executable, "-m", "burlmoor.simulator_adapter"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
         text=True,
--- a/tests/rig/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -8,10 +8,10 @@
 from click.testing import CliRunner
 
 from burlmoor.cli.main import main
-from burlmoor.rig.drill import Claim, Verdict
-from burlmoor.rig.drill_waiting import _Plan, judge
-from burlmoor.rig.ledger import Asked, Ledger, Ran
-from burlmoor.rig.sabotage import OF_WAITING
+from burlmoor.testbed.drill import Claim, Verdict
+from burlmoor.testbed.drill_deferred import _Plan, judge
+from burlmoor.testbed.event_record import Asked, Ledger, Ran
+from burlmoor.testbed.mutations import OF_WAITING
 
 
 def good() -> Ledger:
--- a/tests/rig/test_machine.py
+++ b/tests/testbed/test_executor_model.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlmoor.rig.machine import Machine, Note, Spec
+from burlmoor.testbed.executor_model import Machine, Note, Spec
 
 
 def run(machine: Machine, until: float) -> list[tuple[float, Note]]:
--- a/tests/rig/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -20,16 +20,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlmoor.rig.fleet import places, relay
-from burlmoor.rig.fleet.audit import audit
-from burlmoor.rig.fleet.baselines import WAYS, play
-from burlmoor.rig.fleet.children import Child
-from burlmoor.rig.fleet.load import Load
-from burlmoor.rig.fleet.measure import Grid, heals, spread
-from burlmoor.rig.fleet.record import Plan, Record, Span, read
-from burlmoor.rig.fleet.run import Fleet, Parts
-from burlmoor.rig.fleet.switch import Wayward
-from burlmoor.rig.fleet.troubles import (
+from burlmoor.testbed.event_record import Asked, Ran
+from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.fleet import addresses, tcp_relay
+from burlmoor.testbed.fleet.audit import audit
+from burlmoor.testbed.fleet.baselines import WAYS, play
+from burlmoor.testbed.fleet.child_process import Child
+from burlmoor.testbed.fleet.datagram_switch import Wayward
+from burlmoor.testbed.fleet.faults import (
     DISCOVERY,
     EXECUTORS,
     KINDS,
@@ -40,10 +38,12 @@
     chosen,
     draw,
 )
-from burlmoor.rig.fleet.troubles import read as read_schedule
-from burlmoor.rig.ledger import Asked, Ran
-from burlmoor.rig.machine import Spec
-from burlmoor.rig.town import KINDS as JOBS
+from burlmoor.testbed.fleet.faults import read as read_schedule
+from burlmoor.testbed.fleet.load import Load
+from burlmoor.testbed.fleet.metrics import Grid, heals, spread
+from burlmoor.testbed.fleet.record import Plan, Record, Span, read
+from burlmoor.testbed.fleet.run import Fleet, Parts
+from burlmoor.testbed.local_cluster import KINDS as JOBS
 
 SEARCH, _, CONFIRM = JOBS
 
@@ -51,13 +51,13 @@
 # --- data ---------------------------------------------------------------------------------------------
 
 
-@given(st.integers(0, places.MOST - 1), st.integers(0, places.MOST - 1))
+@given(st.integers(0, addresses.MOST - 1), st.integers(0, addresses.MOST - 1))
 def test_a_links_address_tells_whose_it_is(node: int, other: int) -> None:
-    assert places.ends(places.link(node, other)) == (node, other)
-    assert len({places.node(node), places.executor(node), places.link(node, node)}) == 3
-    for address in (places.node(node), places.executor(other)):
+    assert addresses.ends(addresses.link(node, other)) == (node, other)
+    assert len({addresses.node(node), addresses.executor(node), addresses.link(node, node)}) == 3
+    for address in (addresses.node(node), addresses.executor(other)):
         with pytest.raises(ValueError, match="no link"):
-            places.ends(address)
+            addresses.ends(address)
 
 
 seconds = st.floats(0.0, 1000.0).map(lambda x: round(x, 3))
@@ -318,7 +318,7 @@
     again = read(tmp_path / "kept")
     assert again == made
     assert read_schedule((tmp_path / "kept" / "schedule.ini").read_text()) == made.plan.schedule
-    from burlmoor.rig.fleet.report import draw as draw_report  # noqa: PLC0415
+    from burlmoor.testbed.fleet.report import draw as draw_report  # noqa: PLC0415
 
     draw_report(again, tmp_path / "report.png")
     assert (tmp_path / "report.png").stat().st_size > 10_000
@@ -389,16 +389,16 @@
 
 def test_the_switch_hands_datagrams_on_and_answers_find_their_way(tmp_path: Path) -> None:
     async def story() -> tuple[bytes, str, bytes]:
-        ports = places.free_ports()
-        child = Child(["-m", "burlmoor.rig.fleet.switch"], tmp_path / "log", talks=True)
+        ports = addresses.free_ports()
+        child = Child(["-m", "burlmoor.testbed.fleet.datagram_switch"], tmp_path / "log", talks=True)
         try:
-            child.tell(relay.Plan(ports, 1))
+            child.tell(tcp_relay.Plan(ports, 1))
             assert await child.said(20.0)
             with socket.socket(type=socket.SOCK_DGRAM) as one, socket.socket(type=socket.SOCK_DGRAM) as two:
                 for sock, node in ((one, 1), (two, 2)):
-                    sock.bind((places.node(node), ports.peers))
+                    sock.bind((addresses.node(node), ports.peers))
                     sock.settimeout(10.0)
-                one.sendto(b"ping", (places.link(1, 2), ports.datagrams))
+                one.sendto(b"ping", (addresses.link(1, 2), ports.datagrams))
                 ping, sender = two.recvfrom(100)
                 two.sendto(b"pong", sender)
                 pong = one.recv(100)
@@ -408,7 +408,7 @@
 
     ping, sender, pong = trio.run(story)
     assert (ping, pong) == (b"ping", b"pong")
-    assert places.ends(sender) == (2, 1)
+    assert addresses.ends(sender) == (2, 1)
 
 
 def test_every_kind_of_trouble_can_be_told() -> None:
--- a/tests/rig/test_town.py
+++ b/tests/testbed/test_local_cluster.py
@@ -11,9 +11,9 @@
 from click.testing import CliRunner
 
 from burlmoor.cli.main import main
-from burlmoor.rig.ledger import Asked, Ledger, Ran
-from burlmoor.rig.load import Generator, Tally, draw
-from burlmoor.rig.town import KINDS, Town, asked, fleet, town
+from burlmoor.testbed.event_record import Asked, Ledger, Ran
+from burlmoor.testbed.load import Generator, Tally, draw
+from burlmoor.testbed.local_cluster import KINDS, Town, asked, fleet, town
 
 SEARCH, _, CONFIRM = KINDS
 
--- a/tests/test_ring.py
+++ b/tests/transport/test_ring_buffer.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from burlmoor.net.ring import RingBuffer
+from burlmoor.transport.ring_buffer import RingBuffer
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/test_target.py
+++ b/tests/upstream/test_http.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from burlmoor.net.target import BrokenResponseError, HttpClientConnection, Response
+from burlmoor.upstream.http import BrokenResponseError, HttpClientConnection, Response
 
 
 def asked() -> HttpClientConnection:
