--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -1,7 +1,7 @@
 """A town of nodes, executors, clients and a list, on one event queue with a virtual clock.
 
 Nodes are the shipped `Engine` with its `Dispatcher`; executors are `testbed/executor_model.py`. What the
-sockets of a real node would tell is told here as outcomes, by the protocol's table. Everything is drawn from one
+sockets of a real node would tell is told here as outcomes, by the protocol's table. All is drawn from one
 seed, and the same seed plays the same town. Times are ms. What the far sides saw stands in `Asked` and
 `Attempt`; `audit.py` judges it.
 """
