--- /dev/null
+++ b/tests/test_layering.py
@@ -0,0 +1,76 @@
+"""Imports go downward only, as `docs/architecture.md` shows the layers."""
+
+from __future__ import annotations
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+# Each layer may import itself and the layers after it; packages in one row don't import each other.
+LAYERS: tuple[tuple[str, ...], ...] = (
+    ("__main__", "cli"),
+    ("simulation",),
+    ("testbed",),
+    ("lifecycle",),
+    ("deferred",),
+    ("admin",),
+    ("discovery", "downstream"),
+    ("upstream",),
+    ("engine",),
+    ("simulator_adapter",),
+    ("policy",),
+    ("config",),
+    ("endpoints",),
+    ("stats",),
+    ("membership", "transport", "types"),
+    ("clock", "log"),
+    ("errors",),
+)
+RANK = {package: rank for rank, row in enumerate(LAYERS) for package in row}
+
+
+def imports(source: Path) -> Iterator[str]:
+    """The packages of this project that a module imports, wherever in it the import stands."""
+    for node in ast.walk(ast.parse(source.read_text())):
+        names: list[str] = []
+        if isinstance(node, ast.ImportFrom) and node.module is not None:
+            names = [node.module] if node.module != "burlmoor" else [f"burlmoor.{a.name}" for a in node.names]
+        elif isinstance(node, ast.Import):
+            names = [alias.name for alias in node.names]
+        for name in names:
+            parts = name.split(".")
+            if parts[0] == "burlmoor" and len(parts) > 1:
+                yield parts[1]
+
+
+def package_of(source: Path) -> str:
+    parts = source.relative_to(ROOT / "burlmoor").with_suffix("").parts
+    return parts[0]
+
+
+def upward(source: Path) -> list[str]:
+    """The imports of a module that go upward, or sideways in a row of the table."""
+    package = package_of(source)
+    return [name for name in imports(source) if name != package and RANK[name] <= RANK[package]]
+
+
+SOURCES = [
+    source
+    for source in sorted((ROOT / "burlmoor").rglob("*.py"))
+    if source.parent.name != "burlmoor" or source.name != "__init__.py"
+]
+
+
+@pytest.mark.parametrize("source", SOURCES, ids=lambda source: str(source.relative_to(ROOT)))
+def test_a_module_imports_only_layers_below_its_own(source: Path) -> None:
+    assert upward(source) == []
+
+
+def test_an_upward_import_is_noticed(tmp_path: Path) -> None:
+    module = tmp_path / "module.py"
+    module.write_text("def late():\n    from burlmoor.engine.engine import Engine\n")
+    assert list(imports(module)) == ["engine"]
+    assert RANK["engine"] < RANK["policy"] < RANK["types"]
