--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -20,7 +20,7 @@
 
 
 def play(story: Callable[[Stage], Awaitable[Any]], sockets: int = 1024, **given: Any) -> Any:
-    options = Options(waiting=DeferredOptions(**{"unknown": 300.0, **given}))
+    options = Options(waiting=DeferredOptions(**{"unknown_timeout_ms": 300.0, **given}))
     return node_harness.play(story, options=options, sockets=sockets)
 
 
