--- a/burlmoor/deferred/conditions.py
+++ b/burlmoor/deferred/conditions.py
@@ -37,20 +37,20 @@
         # A name that is repeated counts once.
         names = tuple(dict.fromkeys(name for each in text.split(",") if (name := each.strip(" \t"))))
         if not names:
-            raise InvalidConditionError("Run-After names no job")
+            raise InvalidConditionError("Run-After", "names no job")
         for name in names:
             if not REQUEST_ID.fullmatch(name):
-                raise InvalidConditionError("Run-After is not a list of ids")
+                raise InvalidConditionError("Run-After", "is not a list of ids")
         if request_id in names:
-            raise InvalidConditionError("Run-After names the job itself")
+            raise InvalidConditionError("Run-After", "names the job itself")
         if len(names) > self.max_dependencies:
-            raise InvalidConditionError(f"Run-After names over {self.max_dependencies} jobs")
+            raise InvalidConditionError("Run-After", f"names over {self.max_dependencies} jobs")
         return names
 
     def _time(self, times: Sequence[bytes]) -> float:
         if len(times) > 1:
-            raise InvalidConditionError("Not-Before is given twice")
+            raise InvalidConditionError("Not-Before", "is given twice")
         text = times[0].decode("latin-1") if times else "0"
         if not _TIME.fullmatch(text):
-            raise InvalidConditionError("Not-Before is not a Unix time in ms")
+            raise InvalidConditionError("Not-Before", "is not a Unix time in ms")
         return float(text)
--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -52,7 +52,8 @@
             self._engine.wake()
         if self._server.parse_conditions is None and not ward.held:
             # Turned off, and the last that waited has gone.
-            self.queue = self._engine.deferral = self._server.on_draining = None
+            self._engine.disable_deferral()
+            self.queue = self._server.on_draining = None
             self._admin.status_providers.pop(PATH, None)
 
     async def _show(self) -> dict[str, Any]:
--- a/burlmoor/engine/__init__.py
+++ b/burlmoor/engine/__init__.py
@@ -1,1 +1,1 @@
-"""A job's life in one node: timers, attempts and exactly one final answer."""
+"""A job's life in one node: admission, deadlines, attempts, deferral and exactly one final answer."""
--- /dev/null
+++ b/burlmoor/engine/action_executor.py
@@ -0,0 +1,86 @@
+"""Carries out the actions that the policy decides on."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from burlmoor.engine.answers import Failed, FinalAnswer, Rejected
+from burlmoor.engine.attempt_controller import AttemptController
+from burlmoor.engine.interfaces import Discovery, JobAnswerer, Upstream
+from burlmoor.engine.job_registry import JobRegistry
+from burlmoor.engine.policy_driver import PolicyDriver
+from burlmoor.log import EventLogger
+from burlmoor.types.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailJob,
+    FetchEndpoints,
+    LogWarning,
+    RejectJob,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+
+
+class ActionExecutor:
+    """Passes each action to the part of the node that it concerns."""
+
+    def __init__(
+        self,
+        jobs: JobRegistry,
+        attempts: AttemptController,
+        policy: PolicyDriver,
+        answerer: JobAnswerer,
+        upstream: Upstream,
+        discovery: Discovery,
+        log: EventLogger,
+    ) -> None:
+        self._jobs = jobs
+        self._attempts = attempts
+        self._policy = policy
+        self._answerer = answerer
+        self._upstream = upstream
+        self._discovery = discovery
+        self._log = log
+
+    def execute_all(self, actions: Sequence[Action], now: float) -> None:
+        """Carry out the actions in their order; one that fails is logged."""
+        for action in actions:
+            try:
+                self._execute(action, now)
+            except Exception as error:  # noqa: BLE001
+                # Without this, one action's fault would end the node, or keep the others from being done.
+                self._log("action-failed", action=repr(action), error=repr(error))
+
+    def _execute(self, action: Action, now: float) -> None:
+        match action:
+            case StartAttempt():
+                self._attempts.start(action, now)
+            case RejectJob():
+                self._answer(action.id, Rejected(action.retry_after_ms))
+            case FailJob():
+                self._answer(action.id, Failed())
+            case CancelAttempt():
+                self._attempts.cancel(action)
+            case SetTimer():
+                self._policy.set_timer(now + max(0.0, action.delay_ms), action.token)
+            case WatchEndpoints():
+                self._discovery.watch()
+            case FetchEndpoints():
+                self._discovery.fetch()
+            case CheckHealth():
+                self._upstream.check_health(action.endpoint)
+            case LogWarning():
+                self._log("policy-warning", text=action.text)
+
+    def _answer(self, number: int, answer: FinalAnswer) -> None:
+        job = self._jobs.find_by_number(number)
+        if job is None or job.is_over:
+            return
+        # Without this, a client would be told that a retry is harmless for a job that must not run twice.
+        if isinstance(answer, Rejected) and job.is_non_idempotent and job.may_have_run():
+            answer = Failed()
+        self._answerer.answer_job(job, answer)
+        self._jobs.forget_if_done(job)
--- a/burlmoor/engine/answers.py
+++ b/burlmoor/engine/answers.py
@@ -1,4 +1,4 @@
-"""The final answers that a job can get."""
+"""The final answers that a job can get (protocol: "Clients to nodes")."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The answer that an executor gave."""
+    """An executor has run the job; `body` is the result that it gave."""
 
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A refusal: the job has not run, or may run again; come back after so many ms."""
+    """The job is rejected: it has not run or may run again, so that a retry is harmless."""
 
-    retry_after_ms: float = 0.0
+    retry_after_ms: float = 0.0  # advice for Retry-After; 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The job failed and may have run."""
+    """The job has failed and may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class DependencyFailed:
-    """The job has not run and can't: another try that asks for the same is in vain."""
+    """The job has not run and can't, because of a job that it depends on: a retry would end the same way."""
 
     reason: str
 
--- /dev/null
+++ b/burlmoor/engine/attempt_controller.py
@@ -0,0 +1,124 @@
+"""Starts, cancels and ends the attempts of jobs, and reports them to the policy."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from burlmoor.engine.answers import Served
+from burlmoor.engine.deadlines import DeadlineQueue
+from burlmoor.engine.interfaces import JobAnswerer, Upstream
+from burlmoor.engine.job import Attempt, Job
+from burlmoor.engine.job_registry import JobRegistry
+from burlmoor.engine.policy_driver import PolicyDriver
+from burlmoor.types.actions import CancelAttempt, StartAttempt
+from burlmoor.types.events import AttemptEnded, AttemptProgressed, AttemptStarted
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import Limits
+
+
+class AttemptController:
+    """Keeps each attempt's state; the first outcome of an attempt counts, later ones change nothing."""
+
+    def __init__(
+        self,
+        jobs: JobRegistry,
+        deadlines: DeadlineQueue,
+        policy: PolicyDriver,
+        answerer: JobAnswerer,
+        upstream: Upstream,
+        limits: Limits,
+        clock: Callable[[], float],
+    ) -> None:
+        self._jobs = jobs
+        self._deadlines = deadlines
+        self._policy = policy
+        self._answerer = answerer
+        self._upstream = upstream
+        self._limits = limits
+        self._clock = clock
+
+    def start(self, action: StartAttempt, now: float) -> None:
+        """Start an attempt as the policy asks, or end it unsent if it can't be started any more."""
+        job = self._jobs.find_by_number(action.id)
+        if job is None:
+            return
+        attempt_deadline = min(job.deadline, now + action.timeout_ms) if action.timeout_ms else job.deadline
+        attempt = Attempt(job, len(job.attempts), action.endpoint, now, attempt_deadline)
+        may_start = self._may_start(job, attempt, now)
+        job.attempts.append(attempt)
+        if not may_start:
+            self.end(attempt, Outcome.UNSENT)
+        elif attempt_deadline <= now:
+            self.end(attempt, Outcome.TIMEOUT)
+        else:
+            if attempt_deadline < job.deadline:
+                self._deadlines.schedule(attempt_deadline, attempt)
+            self._upstream.start_attempt(attempt)
+
+    def _may_start(self, job: Job, attempt: Attempt, now: float) -> bool:
+        if job.is_over or now >= job.deadline or attempt.number >= self._limits.max_attempts:
+            return False
+        # A call-back names its attempt by request and endpoint, so an endpoint gets one attempt of a job.
+        return all(earlier.endpoint != attempt.endpoint for earlier in job.attempts)
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Cancel an attempt as the policy asks."""
+        job = self._jobs.find_by_number(action.id)
+        if job is None or not 0 <= action.attempt < len(job.attempts):
+            return
+        attempt = job.attempts[action.attempt]
+        if attempt.is_over:
+            return
+        if job.is_over or self._limits.may_hedge:
+            self.end(attempt, Outcome.CANCELLED)
+        # Otherwise the attempt ends only once the endpoint has confirmed. Without this, the job could be
+        # sent again while it still runs there: an endpoint that can't be reached never sees the cancel.
+        self._upstream.cancel_attempt(attempt)
+
+    def expire(self, now: float) -> list[Job]:
+        """Time out the attempts that are due, and all attempts of the jobs that are due.
+
+        Returns the jobs that were open when their deadline came.
+        """
+        expired_jobs: list[Job] = []
+        while (item := self._deadlines.pop_expired(now)) is not None:
+            if isinstance(item, Attempt):
+                self._time_out(item)
+            elif not item.is_over:
+                for attempt in item.open_attempts():
+                    self._time_out(attempt)
+                expired_jobs.append(item)
+        return expired_jobs
+
+    def _time_out(self, attempt: Attempt) -> None:
+        if attempt.is_over:
+            return
+        self.end(attempt, Outcome.TIMEOUT)
+        # Without this, the job could be sent again while it still runs at this endpoint.
+        self._upstream.cancel_attempt(attempt)
+
+    def report_started(self, attempt: Attempt) -> None:
+        """Report to the policy that the endpoint has begun to run the job."""
+        if not attempt.is_over:
+            self._policy.post(AttemptStarted(attempt.job.number, attempt.number, attempt.endpoint))
+
+    def report_progress(self, attempt: Attempt, fraction: float) -> None:
+        """Report to the policy that the endpoint has done this fraction, from 0 to 1, of the job."""
+        if not attempt.is_over:
+            self._policy.post(
+                AttemptProgressed(attempt.job.number, attempt.number, attempt.endpoint, fraction)
+            )
+
+    def end(self, attempt: Attempt, outcome: Outcome, result: bytes | None = None) -> None:
+        """Record how an attempt ended; the first result that comes is the job's answer."""
+        if attempt.is_over:
+            return
+        attempt.outcome = outcome
+        job = attempt.job
+        if outcome is Outcome.SERVED and not job.is_over:
+            self._answerer.answer_job(job, Served(result or b""))
+        elapsed_ms = self._clock() - attempt.sent_at
+        self._policy.post(
+            AttemptEnded(job.number, attempt.number, attempt.endpoint, outcome, elapsed_ms, job.is_over)
+        )
+        self._jobs.forget_if_done(job)
--- a/burlmoor/engine/deferral.py
+++ b/burlmoor/engine/deferral.py
@@ -1,4 +1,4 @@
-"""The protocol between the engine and whatever holds deferred jobs."""
+"""The protocol between the engine and the queue that holds deferred jobs."""
 
 from __future__ import annotations
 
@@ -6,57 +6,65 @@
 from typing import NamedTuple, Protocol
 
 from burlmoor.engine.answers import FinalAnswer
-from burlmoor.types.events import (
-    JobRequest,
-)
+from burlmoor.errors import BurlmoorError
+from burlmoor.types.events import JobRequest
 
 
-class InvalidConditionError(ValueError):
-    """What a client asks its job to wait for cannot be meant; the text names the header."""
+class InvalidConditionError(BurlmoorError, ValueError):
+    """A client's run conditions are invalid."""
+
+    def __init__(self, header: str, problem: str) -> None:
+        super().__init__(f"{header} {problem}")
+        self.header = header
+        self.problem = problem
 
 
 class RunConditions(NamedTuple):
-    """What a job is to wait for: jobs that are to be served first, and a Unix time in ms (0: none)."""
+    """What a deferred job waits for."""
 
-    after: tuple[str, ...]
-    not_before_unix_ms: float
-    size_bytes: int  # bytes held meanwhile
+    after: tuple[str, ...]  # ids of the jobs that have to be served first
+    not_before_unix_ms: float  # 0: no such condition
+    size_bytes: int  # the request body's, held meanwhile
 
 
 class ReleasedJob(NamedTuple):
-    """A job that waited may run; `claim`, from 0 to 1, is what its waiting has earned."""
+    """A deferred job may run now."""
 
     id: str
-    credit: float
+    credit: float  # from 0 to 1: the priority that the time it was deferred has earned
 
 
 class EndedJob(NamedTuple):
-    """A job that waited is not to run."""
+    """A deferred job is not to run: its final answer."""
 
     id: str
     answer: FinalAnswer
 
 
 class JobDeferral(Protocol):
-    """Who keeps jobs that wait: told of every job, it says in `step` what becomes of those it holds."""
+    """A queue of deferred jobs.
+
+    It is told of every job, deferred or not, and decides in `step`, never earlier, what becomes of those it
+    holds. Times are in ms on the engine's clock.
+    """
 
     @property
     def max_deferral_ms(self) -> float:
-        """The most that a job may wait in all, in ms."""
+        """The longest that a job may be deferred."""
 
-    def on_job_opened(self, ref: str) -> None:
-        """The node has taken a job."""
+    def on_job_opened(self, request_id: str) -> None:
+        """Note that the node has admitted a job."""
 
-    def on_job_ended(self, ref: str, answer: FinalAnswer | None, now: float) -> None:
-        """A job is over, with its answer; None where its client has left."""
+    def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
+        """Note that a job has ended with this answer; None if its client has disconnected."""
 
     def defer(
-        self, ref: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
+        self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
-        """A job that was just opened is to wait, until its deadline at most."""
+        """Hold a job that was just opened until its conditions are met, or its deadline at most."""
 
     def next_due(self, now: float) -> float:
-        """When `step` is needed next."""
+        """Return when `step` is needed next."""
 
     def step(self, now: float, free_slots: Callable[[], float]) -> Iterable[ReleasedJob | EndedJob]:
-        """What becomes of some jobs now; `room`: slots known to be free."""
+        """Return the jobs to release or to end now; `free_slots` returns the slots known to be free."""
--- a/burlmoor/engine/interfaces.py
+++ b/burlmoor/engine/interfaces.py
@@ -1,4 +1,4 @@
-"""What the engine requires of the parts around it."""
+"""What the engine requires of the parts around it, and its own parts of it."""
 
 from __future__ import annotations
 
@@ -7,34 +7,41 @@
 from burlmoor.engine.answers import FinalAnswer
 
 if TYPE_CHECKING:
-    from burlmoor.engine.job import Attempt
+    from burlmoor.engine.job import Attempt, Job
 
 
 class Responder(Protocol):
-    """The client's side of one job."""
+    """The downstream side of one job."""
 
     def respond(self, answer: FinalAnswer) -> None:
-        """Give the client its one final answer."""
+        """Send the client its one final answer."""
 
 
 class Upstream(Protocol):
-    """The executors' side."""
+    """The executors' side: starts attempts, cancels them and checks health."""
 
-    def start_attempt(self, forward: Attempt) -> None:
-        """Start the forward; `Core.ended` is told how it ends."""
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Start the attempt; its end is reported to `Engine.on_attempt_ended`."""
 
-    def cancel_attempt(self, forward: Attempt) -> None:
-        """Nobody waits for this forward any more: give it up at the target; `Core.given_up` is told."""
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel the attempt at its endpoint; `Engine.on_attempt_cancelled` is called once that is done."""
 
-    def check_health(self, target: str) -> None:
-        """Look at a target; `Core.probed` is told."""
+    def check_health(self, endpoint: str) -> None:
+        """Start a health check; the result is reported to `Engine.on_health_checked`."""
 
 
 class Discovery(Protocol):
-    """Discovery's side."""
+    """The client of the discovery service; lists are reported to `Engine.on_endpoint_list`."""
 
     def watch(self) -> None:
-        """See to it that changes are told."""
+        """Keep a watch on the endpoint list from now on."""
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """Fetch the complete endpoint list once."""
+
+
+class JobAnswerer(Protocol):
+    """The one place where jobs end: the engine, as its parts see it."""
+
+    def answer_job(self, job: Job, answer: FinalAnswer) -> None:
+        """Close an open job and give its client the final answer."""
--- a/burlmoor/engine/job.py
+++ b/burlmoor/engine/job.py
@@ -6,52 +6,48 @@
 from typing import Any
 
 from burlmoor.engine.interfaces import Responder
-from burlmoor.types.events import (
-    JobRequest,
-)
+from burlmoor.types.events import JobRequest
 from burlmoor.types.outcome import Outcome
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a job at one target."""
+    """One attempt of a job at one endpoint; times are in ms on the engine's clock."""
 
     job: Job
-    number: int
+    number: int  # counts from 0 within the job
     endpoint: str
     sent_at: float
     deadline: float
-    outcome: Outcome | None = None
+    outcome: Outcome | None = None  # None until the attempt has ended
 
     @property
     def is_over(self) -> bool:
-        """Whether its end is known."""
+        """Whether the attempt has ended."""
         return self.outcome is not None
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request that this node has taken."""
+    """A request that this node has admitted; times are in ms on the engine's clock."""
 
-    id: str
-    number: int
+    id: str  # the client's Request-Id
+    number: int  # the job's id in the policy's events and actions
     responder: Responder
-    payload: Any  # what the targets need of the request; the core does not look at it
+    payload: Any  # what upstream sends of the request; opaque to the engine
     admitted_at: float
     deadline: float
     is_non_idempotent: bool
-    is_over: bool = False
-    deferred_request: JobRequest | None = (
-        None  # what is asked, while the job waits and the module does not know of it
-    )
+    is_over: bool = False  # whether the job has its final answer, or needs none
+    deferred_request: JobRequest | None = None  # set while the job is deferred and unknown to the policy
     attempts: list[Attempt] = field(default_factory=list)
 
     def open_attempts(self) -> list[Attempt]:
-        """The forwards whose end is not known."""
-        return [forward for forward in self.attempts if not forward.is_over]
+        """Return the attempts that have not ended."""
+        return [attempt for attempt in self.attempts if not attempt.is_over]
 
     def may_have_run(self) -> bool:
-        """Whether some forward is not proved to have never run."""
+        """Return whether some attempt is not proved to have never started at its endpoint."""
         return any(
-            forward.outcome is None or not forward.outcome.proves_not_started for forward in self.attempts
+            attempt.outcome is None or not attempt.outcome.proves_not_started for attempt in self.attempts
         )
--- /dev/null
+++ b/burlmoor/engine/job_registry.py
@@ -0,0 +1,70 @@
+"""The jobs that the node has admitted, by request id and by number."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import Any
+
+from burlmoor.engine.interfaces import Responder
+from burlmoor.engine.job import Attempt, Job
+
+
+class JobRegistry:
+    """Holds each job until it is closed and all its attempts have ended."""
+
+    def __init__(self) -> None:
+        self.ids_in_other_process: set[str] = set()  # admitted by another process of this node
+        self._by_number: dict[int, Job] = {}
+        self._by_id: dict[str, Job] = {}
+        self._last_number = 0
+
+    def __iter__(self) -> Iterator[Job]:
+        return iter(self._by_number.values())
+
+    def is_id_in_use(self, request_id: str) -> bool:
+        """Return whether a job with this id is known here or to another process of this node."""
+        return request_id in self._by_id or request_id in self.ids_in_other_process
+
+    def create(
+        self,
+        request_id: str,
+        responder: Responder,
+        payload: Any,
+        admitted_at: float,
+        deadline: float,
+        is_non_idempotent: bool,
+    ) -> Job:
+        """Register a new open job, with a number that no job of this node has had."""
+        self._last_number += 1
+        job = Job(request_id, self._last_number, responder, payload, admitted_at, deadline, is_non_idempotent)
+        self._by_number[job.number] = self._by_id[request_id] = job
+        return job
+
+    def find_by_id(self, request_id: str) -> Job | None:
+        """Return the job with this request id, if it is known."""
+        return self._by_id.get(request_id)
+
+    def find_by_number(self, number: int) -> Job | None:
+        """Return the job with this number, if it is known."""
+        return self._by_number.get(number)
+
+    def find_attempt(self, request_id: str, endpoint: str) -> Attempt | None:
+        """Return the job's open attempt at this endpoint, if there is one."""
+        job = self._by_id.get(request_id)
+        if job is None:
+            return None
+        return next((attempt for attempt in job.open_attempts() if attempt.endpoint == endpoint), None)
+
+    def forget_if_done(self, job: Job) -> None:
+        """Drop a job that is closed and has no open attempt; any other is kept."""
+        if job.is_over and not job.open_attempts():
+            self._by_number.pop(job.number, None)
+            self._by_id.pop(job.id, None)
+
+    def ids(self) -> list[str]:
+        """Return the request ids of all jobs that are kept, closed ones with open attempts included."""
+        return list(self._by_id)
+
+    def count_open(self) -> int:
+        """Return how many jobs wait for their final answer."""
+        return sum(not job.is_over for job in self._by_number.values())
--- /dev/null
+++ b/burlmoor/engine/policy_driver.py
@@ -0,0 +1,85 @@
+"""Calls the policy: batches the events for it, runs its timers and returns its actions."""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections.abc import Callable, Sequence
+
+from burlmoor.engine.job_registry import JobRegistry
+from burlmoor.log import EventLogger
+from burlmoor.policy.dispatcher import Dispatcher
+from burlmoor.types.actions import Action
+from burlmoor.types.events import Event, JobRequest, TimerFired
+
+# Of the free slots at endpoints: released jobs leave the rest to the jobs that arrive meanwhile.
+_RELEASABLE_SHARE = 0.8
+
+
+class PolicyDriver:
+    """Collects events between two calls of the policy; `wake` is called on the first of each batch."""
+
+    def __init__(
+        self, policy: Dispatcher, jobs: JobRegistry, log: EventLogger, wake: Callable[[], None]
+    ) -> None:
+        self._policy = policy
+        self._jobs = jobs
+        self._log = log
+        self._wake = wake
+        self._events: list[Event] = []
+        self._timers: list[tuple[float, int]] = []
+
+    def post(self, event: Event) -> None:
+        """Add an event to the next batch."""
+        if not self._events:
+            self._wake()
+        self._events.append(event)
+
+    def has_events(self) -> bool:
+        """Return whether events wait for the next call of the policy."""
+        return bool(self._events)
+
+    def set_timer(self, at: float, token: int) -> None:
+        """Have a `TimerFired` event with this token in the first batch from `at` on."""
+        heapq.heappush(self._timers, (at, token))
+
+    def next_timer(self) -> float:
+        """Return when the next timer fires; infinity if none is set."""
+        return self._timers[0][0] if self._timers else math.inf
+
+    def decide(self, now: float) -> Sequence[Action]:
+        """Hand the policy all events so far, timers included, and return the actions that it decides on."""
+        while self._timers and self._timers[0][0] <= now:
+            self._events.append(TimerFired(heapq.heappop(self._timers)[1]))
+        events = [self._with_remaining_timeout(event, now) for event in self._events]
+        self._events = []
+        if not events:
+            return ()
+        try:
+            return self._policy.handle(now, events)
+        except Exception as error:  # noqa: BLE001
+            # Without this, one fault of the policy would end the node; its jobs still get their answers
+            # at their deadlines.
+            self._log("policy-failed", error=repr(error))
+            return ()
+
+    def releasable_slots(self, now: float) -> float:
+        """Return the slots that deferred jobs may take now.
+
+        A share of the warm endpoints' capacity, less what is in flight or queued.
+        """
+        policy = self._policy
+        capacity = _RELEASABLE_SHARE * policy.warm_capacity(now)
+        return capacity - policy.slots_in_flight - policy.slots_queued
+
+    def _with_remaining_timeout(self, event: Event, now: float) -> Event:
+        """Return a job request with what is left of its timeout when the policy sees it.
+
+        Without this, the policy would time the job out, and advise its client, only after the job's deadline.
+        """
+        if not isinstance(event, JobRequest):
+            return event
+        job = self._jobs.find_by_number(event.id)
+        if job is None:
+            return event
+        return event._replace(timeout_ms=max(0.0, event.timeout_ms - (now - job.admitted_at)))
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -77,7 +77,7 @@
         within, pushed = decisions.rules.poll_interval_ms / 1000.0, not decisions.must_poll
         life = WatchSchedule(decisions.node_count, within, pushed, rng)
         self.discovery = DiscoveryClient(self.directory, self.discovery_pool, given.discovery, life, log)
-        self.engine.upstream, self.engine.discovery = self.attempts, self.discovery
+        self.engine.connect(self.attempts, self.discovery)
         classes = [each.name for each in decisions.classes]
         self.directory.load_cached(given.cached_endpoints)
         self.drain = DrainController(
--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -334,8 +334,7 @@
         zone = world.town.zones[number % len(world.town.zones)]
         given = replace(world.town.settings, node_index=number, zone=zone)
         self.core = Engine(given, seed, lambda: world.now, self._say, self._wake)
-        self.core.upstream = self
-        self.core.discovery = self
+        self.core.connect(self, self)
         self.hear(world.listed(), ListKind.CACHED)
 
     def _say(self, event: str, **fields: Any) -> None:
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -114,9 +114,9 @@
         told: list[EndpointListUpdate] = []
         listed = made.node.engine.on_endpoint_list
 
-        def listen(form: ListKind, entries: Any) -> None:
-            told.append(EndpointListUpdate(form, list(entries)))
-            listed(form, told[-1].entries)
+        def listen(kind: ListKind, entries: Any) -> None:
+            told.append(EndpointListUpdate(kind, list(entries)))
+            listed(kind, told[-1].entries)
 
         made.node.engine.on_endpoint_list = listen  # type: ignore[method-assign]
         before = made.node.engine.clock()
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -130,7 +130,7 @@
     world.run(19_900.0)
     assert "c" not in [each.job.id for each in world.sent]
     world.run(300.0)
-    job = world.core._ids["c"]
+    job = world.job("c")
     assert [each.job.id for each in world.sent][-1] == "c"
     assert 2500.0 < job.deadline - world.now < 3000.0
     known = world.core._policy.jobs[job.number]
@@ -180,7 +180,7 @@
     assert [kinds(client) for client in clients] == [[], [], [], [Rejected]]
     assert clients[3].answers[0].retry_after_ms > 0.0  # type: ignore[union-attr]
     assert "deferred-full" in world.said
-    world.core.on_client_disconnected(world.core._ids["c0"])
+    world.core.on_client_disconnected(world.job("c0"))
     late = world.wait("late", "p", size=size)
     world.run(10.0)
     assert late.answers == []
@@ -191,7 +191,7 @@
     world.ask(ref="p")
     client = world.wait("c", "p")
     assert world.core.admit(Client(), "c", JobRequest(0, "lookup", 500.0), None) is None
-    world.core.on_client_disconnected(world.core._ids["c"])
+    world.core.on_client_disconnected(world.job("c"))
     world.serve("p") if world.sent else world.run(60.0)
     world.run(100.0)
     assert client.answers == []
@@ -304,7 +304,7 @@
         else:
             clients[ref], _ = world.ask(rng.choice(["lookup", "once"]), ref=ref)
         if rng.random() < 0.1:
-            gone = rng.choice(list(world.core._ids.values()))
+            gone = rng.choice(list(world.core.jobs))
             clients[gone.id].answers.append(Failed()) if not gone.is_over else None
             world.core.on_client_disconnected(gone)
         for forward in [each for each in world.sent if not each.is_over]:
@@ -350,7 +350,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(view)
             await began.wait()
-            world.core.on_client_disconnected(world.core._ids["c7"])  # while it is counted
+            world.core.on_client_disconnected(world.job("c7"))  # while it is counted
             world.core.step()
         return seen
 
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -37,8 +37,7 @@
         self.abandoned: list[Attempt] = []
         self.woken = 0
         self.core = Engine(settings(**changes), 1, lambda: self.now, self.say, self.wake)
-        self.core.upstream = self
-        self.core.discovery = self
+        self.core.connect(self, self)
         self.core.on_endpoint_list(ListKind.CACHED, entries(4))
         self.core.step()
 
@@ -76,6 +75,11 @@
         assert job is not None
         return client, job
 
+    def job(self, request_id: str) -> Job:
+        job = self.core.jobs.find_by_id(request_id)
+        assert job is not None
+        return job
+
     def placed(self, name: str = "lookup", **given: Any) -> tuple[Client, Attempt]:
         client, job = self.ask(name, **given)
         self.run(60.0)
--- a/tests/integration/test_node_over_sockets.py
+++ b/tests/integration/test_node_over_sockets.py
@@ -253,7 +253,7 @@
         made.kept.append(await made.submit())
         await made.until(lambda: made.jobs)
         core, forwards = made.node.engine, made.node.attempts
-        forward = next(iter(core._jobs.values())).attempts[0]
+        forward = next(iter(core.jobs)).attempts[0]
         await made.until(lambda: not forwards.in_flight)
 
         async def call(*_: object) -> None:
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -170,11 +170,11 @@
     for node in world.nodes:
         assert node is not None
 
-        def answer(job: Job, answer: FinalAnswer, real: Any = node.core._answer) -> None:
+        def answer(job: Job, answer: FinalAnswer, real: Any = node.core.answer_job) -> None:
             if job.number % 50:
                 real(job, answer)
 
-        node.core._answer = answer  # type: ignore[method-assign]
+        node.core.answer_job = answer  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
