--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -19,7 +19,7 @@
 
 from burlmoor.config.options import DeferredOptions
 from burlmoor.deferred import DeferredJobQueue
-from burlmoor.deferred.status import show
+from burlmoor.deferred.status import build_status
 from burlmoor.engine.answers import Served
 from burlmoor.engine.deferral import ReleasedJob, RunConditions
 from burlmoor.types.events import JobRequest
@@ -79,7 +79,7 @@
             one_wait(ward, number, now)
         best = min(best, (time.process_time() - began) / _ROUND)
     began = time.perf_counter()
-    seen = trio.run(show, ward, lambda: now)
+    seen = trio.run(build_status, ward, lambda: now)
     shown = time.perf_counter() - began
     assert seen["waiting"] == count
     return {
--- a/burlmoor/deferred/__init__.py
+++ b/burlmoor/deferred/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for other jobs or for a time. Imported only where `[waiting]` is on."""
+"""Jobs deferred until other jobs are served or a time has come. Imported only where `[waiting]` is on."""
 
 from burlmoor.deferred.conditions import ConditionParser
 from burlmoor.deferred.queue import DeferredJobQueue
--- a/burlmoor/deferred/conditions.py
+++ b/burlmoor/deferred/conditions.py
@@ -1,4 +1,4 @@
-"""What a client asks its job to wait for, read from two headers. No I/O, no clock.
+"""The codec of the two headers with which a client has its job deferred. No I/O, no clock.
 
 `Run-After: ID[, ID...]` may stand on several lines, as any list (RFC 9110, section 5.6.1: empty elements are
 ignored); `Not-Before: T` is Unix time in ms, once.
@@ -12,45 +12,50 @@
 from burlmoor.downstream.http import REQUEST_ID
 from burlmoor.engine.deferral import InvalidConditionError, RunConditions
 
-RUN_AFTER, NOT_BEFORE = b"run-after", b"not-before"
-_TIME = re.compile(r"[0-9]{1,15}")
+_RUN_AFTER = b"run-after"
+_NOT_BEFORE = b"not-before"
+_UNIX_MS = re.compile(r"[0-9]{1,15}")
 
 
 class ConditionParser:
-    """Owns the limits on what may be asked."""
+    """Parses the conditions of requests, each of which may name `max_dependencies` jobs."""
 
-    def __init__(self, names: int) -> None:
-        self.max_dependencies = names
+    def __init__(self, max_dependencies: int) -> None:
+        self.max_dependencies = max_dependencies
 
-    def __call__(
-        self, headers: Sequence[tuple[bytes, bytes]], request_id: str, size: int
+    def parse(
+        self, headers: Sequence[tuple[bytes, bytes]], request_id: str, size_bytes: int
     ) -> RunConditions | None:
-        """The conditions of one request, `size` bytes of body with it; None where it has none."""
-        lists = [value for name, value in headers if name == RUN_AFTER]
-        times = [value for name, value in headers if name == NOT_BEFORE]
-        if not lists and not times:
-            return None
-        after = self._names(b",".join(lists).decode("latin-1"), request_id) if lists else ()
-        return RunConditions(after, self._time(times), size)
+        """Return the conditions of a request with a body of this size; None where it has none.
 
-    def _names(self, text: str, request_id: str) -> tuple[str, ...]:
-        # A name that is repeated counts once.
-        names = tuple(dict.fromkeys(name for each in text.split(",") if (name := each.strip(" \t"))))
-        if not names:
+        Raises InvalidConditionError, whose text names the header.
+        """
+        run_after = [value for name, value in headers if name == _RUN_AFTER]
+        not_before = [value for name, value in headers if name == _NOT_BEFORE]
+        if not run_after and not not_before:
+            return None
+        dependencies = self._parse_run_after(run_after, request_id) if run_after else ()
+        return RunConditions(dependencies, _parse_not_before(not_before), size_bytes)
+
+    def _parse_run_after(self, values: Sequence[bytes], request_id: str) -> tuple[str, ...]:
+        elements = b",".join(values).decode("latin-1").split(",")
+        names = (element.strip(" \t") for element in elements)
+        dependencies = tuple(dict.fromkeys(name for name in names if name))  # a repeated name counts once
+        if not dependencies:
             raise InvalidConditionError("Run-After", "names no job")
-        for name in names:
-            if not REQUEST_ID.fullmatch(name):
-                raise InvalidConditionError("Run-After", "is not a list of ids")
-        if request_id in names:
+        if not all(REQUEST_ID.fullmatch(name) for name in dependencies):
+            raise InvalidConditionError("Run-After", "is not a list of ids")
+        if request_id in dependencies:
             raise InvalidConditionError("Run-After", "names the job itself")
-        if len(names) > self.max_dependencies:
+        if len(dependencies) > self.max_dependencies:
             raise InvalidConditionError("Run-After", f"names over {self.max_dependencies} jobs")
-        return names
-
-    def _time(self, times: Sequence[bytes]) -> float:
-        if len(times) > 1:
-            raise InvalidConditionError("Not-Before", "is given twice")
-        text = times[0].decode("latin-1") if times else "0"
-        if not _TIME.fullmatch(text):
-            raise InvalidConditionError("Not-Before", "is not a Unix time in ms")
-        return float(text)
+        return dependencies
+
+
+def _parse_not_before(values: Sequence[bytes]) -> float:
+    if len(values) > 1:
+        raise InvalidConditionError("Not-Before", "is given twice")
+    text = values[0].decode("latin-1") if values else "0"
+    if not _UNIX_MS.fullmatch(text):
+        raise InvalidConditionError("Not-Before", "is not a Unix time in ms")
+    return float(text)
--- /dev/null
+++ b/burlmoor/deferred/cycle_search.py
@@ -0,0 +1,48 @@
+"""Finds out whether a new job would close a cycle of dependencies."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping, Sequence
+
+from burlmoor.deferred.deferred_job import DeferredJob
+
+
+def would_close_cycle(
+    request_id: str,
+    dependencies: Sequence[str],
+    jobs: Mapping[str, DeferredJob],
+    dependents: Mapping[str, Mapping[str, DeferredJob]],
+) -> bool:
+    """Return whether one of `dependencies` depends, directly or not, on the job `request_id`.
+
+    `jobs` are the deferred jobs by id, `dependents` those that depend on an id. The search goes from both
+    sides in turn, up from the dependencies and down from the dependents, and ends when either side is
+    exhausted: a job that no other depends on, or that depends on none that is deferred, costs nothing.
+    """
+    if request_id in dependencies:
+        return True
+    if request_id not in dependents:
+        return False
+    upward = list(dependencies)
+    downward = list(dependents[request_id])
+    above = set(upward)
+    below = set(downward)
+    while upward and downward:
+        ancestor = upward.pop()
+        if ancestor in below or ancestor == request_id:
+            return True
+        deferred = jobs.get(ancestor)
+        if deferred is not None:
+            _visit(deferred.unmet_dependencies, above, upward)
+        descendant = downward.pop()
+        if descendant in above:
+            return True
+        _visit(dependents.get(descendant, ()), below, downward)
+    return bool(above & below)
+
+
+def _visit(ids: Iterable[str], visited: set[str], pending: list[str]) -> None:
+    """Add the ids that are new to both collections."""
+    found = set(ids) - visited
+    visited |= found
+    pending.extend(found)
--- /dev/null
+++ b/burlmoor/deferred/deferred_job.py
@@ -0,0 +1,58 @@
+"""One deferred job, and why it waits."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import Enum
+
+from burlmoor.deferred.timer_queue import TimerQueue
+
+
+class DeferralReason(Enum):
+    """Why a job is deferred (the first four), or why its deferral ends without its release."""
+
+    DEPENDENCY_OPEN = "jobs"  # a job that it depends on is open
+    DEPENDENCY_UNKNOWN = "unknown"  # a job that it depends on has not been admitted here yet
+    NOT_BEFORE = "time"  # its time has not come
+    RELEASE_PENDING = "turn"  # all conditions are met, and it is not released yet
+    DEPENDENCY_FAILED = "parent"  # a job that it depends on was not served
+    CYCLE = "cycle"  # a job that it depends on depends on it
+    CAPACITY_REACHED = "full"  # a limit on deferred jobs is reached
+    TOO_LATE = "hopeless"  # what is left of its client's timeout does not suffice for its work
+    DRAINING = "closed"  # the node drains or shuts down
+
+
+@dataclass(slots=True, eq=False)
+class DeferredJob:
+    """One deferred job and which of its conditions are not met; times in ms on the engine's clock."""
+
+    id: str
+    deferred_at: float
+    latest_release_at: float
+    not_before_unix_ms: float
+    unmet_dependencies: set[str] = field(default_factory=set)  # ids of jobs that have not been served yet
+    unknown_dependencies: set[str] = field(default_factory=set)  # those of them not admitted here yet
+    end_reason: DeferralReason | None = None
+    is_time_reached: bool = True  # whether its not-before time has come
+    timers: list[tuple[TimerQueue[DeferredJob], int]] = field(default_factory=list)
+
+    @property
+    def is_runnable(self) -> bool:
+        """Whether all its conditions are met."""
+        return not self.unmet_dependencies and self.is_time_reached and self.end_reason is None
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether something is to be done: it is runnable, or its deferral ends."""
+        return self.is_runnable or self.end_reason is not None
+
+    @property
+    def reason(self) -> DeferralReason:
+        """Why it is deferred now, or why its deferral ends."""
+        if self.end_reason is not None:
+            return self.end_reason
+        if self.unknown_dependencies:
+            return DeferralReason.DEPENDENCY_UNKNOWN
+        if self.unmet_dependencies:
+            return DeferralReason.DEPENDENCY_OPEN
+        return DeferralReason.RELEASE_PENDING if self.is_time_reached else DeferralReason.NOT_BEFORE
--- a/burlmoor/deferred/queue.py
+++ b/burlmoor/deferred/queue.py
@@ -1,6 +1,7 @@
-"""Holds the jobs that wait, for the core: takes them in within its caps, says who goes and who ends.
+"""The queue of deferred jobs: takes them in within its limits, and decides which to release and to end.
 
-Knows no socket and no thread. The core gives it the time; Unix time it reads from the clock it is given.
+It knows no socket and no thread. The engine passes it the time in ms on its own clock; Unix time is read from
+the clock that the queue is given.
 """
 
 from __future__ import annotations
@@ -14,206 +15,235 @@
 from immutables import Map
 
 from burlmoor.config.options.sections import DeferredOptions
-from burlmoor.deferred.dependency_graph import Bounds, Graph, Reason, Waiter
-from burlmoor.deferred.rate_control import Bucket, Line, Window
+from burlmoor.deferred.deferred_job import DeferralReason, DeferredJob
+from burlmoor.deferred.dependency_graph import DependencyGraph, GraphLimits
+from burlmoor.deferred.rate_control import AdaptiveTokenBucket, CongestionWindow
+from burlmoor.deferred.release_queue import ReleaseQueue
+from burlmoor.deferred.status_snapshot import DeferredJobStatus, StatusSnapshot
 from burlmoor.engine.answers import DependencyFailed, FinalAnswer, Rejected, Served
 from burlmoor.engine.deferral import EndedJob, ReleasedJob, RunConditions
 from burlmoor.log import EventLogger
 from burlmoor.types.events import JobRequest
 
-_AT_ONCE = 100  # jobs handed out by one step, so that the loop is not held up by a long chain
-_LONGEST_ADVICE = 3_600_000.0  # ms
-_CLOCK_CHECK = 1000.0  # ms after which Unix time is read again while a job waits for it: it may step
-_SAID = {
-    Reason.PARENT: "a job that this one runs after was not served",
-    Reason.CYCLE: "a job that this one runs after runs after this one",
+_MAX_DECISIONS_PER_STEP = 100  # so that a long chain doesn't hold up the event loop
+_MAX_RETRY_AFTER_MS = 3_600_000.0
+_UNIX_CLOCK_CHECK_MS = 1000.0  # after which Unix time is read again while a job waits for it: it may step
+_DEPENDENCY_FAILURES = {
+    DeferralReason.DEPENDENCY_FAILED: "a job that this one runs after was not served",
+    DeferralReason.CYCLE: "a job that this one runs after runs after this one",
 }
 
 
-class Seen(NamedTuple):
-    """One job that waits, as operators are shown it."""
-
+class _Entry(NamedTuple):
+    job: DeferredJob
     job_class: str
-    reason: str
-    since: float
-    size: int
+    slots: float
+    size_bytes: int
 
 
-class _Held(NamedTuple):
-    waiter: Waiter
-    job_class: str
-    slots: float
-    size: int
+def _unix_now_ms() -> float:
+    return time.time() * 1000.0
 
 
-def _bounds(given: DeferredOptions, places: int) -> Bounds:
-    jobs = min(given.max_jobs, max(1, int(places * given.connection_share)))
-    return Bounds(jobs, given.max_dependents, given.unknown_timeout_ms, given.history_ms, given.history_size)
+def _graph_limits(options: DeferredOptions, max_connections: int) -> GraphLimits:
+    max_held_connections = max(1, int(max_connections * options.connection_share))
+    return GraphLimits(
+        max_jobs=min(options.max_jobs, max_held_connections),
+        max_dependents=options.max_dependents,
+        unknown_timeout_ms=options.unknown_timeout_ms,
+        history_ms=options.history_ms,
+        history_size=options.history_size,
+    )
 
 
 class DeferredJobQueue:
-    """Owns the graph of what waits, its caps, and the snapshot that is shown.
+    """Owns the dependency graph, the limits on it, the release of runnable jobs, and the status snapshot.
 
-    `places` are the clients' connections that the node may have; `advice` the most that refusals advise, ms.
+    `max_connections` are the downstream connections that the node may have; `max_retry_after_ms` is the most
+    that rejections advise. It is the engine's `JobDeferral`.
     """
 
     def __init__(
         self,
-        given: DeferredOptions,
-        places: int,
-        advice: float,
+        options: DeferredOptions,
+        max_connections: int,
+        max_retry_after_ms: float,
         seed: int,
         log: EventLogger,
         now: float,
-        unix: Callable[[], float] = lambda: time.time() * 1000.0,
+        unix_clock: Callable[[], float] = _unix_now_ms,
     ) -> None:
-        self._given, self._places, self._advice, self._log, self._unix = given, places, advice, log, unix
+        self.max_deferral_ms = options.max_deferral_ms
+        self.body_bytes = 0  # of all deferred jobs
+        self.released_count = 0
+        self.rejected_count = 0
+        self._options = options
+        self._max_connections = max_connections
+        self._max_retry_after_ms = max_retry_after_ms
+        self._log = log
+        self._unix_clock = unix_clock
         self._rng = random.Random(seed)
-        self._graph = Graph(_bounds(given, places))
-        self._line: Line[Waiter] = Line(Bucket(given.release_rate, given.release_burst, now))
-        self._window = Window()
-        self._held: dict[str, _Held] = {}
-        self._out: set[str] = set()  # released and not over
-        self._shut = False
-        self._stale: dict[str, None] = {}  # whose entry in the snapshot is to be made anew
-        self.bytes = 0
-        self.seen: Map[str, Seen] = Map()
-        self.max_deferral_ms = given.max_deferral_ms
-        self.released = self.turned = 0
+        self._graph = DependencyGraph(_graph_limits(options, max_connections))
+        bucket = AdaptiveTokenBucket(options.release_rate, options.release_burst, now)
+        self._release_queue: ReleaseQueue[DeferredJob] = ReleaseQueue(bucket)
+        self._window = CongestionWindow()
+        self._entries: dict[str, _Entry] = {}
+        self._released_ids: set[str] = set()  # released jobs that have not ended
+        self._is_draining = False
+        self._status = StatusSnapshot()
+
+    @property
+    def limits(self) -> GraphLimits:
+        """The limits in force."""
+        return self._graph.limits
 
     @property
-    def bounds(self) -> Bounds:
-        """The caps that hold now."""
-        return self._graph.bounds
+    def job_count(self) -> int:
+        """How many jobs are deferred."""
+        return len(self._entries)
 
     @property
-    def held(self) -> int:
-        """How many jobs wait."""
-        return len(self._held)
-
-    def take_up(self, given: DeferredOptions, now: float) -> None:
-        """Other options hold from now on; what waits already goes on by the times it was given."""
-        self._given, self.max_deferral_ms = given, given.max_deferral_ms
-        self._graph.bounds = _bounds(given, self._places)
-        self._line.bucket = Bucket(given.release_rate, given.release_burst, now)
-
-    def shut(self, shut: bool) -> None:
-        """Whether clients are sent away: then what waits ends, and whoever comes to wait."""
-        if shut and not self._shut and self._held:
-            self._log("deferred-ended", jobs=len(self._held))
-            self._graph.close()
-        self._shut = shut
-
-    # --- what the core tells ----------------------------------------------------------------------
-
-    def on_job_opened(self, ref: str) -> None:
-        """The node has taken a job."""
-        self._graph.opened(ref)
-        self._touch_children(ref)
-
-    def on_job_ended(self, ref: str, answer: FinalAnswer | None, now: float) -> None:
-        """A job is over, with its answer; None where its client has left."""
-        self._touch_children(ref)
-        served = isinstance(answer, Served)
-        self._graph.ended(ref, served, now)
-        self._let_go(ref)
-        if ref in self._out:
-            self._out.discard(ref)
-            if served or isinstance(answer, Rejected):
-                # Guards released jobs against each other: where they are refused, fewer are let go at a time.
-                self._line.bucket.learn(served, now)
-                self._window.learn(served, now)
+    def status_by_id(self) -> Map[str, DeferredJobStatus]:
+        """All deferred jobs as of the last step; the map itself never changes."""
+        return self._status.by_id
+
+    def apply_options(self, options: DeferredOptions, now: float) -> None:
+        """Use these options for new jobs; those deferred already keep the times that they were given."""
+        self._options = options
+        self.max_deferral_ms = options.max_deferral_ms
+        self._graph.limits = _graph_limits(options, self._max_connections)
+        self._release_queue.bucket = AdaptiveTokenBucket(options.release_rate, options.release_burst, now)
+
+    def set_draining(self, is_draining: bool) -> None:
+        """Set whether the node drains: then all deferrals end, and so do those of new jobs."""
+        if is_draining and not self._is_draining and self._entries:
+            self._log("deferred-ended", jobs=len(self._entries))
+            self._graph.end_all()
+        self._is_draining = is_draining
+
+    def on_job_opened(self, request_id: str) -> None:
+        """Note that the node has admitted a job."""
+        self._graph.on_job_opened(request_id)
+        self._status.mark_changed(self._graph.dependents_of(request_id))
+
+    def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
+        """Note that a job has ended with this answer; None if its client has disconnected."""
+        self._status.mark_changed(self._graph.dependents_of(request_id))
+        was_served = isinstance(answer, Served)
+        self._graph.on_job_ended(request_id, was_served, now)
+        self._drop_entry(request_id)
+        if request_id not in self._released_ids:
+            return
+        self._released_ids.discard(request_id)
+        if was_served or isinstance(answer, Rejected):
+            # Without this, released jobs would crowd one another out: where they are rejected, fewer are
+            # released at a time.
+            self._release_queue.bucket.adjust_rate(was_served, now)
+            self._window.adjust_size(was_served, now)
 
     def defer(
-        self, ref: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
+        self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
-        """A job that was just opened is to wait; what becomes of it comes out of `step`, never at once."""
-        latest = deadline - request.work_ms - self._given.min_remaining_ms
-        unix = self._unix()
-        full = self.bytes + conditions.size_bytes > self._given.max_body_bytes
-        waiter = self._graph.add(ref, conditions.after, conditions.not_before_unix_ms, latest, now, unix)
-        if self._shut:
-            self._graph.turn(waiter, Reason.CLOSED)
-        elif full:
-            self._graph.turn(waiter, Reason.FULL)
-        if waiter.ending is Reason.FULL:
-            self._log("deferred-full", jobs=len(self._held), bytes=self.bytes)
-        self._held[ref] = _Held(waiter, request.job_class, request.slots, conditions.size_bytes)
-        self.bytes += conditions.size_bytes
-        self._stale[ref] = None
-
-    # --- what the core is told --------------------------------------------------------------------
+        """Hold a job that was just opened; what becomes of it is returned by `step`, never earlier."""
+        latest_release_at = deadline - request.work_ms - self._options.min_remaining_ms
+        unix_now = self._unix_clock()
+        exceeds_bytes = self.body_bytes + conditions.size_bytes > self._options.max_body_bytes
+        job = self._graph.add(
+            request_id, conditions.after, conditions.not_before_unix_ms, latest_release_at, now, unix_now
+        )
+        if self._is_draining:
+            self._graph.end_deferral(job, DeferralReason.DRAINING)
+        elif exceeds_bytes:
+            self._graph.end_deferral(job, DeferralReason.CAPACITY_REACHED)
+        if job.end_reason is DeferralReason.CAPACITY_REACHED:
+            self._log("deferred-full", jobs=len(self._entries), bytes=self.body_bytes)
+        self._entries[request_id] = _Entry(job, request.job_class, request.slots, conditions.size_bytes)
+        self.body_bytes += conditions.size_bytes
+        self._status.mark_changed((request_id,))
 
     def next_due(self, now: float) -> float:
-        """When `step` is needed next."""
-        unix = self._unix()
-        at = min(self._graph.due(now, unix), self._line.due(now))
-        return min(at, now + _CLOCK_CHECK) if self._graph.timed else at
-
-    def step(self, now: float, room: Callable[[], float]) -> list[ReleasedJob | EndedJob]:
-        """Who is let go and who ends now, at most some at a time. `room`: slots known free at executors."""
-        unix, out = self._unix(), list[ReleasedJob | EndedJob]()
-        while len(out) < _AT_ONCE and (waiter := self._graph.next(now, unix)) is not None:
-            if waiter.ending is None:
-                self._line.put(waiter.latest, self._held[waiter.id].slots, waiter)
-                self._stale[waiter.id] = None
-                continue
-            answer = self._answer(waiter, unix)
-            out.append(EndedJob(waiter.id, answer))
-            self.turned += 1
-            # Told here, not once the core has answered: a long chain ends in one go, not a link a step.
-            self.on_job_ended(waiter.id, answer, now)
-        left = math.nan  # asked for only where somebody may go
-        while len(out) < _AT_ONCE and (first := self._line.first()) is not None:
-            if first.id not in self._held or first.ending is not None:
-                self._line.skip()
+        """Return when `step` is needed next."""
+        due = min(self._graph.next_due(now, self._unix_clock()), self._release_queue.next_due(now))
+        return min(due, now + _UNIX_CLOCK_CHECK_MS) if self._graph.has_not_before_timers else due
+
+    def step(self, now: float, free_slots: Callable[[], float]) -> list[ReleasedJob | EndedJob]:
+        """Return the jobs to end and to release now, a bounded number of them.
+
+        `free_slots` returns the slots that are known to be free at endpoints.
+        """
+        decisions: list[ReleasedJob | EndedJob] = []
+        self._process_ready_jobs(now, decisions)
+        self._release_jobs(now, free_slots, decisions)
+        self._status.refresh(self._find_status)
+        return decisions
+
+    def _process_ready_jobs(self, now: float, decisions: list[ReleasedJob | EndedJob]) -> None:
+        """End the deferrals that are to end, and queue runnable jobs for their release."""
+        unix_now = self._unix_clock()
+        while len(decisions) < _MAX_DECISIONS_PER_STEP:
+            job = self._graph.pop_ready(now, unix_now)
+            if job is None:
+                return
+            if job.end_reason is None:
+                self._release_queue.push(job.latest_release_at, self._entries[job.id].slots, job)
+                self._status.mark_changed((job.id,))
                 continue
-            left = room() if math.isnan(left) else left
-            seems = left if len(self._out) < self._window.size else -math.inf
-            going = self._line.next(now, seems)
-            if going is None:
-                break
-            waiter, left = going[0], left - going[1]
-            claim = min(1.0, (now - waiter.since) / self._given.full_credit_ms)
-            out.append(ReleasedJob(waiter.id, claim))
-            self.released += 1
-            self._out.add(waiter.id)
-            self._let_go(waiter.id)
-            self._graph.remove(waiter.id)
-        self._refresh()
-        return out
-
-    def _answer(self, waiter: Waiter, unix: float) -> FinalAnswer:
-        if waiter.ending in _SAID:
-            return DependencyFailed(_SAID[waiter.ending])
-        advice = self._advice * self._rng.uniform(0.5, 1.0)
-        if waiter.ending is Reason.HOPELESS and waiter.not_before > unix:
-            # Before its time a job can't run here either.
-            advice = min(_LONGEST_ADVICE, waiter.not_before - unix)
-        return Rejected(advice)
-
-    # --- bookkeeping ------------------------------------------------------------------------------
-
-    def _touch_children(self, ref: str) -> None:
-        self._stale.update(dict.fromkeys(self._graph.waiting_for(ref)))
-
-    def _let_go(self, ref: str) -> None:
-        held = self._held.pop(ref, None)
-        if held is not None:
-            self.bytes -= held.size
-            self._stale[ref] = None
-
-    def _refresh(self) -> None:
-        """Make the snapshot's stale entries anew, all in one step: readers keep the map that they have."""
-        if not self._stale:
-            return
-        with self.seen.mutate() as seen:
-            for ref in self._stale:
-                held = self._held.get(ref)
-                if held is not None:
-                    reason = held.waiter.reason.value
-                    seen[ref] = Seen(held.job_class, reason, held.waiter.since, held.size)
-                else:
-                    seen.pop(ref, None)
-            self.seen = seen.finish()
-        self._stale.clear()
+            answer = self._final_answer(job, unix_now)
+            decisions.append(EndedJob(job.id, answer))
+            self.rejected_count += 1
+            # Noted here, not once the engine has answered: so a long chain ends at once, not a job a step.
+            self.on_job_ended(job.id, answer, now)
+
+    def _release_jobs(
+        self, now: float, free_slots: Callable[[], float], decisions: list[ReleasedJob | EndedJob]
+    ) -> None:
+        remaining_slots: float | None = None  # looked up only where a job may be released
+        while len(decisions) < _MAX_DECISIONS_PER_STEP and self._has_releasable_job():
+            if remaining_slots is None:
+                remaining_slots = free_slots()
+            is_window_open = len(self._released_ids) < self._window.size
+            release = self._release_queue.pop_releasable(
+                now, remaining_slots if is_window_open else -math.inf
+            )
+            if release is None:
+                return
+            remaining_slots -= release.slots
+            decisions.append(self._release(release.item, now))
+
+    def _has_releasable_job(self) -> bool:
+        """Drop what has ended from the head of the release queue; return whether a job is left."""
+        while (job := self._release_queue.first()) is not None:
+            if job.id in self._entries and job.end_reason is None:
+                return True
+            self._release_queue.drop_first()
+        return False
+
+    def _release(self, job: DeferredJob, now: float) -> ReleasedJob:
+        credit = min(1.0, (now - job.deferred_at) / self._options.full_credit_ms)
+        self.released_count += 1
+        self._released_ids.add(job.id)
+        self._drop_entry(job.id)
+        self._graph.remove(job.id)
+        return ReleasedJob(job.id, credit)
+
+    def _final_answer(self, job: DeferredJob, unix_now: float) -> FinalAnswer:
+        if job.end_reason in _DEPENDENCY_FAILURES:
+            return DependencyFailed(_DEPENDENCY_FAILURES[job.end_reason])
+        retry_after_ms = self._max_retry_after_ms * self._rng.uniform(0.5, 1.0)
+        if job.end_reason is DeferralReason.TOO_LATE and job.not_before_unix_ms > unix_now:
+            # Before its time the job can't run here either.
+            retry_after_ms = min(_MAX_RETRY_AFTER_MS, job.not_before_unix_ms - unix_now)
+        return Rejected(retry_after_ms)
+
+    def _drop_entry(self, request_id: str) -> None:
+        entry = self._entries.pop(request_id, None)
+        if entry is not None:
+            self.body_bytes -= entry.size_bytes
+            self._status.mark_changed((request_id,))
+
+    def _find_status(self, request_id: str) -> DeferredJobStatus | None:
+        entry = self._entries.get(request_id)
+        if entry is None:
+            return None
+        job = entry.job
+        return DeferredJobStatus(entry.job_class, job.reason.value, job.deferred_at, entry.size_bytes)
--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -1,4 +1,4 @@
-"""Joins the ward to a running node: the core asks it, the front reads its headers, operators are shown it."""
+"""Connects the deferred-job queue to a running node: engine, downstream server and admin status."""
 
 from __future__ import annotations
 
@@ -8,54 +8,64 @@
 from burlmoor.config.options.sections import DeferredOptions
 from burlmoor.deferred.conditions import ConditionParser
 from burlmoor.deferred.queue import DeferredJobQueue
-from burlmoor.deferred.status import show
+from burlmoor.deferred.status import build_status
 from burlmoor.downstream.server import DownstreamServer
 from burlmoor.engine.engine import Engine
 from burlmoor.log import EventLogger
 
-PATH = "/waiting"
+STATUS_PATH = "/waiting"
 
 
 class DeferredService:
-    """Owns whether jobs may wait here; turned off, what waits goes on and nothing new comes to wait."""
+    """Turns deferral on and off; turned off, no new job is deferred and those deferred already stay so."""
 
     def __init__(
         self, engine: Engine, server: DownstreamServer, admin: AdminService, seed: int, log: EventLogger
     ) -> None:
-        self._engine, self._server, self._admin, self._seed, self._log = engine, server, admin, seed, log
         self.queue: DeferredJobQueue | None = None
+        self._engine = engine
+        self._server = server
+        self._admin = admin
+        self._seed = seed
+        self._log = log
 
-    def apply_options(self, given: DeferredOptions | None) -> None:
-        """These options hold from now on; None: off."""
-        if given is None:
+    def apply_options(self, options: DeferredOptions | None) -> None:
+        """Use these options from now on; None turns deferral off."""
+        if options is None:
             self._server.parse_conditions = None
             return
-        now = self._engine.clock()
         if self.queue is None:
-            advice = self._engine.settings.limits.max_retry_after_ms
-            self.queue = DeferredJobQueue(
-                given, self._server.max_connections, advice, self._seed, self._log, now
-            )
-            self._engine.enable_deferral(self.queue)
-            self._server.on_draining = self._shut
-            self._admin.status_providers[PATH] = self._show
+            self._enable(options)
         else:
-            self.queue.take_up(given, now)
-        self._server.parse_conditions = ConditionParser(given.max_dependencies)
+            self.queue.apply_options(options, self._engine.clock())
+        self._server.parse_conditions = ConditionParser(options.max_dependencies).parse
 
-    def _shut(self, shut: bool) -> None:
-        ward = self.queue
-        if ward is None:
+    def _enable(self, options: DeferredOptions) -> None:
+        self.queue = DeferredJobQueue(
+            options,
+            self._server.max_connections,
+            self._engine.settings.limits.max_retry_after_ms,
+            self._seed,
+            self._log,
+            self._engine.clock(),
+        )
+        self._engine.enable_deferral(self.queue)
+        self._server.on_draining = self._on_draining
+        self._admin.status_providers[STATUS_PATH] = self._status
+
+    def _on_draining(self, is_draining: bool) -> None:
+        """Pass a change of the drain state on; disconnect a queue that is turned off and empty."""
+        if self.queue is None:
             return
-        ward.shut(shut)
-        if shut:
+        self.queue.set_draining(is_draining)
+        if is_draining:
             self._engine.wake()
-        if self._server.parse_conditions is None and not ward.held:
-            # Turned off, and the last that waited has gone.
+        if self._server.parse_conditions is None and not self.queue.job_count:
+            self.queue = None
             self._engine.disable_deferral()
-            self.queue = self._server.on_draining = None
-            self._admin.status_providers.pop(PATH, None)
+            self._server.on_draining = None
+            self._admin.status_providers.pop(STATUS_PATH, None)
 
-    async def _show(self) -> dict[str, Any]:
+    async def _status(self) -> dict[str, Any]:
         assert self.queue is not None
-        return await show(self.queue, self._engine.clock)
+        return await build_status(self.queue, self._engine.clock)
--- a/burlmoor/deferred/status.py
+++ b/burlmoor/deferred/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the jobs that wait: counted from a snapshot, in pieces, beside the rest."""
+"""The status of the deferred jobs as JSON: counted from a snapshot, in pieces, while the node works on."""
 
 from __future__ import annotations
 
@@ -10,31 +10,34 @@
 
 from burlmoor.deferred.queue import DeferredJobQueue
 
-_PIECE = 2000  # entries between two chances for others to run
+_ENTRIES_PER_PIECE = 2000  # counted between two chances for other tasks to run
 
 
-async def show(ward: DeferredJobQueue, clock: Callable[[], float]) -> dict[str, Any]:
-    """Counts, the oldest, by class and reason; all of one moment. Times in ms."""
-    seen, now, size, bounds = ward.seen, clock(), ward.bytes, ward.bounds
+async def build_status(queue: DeferredJobQueue, clock: Callable[[], float]) -> dict[str, Any]:
+    """Return counts and the oldest deferral, by class and reason, all of one moment; times in ms."""
+    statuses = queue.status_by_id
+    now = clock()
+    body_bytes = queue.body_bytes
+    max_jobs = queue.limits.max_jobs
     by_class: Counter[str] = Counter()
     by_reason: Counter[str] = Counter()
     oldest: dict[str, float] = {}
-    for number, each in enumerate(seen.values(), 1):
-        by_class[each.job_class] += 1
-        by_reason[each.reason] += 1
-        oldest[each.job_class] = min(each.since, oldest.get(each.job_class, each.since))
-        if number % _PIECE == 0:
+    for number, status in enumerate(statuses.values(), 1):
+        by_class[status.job_class] += 1
+        by_reason[status.reason] += 1
+        oldest[status.job_class] = min(status.deferred_at, oldest.get(status.job_class, status.deferred_at))
+        if number % _ENTRIES_PER_PIECE == 0:
             await trio.lowlevel.checkpoint()
     return {
-        "waiting": len(seen),
-        "most": bounds.jobs,
-        "bytes": size,
+        "waiting": len(statuses),
+        "most": max_jobs,
+        "bytes": body_bytes,
         "oldest_ms": round(now - min(oldest.values(), default=now), 1),
         "by_class": {
             name: {"waiting": count, "oldest_ms": round(now - oldest[name], 1)}
             for name, count in sorted(by_class.items())
         },
         "by_reason": dict(sorted(by_reason.items())),
-        "released": ward.released,
-        "turned_away": ward.turned,
+        "released": queue.released_count,
+        "turned_away": queue.rejected_count,
     }
--- /dev/null
+++ b/burlmoor/deferred/status_snapshot.py
@@ -0,0 +1,43 @@
+"""A map of the deferred jobs for operators, which readers may go through while jobs come and go."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+
+from immutables import Map
+
+
+class DeferredJobStatus(NamedTuple):
+    """One deferred job, as operators see it."""
+
+    job_class: str
+    reason: str  # a value of `DeferralReason`
+    deferred_at: float  # ms on the engine's clock
+    size_bytes: int
+
+
+class StatusSnapshot:
+    """An immutable map that is replaced in one step; readers keep the one that they have."""
+
+    def __init__(self) -> None:
+        self.by_id: Map[str, DeferredJobStatus] = Map()
+        self._changed_ids: dict[str, None] = {}  # a set in the order of changes
+
+    def mark_changed(self, request_ids: Iterable[str]) -> None:
+        """Note that the status of these jobs may have changed."""
+        self._changed_ids.update(dict.fromkeys(request_ids))
+
+    def refresh(self, find_status: Callable[[str], DeferredJobStatus | None]) -> None:
+        """Look up the changed jobs and replace the map; `find_status` returns None for a job that is gone."""
+        if not self._changed_ids:
+            return
+        with self.by_id.mutate() as statuses:
+            for request_id in self._changed_ids:
+                status = find_status(request_id)
+                if status is not None:
+                    statuses[request_id] = status
+                else:
+                    statuses.pop(request_id, None)
+            self.by_id = statuses.finish()
+        self._changed_ids.clear()
--- a/burlmoor/deferred/timer_queue.py
+++ b/burlmoor/deferred/timer_queue.py
@@ -1,4 +1,4 @@
-"""A heap of things to look at, from which any may be taken out again."""
+"""A queue of items by time, from which any item can be cancelled."""
 
 from __future__ import annotations
 
@@ -6,43 +6,45 @@
 import math
 from typing import Generic, TypeVar
 
-_T = TypeVar("_T")
-_LEAST = 64  # entries below which taken-out ones are left where they are
+_Item = TypeVar("_Item")
+_MIN_COMPACTION_SIZE = 64  # entries up to which cancelled ones always stay in the heap
 
 
-class Agenda(Generic[_T]):
-    """Owns times and what is due at each: O(log n) to put in, O(1) to take out, at most twice the memory."""
+class TimerQueue(Generic[_Item]):
+    """Times and the item due at each: O(log n) to schedule, O(1) amortised to cancel."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int]] = []
-        self._things: dict[int, _T] = {}
-        self._number = 0
+        self._items: dict[int, _Item] = {}  # by timer id
+        self._last_id = 0
 
     def __len__(self) -> int:
-        return len(self._things)
-
-    def put(self, at: float, thing: _T) -> int:
-        """Note a thing for a time; the ticket takes it out again."""
-        self._number += 1
-        self._things[self._number] = thing
-        heapq.heappush(self._heap, (at, self._number))
-        return self._number
-
-    def out(self, ticket: int) -> None:
-        """Take a thing out; one that is out already changes nothing."""
-        if self._things.pop(ticket, None) is not None and len(self._heap) > _LEAST + 2 * len(self._things):
-            # Guards against memory held for what left long before its time.
-            self._heap = [entry for entry in self._heap if entry[1] in self._things]
+        return len(self._items)
+
+    def schedule(self, at: float, item: _Item) -> int:
+        """Add an item for this time; return the timer id that cancels it."""
+        self._last_id += 1
+        self._items[self._last_id] = item
+        heapq.heappush(self._heap, (at, self._last_id))
+        return self._last_id
+
+    def cancel(self, timer_id: int) -> None:
+        """Remove an item; one that is removed already changes nothing."""
+        if self._items.pop(timer_id, None) is None:
+            return
+        # Without this, cancelled entries would hold memory until times that lie far ahead.
+        if len(self._heap) > _MIN_COMPACTION_SIZE + 2 * len(self._items):
+            self._heap = [entry for entry in self._heap if entry[1] in self._items]
             heapq.heapify(self._heap)
 
-    def first(self) -> float:
-        """The earliest time; infinite where nothing is in it."""
-        while self._heap and self._heap[0][1] not in self._things:
+    def next_due(self) -> float:
+        """Return the earliest time; infinity where the queue is empty."""
+        while self._heap and self._heap[0][1] not in self._items:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
 
-    def pop(self, now: float) -> _T | None:
-        """One thing whose time has come; None if there is none."""
-        if self.first() > now:
+    def pop_due(self, now: float) -> _Item | None:
+        """Remove and return the earliest item whose time has come; None if there is none."""
+        if self.next_due() > now:
             return None
-        return self._things.pop(heapq.heappop(self._heap)[1])
+        return self._items.pop(heapq.heappop(self._heap)[1])
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -15,50 +15,64 @@
 
 def _forget_parents() -> None:
     """Jobs run whatever they name."""
-    from burlmoor.deferred.dependency_graph import Graph  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
-    add = Graph.add
-    Graph.add = lambda self, ref, after, *rest: add(self, ref, (), *rest)  # type: ignore[method-assign]
+    add = DependencyGraph.add
+
+    def add_without_dependencies(self: DependencyGraph, request_id: str, _after: Any, *rest: Any) -> Any:
+        return add(self, request_id, (), *rest)
+
+    DependencyGraph.add = add_without_dependencies  # type: ignore[assignment, method-assign]
 
 
 def _early() -> None:
     """Jobs run whatever time they name."""
-    from burlmoor.deferred.dependency_graph import Graph  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
-    add = Graph.add
+    add = DependencyGraph.add
 
-    def early(self: Graph, ref: str, after: Any, _not_before: float, *rest: Any) -> Any:
-        return add(self, ref, after, 0.0, *rest)
+    def add_without_time(
+        self: DependencyGraph, request_id: str, after: Any, _not_before_unix_ms: float, *rest: Any
+    ) -> Any:
+        return add(self, request_id, after, 0.0, *rest)
 
-    Graph.add = early  # type: ignore[assignment, method-assign]
+    DependencyGraph.add = add_without_time  # type: ignore[assignment, method-assign]
 
 
 def _failed_is_served() -> None:
     """A parent that failed counts as served."""
-    from burlmoor.deferred.dependency_graph import Graph  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
+
+    on_job_ended = DependencyGraph.on_job_ended
 
-    ended = Graph.ended
-    Graph.ended = lambda self, ref, served, now: ended(self, ref, True, now)  # type: ignore[method-assign]
+    def on_job_ended_as_served(self: DependencyGraph, request_id: str, was_served: bool, now: float) -> None:
+        on_job_ended(self, request_id, True, now)
+
+    DependencyGraph.on_job_ended = on_job_ended_as_served  # type: ignore[method-assign]
 
 
 def _no_cascade() -> None:
     """Those that wait for a job that failed are not told."""
-    from burlmoor.deferred.dependency_graph import Graph, Reason, Waiter  # noqa: PLC0415
+    from burlmoor.deferred.deferred_job import DeferralReason, DeferredJob  # noqa: PLC0415
+    from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
-    turn = Graph.turn
+    end_deferral = DependencyGraph.end_deferral
 
-    def deaf(self: Graph, waiter: Waiter, reason: Reason) -> None:
-        if reason is not Reason.PARENT:
-            turn(self, waiter, reason)
+    def end_without_cascade(self: DependencyGraph, job: DeferredJob, reason: DeferralReason) -> None:
+        if reason is not DeferralReason.DEPENDENCY_FAILED:
+            end_deferral(self, job, reason)
 
-    Graph.turn = deaf  # type: ignore[method-assign]
+    DependencyGraph.end_deferral = end_without_cascade  # type: ignore[method-assign]
 
 
 def _starve() -> None:
     """What is free to run goes only where nothing else wants to."""
-    from burlmoor.deferred.rate_control import Line  # noqa: PLC0415
+    from burlmoor.deferred.release_queue import ReleaseQueue  # noqa: PLC0415
+
+    def release_nothing(self: ReleaseQueue[Any], now: float, free_slots: float) -> None:
+        return None
 
-    Line.next = lambda self, now, room: None  # type: ignore[method-assign]
+    ReleaseQueue.pop_releasable = release_nothing  # type: ignore[method-assign]
 
 
 def _same_seed() -> None:
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -11,8 +11,9 @@
 
 from burlmoor.config.options import DeferredOptions
 from burlmoor.deferred import ConditionParser, DeferredJobQueue
-from burlmoor.deferred.rate_control import Bucket, Line, Window
-from burlmoor.deferred.status import show
+from burlmoor.deferred.rate_control import AdaptiveTokenBucket, CongestionWindow
+from burlmoor.deferred.release_queue import ReleaseQueue
+from burlmoor.deferred.status import build_status
 from burlmoor.engine.answers import DependencyFailed, Failed, FinalAnswer, Rejected, Served
 from burlmoor.engine.deferral import EndedJob, InvalidConditionError, ReleasedJob, RunConditions
 from burlmoor.engine.job import Job
@@ -195,7 +196,7 @@
     world.serve("p") if world.sent else world.run(60.0)
     world.run(100.0)
     assert client.answers == []
-    assert world.ward.held == world.ward.bytes == len(world.ward.seen) == 0
+    assert world.ward.job_count == world.ward.body_bytes == len(world.ward.status_by_id) == 0
     assert world.core.open_job_count <= 1
 
 
@@ -205,10 +206,10 @@
     for number in range(100):
         world.wait(f"h{number}", at=at, patience=10_000.0)
     world.run(1005.0)
-    first = 100 - world.ward.held
+    first = 100 - world.ward.job_count
     assert first == 8 + 5  # the first window, though there is room for more, and the burst
     world.run(300.0)  # nobody has been refused yet
-    assert 12 <= (100 - world.ward.held) - first <= 18
+    assert 12 <= (100 - world.ward.job_count) - first <= 18
 
 
 def test_what_waited_has_a_claim_that_is_bounded() -> None:
@@ -245,13 +246,13 @@
     world = Held()
     world.ask(ref="p")
     child, grandchild = world.wait("c", "p"), world.wait("g", "c")
-    world.ward.shut(True)
+    world.ward.set_draining(True)
     world.run(10.0)
     assert kinds(child) == kinds(grandchild) == [Rejected]
     late = world.wait("late", "p")
     world.run(10.0)
     assert kinds(late) == [Rejected]
-    world.ward.shut(False)
+    world.ward.set_draining(False)
     again = world.wait("again", "p")
     world.run(10.0)
     assert again.answers == []
@@ -271,7 +272,7 @@
     world = Held(max_dependents=2)
     world.ask(ref="p")
     clients = [world.wait(f"a{n}", "p") for n in range(2)]
-    world.ward.take_up(DeferredOptions(max_dependents=1), world.now)
+    world.ward.apply_options(DeferredOptions(max_dependents=1), world.now)
     clients.append(world.wait("b", "p"))
     world.run(10.0)
     assert [kinds(each) for each in clients] == [[], [], [Rejected]]
@@ -323,7 +324,7 @@
     served = [ref for ref, client in clients.items() if kinds(client) == [Served]]
     assert all(len(client.answers) == 1 for client in clients.values())
     assert len(served) > 20
-    assert world.ward.held == world.ward.bytes == len(world.ward.seen) == 0
+    assert world.ward.job_count == world.ward.body_bytes == len(world.ward.status_by_id) == 0
 
 
 def test_the_view_counts_by_class_and_reason_from_one_moment() -> None:
@@ -345,7 +346,7 @@
             return world.now
 
         async def view() -> None:
-            seen.update(await show(world.ward, clock))
+            seen.update(await build_status(world.ward, clock))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(view)
@@ -359,7 +360,7 @@
     assert seen["by_class"]["lookup"]["waiting"] == 5000
     assert seen["by_reason"] == {"jobs": 5000, "time": 1, "unknown": 1}
     assert seen["bytes"] == 5000 * 7 + 20
-    assert len(world.ward.seen) == 5001
+    assert len(world.ward.status_by_id) == 5001
 
 
 @pytest.mark.parametrize(
@@ -385,11 +386,11 @@
     headers: list[tuple[bytes, bytes]], words: str
 ) -> None:
     with pytest.raises(InvalidConditionError, match=words):
-        ConditionParser(8)(headers, "me", 0)
+        ConditionParser(8).parse(headers, "me", 0)
 
 
 def test_conditions_are_read_as_lists_are() -> None:
-    read = ConditionParser(8)
+    read = ConditionParser(8).parse
     assert read([(b"host", b"x")], "me", 5) is None
     headers = [(b"run-after", b"a, b,,a"), (b"x", b"y"), (b"run-after", b"c\t"), (b"not-before", b"12")]
     assert read(headers, "me", 5) == RunConditions(("a", "b", "c"), 12.0, 5)
@@ -399,21 +400,21 @@
 
 
 def test_a_bucket_gives_its_rate_and_no_more_than_its_burst() -> None:
-    bucket = Bucket(10.0, 3.0, 0.0)
-    assert [bucket.take(0.0) for _ in range(4)] == [True, True, True, False]
-    assert bucket.due(0.0) == pytest.approx(100.0)
-    assert sum(bucket.take(float(now)) for now in range(1, 10_001)) == 100
+    bucket = AdaptiveTokenBucket(10.0, 3.0, 0.0)
+    assert [bucket.take_token(0.0) for _ in range(4)] == [True, True, True, False]
+    assert bucket.next_token_at(0.0) == pytest.approx(100.0)
+    assert sum(bucket.take_token(float(now)) for now in range(1, 10_001)) == 100
 
 
 def test_the_line_lets_the_soonest_go_first_while_there_is_room() -> None:
-    line: Line[str] = Line(Bucket(1.0, 1.0, 0.0))
+    line: ReleaseQueue[str] = ReleaseQueue(AdaptiveTokenBucket(1.0, 1.0, 0.0))
     for latest, slots, name in ((30.0, 1.0, "c"), (10.0, 2.0, "a"), (20.0, 1.0, "b")):
-        line.put(latest, slots, name)
-    assert line.next(0.0, 3.0) == ("a", 2.0)
-    assert line.next(0.0, 1.0) == ("b", 1.0)
-    assert line.next(0.0, 0.0) == ("c", 1.0)  # by the token
-    line.put(1.0, 1.0, "d")
-    assert line.next(0.0, 0.0) is None
+        line.push(latest, slots, name)
+    assert line.pop_releasable(0.0, 3.0) == ("a", 2.0)
+    assert line.pop_releasable(0.0, 1.0) == ("b", 1.0)
+    assert line.pop_releasable(0.0, 0.0) == ("c", 1.0)  # by the token
+    line.push(1.0, 1.0, "d")
+    assert line.pop_releasable(0.0, 0.0) is None
 
 
 def test_the_ward_says_nothing_before_its_step() -> None:
@@ -429,31 +430,31 @@
 
 
 def test_the_pace_falls_while_released_jobs_are_refused_and_rises_again() -> None:
-    bucket = Bucket(100.0, 10.0, 0.0)
+    bucket = AdaptiveTokenBucket(100.0, 10.0, 0.0)
     for _ in range(50):
-        bucket.learn(False, 0.0)
+        bucket.adjust_rate(False, 0.0)
     assert bucket.rate == pytest.approx(10.0)
-    assert [bucket.take(0.0), bucket.take(0.0)] == [True, False]
+    assert [bucket.take_token(0.0), bucket.take_token(0.0)] == [True, False]
     for _ in range(100):
-        bucket.learn(True, 0.0)
+        bucket.adjust_rate(True, 0.0)
     assert bucket.rate == 100.0
 
 
 def test_a_window_feels_its_way_and_halves_once_for_refusals_that_come_together() -> None:
-    window = Window()
+    window = CongestionWindow()
     for _ in range(8):
-        window.learn(True, 0.0)
+        window.adjust_size(True, 0.0)
     assert window.size == 16.0
     for now in (100.0, 150.0, 250.0):
-        window.learn(False, now)
+        window.adjust_size(False, now)
     assert window.size == 8.0
-    window.learn(False, 301.0)
+    window.adjust_size(False, 301.0)
     assert window.size == 4.0
     for _ in range(4):
-        window.learn(True, 400.0)
+        window.adjust_size(True, 400.0)
     assert 4.5 < window.size < 5.0
     for number in range(100):
-        window.learn(False, 1000.0 * number + 1000.0)
+        window.adjust_size(False, 1000.0 * number + 1000.0)
     assert window.size == 2.0
 
 
