--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import json
 import socket
 from pathlib import Path
 from typing import Any
@@ -15,6 +14,7 @@
 from burlmoor.testbed.http_wire import Wire
 from burlmoor.types.endpoint_list import EndpointState, ListKind
 from burlmoor.types.events import EndpointListUpdate
+from tests.support.admin_client import call_admin, get_readiness_status, serve_job
 from tests.support.node_harness import Stage, play
 
 
@@ -67,32 +67,12 @@
         assert asked == AdminRequest("/executors/disable", name)
 
 
-async def call(made: Stage, path: str, name: str = "", method: str = "POST") -> tuple[int, dict[str, Any]]:
-    assert made.node.admin_server is not None
-    wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
-    body = json.dumps({"name": name}).encode() if name else b""
-    await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
-    answer = await made.answer(wire)
-    assert await wire.read() is None
-    return answer.status, json.loads(answer.body)
-
-
-async def serve(made: Stage, ref: str, name: str = "once") -> str:
-    """Have one job served; the executor that it went to."""
-    jobs = len(made.jobs)
-    wire = await made.submit(name, ref)
-    await made.until(lambda: len(made.jobs) > jobs)
-    await made.tell("done", "fine")
-    assert (await made.answer(wire)).status == 200
-    return made.jobs[-1][0]
-
-
 def test_an_executor_out_by_hand_gets_nothing_whatever_is_listed() -> None:
     async def story(made: Stage) -> None:
-        assert (await call(made, "/executors/disable", "nobody"))[0] == 404
-        assert (await call(made, "/executors/enable", "nobody"))[0] == 404
+        assert (await call_admin(made, "/executors/disable", "nobody"))[0] == 404
+        assert (await call_admin(made, "/executors/enable", "nobody"))[0] == 404
         for _ in range(2):  # two calls out need one call back
-            assert await call(made, "/executors/disable", "e0") == (
+            assert await call_admin(made, "/executors/disable", "e0") == (
                 200, {"ready": True, "state": "open", "drained": False, "out": ["e0"]},
             )  # fmt: skip
         seq = 1
@@ -101,8 +81,8 @@
             seq += 1
             await made.publish(seq, **hosts)
             await made.until(lambda seq=seq: made.node.directory.version == seq)  # type: ignore[misc]
-            assert {await serve(made, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
-        assert (await call(made, "/executors/enable", "e0"))[1]["out"] == []
+            assert {await serve_job(made, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
+        assert (await call_admin(made, "/executors/enable", "e0"))[1]["out"] == []
         assert made.node.directory.find_live("e0") is not None
 
     play(story)
@@ -120,8 +100,8 @@
 
         made.node.engine.on_endpoint_list = listen  # type: ignore[method-assign]
         before = made.node.engine.clock()
-        await call(made, "/executors/disable", "e0")
-        await call(made, "/executors/enable", "e0")
+        await call_admin(made, "/executors/disable", "e0")
+        await call_admin(made, "/executors/enable", "e0")
         out, back = (each.entries[0] for each in told)
         assert (out.endpoint, out.state, out.started_at) == ("e0", EndpointState.DRAINING, 0.0)
         assert (back.endpoint, back.state) == ("e0", EndpointState.LIVE)
@@ -144,11 +124,11 @@
             link = await take(dial)
             if not out:
                 out.append(next(name for name, at in made.dials.items() if at == dial))
-                assert (await call(made, "/executors/disable", out[0]))[0] == 200
+                assert (await call_admin(made, "/executors/disable", out[0]))[0] == 200
             return link
 
         monkeypatch.setattr(made.node.pool, "acquire", slow)
-        assert await serve(made, "a1") != out[0]
+        assert await serve_job(made, "a1") != out[0]
 
     play(story)
 
@@ -160,7 +140,7 @@
         for wire in silent[::2]:
             await wire.stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
         began = trio.current_time()
-        assert (await call(made, "/ready", method="GET"))[0] == 200
+        assert (await call_admin(made, "/ready", method="GET"))[0] == 200
         assert trio.current_time() - began < 1.0
         for wire in silent:
             await wire.read()  # ended, or told that the call did not come in time
@@ -178,19 +158,13 @@
             wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
             await wire.write("POST /drain HTTP/1.1", Host="node")
             assert await wire.read() is None
-        assert (await call(made, "/ready", method="GET"))[0] == 200
+        assert (await call_admin(made, "/ready", method="GET"))[0] == 200
 
     lines: list[str] = []
     play(story, lines=lines)
     assert "admin-connection-failed" in lines[-1]
 
 
-async def ready(made: Stage) -> int:
-    wire = await made.client()
-    await wire.write("GET /health/ready HTTP/1.1", Host="node")
-    return (await made.answer(wire)).status
-
-
 def test_a_drain_sends_clients_away_within_four_seconds_and_ends_at_once() -> None:
     async def story(made: Stage) -> None:
         kept = await made.submit("once", "a1", 5000)
@@ -201,9 +175,9 @@
         await made.tell("done", "fine", job=number)
         assert "connection" not in (await made.answer(idle)).headers
         for _ in range(2):  # twice changes nothing
-            assert (await call(made, "/drain"))[1]["drained"] is True
-        assert await ready(made) == 503
-        assert (await call(made, "/ready", method="GET"))[0] == 503
+            assert (await call_admin(made, "/drain"))[1]["drained"] is True
+        assert await get_readiness_status(made) == 503
+        assert (await call_admin(made, "/ready", method="GET"))[0] == 503
         await made.ask(idle, "once", "a3")  # kept connections are served for a while
         await made.until(lambda: len(made.jobs) == 3)
         await made.tell("done", "fine")
@@ -216,8 +190,8 @@
         await made.tell("done", "fine", job=1 - number)  # it listens for call-backs all the while
         answer = await made.answer(kept)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
-        assert (await call(made, "/undrain"))[0] == 200
-        assert await ready(made) == 200
+        assert (await call_admin(made, "/undrain"))[0] == 200
+        assert await get_readiness_status(made) == 200
         wire = await made.submit("once", "a5")
         await made.until(lambda: len(made.jobs) == 4)
         await made.tell("done", "fine")
@@ -260,8 +234,8 @@
 @pytest.mark.parametrize("spoilt", [False, True])
 def test_what_was_set_by_hand_outlives_the_process(spoilt: bool, tmp_path: Path) -> None:
     async def first(made: Stage) -> None:
-        await call(made, "/executors/disable", "e0")
-        await call(made, "/drain")
+        await call_admin(made, "/executors/disable", "e0")
+        await call_admin(made, "/drain")
 
     async def second(made: Stage) -> None:
         assert (made.node.directory.find_live("e0") is None) is not spoilt
@@ -281,7 +255,7 @@
 
         async def story(made: Stage) -> None:
             made.address = held.getsockname()
-            assert await ready(made) == 200
+            assert await get_readiness_status(made) == 200
 
         lines: list[str] = []
         play(story, listener_fd=held.dup().detach(), lines=lines)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from burlmoor.cli.main import _VERBS, main
-from tests.config.test_node_config import written
+from tests.support.configuration import write_config
 
 
 @pytest.mark.parametrize("verb", _VERBS)
@@ -34,7 +34,7 @@
 
 
 def test_check_tells_every_fault_of_both_files(tmp_path: Path) -> None:
-    config = written(tmp_path, listen="nowhere")["RELAY_CONFIG"]
+    config = write_config(tmp_path, listen="nowhere")["RELAY_CONFIG"]
     options = tmp_path / "options.ini"
     options.write_text("[waiting]\njobs = none\nheld = much\n")
     done = checked("--config", config, "--options", str(options))
@@ -42,7 +42,7 @@
     lines = done.stderr.splitlines()
     assert [part in line for part, line in zip(("listen", "jobs", "held"), lines, strict=True)] == [True] * 3
     options.write_text("[waiting]\n")
-    done = checked("--config", written(tmp_path)["RELAY_CONFIG"], "--options", str(options))
+    done = checked("--config", write_config(tmp_path)["RELAY_CONFIG"], "--options", str(options))
     assert (done.returncode, done.stderr) == (0, "")
     assert checked().returncode == 2
 
@@ -50,7 +50,7 @@
 def test_a_node_with_bad_options_does_not_start(tmp_path: Path) -> None:
     options = tmp_path / "options.ini"
     options.write_text("[waiting]\njobs = 0\nnames = 0\n")
-    given = {**os.environ, **written(tmp_path), "BURLMOOR_OPTIONS": str(options)}
+    given = {**os.environ, **write_config(tmp_path), "BURLMOOR_OPTIONS": str(options)}
     done = subprocess.run(
         [sys.executable, "-m", "burlmoor"], env=given, capture_output=True, text=True, timeout=60, check=False
     )
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -14,8 +14,8 @@
 from burlmoor.config.options import DeferredOptions, Options
 from burlmoor.testbed.http_wire import Wire
 from burlmoor.testbed.node_process import call
-from tests.config.test_node_config import written
 from tests.support import node_harness
+from tests.support.configuration import write_config
 from tests.support.node_harness import Stage
 
 
@@ -216,7 +216,10 @@
 
     async def story(made: Stage) -> None:
         path = tmp_path / "options.ini"
-        given = {**written(tmp_path, discovery=made.node._given.discovery), "BURLMOOR_OPTIONS": str(path)}
+        given = {
+            **write_config(tmp_path, discovery=made.node._given.discovery),
+            "BURLMOOR_OPTIONS": str(path),
+        }
         await ask(made, "p")
         first = await ask(made, "c1", "p")
         await held(made, 1)
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -17,11 +17,11 @@
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.lifecycle import handover_channel as p
 from burlmoor.stats.snapshot import StatisticsSnapshot
-from tests.admin.test_admin import call
-from tests.config.test_node_config import OPTIONS, written
+from tests.support.admin_client import call_admin
+from tests.support.configuration import SETTINGS_OBJECT, write_config
 from tests.support.node_harness import Stage, play
 
-PUSHED = {**OPTIONS, "RegistryMode": "push"}
+PUSHED = {**SETTINGS_OBJECT, "RegistryMode": "push"}
 
 
 async def all_go_elsewhere(made: Stage) -> None:
@@ -34,7 +34,7 @@
         assert (await made.answer(wire)).status == 200
 
 
-@pytest.mark.parametrize("given", [OPTIONS, PUSHED], ids=["asked", "pushed"])
+@pytest.mark.parametrize("given", [SETTINGS_OBJECT, PUSHED], ids=["asked", "pushed"])
 @pytest.mark.parametrize("fault", ["silent", "reset", "down", "moved"])
 def test_a_drain_is_heard_in_time_whatever_befell_the_watch(
     fault: str, given: dict[str, Any], tmp_path: Path
@@ -57,7 +57,7 @@
             within = 10.0
         elif fault == "moved":
             within = 4.0
-            made.node.reload(written(tmp_path, discovery=await made.discovery()))
+            made.node.reload(write_config(tmp_path, discovery=await made.discovery()))
         calls = len(made.asked)
         await made.until(lambda: len(made.asked) > calls and made.watches)
         await made.publish(
@@ -170,7 +170,7 @@
         await all_go_elsewhere(made)
         out = {f"executor-{n:06d}": 1.0 for n in range(MANY)}
         made.node.directory.set_overrides(EndpointOverrides(disabled_since=out))
-        _, shown = await call(made, "/ready", method="GET")
+        _, shown = await call_admin(made, "/ready", method="GET")
         assert shown["out"] == sorted(out)
 
     play(story)
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -14,7 +14,7 @@
 import pytest
 
 from burlmoor.testbed.http_wire import Message
-from tests.config.test_node_config import OPTIONS
+from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import Stage, play
 
 SETTINGS: dict[str, list[Any]] = {
@@ -55,13 +55,14 @@
 
 def settings(row: dict[str, Any]) -> dict[str, Any]:
     classes = [
-        {**each, "HardLimit": 1500.0, "DedupScope": row["scope"]} for each in OPTIONS["RequestClasses"]
+        {**each, "HardLimit": 1500.0, "DedupScope": row["scope"]}
+        for each in SETTINGS_OBJECT["RequestClasses"]
     ]
     limits = {"SendCap": row["cap"], "Cancel": row["cancel"], "SecondCopies": row["copies"]}
     return {
-        **OPTIONS,
+        **SETTINGS_OBJECT,
         "RequestClasses": classes,
-        "Limits": {**OPTIONS["Limits"], **limits},
+        "Limits": {**SETTINGS_OBJECT["Limits"], **limits},
         "Specifics": {"TellsStart": row["tells"], "Progress": 400.0},
         "RegistryMode": row["mode"],
     }
--- a/tests/integration/test_endings.py
+++ b/tests/integration/test_endings.py
@@ -13,10 +13,10 @@
 
 from burlmoor.transport.stream import SocketStream, connect
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, PooledConnection
-from tests.config.test_node_config import OPTIONS
+from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import Stage, play
 
-NO_CANCEL = {**OPTIONS, "Limits": {**OPTIONS["Limits"], "Cancel": False}}
+NO_CANCEL = {**SETTINGS_OBJECT, "Limits": {**SETTINGS_OBJECT["Limits"], "Cancel": False}}
 
 
 class Held:
@@ -39,7 +39,7 @@
 # --- the client leaves --------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("given_settings", [OPTIONS, NO_CANCEL])
+@pytest.mark.parametrize("given_settings", [SETTINGS_OBJECT, NO_CANCEL])
 @pytest.mark.parametrize("how", ["closes", "resets"])
 def test_a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent(
     how: str, given_settings: dict[str, Any], monkeypatch: pytest.MonkeyPatch
@@ -291,8 +291,8 @@
 def classes(deadline: float) -> dict[str, Any]:
     """The usual settings, with this deadline (ms) for all."""
     return {
-        **OPTIONS,
-        "RequestClasses": [{**each, "HardLimit": deadline} for each in OPTIONS["RequestClasses"]],
+        **SETTINGS_OBJECT,
+        "RequestClasses": [{**each, "HardLimit": deadline} for each in SETTINGS_OBJECT["RequestClasses"]],
     }
 
 
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -14,7 +14,7 @@
 from burlmoor.testbed.discovery import Discovery
 from burlmoor.testbed.http_wire import Wire
 from burlmoor.testbed.node_process import Node, call
-from tests.config.test_node_config import OPTIONS
+from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import Stage, play
 
 TOLD, GRACE = 6.0, 0.25
@@ -50,7 +50,7 @@
             node.command = ["/bin/sh", "-c", limited, sys.executable]
             discovery.down = True
             try:
-                await node.start(nursery, OPTIONS, address, discovery.whole("n0"))
+                await node.start(nursery, SETTINGS_OBJECT, address, discovery.whole("n0"))
                 for number in range(hanging):
                     made.kept.append(await made.submit("once", f"h{number}", 5000))
                 if hanging:
@@ -128,7 +128,7 @@
             node = Node("n0", tmp_path)
             began = time.monotonic()
             try:
-                settings = {**OPTIONS, "RegistryMode": mode}
+                settings = {**SETTINGS_OBJECT, "RegistryMode": mode}
                 await node.start(nursery, settings, address, made.listed(1, e0="active"))
                 assert time.monotonic() - began < 10.0
                 made.address = node.listen
@@ -159,7 +159,9 @@
             async def start(node: Node) -> None:
                 address = await discovery.listen(node.name, made.dials)
                 began = trio.current_time()
-                await node.start(nursery, {**OPTIONS, "Balancers": 30}, address, discovery.whole(node.name))
+                await node.start(
+                    nursery, {**SETTINGS_OBJECT, "Balancers": 30}, address, discovery.whole(node.name)
+                )
                 took.append(trio.current_time() - began)
 
             discovery.tell("e0")
--- a/tests/integration/test_node_over_sockets.py
+++ b/tests/integration/test_node_over_sockets.py
@@ -17,7 +17,7 @@
 from burlmoor.types.outcome import Outcome
 from burlmoor.upstream.http import BrokenResponseError
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectError
-from tests.config.test_node_config import written
+from tests.support.configuration import write_config
 from tests.support.node_harness import Stage, play
 
 
@@ -303,7 +303,7 @@
         old, made.asked, made.watches = made.watches, [], []
         told = await made.discovery()
         known = made.listed(1, e0="active")  # older than what has been told since
-        moved = written(tmp_path, discovery=told, known=known)
+        moved = write_config(tmp_path, discovery=told, known=known)
         for _ in range(2):  # twice changes nothing
             made.node.reload({**moved, "RELAY_DISCOVERY": "127.0.0.1:9"})
         began = trio.current_time()
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -13,7 +13,7 @@
 import trio
 
 from burlmoor.testbed.http_wire import Wire
-from tests.config.test_node_config import written
+from tests.support.configuration import write_config
 from tests.support.node_harness import Stage
 
 ROOT = Path(__file__).parents[2]
@@ -45,7 +45,7 @@
             for name in ("e0", "e1"):
                 await made.executor(name)
             listen = free_address()
-            environment = written(
+            environment = write_config(
                 tmp_path,
                 listen=listen,
                 discovery=await made.discovery(),
@@ -68,7 +68,7 @@
                 open_job = await made.submit("once", "b2", 5000)
                 await made.until(lambda: len(made.jobs) == 2)
                 asked = len(made.asked)
-                written(tmp_path, listen=listen, discovery=await made.discovery())
+                write_config(tmp_path, listen=listen, discovery=await made.discovery())
                 process.send_signal(signal.SIGHUP)
                 await made.until(lambda: len(made.asked) > asked)
                 assert made.asked[-1] == "/registry/instances"
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -17,9 +17,9 @@
 
 from burlmoor.lifecycle import handover_channel as p
 from burlmoor.testbed.http_wire import Message, Wire
-from tests.admin.test_admin import call, ready, serve
-from tests.config.test_node_config import written
 from tests.integration.test_program import ROOT, free_address
+from tests.support.admin_client import call_admin, get_readiness_status, serve_job
+from tests.support.configuration import write_config
 from tests.support.node_harness import Stage, play
 
 
@@ -92,7 +92,7 @@
             for name in ("e0", "e1"):
                 await made.executor(name)
             host, port = held.getsockname()
-            made.environment = written(
+            made.environment = write_config(
                 folder,
                 listen=f"{host}:{port}",
                 discovery=await made.discovery(),
@@ -124,7 +124,7 @@
 
             new = await made.start()
             await new.ready()
-            assert await ready(made) == 200
+            assert await get_readiness_status(made) == 200
             assert (await old.call("/ready")).status == 503
             # What is set at either of them holds at both.
             assert (await new.call("/executors/disable", "e1")).status == 200
@@ -172,12 +172,12 @@
             third = await made.start()
             # This process is ready, and its old one may go; the node is drained all the same.
             await third.ready()
-            assert await ready(made) == 503
+            assert await get_readiness_status(made) == 503
             # The result comes to the third process, for a job of the first.
             assert await made.tell("done", "far") == 204
             assert (await made.answer(wire)).body == b"far"
             assert (await third.call("/undrain")).status == 200
-            assert await ready(made) == 200
+            assert await get_readiness_status(made) == 200
             for process in (first, second, third):
                 await process.stop()
 
@@ -196,7 +196,7 @@
             await killed.ready()
             killed.process.kill()
             await old.ready()
-            assert await serve(made, "a1") in ("e0", "e1")
+            assert await serve_job(made, "a1") in ("e0", "e1")
             await old.stop()
 
     trio.run(story)
@@ -224,8 +224,8 @@
                 peer.send(said)
                 await trio.to_thread.run_sync(peer.recv, 100)  # ended by the node
             peer.close()
-        assert await serve(made, "a1") in ("e0", "e1")
-        assert (await call(made, "/ready", method="GET"))[0] == 200
+        assert await serve_job(made, "a1") in ("e0", "e1")
+        assert (await call_admin(made, "/ready", method="GET"))[0] == 200
 
     with socket.create_server(("127.0.0.1", 0)) as held:
 
@@ -248,7 +248,7 @@
             peer = await trio.to_thread.run_sync(lambda: old.accept()[0])
             peer.close()
         await made.until(lambda: made.node.admin.is_serving)
-        assert await ready(made) == 200
+        assert await get_readiness_status(made) == 200
 
     with socket.create_server(("127.0.0.1", 0)) as held:
         if predecessor != "stale":
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -17,7 +17,7 @@
 from burlmoor.lifecycle.node import Node
 from burlmoor.log import EventLog
 from burlmoor.testbed.http_wire import Message, Wire
-from tests.config.test_node_config import OPTIONS
+from tests.support.configuration import SETTINGS_OBJECT
 
 REPLIES: dict[str, tuple[str, dict[str, Any]]] = {
     "take": ("HTTP/1.1 202 Accepted", {}),
@@ -206,7 +206,7 @@
     *script: str,
     sockets: int = 1024,
     lines: list[str] | None = None,
-    given_settings: dict[str, Any] = OPTIONS,
+    given_settings: dict[str, Any] = SETTINGS_OBJECT,
     **more: Any,
 ) -> AsyncIterator[Stage]:
     """A node that knows two live executors, e0 and e1, playing `script`."""
