--- /dev/null
+++ b/burlmoor/admin/http.py
@@ -0,0 +1,77 @@
+"""The HTTP state machine of one admin connection, which carries one call: bytes in, a call and bytes out."""
+
+from __future__ import annotations
+
+import h11
+import msgspec
+
+from burlmoor.admin.requests import AdminPath, AdminRequest, AdminResponse, reject
+
+HEAD_LIMIT = 4096  # bytes
+BODY_LIMIT = 4096  # bytes
+
+
+class _ExecutorBody(msgspec.Struct):
+    name: str
+
+
+_EXECUTOR_DECODER = msgspec.json.Decoder(_ExecutorBody)
+
+
+class AdminConnection:
+    """Owns the HTTP state of one call. Knows no socket and no clock."""
+
+    def __init__(self) -> None:
+        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
+        self._head: h11.Request | None = None
+        self._body = bytearray()
+
+    def receive(self, data: bytes) -> AdminRequest | AdminResponse | None:
+        """Take in bytes; return the call once it is complete, or the response that rejects it."""
+        try:
+            self._http.receive_data(data)
+            return self._parse_events()
+        except h11.RemoteProtocolError as error:
+            return reject(error.error_status_hint, "not a call")
+
+    def _parse_events(self) -> AdminRequest | AdminResponse | None:
+        while True:
+            event = self._http.next_event()
+            if isinstance(event, h11.Request):
+                self._head = event
+            elif isinstance(event, h11.Data):
+                self._body += event.data
+                if len(self._body) > BODY_LIMIT:
+                    return reject(413, "the body is too long")
+            elif isinstance(event, h11.EndOfMessage):
+                assert self._head is not None
+                return self._parse_request(self._head)
+            else:
+                return None
+
+    def _parse_request(self, head: h11.Request) -> AdminRequest | AdminResponse:
+        try:
+            path = AdminPath(head.target.split(b"?", 1)[0].decode("ascii", "replace"))
+        except ValueError:
+            return reject(404, "no such call")
+        if head.method != path.method:
+            return reject(405, f"{path.method.decode()} only")
+        if not path.names_executor:
+            return AdminRequest(path)
+        try:
+            return AdminRequest(path, _EXECUTOR_DECODER.decode(self._body).name)
+        except (msgspec.MsgspecError, UnicodeDecodeError):
+            return reject(400, 'the body is not {"name": "ID"}')
+
+    def encode_response(self, response: AdminResponse) -> bytes:
+        """Return the bytes of the response, which closes the connection."""
+        body = msgspec.json.encode(response.body) + b"\n"
+        headers = [
+            ("Content-Type", "application/json"),
+            ("Content-Length", str(len(body))),
+            ("Connection", "close"),
+        ]
+        data = self._http.send(h11.Response(status_code=response.status, headers=headers)) or b""
+        if self._head is None or self._head.method != b"HEAD":
+            data += self._http.send(h11.Data(data=body)) or b""
+        return data
--- /dev/null
+++ b/burlmoor/admin/overrides.py
@@ -0,0 +1,53 @@
+"""What operators have set, and the file that keeps it for the node's next process."""
+
+from __future__ import annotations
+
+import os
+from contextlib import suppress
+from pathlib import Path
+
+import msgspec
+
+from burlmoor.endpoints.directory import EndpointOverrides
+from burlmoor.log import EventLogger
+
+
+class Overrides(msgspec.Struct):
+    """All administrative overrides."""
+
+    endpoints: EndpointOverrides = msgspec.field(name="executors", default_factory=EndpointOverrides)
+    is_drained: bool = msgspec.field(name="drained", default=False)
+
+
+class OverridesFile:
+    """Owns the file of the overrides; without a path they are kept in memory only, and nothing is read."""
+
+    def __init__(self, path: Path | None, log: EventLogger) -> None:
+        self._path = path
+        self._log = log
+
+    def load(self) -> Overrides | None:
+        """Return what the file holds; None where there is no file, or an invalid one, which is logged."""
+        if self._path is None or not self._path.exists():
+            return None
+        try:
+            return msgspec.json.decode(self._path.read_bytes(), type=Overrides)
+        except (OSError, msgspec.MsgspecError, UnicodeDecodeError) as error:
+            # Logged only: a node that can't read its overrides still serves.
+            self._log("override-load-failed", path=self._path.name, error=str(error))
+            return None
+
+    def save(self, overrides: Overrides) -> None:
+        """Replace what the file holds; a failure is logged, and leaves it as it was."""
+        if self._path is None:
+            return
+        # The name is this process's own: the node's other process writes, too.
+        new_file = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        try:
+            # Replaced in one step: a process that ends here leaves the old file or the new one, complete.
+            new_file.write_bytes(msgspec.json.encode(overrides))
+            new_file.replace(self._path)
+        except OSError as error:
+            self._log("override-save-failed", path=self._path.name, error=str(error))
+            with suppress(OSError):
+                new_file.unlink()
--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -1,182 +1,95 @@
-"""The operators' address: one call a connection, answered in time whatever the callers and the node do."""
+"""The admin server: one call a connection, answered in time whatever the callers and the node do."""
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple, Protocol
+import socket
 
-import h11
-import msgspec
 import trio
 
+from burlmoor.admin.http import BODY_LIMIT, HEAD_LIMIT, AdminConnection
+from burlmoor.admin.requests import AdminHandler, AdminRequest, AdminResponse, reject
 from burlmoor.log import EventLogger
 from burlmoor.transport.stream import SocketStream, accept, open_listener
 
-_HEAD_LIMIT, _BODY_LIMIT = 4096, 4096
-_ANSWER_LIMIT = 1 << 20  # every executor may be out by hand, and is named; memory is taken as it is needed
-_CALL_LIMIT = 0.7  # seconds that a call may take to come in: its answer is due within 1 s
-_LINGER = 0.1  # seconds for an answer to reach a caller that still writes
-_PLACES = 12  # calls at a time; the one that came first makes room
-_METHODS = {
-    "/ready": b"GET",
-    "/executors/disable": b"POST",
-    "/executors/enable": b"POST",
-    "/drain": b"POST",
-    "/undrain": b"POST",
-    "/waiting": b"GET",
-}
-NAMED = frozenset(("/executors/disable", "/executors/enable"))
-
-
-class AdminRequest(NamedTuple):
-    """A call that can be meant; `name` is the executor's, where the call has one."""
-
-    path: str
-    name: str = ""
-
-
-class AdminResponse(NamedTuple):
-    """What a caller is told."""
-
-    status: int
-    body: dict[str, Any]
-
-
-class _Body(msgspec.Struct):
-    name: str
-
-
-_DECODER = msgspec.json.Decoder(_Body)
-
-
-class AdminConnection:
-    """Owns the HTTP state of one call. Knows no socket and no clock."""
-
-    def __init__(self) -> None:
-        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=_HEAD_LIMIT)
-        self._head: h11.Request | None = None
-        self._body = bytearray()
-
-    def receive(self, data: bytes) -> AdminRequest | AdminResponse | None:
-        """Take in bytes; the call once it is whole, or the answer that ends it."""
-        try:
-            self._http.receive_data(data)
-            return self._next()
-        except h11.RemoteProtocolError as error:
-            return AdminResponse(error.error_status_hint, {"error": "not a call"})
-
-    def _next(self) -> AdminRequest | AdminResponse | None:
-        while True:
-            event = self._http.next_event()
-            if isinstance(event, h11.Request):
-                self._head = event
-            elif isinstance(event, h11.Data):
-                self._body += event.data
-                if len(self._body) > _BODY_LIMIT:
-                    return AdminResponse(413, {"error": "the body is too long"})
-            elif isinstance(event, h11.EndOfMessage):
-                return self._call()
-            else:
-                return None
-
-    def _call(self) -> AdminRequest | AdminResponse:
-        assert self._head is not None
-        path = self._head.target.split(b"?", 1)[0].decode("ascii", "replace")
-        method = _METHODS.get(path)
-        if method is None:
-            return AdminResponse(404, {"error": "no such call"})
-        if self._head.method != method:
-            return AdminResponse(405, {"error": f"{method.decode()} only"})
-        if path not in NAMED:
-            return AdminRequest(path)
-        try:
-            return AdminRequest(path, _DECODER.decode(self._body).name)
-        except (msgspec.MsgspecError, UnicodeDecodeError):
-            return AdminResponse(400, {"error": 'the body is not {"name": "ID"}'})
-
-    def encode_response(self, result: AdminResponse) -> bytes:
-        """The bytes of the answer."""
-        body = msgspec.json.encode(result.body) + b"\n"
-        fields = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        head = h11.Response(status_code=result.status, headers=[*fields, ("Connection", "close")])
-        data = self._http.send(head) or b""
-        if self._head is None or self._head.method != b"HEAD":
-            data += self._http.send(h11.Data(data=body)) or b""
-        return data
-
-
-class AdminHandler(Protocol):
-    """What the operators' calls do."""
-
-    async def handle(self, call: AdminRequest) -> AdminResponse:
-        """Carry out a call; a no has changed nothing."""
+_RESPONSE_LIMIT = 1 << 20  # bytes: each executor may be disabled, and is named; memory is taken as needed
+_REQUEST_TIMEOUT_SECONDS = 0.7  # for a call to arrive: its response is due within 1 s
+_LINGER_SECONDS = 0.1  # for a response to reach a caller that still writes
+_MAX_CONNECTIONS = 12  # at a time; the oldest makes room
 
 
 class AdminServer:
-    """Owns the operators' listening socket and the calls under way, at most `_PLACES` of them."""
+    """Owns the operators' listening socket and the open connections, at most `_MAX_CONNECTIONS` of them."""
 
     def __init__(
-        self, operators: AdminHandler, listen: tuple[str, int], nursery: trio.Nursery, log: EventLogger
+        self, handler: AdminHandler, listen: tuple[str, int], nursery: trio.Nursery, log: EventLogger
     ) -> None:
-        self._operators, self._nursery, self._log = operators, nursery, log
-        self._calls: dict[SocketStream, trio.CancelScope] = {}
-        self._sock = open_listener(listen)
+        self._handler = handler
+        self._nursery = nursery
+        self._log = log
+        self._connections: dict[SocketStream, trio.CancelScope] = {}
+        self._listener = open_listener(listen)
 
     @property
     def address(self) -> tuple[str, int]:
         """Where it listens."""
-        host, port = self._sock.getsockname()
+        host, port = self._listener.getsockname()
         return str(host), int(port)
 
     async def run(self) -> None:
         """Accept until cancelled."""
         while True:
-            await trio.lowlevel.wait_readable(self._sock)
-            sock = await accept(self._sock, self._ran_out)
-            if sock is None:
-                continue
-            try:
-                stream = SocketStream(sock, _HEAD_LIMIT + _BODY_LIMIT, _ANSWER_LIMIT)
-            except OSError:
-                sock.close()
-                continue
-            if len(self._calls) >= _PLACES:
-                # Guards against callers that stay: those who have had longest to say something go first.
-                first = next(iter(self._calls))
-                self._calls.pop(first).cancel()
-            self._calls[stream] = scope = trio.CancelScope()
-            self._nursery.start_soon(self._serve, stream, scope)
+            await trio.lowlevel.wait_readable(self._listener)
+            sock = await accept(self._listener, self._on_descriptors_exhausted)
+            if sock is not None:
+                self._start_connection(sock)
 
-    def _ran_out(self, error: OSError) -> None:
+    def _on_descriptors_exhausted(self, error: OSError) -> None:
         self._log("descriptors-exhausted", error=str(error))
 
-    async def _serve(self, stream: SocketStream, scope: trio.CancelScope) -> None:
+    def _start_connection(self, sock: socket.socket) -> None:
+        try:
+            stream = SocketStream(sock, HEAD_LIMIT + BODY_LIMIT, _RESPONSE_LIMIT)
+        except OSError:
+            sock.close()
+            return
+        if len(self._connections) >= _MAX_CONNECTIONS:
+            # Without this, callers that stay silent lock others out: those who had the longest time go first.
+            oldest = next(iter(self._connections))
+            self._connections.pop(oldest).cancel()
+        scope = trio.CancelScope()
+        self._connections[stream] = scope
+        self._nursery.start_soon(self._serve_connection, stream, scope)
+
+    async def _serve_connection(self, stream: SocketStream, scope: trio.CancelScope) -> None:
         try:
             with scope:
-                await self._one_call(stream)
+                await self._serve_call(stream)
         except (OSError, BufferError):
             pass  # the caller is gone
         except Exception as error:
-            # Guards against one call's fault ending the node.
             self._log("admin-connection-failed", error=repr(error))
         finally:
-            self._calls.pop(stream, None)
+            self._connections.pop(stream, None)
             stream.close()
 
-    async def _one_call(self, stream: SocketStream) -> None:
-        http = AdminConnection()
-        call: AdminRequest | AdminResponse | None = None
-        with trio.move_on_after(_CALL_LIMIT):
-            while call is None:
+    async def _serve_call(self, stream: SocketStream) -> None:
+        connection = AdminConnection()
+        received: AdminRequest | AdminResponse | None = None
+        with trio.move_on_after(_REQUEST_TIMEOUT_SECONDS):
+            while received is None:
                 if not await stream.receive():
                     return
-                call = http.receive(stream.inbound.take())
-        if isinstance(call, AdminRequest):
-            call = await self._operators.handle(call)
-        stream.send(
-            http.encode_response(call or AdminResponse(408, {"error": "the call did not come in time"}))
-        )
-        with trio.move_on_after(_LINGER):
+                received = connection.receive(stream.inbound.take())
+        if received is None:
+            received = reject(408, "the call did not come in time")
+        elif isinstance(received, AdminRequest):
+            received = await self._handler.handle(received)
+        stream.send(connection.encode_response(received))
+        await self._finish(stream)
+
+    async def _finish(self, stream: SocketStream) -> None:
+        with trio.move_on_after(_LINGER_SECONDS):
             await stream.drain()
-            # Closing while the caller still writes would lose the answer in a reset.
+            # Closing while the caller still writes would lose the response in a reset.
             stream.end_sending()
-            await stream.skip(_BODY_LIMIT)
+            await stream.skip(BODY_LIMIT)
--- a/burlmoor/lifecycle/handover.py
+++ b/burlmoor/lifecycle/handover.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from burlmoor.admin.server import AdminRequest
+from burlmoor.admin.requests import AdminRequest
 from burlmoor.admin.service import AdminService
 from burlmoor.downstream import callbacks
 from burlmoor.downstream.server import DownstreamServer
@@ -172,7 +172,7 @@
             case JobOpened(request_id):
                 self._engine.ids_in_other_process.add(request_id)
             case ApplyOverride(number, path, name):
-                self._admin.apply(AdminRequest(path, name))
+                self._admin.apply_forwarded(path, name)
                 peer.post(Acknowledged(number))
             case ForwardedCallback(number, body):
                 found = callbacks.handle_callback(self._engine, body)
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -12,7 +12,7 @@
 import msgspec
 import trio
 
-from burlmoor.admin.service import Overrides
+from burlmoor.admin.overrides import Overrides
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.log import EventLogger
 from burlmoor.stats.snapshot import StatisticsSnapshot
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: calls, silent callers, executors out by hand, and drains."""
+"""The admin server and service over sockets: overrides of executors, drains, silent callers, restarts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,6 @@
 import pytest
 import trio
 
-from burlmoor.admin.server import AdminConnection, AdminRequest, AdminResponse
 from burlmoor.downstream.drain import DrainController, ServiceState
 from burlmoor.testbed.http_wire import Wire
 from burlmoor.types.endpoint_list import EndpointState, ListKind
@@ -18,60 +17,11 @@
 from tests.support.node_harness import Stage, play
 
 
-@pytest.mark.parametrize(
-    ("said", "got"),
-    [
-        (b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", AdminRequest("/ready")),
-        (b"POST /drain HTTP/1.1\r\nHost: a\r\n\r\n", AdminRequest("/drain")),
-        (b"GET /drain HTTP/1.1\r\nHost: a\r\n\r\n", 405),
-        (b"POST /ready HTTP/1.1\r\nHost: a\r\n\r\n", 405),
-        (b"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n", 404),
-        (b"\x00\r\n\r\n", 400),
-        (b"POST /drain HTTP/1.1\r\nHost: a\r\nContent-Length: 9000\r\n\r\n" + b"x" * 9000, 413),
-        (b"GET /" + b"x" * 9000, 431),
-        (b"GET /ready HTTP/1.1\r\nHo", None),
-    ],
-)
-def test_what_a_call_asks_for(said: bytes, got: AdminRequest | int | None) -> None:
-    for size in (1, 50, len(said)):
-        http, asked = AdminConnection(), None
-        for start in range(0, len(said), size):
-            asked = http.receive(said[start : start + size])
-            if asked is not None:
-                break
-        assert (asked.status if isinstance(asked, AdminResponse) else asked) == got
-        if isinstance(asked, AdminResponse):
-            assert f"HTTP/1.1 {got} ".encode() in http.encode_response(asked)
-
-
-@pytest.mark.parametrize(
-    ("body", "name"),
-    [
-        (b'{"name":"e0"}', "e0"),
-        (b'{"name":"e0","why":1}', "e0"),
-        (b"", None),
-        (b"{", None),
-        (b'{"name":7}', None),
-        (b'{"id":"e0"}', None),
-        (b'{"name":"\xff"}', None),
-        (b"[" * 3000, None),
-    ],
-)
-def test_an_executor_is_named_by_a_json_object(body: bytes, name: str | None) -> None:
-    head = b"POST /executors/disable HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % len(body)
-    asked = AdminConnection().receive(head + body)
-    if name is None:
-        assert isinstance(asked, AdminResponse)
-        assert asked.status == 400
-    else:
-        assert asked == AdminRequest("/executors/disable", name)
-
-
-def test_an_executor_out_by_hand_gets_nothing_whatever_is_listed() -> None:
+def test_a_disabled_executor_gets_no_job_whatever_is_listed() -> None:
     async def story(made: Stage) -> None:
         assert (await call_admin(made, "/executors/disable", "nobody"))[0] == 404
         assert (await call_admin(made, "/executors/enable", "nobody"))[0] == 404
-        for _ in range(2):  # two calls out need one call back
+        for _ in range(2):  # disabled twice, one call enables it
             assert await call_admin(made, "/executors/disable", "e0") == (
                 200, {"ready": True, "state": "open", "drained": False, "out": ["e0"]},
             )  # fmt: skip
@@ -88,52 +38,52 @@
     play(story)
 
 
-def test_an_executor_put_back_counts_as_newly_started_even_where_the_list_lags() -> None:
-    # Guards rule 4: it was restarted while it was out, and full load would push it over.
+def test_an_enabled_executor_counts_as_newly_started_even_where_the_list_lags() -> None:
+    # Protocol rule 4: it was restarted while it was disabled; at once under full load, it would fail.
     async def story(made: Stage) -> None:
-        told: list[EndpointListUpdate] = []
-        listed = made.node.engine.on_endpoint_list
+        updates: list[EndpointListUpdate] = []
+        on_endpoint_list = made.node.engine.on_endpoint_list
 
-        def listen(form: ListKind, entries: Any) -> None:
-            told.append(EndpointListUpdate(form, list(entries)))
-            listed(form, told[-1].entries)
+        def record(form: ListKind, entries: Any) -> None:
+            updates.append(EndpointListUpdate(form, list(entries)))
+            on_endpoint_list(form, updates[-1].entries)
 
-        made.node.engine.on_endpoint_list = listen  # type: ignore[method-assign]
+        made.node.engine.on_endpoint_list = record  # type: ignore[method-assign]
         before = made.node.engine.clock()
         await call_admin(made, "/executors/disable", "e0")
         await call_admin(made, "/executors/enable", "e0")
-        out, back = (each.entries[0] for each in told)
-        assert (out.endpoint, out.state, out.started_at) == ("e0", EndpointState.DRAINING, 0.0)
-        assert (back.endpoint, back.state) == ("e0", EndpointState.LIVE)
-        assert back.started_at >= before
+        disabled, enabled = (update.entries[0] for update in updates)
+        assert (disabled.endpoint, disabled.state, disabled.started_at) == ("e0", EndpointState.DRAINING, 0.0)
+        assert (enabled.endpoint, enabled.state) == ("e0", EndpointState.LIVE)
+        assert enabled.started_at >= before
         await made.publish(2, e0="active", e1="active")  # with the old start
         await made.until(lambda: made.node.directory.version == 2)
-        assert told[-1].entries[0].started_at == back.started_at
+        assert updates[-1].entries[0].started_at == enabled.started_at
 
     play(story)
 
 
-def test_a_forward_that_is_still_connecting_does_not_reach_an_executor_taken_out(
+def test_an_attempt_that_is_still_connecting_does_not_reach_a_disabled_executor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story(made: Stage) -> None:
-        take = made.node.pool.acquire
-        out: list[str] = []
+        acquire = made.node.pool.acquire
+        disabled: list[str] = []
 
-        async def slow(dial: str) -> Any:
-            link = await take(dial)
-            if not out:
-                out.append(next(name for name, at in made.dials.items() if at == dial))
-                assert (await call_admin(made, "/executors/disable", out[0]))[0] == 200
-            return link
+        async def disable_while_connecting(address: str) -> Any:
+            connection = await acquire(address)
+            if not disabled:
+                disabled.append(next(name for name, dial in made.dials.items() if dial == address))
+                assert (await call_admin(made, "/executors/disable", disabled[0]))[0] == 200
+            return connection
 
-        monkeypatch.setattr(made.node.pool, "acquire", slow)
-        assert await serve_job(made, "a1") != out[0]
+        monkeypatch.setattr(made.node.pool, "acquire", disable_while_connecting)
+        assert await serve_job(made, "a1") != disabled[0]
 
     play(story)
 
 
-def test_callers_that_say_nothing_or_half_a_call_hold_up_nobody() -> None:
+def test_silent_and_incomplete_calls_do_not_delay_others() -> None:
     async def story(made: Stage) -> None:
         assert made.node.admin_server is not None
         silent = [Wire(await trio.open_tcp_stream(*made.node.admin_server.address)) for _ in range(40)]
@@ -143,14 +93,14 @@
         assert (await call_admin(made, "/ready", method="GET"))[0] == 200
         assert trio.current_time() - began < 1.0
         for wire in silent:
-            await wire.read()  # ended, or told that the call did not come in time
+            await wire.read()  # closed, or answered that the call did not come in time
         assert trio.current_time() - began < 3.0
         assert made.node.directory.overrides.disabled_since == {}
 
     play(story)
 
 
-def test_a_fault_in_a_call_ends_only_that(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_a_call_ends_only_that_call(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(made: Stage) -> None:
         assert made.node.admin_server is not None
         with monkeypatch.context() as patch:
@@ -165,30 +115,43 @@
     assert "admin-connection-failed" in lines[-1]
 
 
-def test_a_drain_sends_clients_away_within_four_seconds_and_ends_at_once() -> None:
+def test_a_forwarded_override_is_applied_and_an_unknown_one_ignored() -> None:
     async def story(made: Stage) -> None:
-        kept = await made.submit("once", "a1", 5000)
+        made.node.admin.apply_forwarded("/executors/disable", "e0")
+        before = made.node.admin.overrides
+        assert list(before.endpoints.disabled_since) == ["e0"]
+        made.node.admin.apply_forwarded("/of/a/later/release", "e1")
+        assert made.node.admin.overrides == before
+        assert made.node.directory.find_live("e1") is not None
+
+    play(story)
+
+
+def test_a_drain_rejects_new_jobs_within_four_seconds_and_ends_at_once() -> None:
+    async def story(made: Stage) -> None:
+        open_job = await made.submit("once", "a1", 5000)
         idle = await made.submit("once", "a2")
         await made.until(lambda: len(made.jobs) == 2)
-        number = next(n for n, (_, job) in enumerate(made.jobs) if job.headers["request-id"] == "a2")
-        await made.tell("started", job=1 - number)  # it runs; nothing is learnt of long waits
+        ids = [job.headers["request-id"] for _, job in made.jobs]
+        number = ids.index("a2")
+        await made.tell("started", job=1 - number)  # it runs, so its wait is not measured
         await made.tell("done", "fine", job=number)
         assert "connection" not in (await made.answer(idle)).headers
         for _ in range(2):  # twice changes nothing
             assert (await call_admin(made, "/drain"))[1]["drained"] is True
         assert await get_readiness_status(made) == 503
         assert (await call_admin(made, "/ready", method="GET"))[0] == 503
-        await made.ask(idle, "once", "a3")  # kept connections are served for a while
+        await made.ask(idle, "once", "a3")  # idle connections are served for a while
         await made.until(lambda: len(made.jobs) == 3)
         await made.tell("done", "fine")
         assert (await made.answer(idle)).status == 200
         began = trio.current_time()
-        assert await idle.read() is None  # ended while it lay idle
+        assert await idle.read() is None  # closed while idle
         assert trio.current_time() - began < 3.0
         await made.until(lambda: made.node.drain.state is ServiceState.REJECTING)
         assert (await made.answer(await made.submit("once", "a4"))).status == 503
         await made.tell("done", "fine", job=1 - number)  # it listens for call-backs all the while
-        answer = await made.answer(kept)
+        answer = await made.answer(open_job)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
         assert (await call_admin(made, "/undrain"))[0] == 200
         assert await get_readiness_status(made) == 200
@@ -200,28 +163,28 @@
     play(story)
 
 
-def test_a_drain_and_a_stop_move_one_state(autojump_clock: trio.testing.MockClock) -> None:
+def test_a_drain_and_a_shutdown_share_one_service_state(autojump_clock: trio.testing.MockClock) -> None:
     async def story() -> None:
-        service = DrainController()
-        service.begin_drain()
-        seen.append(service.state)
+        drain = DrainController()
+        drain.begin_drain()
+        states.append(drain.state)
         await trio.sleep(1.0)
-        seen.append(service.state)
-        service.end_drain()
-        seen.append(service.state)
-        service.begin_drain()
-        service.begin_shutdown()
+        states.append(drain.state)
+        drain.end_drain()
+        states.append(drain.state)
+        drain.begin_drain()
+        drain.begin_shutdown()
         await trio.sleep(1.0)
-        service.end_drain()  # a stop is not ended by it
-        seen.append(service.state)
-        service.begin_shutdown()
+        drain.end_drain()  # does not end the shutdown
+        states.append(drain.state)
+        drain.begin_shutdown()
         for _ in range(2):
             await trio.sleep(1.0)
-            seen.append(service.state)
+            states.append(drain.state)
 
-    seen: list[ServiceState] = []
+    states: list[ServiceState] = []
     trio.run(story, clock=autojump_clock)
-    assert seen == [
+    assert states == [
         ServiceState.UNREADY,
         ServiceState.CLOSING,
         ServiceState.ACCEPTING,
@@ -231,32 +194,32 @@
     ]
 
 
-@pytest.mark.parametrize("spoilt", [False, True])
-def test_what_was_set_by_hand_outlives_the_process(spoilt: bool, tmp_path: Path) -> None:
+@pytest.mark.parametrize("is_damaged", [False, True])
+def test_overrides_outlive_the_process_unless_their_file_is_damaged(is_damaged: bool, tmp_path: Path) -> None:
     async def first(made: Stage) -> None:
         await call_admin(made, "/executors/disable", "e0")
         await call_admin(made, "/drain")
 
     async def second(made: Stage) -> None:
-        assert (made.node.directory.find_live("e0") is None) is not spoilt
-        assert made.node.drain.is_drained is not spoilt
+        assert (made.node.directory.find_live("e0") is None) is not is_damaged
+        assert made.node.drain.is_drained is not is_damaged
 
     play(first, state_folder=tmp_path)
-    (kept,) = tmp_path.iterdir()
-    if spoilt:
-        kept.write_bytes(kept.read_bytes()[:-9])
+    (file,) = tmp_path.iterdir()
+    if is_damaged:
+        file.write_bytes(file.read_bytes()[:-9])
     lines: list[str] = []
     play(second, state_folder=tmp_path, lines=lines)
-    assert ("override-load-failed" in "".join(lines)) is spoilt
+    assert ("override-load-failed" in "".join(lines)) is is_damaged
 
 
-def test_a_node_accepts_from_a_socket_that_was_passed_on() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as held:
+def test_a_node_accepts_from_a_passed_listening_socket() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as listener:
 
         async def story(made: Stage) -> None:
-            made.address = held.getsockname()
+            made.address = listener.getsockname()
             assert await get_readiness_status(made) == 200
 
         lines: list[str] = []
-        play(story, listener_fd=held.dup().detach(), lines=lines)
-        assert "handover-unavailable" in lines[-1]  # there is no folder for a link
+        play(story, listener_fd=listener.dup().detach(), lines=lines)
+        assert "handover-unavailable" in lines[-1]  # no state folder, so no handover channel
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from burlmoor.admin.service import Overrides
+from burlmoor.admin.overrides import Overrides
 from burlmoor.endpoints.directory import EndpointOverrides
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.lifecycle import handover_channel as p
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from burlmoor.admin.service import Overrides
+from burlmoor.admin.overrides import Overrides
 from burlmoor.config.options.parser import parse
 from burlmoor.endpoints.directory import EndpointOverrides
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
