--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -67,6 +67,7 @@
         except (OSError, BufferError):
             pass  # the caller is gone
         except Exception as error:
+            # The boundary of a connection's task: without this, one call's fault would end the node.
             self._log("admin-connection-failed", error=repr(error))
         finally:
             self._connections.pop(stream, None)
--- a/burlmoor/cli/node.py
+++ b/burlmoor/cli/node.py
@@ -37,7 +37,7 @@
     if not told:
         complain(["nothing to check: name a file with --config or --options"])
     faults: list[str] = []
-    for name, read in (("RELAY_CONFIG", reading.load_config), ("BURLMOOR_OPTIONS", reading.options_from)):
+    for name, read in (("RELAY_CONFIG", reading.load_config), ("BURLMOOR_OPTIONS", reading.load_options)):
         if name in told:
             try:
                 # The configuration is judged without the options, so that each fault is told once.
--- /dev/null
+++ b/burlmoor/config/errors.py
@@ -0,0 +1,42 @@
+"""What is wrong with a node's configuration, reported completely: a fault a line."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from burlmoor.errors import BurlmoorError
+
+
+@dataclass(frozen=True)
+class ConfigFault:
+    """One fault of the configuration; `value` and `allowed` are empty where the fault is not a value's."""
+
+    field: str  # dotted, or `[section] key`, or an environment variable
+    problem: str
+    file: str = ""
+    value: str = ""
+    allowed: str = ""
+
+    def __str__(self) -> str:
+        """Return the one line that users see."""
+        return ": ".join(part for part in (self.file, self.field, self.problem) if part)
+
+
+def invalid_value(
+    field: str, value: str, allowed: str, *, file: str = "", kind: str = "value"
+) -> ConfigFault:
+    """Return the fault of a value that is not one of those allowed."""
+    problem = f"invalid {kind} {value!r}; allowed: {allowed}"
+    return ConfigFault(field, problem, file, value, allowed)
+
+
+class InvalidConfigError(BurlmoorError):
+    """The configuration is invalid; as text, each of `faults` is a line."""
+
+    def __init__(self, *faults: ConfigFault) -> None:
+        super().__init__(*faults)
+        self.faults = faults
+
+    def __str__(self) -> str:
+        """Return the faults, a line each."""
+        return "\n".join(map(str, self.faults))
--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -1,4 +1,4 @@
-"""What this node is told at its start: the environment and the configuration file."""
+"""A node's configuration: the environment and the configuration file."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from burlmoor.config.errors import ConfigFault, InvalidConfigError, invalid_value
 from burlmoor.config.settings import NodeSettings, parse_settings
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.transport.stream import parse_address
@@ -17,25 +18,29 @@
 if TYPE_CHECKING:
     from burlmoor.config.options import Options
 
+__all__ = ["InvalidConfigError", "NodeConfig", "Peers", "load_config", "load_options"]
 
-class InvalidConfigError(Exception):
-    """The configuration cannot be meant; the text names the field, a line a fault."""
+Address = tuple[str, int]
 
+_CONFIG_VARIABLE = "RELAY_CONFIG"
+_OPTIONS_VARIABLE = "BURLMOOR_OPTIONS"
+_LISTENER_VARIABLE = "RELAY_PASSED_SOCKET"
 
-class _Limits(msgspec.Struct):
+
+class _MachineLimits(msgspec.Struct):
     cores: float = 1.0
     memory_mb: float = 192.0
     sockets: int = 1024
 
 
-class _File(msgspec.Struct):
+class _ConfigFile(msgspec.Struct):
     settings: dict[str, Any]
     seed: str = "0"
     name: str = ""
     listen: str = ""
     discovery: str = ""
     control: str = ""
-    limits: _Limits = msgspec.field(default_factory=_Limits)
+    limits: _MachineLimits = msgspec.field(default_factory=_MachineLimits)
     known: DiscoveredList | None = None
     peers: dict[str, str] | list[str] | None = None
     peers_all: str | None = None
@@ -43,119 +48,148 @@
 
 
 class Peers(NamedTuple):
-    """Where other nodes of the tier are heard and reached by datagrams, where they may be."""
+    """The tier's other nodes, with which this one may exchange datagrams."""
 
-    listen: tuple[str, int]
-    others: tuple[tuple[str, tuple[str, int]], ...]  # by name, or by number where none is given
-    everyone: tuple[str, int] | None  # one address for all of them
+    listen: Address
+    others: tuple[tuple[str, Address], ...]  # by name, or by number where none is given
+    everyone: Address | None  # one address for all of them
 
 
 class NodeConfig(NamedTuple):
-    """All that the wiring needs."""
+    """All that a node is started with."""
 
     name: str
-    listen: tuple[str, int]
+    listen: Address
     discovery: str
     seed: int
     max_sockets: int
     cached_endpoints: DiscoveredList | None
     settings: NodeSettings
-    admin: tuple[str, int] | None = None  # where operators' calls come in
+    admin: Address | None = None  # where the admin server listens
     listener_fd: int | None = None  # the descriptor of a socket that listens already
-    state_folder: Path | None = None  # what outlives this process, for the one that comes next
-    options: Options | None = None  # what operators have switched on; None: nothing
-    peers: Peers | None = None  # None: nodes don't talk
+    state_folder: Path | None = None  # for files that the node's next process reads
+    options: Options | None = None  # the subsystems that operators have switched on; None: none
+    peers: Peers | None = None  # None: nodes don't exchange datagrams
 
 
 def load_config(environment: Mapping[str, str], again: bool = False) -> NodeConfig:
-    """The configuration, or `BadConfig`. Where both speak, the environment wins.
+    """Read and check everything; the environment has precedence over the file.
+
+    Read `again`, while the node runs, the file's discovery has precedence: the environment is as old as the
+    process, and so is the passed listening socket, which is then ignored.
 
-    Read `again`, while the node runs, the file's discovery wins: the environment is as old as the process.
+    Raises InvalidConfigError.
     """
-    path = environment.get("RELAY_CONFIG")
+    file = _read_file(environment)
+    settings = _parse_settings(file.settings)
+    seed = _parse_seed(file.seed)
+    discovery = _select_discovery(environment.get("RELAY_DISCOVERY"), file.discovery, again)
+    control = environment.get("RELAY_CONTROL") or file.control
+    passed_listener = environment.get(_LISTENER_VARIABLE)
+    state_folder = environment.get("TMPDIR")
+    return NodeConfig(
+        name=environment.get("RELAY_NAME") or file.name or "node",
+        listen=_parse_address("listen", environment.get("RELAY_LISTEN") or file.listen),
+        discovery=discovery,
+        seed=seed,
+        max_sockets=_limit_sockets(file.limits.sockets),
+        cached_endpoints=file.known,
+        settings=settings,
+        admin=_parse_address("control", control) if control else None,
+        listener_fd=None if not passed_listener or again else _parse_listener_fd(passed_listener),
+        state_folder=Path(state_folder) if state_folder else None,
+        options=load_options(environment),
+        peers=_parse_peers(file),
+    )
+
+
+def load_options(environment: Mapping[str, str]) -> Options | None:
+    """Read the operators' options; None where no file is named.
+
+    Raises InvalidConfigError.
+    """
+    path = environment.get(_OPTIONS_VARIABLE)
     if not path:
-        raise InvalidConfigError("RELAY_CONFIG: not set")
+        return None
+    # Imported only here: a node without the file starts without what reads it.
+    from burlmoor.config.options import read_options  # noqa: PLC0415
+
+    return read_options(Path(path))
+
+
+def _read_file(environment: Mapping[str, str]) -> _ConfigFile:
+    path = environment.get(_CONFIG_VARIABLE)
+    if not path:
+        raise InvalidConfigError(ConfigFault(_CONFIG_VARIABLE, "not set; it names the configuration file"))
     try:
-        given = msgspec.json.decode(Path(path).read_bytes(), type=_File)
+        return msgspec.json.decode(Path(path).read_bytes(), type=_ConfigFile)
     except OSError as error:
-        raise InvalidConfigError(f"RELAY_CONFIG: {path}: {error.strerror}") from error
+        raise InvalidConfigError(
+            ConfigFault(_CONFIG_VARIABLE, f"{path}: {error.strerror}", value=path)
+        ) from error
     except msgspec.MsgspecError as error:
-        raise InvalidConfigError(f"RELAY_CONFIG: {path}: {error}") from error
+        raise InvalidConfigError(ConfigFault(_CONFIG_VARIABLE, f"{path}: {error}", value=path)) from error
+
+
+def _parse_settings(settings_object: dict[str, Any]) -> NodeSettings:
     try:
-        settings = parse_settings(given.settings)
+        settings = parse_settings(settings_object)
         settings.policy.check()
     except ValueError as error:
-        raise InvalidConfigError(f"settings: {error}") from error
+        raise InvalidConfigError(ConfigFault("settings", str(error))) from error
+    return settings
+
+
+def _parse_seed(text: str) -> int:
     try:
-        seed = int(given.seed, 16)
+        return int(text, 16)
     except ValueError as error:
-        raise InvalidConfigError("seed: not a hexadecimal number") from error
-    told = (environment.get("RELAY_DISCOVERY"), given.discovery)
-    discovery = (told[1] or told[0] if again else told[0] or told[1]) or ""
-    _address("discovery", discovery)
-    control = environment.get("RELAY_CONTROL") or given.control
-    passed = environment.get("RELAY_PASSED_SOCKET")
-    folder = environment.get("TMPDIR")
-    hard = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    return NodeConfig(
-        name=environment.get("RELAY_NAME") or given.name or "node",
-        listen=_address("listen", environment.get("RELAY_LISTEN") or given.listen),
-        discovery=discovery,
-        seed=seed,
-        max_sockets=given.limits.sockets
-        if hard == resource.RLIM_INFINITY
-        else min(given.limits.sockets, hard),
-        cached_endpoints=given.known,
-        settings=settings,
-        admin=_address("control", control) if control else None,
-        listener_fd=None if not passed or again else _listening(passed),
-        state_folder=Path(folder) if folder else None,
-        options=options_from(environment),
-        peers=_peers(given),
-    )
+        raise InvalidConfigError(invalid_value("seed", text, "a hexadecimal number")) from error
 
 
-def _peers(given: _File) -> Peers | None:
-    """Where other nodes are, or `BadConfig`; None where none may be spoken to."""
-    if not given.peer_listen or not (given.peers or given.peers_all):
-        return None
-    named = given.peers.items() if isinstance(given.peers, dict) else enumerate(given.peers or ())
-    return Peers(
-        _address("peer_listen", given.peer_listen),
-        tuple((str(name), _address(f"peers: {name}", text)) for name, text in named),
-        _address("peers_all", given.peers_all) if given.peers_all else None,
-    )
+def _select_discovery(from_environment: str | None, from_file: str, again: bool) -> str:
+    first, second = (from_file, from_environment) if again else (from_environment, from_file)
+    discovery = first or second or ""
+    _parse_address("discovery", discovery)
+    return discovery
 
 
-def options_from(environment: Mapping[str, str]) -> Options | None:
-    """The operators' options, or `BadConfig`; None where no file is named."""
-    path = environment.get("BURLMOOR_OPTIONS")
-    if not path:
-        return None
-    # Imported only here: a node without the file starts without what reads it.
-    from burlmoor.config.options import InvalidOptionsError, read_options  # noqa: PLC0415
+def _limit_sockets(max_sockets: int) -> int:
+    """Return how many descriptors may be used: the configured number, or the process's limit if lower."""
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    return max_sockets if limit == resource.RLIM_INFINITY else min(max_sockets, limit)
 
-    try:
-        return read_options(Path(path))
-    except InvalidOptionsError as error:
-        raise InvalidConfigError("\n".join(error.faults)) from error
 
+def _parse_peers(file: _ConfigFile) -> Peers | None:
+    if not file.peer_listen or not (file.peers or file.peers_all):
+        return None
+    named = file.peers.items() if isinstance(file.peers, dict) else enumerate(file.peers or ())
+    return Peers(
+        listen=_parse_address("peer_listen", file.peer_listen),
+        others=tuple((str(name), _parse_address(f"peers: {name}", address)) for name, address in named),
+        everyone=_parse_address("peers_all", file.peers_all) if file.peers_all else None,
+    )
 
-def _listening(text: str) -> int:
-    """The descriptor of a TCP socket that listens; whoever passed it goes on owning what it is bound to."""
+
+def _parse_listener_fd(text: str) -> int:
+    """Return the descriptor of a TCP socket that listens; who passed it still owns what it is bound to."""
     try:
         sock = socket.socket(fileno=int(text))
     except (ValueError, OSError) as error:
-        raise InvalidConfigError(f"RELAY_PASSED_SOCKET: {text!r} is no socket") from error
-    listens = sock.type == socket.SOCK_STREAM and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-    number = sock.detach()
-    if not listens:
-        raise InvalidConfigError(f"RELAY_PASSED_SOCKET: {text} does not listen")
-    return number
+        raise InvalidConfigError(
+            invalid_value(_LISTENER_VARIABLE, text, "the descriptor of a listening TCP socket")
+        ) from error
+    is_listening = sock.type == socket.SOCK_STREAM and sock.getsockopt(
+        socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+    )
+    descriptor = sock.detach()
+    if not is_listening:
+        raise InvalidConfigError(invalid_value(_LISTENER_VARIABLE, text, "a TCP socket that listens"))
+    return descriptor
 
 
-def _address(field: str, text: str) -> tuple[str, int]:
+def _parse_address(field: str, text: str) -> Address:
     try:
         return parse_address(text)
     except ValueError as error:
-        raise InvalidConfigError(f"{field}: {error}") from error
+        raise InvalidConfigError(invalid_value(field, text, "host:port, port 1 to 65535")) from error
--- a/burlmoor/config/options/parser.py
+++ b/burlmoor/config/options/parser.py
@@ -1,4 +1,4 @@
-"""Reads the options file: all that is wrong with it is told at once, a line a fault."""
+"""Parses and checks the options file: all its faults are reported at once, a line each."""
 
 from __future__ import annotations
 
@@ -10,105 +10,136 @@
 import msgspec
 from msgspec.inspect import Metadata, type_info
 
+from burlmoor.config.errors import ConfigFault, InvalidConfigError, invalid_value
 from burlmoor.config.options.sections import Options, Section
-from burlmoor.config.options.units import value, written
+from burlmoor.config.options.units import InvalidQuantityError, format_quantity, parse_quantity
 
-_NO_DEFAULTS = "\0"  # no section's keys hold for all others
-_MOST = 1 << 20  # bytes of a file
+_NO_DEFAULT_SECTION = "\0"  # no section's keys hold for all others
+_MAX_FILE_BYTES = 1 << 20
 
 
-class InvalidOptionsError(Exception):
-    """The file cannot be meant; each of `faults` is one line that names the section and the key."""
+class InvalidOptionsError(InvalidConfigError):
+    """The options file is invalid; each fault names the section and the key."""
 
-    def __init__(self, faults: list[str]) -> None:
-        super().__init__("; ".join(faults))
-        self.faults = faults
 
+def section_types() -> dict[str, type[Section]]:
+    """Return the struct of each section that the file may have, by the section's name."""
+    found: dict[str, type[Section]] = {}
+    for name, optional in typing.get_type_hints(Options).items():
+        (found[name],) = (kind for kind in typing.get_args(optional) if kind is not type(None))
+    return found
 
-def sections() -> dict[str, type[Section]]:
-    """The struct of each section that the file may have."""
-    hints = typing.get_type_hints(Options)
-    return {name: next(each for each in typing.get_args(kind) if each is not type(None))
-            for name, kind in hints.items()}  # fmt: skip
 
-
-def unit_of(kind: Any) -> str | None:
-    """The kind of unit that a key's figures are written with; None for plain ones."""
-    found = type_info(kind)
-    return (found.extra or {}).get("unit") if isinstance(found, Metadata) else None
+def unit_kind(field_type: Any) -> str | None:
+    """Return the kind of quantity that a key takes, one of `UNITS`; None for a plain number."""
+    info = type_info(field_type)
+    return (info.extra or {}).get("unit") if isinstance(info, Metadata) else None
 
 
 def read_options(path: Path) -> Options:
-    """The options in the file at `path`; `BadOptions` with everything that is wrong with it."""
+    """Read the options file.
+
+    Raises InvalidOptionsError with every fault of the file.
+    """
     try:
         with path.open("rb") as file:
-            given = file.read(_MOST + 1)
-        if len(given) > _MOST:
-            raise InvalidOptionsError([f"{path}: over {_MOST} bytes"])
-        return parse(given.decode(), str(path))
+            content = file.read(_MAX_FILE_BYTES + 1)
+        if len(content) > _MAX_FILE_BYTES:
+            raise InvalidOptionsError(ConfigFault("", f"over {_MAX_FILE_BYTES} bytes", str(path)))
+        return parse_options(content.decode(), str(path))
     except OSError as error:
-        raise InvalidOptionsError([f"{path}: {error.strerror}"]) from error
+        raise InvalidOptionsError(ConfigFault("", str(error.strerror), str(path))) from error
     except UnicodeDecodeError as error:
-        raise InvalidOptionsError([f"{path}: not UTF-8 at byte {error.start}"]) from error
+        raise InvalidOptionsError(ConfigFault("", f"not UTF-8 at byte {error.start}", str(path))) from error
+
+
+def parse_options(text: str, file: str) -> Options:
+    """Parse the options file's text; `file` is its name in faults.
+
+    Raises InvalidOptionsError with every fault of the text.
+    """
+    types = section_types()
+    faults: list[ConfigFault] = []
+    values: dict[str, dict[str, Any]] = {}
+    parser = _parse_ini(text, file)
+    for name in parser.sections():
+        if name in types:
+            values[name] = _parse_section(types[name], parser[name], file, faults)
+        else:
+            allowed = ", ".join(types)
+            faults.append(
+                ConfigFault(f"[{name}]", f"no such section; allowed: {allowed}", file, name, allowed)
+            )
+    if faults:
+        raise InvalidOptionsError(*faults)
+    sections: dict[str, Any] = {name: types[name](**section) for name, section in values.items()}
+    return Options(**sections)
 
 
-def parse(text: str, name: str) -> Options:
-    """The options that `text` gives; `name` stands for the file in what is said of it."""
+def _parse_ini(text: str, file: str) -> configparser.ConfigParser:
     parser = configparser.ConfigParser(
-        interpolation=None, default_section=_NO_DEFAULTS, comment_prefixes=("#", ";"), delimiters=("=",),
+        interpolation=None,
+        default_section=_NO_DEFAULT_SECTION,
+        comment_prefixes=("#", ";"),
+        delimiters=("=",),
         empty_lines_in_values=False,
-    )  # fmt: skip
+    )
     parser.optionxform = str  # type: ignore[assignment, method-assign]
     try:
-        parser.read_string(text, name)
+        parser.read_string(text, file)
     except configparser.Error as error:
-        raise InvalidOptionsError([f"{name}: {_in_one_line(error)}"]) from error
-    faults: list[str] = []
-    known, made = sections(), {}
-    for section in parser.sections():
-        if section not in known:
-            faults.append(f"{name}: [{section}]: no such section (there are: {', '.join(known)})")
-            continue
-        made[section] = _section(known[section], parser[section], f"{name}: [{section}]", faults)
-    if faults:
-        raise InvalidOptionsError(faults)
-    return Options(**made)
+        raise InvalidOptionsError(_describe_syntax_error(error, file)) from error
+    return parser
 
 
-def _section(kind: type[Section], given: configparser.SectionProxy, where: str, faults: list[str]) -> Any:
-    fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
+def _parse_section(
+    section_type: type[Section], section: configparser.SectionProxy, file: str, faults: list[ConfigFault]
+) -> dict[str, Any]:
+    """Return the section's valid values by attribute; faults are added to `faults`."""
+    fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
     values: dict[str, Any] = {}
-    for key, text in given.items():
+    for key, text in section.items():
+        location = f"[{section.name}] {key}"
         field = fields.get(key)
         if field is None:
-            faults.append(f"{where} {key}: no such key")
+            faults.append(ConfigFault(location, "no such key", file, key, ", ".join(fields)))
             continue
-        unit = unit_of(field.type)
         try:
-            plain = value(text, unit) if unit else text
-            values[field.name] = msgspec.convert(plain, field.type, strict=False)
+            values[field.name] = _parse_value(text, field.type)
+        except InvalidQuantityError as error:
+            faults.append(invalid_value(location, text, error.allowed, file=file, kind=error.kind))
         except ValueError as error:
-            faults.append(f"{where} {key}: {_said(field.type, str(error), text)}")
-    return None if faults else kind(**values)
+            faults.append(_describe_value_error(error, location, text, field.type, file))
+    return values
+
+
+def _parse_value(text: str, field_type: Any) -> Any:
+    kind = unit_kind(field_type)
+    value = parse_quantity(text, kind) if kind else text
+    return msgspec.convert(value, field_type, strict=False)
 
 
-def _said(kind: Any, error: str, text: str) -> str:
-    """What is wrong with a figure, its bounds in the units that operators write."""
-    found, unit = type_info(kind), unit_of(kind)
-    if unit is None or not isinstance(found, Metadata) or "Expected" not in error:
-        return error if unit else f"{text!r}: {error}"
-    bounds = [written(getattr(found.type, each), unit) for each in ("ge", "le")]
-    return f"{text!r} does not lie between {bounds[0]} and {bounds[1]}"
+def _describe_value_error(
+    error: ValueError, location: str, text: str, field_type: Any, file: str
+) -> ConfigFault:
+    """Return the fault of a value out of bounds, the bounds in the units that operators write."""
+    kind = unit_kind(field_type)
+    info = type_info(field_type)
+    if kind is None or not isinstance(info, Metadata):
+        return ConfigFault(location, f"invalid value {text!r}: {error}", file, text, str(error))
+    minimum, maximum = (format_quantity(getattr(info.type, bound), kind) for bound in ("ge", "le"))
+    return invalid_value(location, text, f"{minimum} to {maximum}", file=file)
 
 
-def _in_one_line(error: configparser.Error) -> str:
+def _describe_syntax_error(error: configparser.Error, file: str) -> ConfigFault:
     match error:
         case configparser.DuplicateSectionError():
-            return f"[{error.section}]: given twice (line {error.lineno})"
+            return ConfigFault(f"[{error.section}]", f"given twice (line {error.lineno})", file)
         case configparser.DuplicateOptionError():
-            return f"[{error.section}] {error.option}: given twice (line {error.lineno})"
+            location = f"[{error.section}] {error.option}"
+            return ConfigFault(location, f"given twice (line {error.lineno})", file)
         case configparser.MissingSectionHeaderError():
-            return f"line {error.lineno}: stands before the first [section]"
+            return ConfigFault(f"line {error.lineno}", "stands before the first [section]", file)
         case configparser.ParsingError():
-            return f"line {error.errors[0][0]}: neither a [section] nor key = value"
-    return str(error).replace("\n", " ")
+            return ConfigFault(f"line {error.errors[0][0]}", "neither a [section] nor key = value", file)
+    return ConfigFault("", str(error).replace("\n", " "), file)
--- a/burlmoor/config/options/units.py
+++ b/burlmoor/config/options/units.py
@@ -7,9 +7,11 @@
 
 import msgspec
 
-_WRITTEN = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) *([A-Za-z%]+)")
+from burlmoor.errors import BurlmoorError
 
-# What one of each unit is worth: in ms, in bytes, and as a share of one.
+_QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) *([A-Za-z%]+)")
+
+# By the kind of quantity, what one of each unit is: in ms, in bytes, and as a fraction of one.
 UNITS: Mapping[str, Mapping[str, float]] = {
     "duration": {"ms": 1.0, "s": 1000.0, "min": 60_000.0, "h": 3_600_000.0},
     "size": {"B": 1.0, "KiB": 1024.0, "MiB": 1024.0**2, "GiB": 1024.0**3},
@@ -17,37 +19,52 @@
 }
 
 
-def _between(name: str, ge: str, le: str) -> msgspec.Meta:
-    return msgspec.Meta(ge=value(ge, name), le=value(le, name), extra={"unit": name})
+class InvalidQuantityError(BurlmoorError, ValueError):
+    """A text that is not a number with a unit of its kind."""
+
+    def __init__(self, text: str, kind: str) -> None:
+        self.text = text
+        self.kind = kind
+        self.allowed = f"a number and one of {', '.join(UNITS[kind])}"
+        super().__init__(f"invalid {kind} {text!r}; allowed: {self.allowed}")
+
+
+def duration(minimum: str, maximum: str) -> msgspec.Meta:
+    """Return the bounds of a duration, kept in ms."""
+    return _bounds("duration", minimum, maximum)
+
 
+def size(minimum: str, maximum: str) -> msgspec.Meta:
+    """Return the bounds of a size, kept in bytes."""
+    return _bounds("size", minimum, maximum)
 
-def duration(ge: str, le: str) -> msgspec.Meta:
-    """Bounds of a duration, kept in ms, between two written ones."""
-    return _between("duration", ge, le)
 
+def share(minimum: str, maximum: str) -> msgspec.Meta:
+    """Return the bounds of a share, kept as a fraction of one."""
+    return _bounds("share", minimum, maximum)
 
-def size(ge: str, le: str) -> msgspec.Meta:
-    """Bounds of a size, kept in bytes, between two written ones."""
-    return _between("size", ge, le)
 
+def _bounds(kind: str, minimum: str, maximum: str) -> msgspec.Meta:
+    return msgspec.Meta(
+        ge=parse_quantity(minimum, kind), le=parse_quantity(maximum, kind), extra={"unit": kind}
+    )
 
-def share(ge: str, le: str) -> msgspec.Meta:
-    """Bounds of a share, kept as a share of one, between two written ones."""
-    return _between("share", ge, le)
 
+def parse_quantity(text: str, kind: str) -> float:
+    """Return a quantity in ms, in bytes, or as a fraction of one.
 
-def value(text: str, kind: str) -> float:
-    """What a written figure is worth: ms, bytes, or a share of one; ValueError if it cannot be meant."""
+    Raises InvalidQuantityError.
+    """
     units = UNITS[kind]
-    found = _WRITTEN.fullmatch(text.strip())
-    if found is None or found.group(2) not in units:
-        raise ValueError(f"{text!r} is no {kind}: a number and one of {', '.join(units)}")
-    return float(found.group(1)) * units[found.group(2)]
+    match = _QUANTITY.fullmatch(text.strip())
+    if match is None or match.group(2) not in units:
+        raise InvalidQuantityError(text, kind)
+    return float(match.group(1)) * units[match.group(2)]
 
 
-def written(figure: float, kind: str) -> str:
-    """A figure in the largest unit of its kind in which it is a whole number."""
+def format_quantity(quantity: float, kind: str) -> str:
+    """Return a quantity in the largest unit of its kind in which it is a whole number."""
     units = list(UNITS[kind].items())
-    whole = [each for each in units if figure >= each[1] and figure % each[1] == 0.0]
-    name, worth = (whole or units[:1])[-1]
-    return f"{figure / worth:.10g} {name}"
+    whole = [(name, factor) for name, factor in units if quantity >= factor and quantity % factor == 0.0]
+    name, factor = (whole or units[:1])[-1]
+    return f"{quantity / factor:.10g} {name}"
--- a/tests/config/options/test_options.py
+++ b/tests/config/options/test_options.py
@@ -1,4 +1,4 @@
-"""The options file: what is read, every fault told at once, and the example held against the structs."""
+"""The options file: what is parsed, every fault reported at once, and the example compared to the structs."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 from hypothesis import strategies as st
 
 from burlmoor.config.options import DeferredOptions, InvalidOptionsError, Options, read_options
-from burlmoor.config.options.parser import parse, sections, unit_of
-from burlmoor.config.options.units import UNITS, value, written
+from burlmoor.config.options.parser import parse_options, section_types, unit_kind
+from burlmoor.config.options.units import UNITS, format_quantity, parse_quantity
 
 EXAMPLE = Path(__file__).parents[3] / "deploy" / "burlmoor.ini.example"
 
 
 def test_a_section_that_is_absent_is_off() -> None:
-    assert parse("", "f") == Options(waiting=None)
-    assert parse("# nothing\n[waiting]\n", "f").waiting == DeferredOptions()
+    assert parse_options("", "f") == Options(waiting=None)
+    assert parse_options("# nothing\n[waiting]\n", "f").waiting == DeferredOptions()
 
 
-def test_figures_carry_units() -> None:
-    read_in = parse("[waiting]\nheld = 2 MiB\nlongest = 1.5 min\nplaces = 40 %\njobs = 7\n", "f").waiting
-    assert read_in == DeferredOptions(
+def test_quantities_have_units() -> None:
+    waiting = parse_options(
+        "[waiting]\nheld = 2 MiB\nlongest = 1.5 min\nplaces = 40 %\njobs = 7\n", "f"
+    ).waiting
+    assert waiting == DeferredOptions(
         max_body_bytes=2.0 * 1024**2, max_deferral_ms=90_000.0, connection_share=0.4, max_jobs=7
     )
 
@@ -32,11 +34,20 @@
 @pytest.mark.parametrize(
     ("text", "lines"),
     [
-        ("[waiting]\njobs = 0\n", ["f: [waiting] jobs: '0': Expected `int` >= 1"]),
-        ("[waiting]\nheld = 1 GB\n", ["f: [waiting] held: '1 GB' is no size"]),
-        ("[waiting]\nlongest = 10\n", ["f: [waiting] longest: '10' is no duration"]),
-        ("[waiting]\nlongest = 2 ms\n", ["f: [waiting] longest: '2 ms' does not lie between 1 s and 24 h"]),
-        ("[waiting]\nplaces = nan %\n", ["f: [waiting] places: 'nan %' is no share"]),
+        ("[waiting]\njobs = 0\n", ["f: [waiting] jobs: invalid value '0': Expected `int` >= 1"]),
+        (
+            "[waiting]\nheld = 1 GB\n",
+            ["f: [waiting] held: invalid size '1 GB'; allowed: a number and one of B, KiB"],
+        ),
+        (
+            "[waiting]\nlongest = 10\n",
+            ["f: [waiting] longest: invalid duration '10'; allowed: a number and one of ms, s"],
+        ),
+        ("[waiting]\nlongest = 2 ms\n", ["f: [waiting] longest: invalid value '2 ms'; allowed: 1 s to 24 h"]),
+        (
+            "[waiting]\nplaces = nan %\n",
+            ["f: [waiting] places: invalid share 'nan %'; allowed: a number and one of %"],
+        ),
         ("[waiting]\nJobs = 5\n", ["f: [waiting] Jobs: no such key"]),
         ("[wating]\n", ["f: [wating]: no such section"]),
         ("jobs = 1\n", ["f: line 1: stands before the first [section]"]),
@@ -45,48 +56,53 @@
         ("[waiting]\n[waiting]\n", ["f: [waiting]: given twice (line 2)"]),
         (
             "[waiting]\njobs = x\nlongest = y\n[more]\n",
-            ["f: [waiting] jobs: 'x'", "f: [waiting] longest: 'y'", "f: [more]: no such section"],
+            [
+                "f: [waiting] jobs: invalid value 'x'",
+                "f: [waiting] longest: invalid duration 'y'",
+                "f: [more]: no such section",
+            ],
         ),
     ],
 )
-def test_all_that_is_wrong_is_told_a_line_each(text: str, lines: list[str]) -> None:
+def test_every_fault_is_reported_on_a_line_of_its_own(text: str, lines: list[str]) -> None:
     with pytest.raises(InvalidOptionsError) as caught:
-        parse(text, "f")
+        parse_options(text, "f")
     assert len(caught.value.faults) == len(lines)
-    for fault, line in zip(caught.value.faults, lines, strict=True):
+    for fault, line in zip(map(str, caught.value.faults), lines, strict=True):
         assert fault.startswith(line)
         assert "\n" not in fault
 
 
-@pytest.mark.parametrize("made", [b"\xff\xfe", b"#" * (1 << 21), None])
-def test_a_file_that_is_none_is_told_in_one_line(tmp_path: Path, made: bytes | None) -> None:
+@pytest.mark.parametrize("content", [b"\xff\xfe", b"#" * (1 << 21), None])
+def test_an_unreadable_file_is_reported_on_one_line(tmp_path: Path, content: bytes | None) -> None:
     path = tmp_path / "options.ini"
-    if made is not None:
-        path.write_bytes(made)
+    if content is not None:
+        path.write_bytes(content)
     with pytest.raises(InvalidOptionsError) as caught:
         read_options(path)
     assert len(caught.value.faults) == 1
-    assert caught.value.faults[0].startswith(str(path))
+    assert str(caught.value).startswith(str(path))
+    assert "\n" not in str(caught.value)
 
 
 def test_the_example_shows_every_key_with_its_default() -> None:
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(EXAMPLE.read_text())
-    assert set(parser.sections()) == set(sections())
-    for name, kind in sections().items():
+    assert set(parser.sections()) == set(section_types())
+    for name, kind in section_types().items():
         fields = msgspec.structs.fields(kind)
         assert list(parser[name]) == [field.encode_name for field in fields]
         assert getattr(read_options(EXAMPLE), name) == kind()
 
 
 @given(st.sampled_from(sorted(UNITS)), st.integers(0, 10**6))
-def test_a_figure_is_read_as_it_is_written(kind: str, figure: int) -> None:
+def test_a_formatted_quantity_is_parsed_to_the_same(kind: str, count: int) -> None:
     smallest = next(iter(UNITS[kind].values()))
-    assert value(written(figure * smallest, kind), kind) == pytest.approx(figure * smallest)
+    assert parse_quantity(format_quantity(count * smallest, kind), kind) == pytest.approx(count * smallest)
 
 
-def test_every_bounded_figure_has_a_default_within_its_bounds() -> None:
-    for kind in sections().values():
+def test_every_default_lies_within_its_bounds() -> None:
+    for kind in section_types().values():
         for field in msgspec.structs.fields(kind):
             assert msgspec.convert(field.default, field.type) == field.default
-            assert unit_of(field.type) in (None, *UNITS)
+            assert unit_kind(field.type) in (None, *UNITS)
--- a/tests/config/test_settings_page.py
+++ b/tests/config/test_settings_page.py
@@ -8,39 +8,39 @@
 import msgspec
 import pytest
 
-from burlmoor.config import node_config, settings
+from burlmoor.config import node_config
+from burlmoor.config.settings_object import SettingsTable
 from burlmoor.downstream import callbacks
 from burlmoor.endpoints import discovered_list
 
 PAGE = (Path(__file__).parents[2] / "docs" / "settings.md").read_text()
 # Every code word in the first column of a table, or in a heading's list of one.
-NAMED = {
+ROWS = {
     word
     for row in PAGE.splitlines()
     if row.startswith("| ")
     for word in re.findall(r"[A-Za-z_]+", " ".join(re.findall(r"`([^`]*)`", row.split("|")[1])))
 }
 STRUCTS: list[type[msgspec.Struct]] = [
-    *settings._Table.__subclasses__(),
-    node_config._File,
-    node_config._Limits,
+    *SettingsTable.__subclasses__(),
+    node_config._ConfigFile,
+    node_config._MachineLimits,
     discovered_list.DiscoveredList,
     discovered_list.DiscoveredEndpoint,
     callbacks._Event,
 ]
 
+# Fields that hold a part of the object: their own fields have the rows.
+CONTAINERS = {"RequestClasses", "Orgs", "Limits", "Rules", "Prices", "Blend", "Specifics", "hosts", "limits"}
+
 
 @pytest.mark.parametrize("struct", STRUCTS, ids=lambda struct: struct.__qualname__)
 def test_every_field_has_a_row(struct: type[msgspec.Struct]) -> None:
-    fields = [field.encode_name for field in msgspec.structs.fields(struct)]
-    assert fields
-    assert [name for name in fields if name not in NAMED and name not in HOLDERS] == []
-
-
-# Fields that hold a part of the object: their own fields have the rows.
-HOLDERS = {"RequestClasses", "Orgs", "Limits", "Rules", "Prices", "Blend", "Specifics", "hosts", "limits"}
+    names = [field.encode_name for field in msgspec.structs.fields(struct)]
+    assert names
+    assert [name for name in names if name not in ROWS and name not in CONTAINERS] == []
 
 
 def test_a_field_without_a_row_is_noticed() -> None:
-    assert "Colour" not in NAMED
-    assert {"Credit", "OpenCap", "peer_listen", "born_ms"} <= NAMED
+    assert "Colour" not in ROWS
+    assert {"Credit", "OpenCap", "peer_listen", "born_ms"} <= ROWS
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -14,7 +14,7 @@
 import pytest
 
 from burlmoor.admin.overrides import Overrides
-from burlmoor.config.options.parser import parse
+from burlmoor.config.options.parser import parse_options
 from burlmoor.endpoints.directory import EndpointOverrides
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
 from burlmoor.lifecycle import handover_channel
@@ -94,7 +94,7 @@
 
 def test_options_files_are_read_as_before() -> None:
     for case in json.loads((DATA / "options.json").read_bytes()):
-        assert json.loads(msgspec.json.encode(parse(case["text"], "options"))) == case["read"]
+        assert json.loads(msgspec.json.encode(parse_options(case["text"], "options"))) == case["read"]
 
 
 def test_membership_datagrams_keep_their_encoding() -> None:
