--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -12,7 +12,8 @@
 
 from burlmoor.admin.server import NAMED, AdminRequest, AdminResponse
 from burlmoor.downstream.drain import DrainController, ServiceState
-from burlmoor.endpoints.directory import EndpointDirectory, EndpointOverrides
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.overrides import EndpointOverrides
 from burlmoor.log import EventLogger
 
 # As the operators' page gives them.
--- a/burlmoor/endpoints/directory.py
+++ b/burlmoor/endpoints/directory.py
@@ -1,244 +1,168 @@
-"""Discovery's list: the targets, their addresses and states, and what operators have laid over it."""
+"""The endpoint directory: the discovered list as this node has it, with overrides laid over it."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable, Iterable
-from typing import NamedTuple
-
-import msgspec
 
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
-from burlmoor.engine.engine import Engine
+from burlmoor.endpoints.endpoint_table import EndpointTable, ListedEndpoint
+from burlmoor.endpoints.interfaces import EndpointListObserver, IdleConnections
+from burlmoor.endpoints.list_validation import InvalidEndpointListError, decode_list, validate_entries
+from burlmoor.endpoints.overrides import EndpointOverrides
 from burlmoor.log import EventLogger
-from burlmoor.transport.stream import parse_address
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
-from burlmoor.upstream.pool import ConnectionPool
-
-_STATES = {"active": EndpointState.LIVE, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
-_HEALTH = {state: health for health, state in _STATES.items()}
-
-
-_NAMED = 8  # targets that a log line names
-_DECODER = msgspec.json.Decoder(DiscoveredList | None)
-
-
-class ListedEndpoint(NamedTuple):
-    """Where one executor listens, and whether it wants new work."""
-
-    address: str
-    state: EndpointState
-    started_unix_ms: float
-
-
-def _listed(host: DiscoveredEndpoint) -> EndpointState:
-    return _STATES.get(host.health, EndpointState.GONE)
 
-
-def _leaves(host: DiscoveredEndpoint) -> bool:
-    return _listed(host) is not EndpointState.LIVE
-
-
-def _fault(host: DiscoveredEndpoint, known: dict[str, DiscoveredEndpoint]) -> str | None:
-    """What of an entry that wants jobs cannot be meant: the field and why."""
-    if not host.name:
-        return "host: empty"
-    if not host.weight >= 0.0:
-        return f"share: {host.weight} is no weight"
-    dial = host.address or (known[host.name].address if host.name in known else "")
-    try:
-        parse_address(dial)
-    except ValueError as error:
-        return f"dial: {error}"
-    return None
-
-
-class EndpointOverrides(msgspec.Struct):
-    """What operators have set of targets; times are Unix times in ms."""
-
-    disabled_since: dict[str, float] = msgspec.field(name="out", default={})  # who gets nothing, since when
-    enabled_since: dict[str, float] = msgspec.field(
-        name="started", default={}
-    )  # who was put back, and when it counts as started
+_MAX_LOGGED_NAMES = 8  # of endpoints in one log line
 
 
 class EndpointDirectory:
-    """Owns the list as this node has it, its version, and what operators have laid over it."""
+    """Owns the endpoint list and the administrative overrides, and reports each change to its observer.
+
+    `from_unix` converts a Unix time in ms to the node's own clock.
+    """
 
     def __init__(
-        self, engine: Engine, pool: ConnectionPool, from_unix: Callable[[float], float], log: EventLogger
+        self,
+        observer: EndpointListObserver,
+        connections: IdleConnections,
+        from_unix: Callable[[float], float],
+        log: EventLogger,
     ) -> None:
-        self._engine, self._pool, self._from_unix, self._log = engine, pool, from_unix, log
-        self._targets: dict[str, ListedEndpoint] = {}
-        self._hosts: dict[str, DiscoveredEndpoint] = {}
+        self._observer = observer
+        self._connections = connections
+        self._from_unix = from_unix
+        self._log = log
+        self._table = EndpointTable()
         self.overrides = EndpointOverrides()
-        self.version: int | None = None
+
+    # --- queries ----------------------------------------------------------------------------------
+
+    @property
+    def version(self) -> int | None:
+        """The version of the list that this node has; None before the first."""
+        return self._table.version
 
     def find_live(self, name: str) -> ListedEndpoint | None:
-        """The target, if it may be sent new work now."""
-        target = self._targets.get(name)
-        if target is None or target.state is not EndpointState.LIVE or name in self.overrides.disabled_since:
+        """Return the endpoint if it may be sent new work now, else None."""
+        endpoint = self._table.get(name)
+        if endpoint is None or endpoint.state is not EndpointState.LIVE or self.overrides.is_disabled(name):
             return None
-        return target
+        return endpoint
 
     def is_known(self, name: str) -> bool:
-        """Whether a target has this name, or had when it was taken out."""
-        return name in self._targets or name in self.overrides.disabled_since
-
-    def disable(self, name: str) -> None:
-        """Nothing more goes to this target until it is put back; told again, it changes nothing."""
-        if name not in self.overrides.disabled_since:
-            self.overrides.disabled_since[name] = time.time() * 1000.0
-            self.overrides.enabled_since.pop(name, None)
-            self._tell([name])
-
-    def enable(self, name: str) -> None:
-        """The list holds for this target again."""
-        since = self.overrides.disabled_since.pop(name, None)
-        if since is not None:
-            host = self._hosts.get(name)
-            if host is None or host.started_unix_ms < since:
-                # Guards rule 4: it was restarted while it was out, which the list tells only later.
-                self.overrides.enabled_since[name] = time.time() * 1000.0
-            if host is not None:
-                # What was open may be of the process before, and would lose the next job written to it.
-                self._pool.close_idle_to(host.address)
-            self._tell([name])
-
-    def set_overrides(self, given: EndpointOverrides) -> None:
-        """What is given is laid over the list from now on."""
-        names = {
-            *self.overrides.disabled_since,
-            *self.overrides.enabled_since,
-            *given.disabled_since,
-            *given.enabled_since,
-        }
-        self.overrides = given
-        self._tell(names)
-
-    def _tell(self, names: Iterable[str]) -> None:
-        hosts = [self._hosts[name] for name in names if name in self._hosts]
-        if hosts:
-            self._engine.on_endpoint_list(ListKind.DELTA, self._entries(hosts))
+        """Whether an endpoint of this name is listed, or is disabled by an override."""
+        return name in self._table or self.overrides.is_disabled(name)
 
     def address_of(self, name: str) -> str | None:
-        """The target's address, whatever its state."""
-        target = self._targets.get(name)
-        return target.address if target else None
-
-    def load_cached(self, given: DiscoveredList | None) -> None:
-        """Take in the list as this node last had it."""
-        if given is not None:
-            self._apply(given)
-        self._engine.on_endpoint_list(ListKind.CACHED, self._entries(given.endpoints if given else []))
+        """Return the endpoint's address, whatever its state; None if it is not listed."""
+        endpoint = self._table.get(name)
+        return endpoint.address if endpoint else None
 
     def snapshot(self) -> DiscoveredList | None:
-        """The list as this node has it."""
-        return (
-            None if self.version is None else DiscoveredList(self.version, True, list(self._hosts.values()))
-        )
+        """Return the list as this node has it; None before the first."""
+        return self._table.snapshot()
 
-    def restore(self, given: DiscoveredList | None) -> None:
-        """Go on from the list that the process before this one had: it is newer than `known`."""
-        if given is not None:
-            self._apply(given)
-            self._engine.on_endpoint_list(ListKind.SNAPSHOT, self._entries(given.endpoints))
+    # --- administrative overrides -----------------------------------------------------------------
 
-    def apply_response(self, body: bytes) -> None:
-        """Take in an answer of discovery; ValueError naming the field, and nothing changed, if it is none."""
-        given = _DECODER.decode(body)
-        if given is None:
-            raise ValueError("not a list")
-        live = self._live()
-        if given.is_complete and not given.endpoints and live:
-            # A registry that has just started knows nobody. Those who have left refuse connections anyway.
-            raise ValueError("hosts: empty, though executors were listed")
-        given.endpoints = self._usable(given.endpoints)
-        self._apply(given)
-        left = sorted(live - self._live())
-        if left:
-            self._log("endpoints-draining", count=len(left), names=left[:_NAMED], version=given.version)
-        if given.is_complete or given.endpoints:
-            self._engine.on_endpoint_list(
-                ListKind.SNAPSHOT if given.is_complete else ListKind.DELTA, self._entries(given.endpoints)
-            )
+    def disable(self, name: str) -> None:
+        """Send no new work to this endpoint until it is enabled again; repeated, it changes nothing."""
+        if self.overrides.disable(name, _unix_ms()):
+            self._report([name])
 
-    def _live(self) -> set[str]:
-        return {name for name, each in self._targets.items() if each.state is EndpointState.LIVE}
+    def enable(self, name: str) -> None:
+        """Let the list's state hold for this endpoint again; repeated, it changes nothing."""
+        entry = self._table.entries.get(name)
+        if not self.overrides.enable(name, entry.started_unix_ms if entry else None, _unix_ms()):
+            return
+        if entry is not None:
+            # An idle connection may belong to the process before, and would lose the next job written to it.
+            self._connections.close_idle_to(entry.address)
+        self._report([name])
+
+    def set_overrides(self, overrides: EndpointOverrides) -> None:
+        """Replace all overrides."""
+        names = self.overrides.names() | overrides.names()
+        self.overrides = overrides
+        self._report(names)
+
+    def _report(self, names: Iterable[str]) -> None:
+        entries = [self._table.entries[name] for name in names if name in self._table]
+        if entries:
+            self._observer.on_endpoint_list(ListKind.DELTA, self._policy_entries(entries))
+
+    # --- lists ------------------------------------------------------------------------------------
+
+    def load_cached(self, cached: DiscoveredList | None) -> None:
+        """Take in the list as this node last had it, which may be stale (None: there is none)."""
+        entries = [] if cached is None else self._merge(cached)
+        self._observer.on_endpoint_list(ListKind.CACHED, self._policy_entries(entries))
+
+    def restore(self, handed_over: DiscoveredList | None) -> None:
+        """Take in the list of the process before this one, which is newer than the cached one."""
+        if handed_over is not None:
+            entries = self._merge(handed_over)
+            self._observer.on_endpoint_list(ListKind.SNAPSHOT, self._policy_entries(entries))
 
-    def _usable(self, hosts: list[DiscoveredEndpoint]) -> list[DiscoveredEndpoint]:
-        """The entries that can be meant, one a host.
+    def apply_response(self, body: bytes) -> None:
+        """Take in a response of the discovery service.
 
-        Guards the drain rule: one bad entry must not keep the others' drains from being heard, nor undo one.
+        Raises InvalidEndpointListError, and changes nothing, if it is no list. Single invalid entries are
+        logged and skipped.
         """
-        found: dict[str, DiscoveredEndpoint] = {}
-        faults: list[str] = []
-        for number, host in enumerate(hosts):
-            before = found.get(host.name)
-            if before is not None:
-                faults.append(f"hosts[{number}].host: {host.name!r} is there twice")
-                if (host.started_unix_ms, _leaves(host)) <= (before.started_unix_ms, _leaves(before)):
-                    continue
-            elif not _leaves(host):
-                fault = _fault(host, self._hosts)
-                if fault:
-                    faults.append(f"hosts[{number}].{fault}")
-                    if host.name in self._hosts:
-                        found[host.name] = self._hosts[host.name]
-                    continue
-            found[host.name] = host
-        if faults:
-            self._log("endpoint-list-invalid-entries", error=faults[0], count=len(faults))
-        return list(found.values())
-
-    def _apply(self, given: DiscoveredList) -> None:
-        if given.is_complete:
-            names = {host.name for host in given.endpoints}
-            for name in [name for name in self._targets if name not in names]:
-                self._pool.close_idle_to(self._targets.pop(name).address)
-                self._hosts.pop(name, None)
-        older = self.version is not None and given.version < self.version
-        for number, host in enumerate(given.endpoints):
-            old = self._targets.get(host.name)
-            state = _listed(host)
-            if (
-                older
-                and old is not None
-                and old.started_unix_ms == host.started_unix_ms
-                and old.state is not EndpointState.LIVE
-            ):
-                # Guards the drain rule: a list from before a drain was told does not undo it.
-                state = old.state
-                given.endpoints[number] = msgspec.structs.replace(host, health=_HEALTH[state])
-            new = ListedEndpoint(host.address or (old.address if old else ""), state, host.started_unix_ms)
-            if old is not None and (new.address, new.started_unix_ms) != (old.address, old.started_unix_ms):
-                # A process that has started anew knows nothing of the old one's connections.
-                self._pool.close_idle_to(old.address)
-            # One that is gone keeps its address, so that what it still holds can be given up there.
-            self._targets[host.name] = new
-            self._hosts[host.name] = given.endpoints[number]
-        self.version = given.version
-
-    def _entries(self, hosts: list[DiscoveredEndpoint]) -> list[EndpointEntry]:
+        received = decode_list(body)
+        live_before = self._table.live_names()
+        if received.is_complete and not received.endpoints and live_before:
+            # A discovery service that has just started knows no endpoint. Following it would stop all work,
+            # and endpoints that have really left refuse connections anyway.
+            raise InvalidEndpointListError("hosts", received.endpoints, "empty, though executors were listed")
+        validated = validate_entries(received.endpoints, self._table.entries)
+        if validated.invalid:
+            first = validated.invalid[0]
+            self._log("endpoint-list-invalid-entries", error=str(first), count=len(validated.invalid))
+        entries = self._merge(DiscoveredList(received.version, received.is_complete, validated.valid))
+        self._log_draining(live_before - self._table.live_names())
+        if received.is_complete or entries:
+            kind = ListKind.SNAPSHOT if received.is_complete else ListKind.DELTA
+            self._observer.on_endpoint_list(kind, self._policy_entries(entries))
+
+    def _merge(self, update: DiscoveredList) -> list[DiscoveredEndpoint]:
+        """Merge a list with what is known; its entries as they now hold."""
+        merged = self._table.merge(update)
+        for address in merged.stale_addresses:
+            self._connections.close_idle_to(address)
+        return merged.entries
+
+    def _log_draining(self, no_longer_live: set[str]) -> None:
+        if no_longer_live:
+            names = sorted(no_longer_live)
+            self._log(
+                "endpoints-draining",
+                count=len(names),
+                names=names[:_MAX_LOGGED_NAMES],
+                version=self._table.version,
+            )
+
+    # --- the policy's form ------------------------------------------------------------------------
+
+    def _policy_entries(self, entries: list[DiscoveredEndpoint]) -> list[EndpointEntry]:
+        """Convert entries to the policy's form, with the overrides laid over them."""
         return [
             EndpointEntry(
-                endpoint=host.name,
-                state=self._state(host),
-                zone=host.zone,
-                weight=host.weight,
-                cell=host.cell,
-                kind=host.kind,
-                started_at=self._from_unix(
-                    max(host.started_unix_ms, self.overrides.enabled_since.get(host.name, 0.0))
-                ),
+                endpoint=entry.name,
+                state=self._effective_state(entry),
+                zone=entry.zone,
+                weight=entry.weight,
+                cell=entry.cell,
+                kind=entry.kind,
+                started_at=self._from_unix(self.overrides.effective_start(entry.name, entry.started_unix_ms)),
             )
-            for host in hosts
+            for entry in entries
         ]
 
-    def _state(self, host: DiscoveredEndpoint) -> EndpointState:
-        state = _listed(host)
-        return (
-            EndpointState.DRAINING
-            if state is EndpointState.LIVE and host.name in self.overrides.disabled_since
-            else state
-        )
+    def _effective_state(self, entry: DiscoveredEndpoint) -> EndpointState:
+        return self.overrides.effective_state(entry.name, entry.state)
+
+
+def _unix_ms() -> float:
+    return time.time() * 1000.0
--- a/burlmoor/endpoints/discovered_list.py
+++ b/burlmoor/endpoints/discovered_list.py
@@ -1,26 +1,44 @@
-"""The endpoint list in the discovery service's form."""
+"""The endpoint list in the discovery service's form: JSON objects, whose keys keep their names."""
 
 from __future__ import annotations
 
 import msgspec
 
+from burlmoor.types.endpoint_list import EndpointState
+
+_STATE_OF_HEALTH = {
+    "active": EndpointState.LIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
+_HEALTH_OF_STATE = {state: health for health, state in _STATE_OF_HEALTH.items()}
+
 
 class DiscoveredEndpoint(msgspec.Struct):
     """One endpoint as the discovery service lists it."""
 
     name: str = msgspec.field(name="host")
-    address: str = msgspec.field(name="dial", default="")
+    address: str = msgspec.field(name="dial", default="")  # `host:port`; empty: as it was listed before
     zone: str = msgspec.field(name="site", default="")
     kind: str = msgspec.field(name="class", default="")
     cell: int = msgspec.field(name="block", default=0)
-    health: str = "left"
+    health: str = "left"  # `active`, `leaving` or `left`; any other word counts as `left`
     weight: float = msgspec.field(name="share", default=1.0)
     started_unix_ms: float = msgspec.field(name="born_ms", default=0.0)
 
+    @property
+    def state(self) -> EndpointState:
+        """What the list says of the endpoint."""
+        return _STATE_OF_HEALTH.get(self.health, EndpointState.GONE)
+
+    def with_state(self, state: EndpointState) -> DiscoveredEndpoint:
+        """Return a copy of the entry in another state."""
+        return msgspec.structs.replace(self, health=_HEALTH_OF_STATE[state])
+
 
 class DiscoveredList(msgspec.Struct):
-    """A list in discovery's form."""
+    """A list of the discovery service: all endpoints, or those that changed since an earlier version."""
 
     version: int = msgspec.field(name="seq")
-    is_complete: bool = msgspec.field(name="whole", default=True)
+    is_complete: bool = msgspec.field(name="whole", default=True)  # else only the changed entries
     endpoints: list[DiscoveredEndpoint] = msgspec.field(name="hosts", default=[])
--- /dev/null
+++ b/burlmoor/endpoints/list_validation.py
@@ -0,0 +1,107 @@
+"""Validation of the discovery service's responses: what is no list, and which entries are invalid."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
+
+import msgspec
+
+from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.errors import BurlmoorError
+from burlmoor.transport.stream import InvalidAddressError, parse_address
+from burlmoor.types.endpoint_list import EndpointState
+
+_DECODER = msgspec.json.Decoder(DiscoveredList | None)
+_EXCERPT_BYTES = 100  # of a response that an error quotes
+_PATH_MARK = " - at `$."  # before the field's path in an error of msgspec
+
+
+class InvalidEndpointListError(BurlmoorError, ValueError):
+    """A response of the discovery service that is no usable list.
+
+    `field` is the path of the invalid field in the response (`body` where that is no list at all), `value`
+    what stood there (the start of the body where the field's value is not known), `problem` what is wrong.
+    """
+
+    def __init__(self, field: str, value: object, problem: str) -> None:
+        super().__init__(f"{field}: {problem}")
+        self.field, self.value, self.problem = field, value, problem
+
+
+class InvalidEntry(NamedTuple):
+    """One invalid entry of an otherwise usable list."""
+
+    field: str  # path in the response, for example `hosts[2].dial`
+    problem: str
+
+    def __str__(self) -> str:
+        """Return the field and what is wrong with it."""
+        return f"{self.field}: {self.problem}"
+
+
+class ValidatedEntries(NamedTuple):
+    """The valid entries of a list, one for each endpoint, and what was wrong with the others."""
+
+    valid: list[DiscoveredEndpoint]
+    invalid: list[InvalidEntry]
+
+
+def decode_list(body: bytes) -> DiscoveredList:
+    """Decode a response; InvalidEndpointListError naming the field if it is no list."""
+    try:
+        decoded = _DECODER.decode(body)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        problem, _, path = str(error).partition(_PATH_MARK)
+        raise InvalidEndpointListError(path.rstrip("`") or "body", body[:_EXCERPT_BYTES], problem) from error
+    if decoded is None:
+        raise InvalidEndpointListError("body", None, "not a list")
+    return decoded
+
+
+def validate_entries(
+    entries: Iterable[DiscoveredEndpoint], known: Mapping[str, DiscoveredEndpoint]
+) -> ValidatedEntries:
+    """Select the valid entries, one for each endpoint; `known` is the list as it was before.
+
+    An invalid entry of a known endpoint is replaced by the known one. Without this, one invalid entry would
+    keep the drains of all other endpoints from taking effect, or undo a drain.
+    """
+    selected: dict[str, DiscoveredEndpoint] = {}
+    invalid: list[InvalidEntry] = []
+    for number, entry in enumerate(entries):
+        earlier = selected.get(entry.name)
+        if earlier is not None:
+            invalid.append(InvalidEntry(f"hosts[{number}].host", f"{entry.name!r} is listed twice"))
+            if _precedence(entry) <= _precedence(earlier):
+                continue
+        elif entry.state is EndpointState.LIVE:
+            problem = _find_problem(entry, known)
+            if problem is not None:
+                invalid.append(problem._replace(field=f"hosts[{number}].{problem.field}"))
+                if entry.name in known:
+                    selected[entry.name] = known[entry.name]
+                continue
+        selected[entry.name] = entry
+    return ValidatedEntries(list(selected.values()), invalid)
+
+
+def _precedence(entry: DiscoveredEndpoint) -> tuple[float, bool]:
+    """Order entries of one endpoint: the later start holds, and of equal starts the one that drains."""
+    return entry.started_unix_ms, entry.state is not EndpointState.LIVE
+
+
+def _find_problem(entry: DiscoveredEndpoint, known: Mapping[str, DiscoveredEndpoint]) -> InvalidEntry | None:
+    """Find the first invalid field of an entry that is to get jobs."""
+    if not entry.name:
+        return InvalidEntry("host", "empty")
+    if not entry.weight >= 0.0:  # NaN compares false, too
+        return InvalidEntry("share", f"{entry.weight} is invalid, 0 or more is allowed")
+    address = entry.address
+    if not address and entry.name in known:
+        address = known[entry.name].address
+    try:
+        parse_address(address)
+    except InvalidAddressError as error:
+        return InvalidEntry("dial", str(error))
+    return None
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -133,11 +133,11 @@
 
 
 def _undrained() -> None:
-    """What drains gets jobs as before."""
+    """An endpoint that drains gets jobs as before."""
     from burlmoor.endpoints.directory import EndpointDirectory  # noqa: PLC0415
 
-    EndpointDirectory._state = lambda self, host: EndpointState.LIVE  # type: ignore[method-assign]
-    EndpointDirectory.find_live = lambda self, name: self._targets.get(name)  # type: ignore[method-assign]
+    EndpointDirectory._effective_state = lambda self, entry: EndpointState.LIVE  # type: ignore[method-assign]
+    EndpointDirectory.find_live = lambda self, name: self._table.get(name)  # type: ignore[method-assign]
 
 
 Sabotages = dict[str, Callable[[], None]]
--- a/burlmoor/transport/stream.py
+++ b/burlmoor/transport/stream.py
@@ -10,6 +10,7 @@
 
 import trio
 
+from burlmoor.errors import BurlmoorError
 from burlmoor.transport.ring_buffer import RingBuffer
 
 _CHUNK = 16384
@@ -143,11 +144,19 @@
             sock.close()
 
 
+class InvalidAddressError(BurlmoorError, ValueError):
+    """A text that is not `host:port` with a port from 1 to 65535; `value` is the text."""
+
+    def __init__(self, value: str) -> None:
+        super().__init__(f"{value!r} is not host:port")
+        self.value = value
+
+
 def parse_address(text: str) -> tuple[str, int]:
-    """`host:port` as a socket address; ValueError if it is not one."""
+    """Parse `host:port` as a socket address; InvalidAddressError if it is not one."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise ValueError(f"{text!r} is not host:port")
+        raise InvalidAddressError(text)
     return host, int(port)
 
 
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -9,7 +9,8 @@
 import trio
 
 from burlmoor.downstream.http import Payload
-from burlmoor.endpoints.directory import EndpointDirectory, ListedEndpoint
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.endpoint_table import ListedEndpoint
 from burlmoor.engine.engine import Engine
 from burlmoor.engine.job import Attempt
 from burlmoor.log import EventLogger
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -199,9 +199,9 @@
             else:
                 del self._idle[dial]
 
-    def close_idle_to(self, dial: str) -> None:
+    def close_idle_to(self, address: str) -> None:
         """Close the idle connections to an address."""
-        for link in self._idle.pop(dial, []):
+        for link in self._idle.pop(address, []):
             link.close()
 
 
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -13,8 +13,8 @@
 import trio
 
 from burlmoor.admin.service import Overrides
-from burlmoor.endpoints.directory import EndpointOverrides
 from burlmoor.endpoints.discovered_list import DiscoveredList
+from burlmoor.endpoints.overrides import EndpointOverrides
 from burlmoor.lifecycle import handover_channel as p
 from burlmoor.stats.snapshot import StatisticsSnapshot
 from tests.admin.test_admin import call
--- a/tests/discovery/test_schedule.py
+++ b/tests/discovery/test_schedule.py
@@ -18,6 +18,8 @@
 from burlmoor.discovery.client import DiscoveryClient
 from burlmoor.discovery.schedule import CallResult, WatchSchedule
 from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.discovered_list import DiscoveredList
+from burlmoor.types.endpoint_list import EndpointEntry, ListKind
 from burlmoor.upstream.http import BrokenResponseError, Response
 
 PATIENCE, GRACE = 2.0, 0.25
@@ -336,13 +338,16 @@
             at.append(trio.current_time())
             raise BrokenResponseError("status 503")
 
+    class Observer:
+        def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None: ...
+
     def deaf(*_: object, **__: object) -> None:
         return
 
     async def story() -> None:
-        group = EndpointDirectory(cast(Any, None), cast(Any, None), lambda unix: unix, deaf)
-        group.version = 41  # a list, if an old one
-        watch = DiscoveryClient(group, cast(Any, Busy()), "127.0.0.1:1", life(40, 3), deaf)
+        directory = EndpointDirectory(Observer(), cast(Any, None), lambda unix_ms: unix_ms, deaf)
+        directory.load_cached(DiscoveredList(41))  # a list, if an old one
+        watch = DiscoveryClient(directory, cast(Any, Busy()), "127.0.0.1:1", life(40, 3), deaf)
         began = trio.current_time()
         with trio.move_on_after(20.0):
             await watch.run()
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -15,8 +15,8 @@
 
 from burlmoor.admin.service import Overrides
 from burlmoor.config.options.parser import parse
-from burlmoor.endpoints.directory import EndpointOverrides
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.endpoints.overrides import EndpointOverrides
 from burlmoor.lifecycle import handover_channel
 from burlmoor.membership.codec import Message, MessageKind, decode, encode
 from burlmoor.membership.member import MemberState, MemberStatus
