--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -1,20 +1,34 @@
-"""The watch on discovery: makes the calls that `watching` says are due, and hands what comes to the list."""
+"""The client of the discovery service: makes the calls that the schedule says are next, one at a time."""
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import trio
 
 from burlmoor.discovery.schedule import CallResult, DiscoveryCall, WatchSchedule
 from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.list_validation import InvalidEndpointListError
+from burlmoor.errors import BurlmoorError
 from burlmoor.log import EventLogger
-from burlmoor.upstream.http import BrokenResponseError
 from burlmoor.upstream.pool import ConnectionPool
 
 _PATH = b"/registry/instances"
 
 
+class UnexpectedStatusError(BurlmoorError):
+    """Discovery has answered with another status than 200."""
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"status {status}, expected 200")
+        self.status = status
+
+
 class DiscoveryClient:
-    """Owns the calls to discovery: one at a time, the next at once after each answer."""
+    """Owns the calls to discovery and hands each list to the directory.
+
+    Whatever goes wrong with a call, the node continues with the list that it has.
+    """
 
     def __init__(
         self,
@@ -24,82 +38,97 @@
         schedule: WatchSchedule,
         log: EventLogger,
     ) -> None:
-        self._directory, self._pool, self._address, self._schedule, self._log = (
-            directory,
-            pool,
-            address,
-            schedule,
-            log,
-        )
-        self._turn = trio.CancelScope()
-        self._stale = False  # whether it has been said that the list may be older than the rule allows
-        self.first_response = trio.Event()  # set once discovery has answered for the first time
-
-    def set_address(self, dial: str) -> None:
-        """Discovery is at another address from now on: ask there at once, whatever was under way."""
-        if dial == self._address:
+        self._directory = directory
+        self._pool = pool
+        self._address = address
+        self._schedule = schedule
+        self._log = log
+        self._call_scope = trio.CancelScope()  # of the wait for the next call, and of the call
+        self._is_stale_logged = False  # whether it has been logged that the list may be too old
+        self.first_response = trio.Event()  # set once discovery has answered with a list for the first time
+
+    def set_address(self, address: str) -> None:
+        """Call discovery at another address, at once; what is in flight at the old one is cancelled."""
+        if address == self._address:
             return
         self._pool.close_idle_to(self._address)
-        self._address = dial
+        self._address = address
         self._schedule.on_address_changed(trio.current_time())
-        self._turn.cancel()
+        self._call_scope.cancel()
 
     def watch(self) -> None:
-        """The watch runs from the start and never ends, so the module's wish is met already."""
+        """Do nothing: the watch runs from the start and never ends, as the policy requests."""
 
     def fetch(self) -> None:
-        """Ask for the whole list with the next call."""
+        """Ask for the full list with the next call."""
         self._schedule.request_full_list()
 
     async def run(self) -> None:
         """Watch until cancelled."""
         self._schedule.on_start(trio.current_time(), self._directory.version is not None)
         while True:
-            with trio.CancelScope() as self._turn:  # ended early where discovery moves
-                await trio.sleep_until(self._schedule.next_call().at)
-                await self._make(self._schedule.next_call())
-
-    async def _make(self, call: DiscoveryCall) -> None:
-        """One call and what becomes of it. Whatever goes wrong, the node goes on with the list it has."""
-        life, failures, age = self._schedule, self._schedule.failures, self._schedule.age(trio.current_time())
-        life.on_call_started(trio.current_time())
-        error, end = "", CallResult.ANSWERED
+            with trio.CancelScope() as self._call_scope:  # cancelled when the address changes
+                await trio.sleep_until(self._schedule.next_call().start_at)
+                await self._make_call(self._schedule.next_call())
+
+    async def _make_call(self, call: DiscoveryCall) -> None:
+        """Make one call and take in its outcome."""
+        started_at = trio.current_time()
+        failures_before = self._schedule.failures
+        age_before = self._schedule.age_seconds(started_at)
+        self._schedule.on_call_started(started_at)
+        result, error = await self._apply_response_to(call)
+        now = trio.current_time()
+        self._schedule.on_call_ended(result, now)
+        if result is CallResult.ANSWERED:
+            self._on_answer(failures_before, age_before)
+        else:
+            self._on_failure(result, error, now)
+
+    async def _apply_response_to(self, call: DiscoveryCall) -> tuple[CallResult, str]:
+        """Make one call and apply its response; how it ended, and the error's text."""
         try:
             with trio.fail_after(call.timeout_seconds):
-                body = await self._ask(call)
+                body = await self._request(call)
             self._directory.apply_response(body)
         except trio.TooSlowError:
-            end = CallResult.SILENT
-        except ValueError as fault:
-            error, end = str(fault), CallResult.UNREADABLE
-        except Exception as fault:
-            error, end = repr(fault), CallResult.FAILED
-        now = trio.current_time()
-        life.on_call_ended(end, now)
-        if end is CallResult.ANSWERED:
-            if failures:
-                self._log(
-                    "discovery-recovered",
-                    failures=failures,
-                    version=self._directory.version,
-                    age=round(age, 2),
-                )
-            self._stale = False
-            self.first_response.set()
-        elif end is CallResult.SILENT:
-            self._log("watch-timed-out", failures=life.failures, age=round(life.age(now), 2))
-        else:
-            self._log("discovery-failed", error=error, failures=life.failures)
-        if now >= life.notification_deadline() and not self._stale:
-            self._stale = True
-            self._log("endpoint-list-stale", age=round(life.age(now), 2))
+            return CallResult.TIMED_OUT, ""
+        except InvalidEndpointListError as error:
+            return CallResult.INVALID, str(error)
+        except Exception as error:
+            # The boundary of the watch's task: without this, one failed call would end the node.
+            return CallResult.FAILED, repr(error)
+        return CallResult.ANSWERED, ""
 
-    async def _ask(self, call: DiscoveryCall) -> bytes:
+    async def _request(self, call: DiscoveryCall) -> bytes:
+        """Send the request; the body of the response."""
         version = self._directory.version
         path = _PATH
         if not call.is_full_list and version is not None:
             path = b"%s?after=%d&wait_ms=%d" % (_PATH, version, round(call.wait_seconds * 1000.0))
-        reply = await self._pool.call(self._address, b"GET", path)
-        if reply.status != 200:
-            raise BrokenResponseError(f"status {reply.status}")
-        return reply.body
+        response = await self._pool.call(self._address, b"GET", path)
+        if response.status != HTTPStatus.OK:
+            raise UnexpectedStatusError(response.status)
+        return response.body
+
+    def _on_answer(self, failures_before: int, age_before: float) -> None:
+        if failures_before:
+            self._log(
+                "discovery-recovered",
+                failures=failures_before,
+                version=self._directory.version,
+                age=round(age_before, 2),
+            )
+        self._is_stale_logged = False
+        self.first_response.set()
+
+    def _on_failure(self, result: CallResult, error: str, now: float) -> None:
+        failures = self._schedule.failures
+        age = round(self._schedule.age_seconds(now), 2)
+        if result is CallResult.TIMED_OUT:
+            self._log("watch-timed-out", failures=failures, age=age)
+        else:
+            self._log("discovery-failed", error=error, failures=failures)
+        if now >= self._schedule.notification_deadline() and not self._is_stale_logged:
+            self._is_stale_logged = True
+            self._log("endpoint-list-stale", age=age)
--- a/burlmoor/discovery/schedule.py
+++ b/burlmoor/discovery/schedule.py
@@ -1,26 +1,35 @@
-"""The life of a node's watch on discovery: when it calls, what for, and when an answer is overdue.
+"""The schedule of calls to discovery: when the next is made, what for, and when its answer is overdue.
 
-Pure: no socket and no clock. It is told how each call ended and says what the next one is. All times are in
-seconds.
+Pure: no socket and no clock. It is fed how each call ended and says what the next one is. All times are in
+seconds. A *watch* is a long poll: discovery answers it once something has changed, or when its wait is over.
 
-What this rests on, of the protocol: what a watch that has fallen silent misses counts as told `_TOLD` after
-it fell silent, and after a call that failed, was refused or was given up, a change counts as told `_TOLD`
-after discovery had it and could be reached. Neither moment is seen from here. Discovery may have had the
-change, and been within reach, from the moment on in which the call was made, so all is counted from there,
-and the next call's answer has to be there `_TOLD` later. A new call may stand in discovery's queue for
-`_TURN` before it is answered or fails. So whatever became of a call,
+How the constants follow from the protocol (docs/watch-design.md). Each change of the list has a notification
+deadline, from which on the node counts as notified of it, whether or not the change has arrived:
 
-    from when it was made until the next is made: at most _TOLD - turn 2.0 = 4.0
+- a watch that falls silent: `_NOTIFICATION_SECONDS` after it fell silent, for all that it misses;
+- a call that failed, was rejected or timed out: `_NOTIFICATION_SECONDS` after discovery had the change and
+  could be reached.
 
-where a call that is given up in its turn (turn 2.0, and the wait of 0.1) leaves 1.9 to spread the next
-over, and a watch that falls silent (wait 1.0, late 0.5) leaves 2.5. A silent watch looks as one without news
-does: all that shows it is an answer that is overdue. A call that goes on from an answer stands in no queue
-and costs discovery nothing, so the wait may be short. A node that has just started is held to its old list
-for as long as the settings give for asking, which may be less, and to four times that after a failed call.
+A node sees neither moment. Both may lie as early as the start of the call, so the deadline is counted from
+there, and the next call's answer has to arrive by then. A new call may stand in discovery's queue for
+`_QUEUE_TIMEOUT_SECONDS` before it is answered or fails. So, however a call ends,
 
-Where lists are pushed, the address is an agent on this machine that answers at once and at no cost. What it
-has counts as told, watch or no watch, so nothing is spread or put off there: a call that went wrong is made
-anew well within the drain rule's 250 ms, and until the agent answers again its calls wait no longer either.
+    from its start to the start of the next: at most _NOTIFICATION_SECONDS - _QUEUE_TIMEOUT_SECONDS = 4.0
+
+What a call itself takes of these 4.0 is not available for jitter, which spreads a fleet's next calls:
+
+    a call that times out in the queue (queue timeout 2.0, wait 0.1) leaves 1.9
+    a watch that falls silent (wait 1.0, allowance 0.5) leaves 2.5
+
+A silent watch looks like one without changes: an answer that is overdue is the only sign. A call that
+continues from an answer stands in no queue and costs discovery nothing, so the wait may be short. A node that
+has just started is held to its old list for as long as the settings give for polling, which may be less than
+`_NOTIFICATION_SECONDS`, and to `_FAILED_CALL_FACTOR` times that after a failed call.
+
+Where lists are pushed, the address is that of an agent on this machine, which answers at once and at no cost.
+The node counts as notified of what the agent has, watch or no watch, so there is no jitter and no growing
+backoff: a call that went wrong is made anew well within the drain rule's 250 ms, and until the agent answers
+again, its calls wait no longer than that either.
 """
 
 from __future__ import annotations
@@ -30,108 +39,159 @@
 import random
 from typing import NamedTuple
 
-_TOLD = 6.0
-_WAIT, _LATE = 1.0, 0.5
-_TURN = 2.0  # how long a call waits in its turn at discovery at most before it fails there
-_A_CALL = 0.2  # what discovery is taken to need for one call
-_BACKOFF = (0.1, 2.0)  # before the first call after a failure, and at most, where a fleet's calls fit
-_LEAST = 0.25  # of the spread passes before the first call after a failure
-_FAILED_CALL = 4.0  # times as long as the settings say a node may go without asking after a failed call
-_IN_DOUBT = 0.1  # the wait of calls that open a watch anew: whether they are answered shows soon
-_AGENT_AGAIN = 0.1  # before a new call to an agent, where one has failed
-_AGENT_LATE = 0.1  # the allowance for its answers while it is silent
+_NOTIFICATION_SECONDS = 6.0
+_WATCH_WAIT_SECONDS = 1.0
+_OVERDUE_ALLOWANCE_SECONDS = 0.5  # after a watch's wait, until its answer is overdue
+_QUEUE_TIMEOUT_SECONDS = 2.0  # how long a new call stands in discovery's queue at most before it fails there
+_CALL_COST_SECONDS = 0.2  # what discovery is assumed to need for one new call
+_MIN_BACKOFF_SECONDS = 0.1  # before the first call after a failure, where a fleet's calls fit at once
+_MAX_BACKOFF_SECONDS = 2.0
+_MAX_BACKOFF_DOUBLINGS = 16
+_MIN_JITTER_FRACTION = 0.25  # of the jitter passes before the first call after a failure
+_FAILED_CALL_FACTOR = 4.0  # on the time that the settings give for polling, after a failed call
+_RECOVERY_WAIT_SECONDS = 0.1  # a watch's wait after a failure: whether calls are answered shows soon
+_AGENT_RETRY_SECONDS = 0.1  # before a new call to an agent, where one has failed
+_AGENT_ALLOWANCE_SECONDS = 0.1  # until an agent's answer is overdue, while it is silent
 
 
 class CallResult(enum.Enum):
     """How a call to discovery ended."""
 
     ANSWERED = enum.auto()  # with a list
-    SILENT = enum.auto()  # nothing came in time
-    FAILED = enum.auto()  # refused, reset, 503
-    UNREADABLE = enum.auto()  # with something that is no list
+    TIMED_OUT = enum.auto()  # nothing came in time
+    FAILED = enum.auto()  # refused, reset, answered with another status than 200
+    INVALID = enum.auto()  # answered with something that is no list
 
 
 class DiscoveryCall(NamedTuple):
-    """The next call: when, what for, and how long its answer may take."""
+    """The next call: when it starts, what it asks for, and how long its answer may take."""
 
-    at: float
-    is_full_list: bool  # for the whole list, else a watch
-    wait_seconds: float  # how long a watch may wait for news
+    start_at: float
+    is_full_list: bool  # else a watch, which asks for changes
+    wait_seconds: float  # how long discovery may hold a watch back until something changes
     timeout_seconds: float
 
 
 class WatchSchedule:
-    """Owns what is known of the watch. `next` says which call is due, `ended` hears what became of it."""
-
-    def __init__(self, balancers: int, ask_within: float, pushed: bool, rng: random.Random) -> None:
-        self._pushed, self._rng = pushed, rng
-        # What is there before a call is made counts as told so long after it, if it fails; and an old list.
-        self._old, self._failed = min(_TOLD, ask_within), min(_TOLD, _FAILED_CALL * ask_within)
-        # Guards against a herd: what a fleet asks at once fills the queue, every call there then waits until
-        # it fails, and calls made again after a moment keep it full. A fleet whose calls fit asks at once.
-        self.spread = 0.0 if pushed else max(0.0, min(_TOLD, _A_CALL * balancers) - _TURN)
-        self.failures = 0  # in a row
-        self._whole = self._asked_whole = False  # wanted with the next call; asked for with the last
-        self._at = 0.0  # when the next call is due
-        self._open = False  # whether the last call was answered, so that the next goes on from it
-        self._doubt = False  # whether the watch has broken, or an agent is silent
-        self._told_at = math.inf  # when what may have been missed counts as told, whether or not it came
-        self._made = self._heard = 0.0  # when the last call was made, and the last answer came
+    """Owns what is known of the watch: `next_call` says what to call next, `on_call_ended` takes the outcome.
+
+    `poll_interval_seconds` is how long the settings let a node go without polling, `has_agent` whether lists
+    are pushed, so that the calls go to an agent on this machine.
+    """
+
+    def __init__(
+        self, node_count: int, poll_interval_seconds: float, has_agent: bool, rng: random.Random
+    ) -> None:
+        self._has_agent = has_agent
+        self._rng = rng
+        # How long after a call's start the deadline is for an old list at start, and for a failed call.
+        self._start_allowance = min(_NOTIFICATION_SECONDS, poll_interval_seconds)
+        self._failure_allowance = min(_NOTIFICATION_SECONDS, _FAILED_CALL_FACTOR * poll_interval_seconds)
+        # Without jitter, the simultaneous calls of a large fleet fill discovery's queue (a thundering herd):
+        # every call there waits until it fails, and prompt retries keep it full. Where a fleet's calls fit
+        # into the queue timeout there is none.
+        fleet_seconds = min(_NOTIFICATION_SECONDS, _CALL_COST_SECONDS * node_count)
+        self.max_jitter_seconds = 0.0 if has_agent else max(0.0, fleet_seconds - _QUEUE_TIMEOUT_SECONDS)
+        self.failures = 0  # calls in a row that did not bring a list
+        self._is_full_list_wanted = False  # with the next call
+        self._was_full_list_requested = False  # by the last call
+        self._next_start = 0.0
+        self._is_continued = (
+            False  # whether the last call was answered, so that the next one continues from it
+        )
+        self._is_recovering = False  # whether calls have failed since the last answer
+        self._notification_deadline = math.inf
+        self._last_start = 0.0
+        self._last_answer = 0.0
 
     def on_start(self, now: float, has_list: bool) -> None:
-        """The node starts, perhaps with an old list; without one it asks for the whole."""
-        self._whole, self._heard = not has_list, now
-        room = max(0.0, min(self.spread, self._old - _TURN))
-        self._at = now + (self._rng.uniform(0.0, room) if has_list else 0.0)
+        """Schedule the first call; a node without an old list asks for the full one at once."""
+        self._is_full_list_wanted = not has_list
+        self._last_answer = now
+        jitter = max(0.0, min(self.max_jitter_seconds, self._start_allowance - _QUEUE_TIMEOUT_SECONDS))
+        self._next_start = now + (self._rng.uniform(0.0, jitter) if has_list else 0.0)
 
     def next_call(self) -> DiscoveryCall:
-        """The call that is due next. A watch without news is answered when its wait is over."""
-        wait = _IN_DOUBT if self._doubt else _WAIT
-        late = _LATE if self._open or self._pushed else _TURN
-        if self._doubt and self._pushed:
-            late = _AGENT_LATE
-        return DiscoveryCall(self._at, self._whole, wait, late + (0.0 if self._whole else wait))
+        """Return the next call. A watch without changes is answered when its wait is over."""
+        wait = _RECOVERY_WAIT_SECONDS if self._is_recovering else _WATCH_WAIT_SECONDS
+        timeout = self._allowance() + (0.0 if self._is_full_list_wanted else wait)
+        return DiscoveryCall(self._next_start, self._is_full_list_wanted, wait, timeout)
+
+    def _allowance(self) -> float:
+        """Return how long an answer may take beyond its call's wait."""
+        if self._is_recovering and self._has_agent:
+            return _AGENT_ALLOWANCE_SECONDS
+        if self._is_continued or self._has_agent:
+            return _OVERDUE_ALLOWANCE_SECONDS
+        return _QUEUE_TIMEOUT_SECONDS
 
     def on_call_started(self, now: float) -> None:
-        """The call that is due goes out."""
-        self._made, self._asked_whole = now, self._whole
-
-    def on_call_ended(self, end: CallResult, now: float) -> None:
-        """What became of the call that was made last."""
-        self._open, self._at = end is CallResult.ANSWERED, now
-        if end is CallResult.ANSWERED:
-            self.failures, self._told_at, self._doubt, self._heard = 0, math.inf, False, now
-            self._whole = self._whole and not self._asked_whole  # asked for again until it has come
-            return
-        self.failures, self._doubt = self.failures + 1, True
-        silent = end is CallResult.SILENT
-        allowed = _TOLD if silent else self._failed
-        self._told_at = min(self._told_at, self._made + allowed)
-        if self._pushed:
-            self._at += 0.0 if silent else _AGENT_AGAIN
+        """Take note that the next call is made now."""
+        self._last_start = now
+        self._was_full_list_requested = self._is_full_list_wanted
+
+    def on_call_ended(self, result: CallResult, now: float) -> None:
+        """Take in how the last call ended, and schedule the next."""
+        self._is_continued = result is CallResult.ANSWERED
+        if result is CallResult.ANSWERED:
+            self._on_answer(now)
             return
-        # Silence is no sign that discovery is unwell, so a small fleet asks again at once.
-        backoff = 0.0 if silent else min(_BACKOFF[1], _BACKOFF[0] * 2.0 ** min(self.failures - 1, 16))
-        least = 0.0 if silent else max(0.5 * backoff, _LEAST * self.spread)
-        by = self._told_at - _TURN
-        if by - now <= least:  # too late for what came first: for what has come since this call was made
-            by = self._made + allowed - _TURN
-        room = max(min(least, 0.5 * _BACKOFF[0]), by - now)  # guards against a spin
-        self._at += self._rng.uniform(min(least, room), min(max(backoff, self.spread), room))
+        self.failures += 1
+        self._is_recovering = True
+        timed_out = result is CallResult.TIMED_OUT
+        allowance = _NOTIFICATION_SECONDS if timed_out else self._failure_allowance
+        self._notification_deadline = min(self._notification_deadline, self._last_start + allowance)
+        if self._has_agent:
+            self._next_start = now + (0.0 if timed_out else _AGENT_RETRY_SECONDS)
+        else:
+            self._next_start = now + self._retry_delay(timed_out, allowance, now)
+
+    def _on_answer(self, now: float) -> None:
+        self.failures = 0
+        self._is_recovering = False
+        self._notification_deadline = math.inf
+        self._last_answer = now
+        self._next_start = now
+        # A full list that was wanted only after this call had started is still to come.
+        self._is_full_list_wanted = self._is_full_list_wanted and not self._was_full_list_requested
+
+    def _retry_delay(self, timed_out: bool, allowance: float, now: float) -> float:
+        """Draw the backoff with jitter before the next call, so that it still meets its deadline."""
+        if timed_out:
+            # Silence is no sign that discovery is overloaded, so a small fleet calls again at once.
+            backoff = least = 0.0
+        else:
+            backoff = self._backoff()
+            least = max(0.5 * backoff, _MIN_JITTER_FRACTION * self.max_jitter_seconds)
+        latest = self._notification_deadline - _QUEUE_TIMEOUT_SECONDS
+        if latest - now <= least:
+            # Too late for what came first: meet the deadline of what has come since this call was made.
+            latest = self._last_start + allowance - _QUEUE_TIMEOUT_SECONDS
+        # Without the lower bound, a call whose deadline has passed would be made again and again at once.
+        most = max(min(least, 0.5 * _MIN_BACKOFF_SECONDS), latest - now)
+        return self._rng.uniform(min(least, most), min(max(backoff, self.max_jitter_seconds), most))
+
+    def _backoff(self) -> float:
+        doublings = min(self.failures - 1, _MAX_BACKOFF_DOUBLINGS)
+        return min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2.0**doublings)
 
     def notification_deadline(self) -> float:
-        """When what may have been missed counts as told, whether or not it came; infinite if nothing is."""
-        return self._told_at
+        """Return when the node counts as notified of what it may have missed; infinite if that is nothing."""
+        return self._notification_deadline
 
-    def age(self, now: float) -> float:
-        """How long ago discovery last answered."""
-        return now - self._heard
+    def age_seconds(self, now: float) -> float:
+        """Return how long ago discovery last answered."""
+        return now - self._last_answer
 
     def request_full_list(self) -> None:
-        """The whole list is wanted with the next call."""
-        self._whole = True
+        """Ask for the full list with the next call."""
+        self._is_full_list_wanted = True
 
     def on_address_changed(self, now: float) -> None:
-        """Discovery is at another address, whose versions are its own: ask for the whole list at once."""
-        self.failures, self._whole, self._at = 0, True, now
-        self._open, self._doubt, self._told_at = False, False, math.inf
+        """Ask for the full list at once: discovery is at another address, whose versions are its own."""
+        self.failures = 0
+        self._is_full_list_wanted = True
+        self._next_start = now
+        self._is_continued = False
+        self._is_recovering = False
+        self._notification_deadline = math.inf
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -119,17 +119,21 @@
 
 
 def _late_watch() -> None:
-    """A silent watch is given up some time after what it missed counts as told."""
+    """A silent watch times out some time after the notification deadline of what it missed."""
     from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    schedule._WAIT, schedule._LATE, schedule._TURN = 8.0, 4.0, 4.0
+    schedule._WATCH_WAIT_SECONDS = 8.0
+    schedule._OVERDUE_ALLOWANCE_SECONDS = 4.0
+    schedule._QUEUE_TIMEOUT_SECONDS = 4.0
 
 
 def _slow_again() -> None:
-    """A call that failed is made anew only some seconds after what it missed counts as told."""
+    """A call that failed is made anew only some seconds after the notification deadline of what it missed."""
     from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    schedule._TOLD, schedule._A_CALL, schedule._LEAST = 12.0, 100.0, 0.8
+    schedule._NOTIFICATION_SECONDS = 12.0
+    schedule._CALL_COST_SECONDS = 100.0
+    schedule._MIN_JITTER_FRACTION = 0.8
 
 
 def _undrained() -> None:
