--- a/burlmoor/admin/overrides.py
+++ b/burlmoor/admin/overrides.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from burlmoor.endpoints.directory import EndpointOverrides
+from burlmoor.endpoints.overrides import EndpointOverrides
 from burlmoor.log import EventLogger
 
 
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -133,25 +133,29 @@
 
 
 def _late_watch() -> None:
-    """A silent watch is given up some time after what it missed counts as told."""
+    """A silent watch times out some time after the notification deadline of what it missed."""
     from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    schedule._WAIT, schedule._LATE, schedule._TURN = 8.0, 4.0, 4.0
+    schedule._WATCH_WAIT_SECONDS = 8.0
+    schedule._OVERDUE_ALLOWANCE_SECONDS = 4.0
+    schedule._QUEUE_TIMEOUT_SECONDS = 4.0
 
 
 def _slow_again() -> None:
-    """A call that failed is made anew only some seconds after what it missed counts as told."""
+    """A call that failed is made anew only some seconds after the notification deadline of what it missed."""
     from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    schedule._TOLD, schedule._A_CALL, schedule._LEAST = 12.0, 100.0, 0.8
+    schedule._NOTIFICATION_SECONDS = 12.0
+    schedule._CALL_COST_SECONDS = 100.0
+    schedule._MIN_JITTER_FRACTION = 0.8
 
 
 def _undrained() -> None:
-    """What drains gets jobs as before."""
+    """An endpoint that drains gets jobs as before."""
     from burlmoor.endpoints.directory import EndpointDirectory  # noqa: PLC0415
 
-    EndpointDirectory._state = lambda self, host: EndpointState.LIVE  # type: ignore[method-assign]
-    EndpointDirectory.find_live = lambda self, name: self._targets.get(name)  # type: ignore[method-assign]
+    EndpointDirectory._effective_state = lambda self, entry: EndpointState.LIVE  # type: ignore[method-assign]
+    EndpointDirectory.find_live = lambda self, name: self._table.get(name)  # type: ignore[method-assign]
 
 
 Sabotages = dict[str, Callable[[], None]]
