--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -15,7 +15,7 @@
 from burlmoor.testbed.http_wire import Wire
 from burlmoor.types.endpoint_list import EndpointState, ListKind
 from burlmoor.types.events import EndpointListUpdate
-from tests.support.node_harness import Stage, play
+from tests.support.node_harness import NodeHarness, run_scenario
 
 
 @pytest.mark.parametrize(
@@ -67,28 +67,30 @@
         assert asked == AdminRequest("/executors/disable", name)
 
 
-async def call(made: Stage, path: str, name: str = "", method: str = "POST") -> tuple[int, dict[str, Any]]:
+async def call(
+    made: NodeHarness, path: str, name: str = "", method: str = "POST"
+) -> tuple[int, dict[str, Any]]:
     assert made.node.admin_server is not None
     wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
     body = json.dumps({"name": name}).encode() if name else b""
     await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
-    answer = await made.answer(wire)
+    answer = await made.read_response(wire)
     assert await wire.read() is None
     return answer.status, json.loads(answer.body)
 
 
-async def serve(made: Stage, ref: str, name: str = "once") -> str:
+async def serve(made: NodeHarness, ref: str, name: str = "once") -> str:
     """Have one job served; the executor that it went to."""
     jobs = len(made.jobs)
-    wire = await made.submit(name, ref)
-    await made.until(lambda: len(made.jobs) > jobs)
-    await made.tell("done", "fine")
-    assert (await made.answer(wire)).status == 200
+    wire = await made.submit_job(name, ref)
+    await made.wait_until(lambda: len(made.jobs) > jobs)
+    await made.send_callback("done", "fine")
+    assert (await made.read_response(wire)).status == 200
     return made.jobs[-1][0]
 
 
 def test_an_executor_out_by_hand_gets_nothing_whatever_is_listed() -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         assert (await call(made, "/executors/disable", "nobody"))[0] == 404
         assert (await call(made, "/executors/enable", "nobody"))[0] == 404
         for _ in range(2):  # two calls out need one call back
@@ -100,17 +102,17 @@
         for hosts in (*listed, listed[0]):
             seq += 1
             await made.publish(seq, **hosts)
-            await made.until(lambda seq=seq: made.node.directory.version == seq)  # type: ignore[misc]
+            await made.wait_until(lambda seq=seq: made.node.directory.version == seq)  # type: ignore[misc]
             assert {await serve(made, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
         assert (await call(made, "/executors/enable", "e0"))[1]["out"] == []
         assert made.node.directory.find_live("e0") is not None
 
-    play(story)
+    run_scenario(story)
 
 
 def test_an_executor_put_back_counts_as_newly_started_even_where_the_list_lags() -> None:
     # Guards rule 4: it was restarted while it was out, and full load would push it over.
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         told: list[EndpointListUpdate] = []
         listed = made.node.engine.on_endpoint_list
 
@@ -127,34 +129,34 @@
         assert (back.endpoint, back.state) == ("e0", EndpointState.LIVE)
         assert back.started_at >= before
         await made.publish(2, e0="active", e1="active")  # with the old start
-        await made.until(lambda: made.node.directory.version == 2)
+        await made.wait_until(lambda: made.node.directory.version == 2)
         assert told[-1].entries[0].started_at == back.started_at
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_forward_that_is_still_connecting_does_not_reach_an_executor_taken_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         take = made.node.pool.acquire
         out: list[str] = []
 
         async def slow(dial: str) -> Any:
             link = await take(dial)
             if not out:
-                out.append(next(name for name, at in made.dials.items() if at == dial))
+                out.append(next(name for name, at in made.addresses.items() if at == dial))
                 assert (await call(made, "/executors/disable", out[0]))[0] == 200
             return link
 
         monkeypatch.setattr(made.node.pool, "acquire", slow)
         assert await serve(made, "a1") != out[0]
 
-    play(story)
+    run_scenario(story)
 
 
 def test_callers_that_say_nothing_or_half_a_call_hold_up_nobody() -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         assert made.node.admin_server is not None
         silent = [Wire(await trio.open_tcp_stream(*made.node.admin_server.address)) for _ in range(40)]
         for wire in silent[::2]:
@@ -167,11 +169,11 @@
         assert trio.current_time() - began < 3.0
         assert made.node.directory.overrides.disabled_since == {}
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_fault_in_a_call_ends_only_that(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         assert made.node.admin_server is not None
         with monkeypatch.context() as patch:
             patch.setattr(made.node.drain, "begin_drain", lambda: 1 / 0)
@@ -181,49 +183,49 @@
         assert (await call(made, "/ready", method="GET"))[0] == 200
 
     lines: list[str] = []
-    play(story, lines=lines)
+    run_scenario(story, lines=lines)
     assert "admin-connection-failed" in lines[-1]
 
 
-async def ready(made: Stage) -> int:
-    wire = await made.client()
+async def ready(made: NodeHarness) -> int:
+    wire = await made.connect_client()
     await wire.write("GET /health/ready HTTP/1.1", Host="node")
-    return (await made.answer(wire)).status
+    return (await made.read_response(wire)).status
 
 
 def test_a_drain_sends_clients_away_within_four_seconds_and_ends_at_once() -> None:
-    async def story(made: Stage) -> None:
-        kept = await made.submit("once", "a1", 5000)
-        idle = await made.submit("once", "a2")
-        await made.until(lambda: len(made.jobs) == 2)
+    async def story(made: NodeHarness) -> None:
+        kept = await made.submit_job("once", "a1", 5000)
+        idle = await made.submit_job("once", "a2")
+        await made.wait_until(lambda: len(made.jobs) == 2)
         number = next(n for n, (_, job) in enumerate(made.jobs) if job.headers["request-id"] == "a2")
-        await made.tell("started", job=1 - number)  # it runs; nothing is learnt of long waits
-        await made.tell("done", "fine", job=number)
-        assert "connection" not in (await made.answer(idle)).headers
+        await made.send_callback("started", job=1 - number)  # it runs; nothing is learnt of long waits
+        await made.send_callback("done", "fine", job=number)
+        assert "connection" not in (await made.read_response(idle)).headers
         for _ in range(2):  # twice changes nothing
             assert (await call(made, "/drain"))[1]["drained"] is True
         assert await ready(made) == 503
         assert (await call(made, "/ready", method="GET"))[0] == 503
-        await made.ask(idle, "once", "a3")  # kept connections are served for a while
-        await made.until(lambda: len(made.jobs) == 3)
-        await made.tell("done", "fine")
-        assert (await made.answer(idle)).status == 200
+        await made.send_job(idle, "once", "a3")  # kept connections are served for a while
+        await made.wait_until(lambda: len(made.jobs) == 3)
+        await made.send_callback("done", "fine")
+        assert (await made.read_response(idle)).status == 200
         began = trio.current_time()
         assert await idle.read() is None  # ended while it lay idle
         assert trio.current_time() - began < 3.0
-        await made.until(lambda: made.node.drain.state is ServiceState.REJECTING)
-        assert (await made.answer(await made.submit("once", "a4"))).status == 503
-        await made.tell("done", "fine", job=1 - number)  # it listens for call-backs all the while
-        answer = await made.answer(kept)
+        await made.wait_until(lambda: made.node.drain.state is ServiceState.REJECTING)
+        assert (await made.read_response(await made.submit_job("once", "a4"))).status == 503
+        await made.send_callback("done", "fine", job=1 - number)  # it listens for call-backs all the while
+        answer = await made.read_response(kept)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
         assert (await call(made, "/undrain"))[0] == 200
         assert await ready(made) == 200
-        wire = await made.submit("once", "a5")
-        await made.until(lambda: len(made.jobs) == 4)
-        await made.tell("done", "fine")
-        assert "connection" not in (await made.answer(wire)).headers
+        wire = await made.submit_job("once", "a5")
+        await made.wait_until(lambda: len(made.jobs) == 4)
+        await made.send_callback("done", "fine")
+        assert "connection" not in (await made.read_response(wire)).headers
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_drain_and_a_stop_move_one_state(autojump_clock: trio.testing.MockClock) -> None:
@@ -259,30 +261,30 @@
 
 @pytest.mark.parametrize("spoilt", [False, True])
 def test_what_was_set_by_hand_outlives_the_process(spoilt: bool, tmp_path: Path) -> None:
-    async def first(made: Stage) -> None:
+    async def first(made: NodeHarness) -> None:
         await call(made, "/executors/disable", "e0")
         await call(made, "/drain")
 
-    async def second(made: Stage) -> None:
+    async def second(made: NodeHarness) -> None:
         assert (made.node.directory.find_live("e0") is None) is not spoilt
         assert made.node.drain.is_drained is not spoilt
 
-    play(first, state_folder=tmp_path)
+    run_scenario(first, state_folder=tmp_path)
     (kept,) = tmp_path.iterdir()
     if spoilt:
         kept.write_bytes(kept.read_bytes()[:-9])
     lines: list[str] = []
-    play(second, state_folder=tmp_path, lines=lines)
+    run_scenario(second, state_folder=tmp_path, lines=lines)
     assert ("override-load-failed" in "".join(lines)) is spoilt
 
 
 def test_a_node_accepts_from_a_socket_that_was_passed_on() -> None:
     with socket.create_server(("127.0.0.1", 0)) as held:
 
-        async def story(made: Stage) -> None:
+        async def story(made: NodeHarness) -> None:
             made.address = held.getsockname()
             assert await ready(made) == 200
 
         lines: list[str] = []
-        play(story, listener_fd=held.dup().detach(), lines=lines)
+        run_scenario(story, listener_fd=held.dup().detach(), lines=lines)
         assert "handover-unavailable" in lines[-1]  # there is no folder for a link
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -19,19 +19,19 @@
 from burlmoor.stats.snapshot import StatisticsSnapshot
 from tests.admin.test_admin import call
 from tests.config.test_node_config import OPTIONS, written
-from tests.support.node_harness import Stage, play
+from tests.support.node_harness import NodeHarness, run_scenario
 
 PUSHED = {**OPTIONS, "RegistryMode": "push"}
 
 
-async def all_go_elsewhere(made: Stage) -> None:
+async def all_go_elsewhere(made: NodeHarness) -> None:
     for number in range(6):
-        wire = await made.submit("once", f"job{number}")
+        wire = await made.submit_job("once", f"job{number}")
         while len(made.jobs) <= number:
-            await made.news.wait()
+            await made._changed.wait()
         assert made.jobs[-1][0] == "e1"
-        await made.tell("done")
-        assert (await made.answer(wire)).status == 200
+        await made.send_callback("done")
+        assert (await made.read_response(wire)).status == 200
 
 
 @pytest.mark.parametrize("given", [OPTIONS, PUSHED], ids=["asked", "pushed"])
@@ -41,50 +41,50 @@
 ) -> None:
     # A silent watch looks like one with no news. What it missed counts as told 6 s after it fell silent, or
     # 2 s after its call's wait is over, if that is later. What an agent learns counts once it answers again.
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         await made.publish(5, e0="active", e1="active")
-        await made.until(lambda: made.watches)
-        made.silent = True
-        watch, began = made.watches.pop(), trio.current_time()
-        within = max(6.0, float(made.asked[-1].partition("wait_ms=")[2]) / 1000.0 + 2.0)
+        await made.wait_until(lambda: made.open_watches)
+        made.is_discovery_silent = True
+        watch, began = made.open_watches.pop(), trio.current_time()
+        within = max(6.0, float(made.discovery_paths[-1].partition("wait_ms=")[2]) / 1000.0 + 2.0)
         if fault == "reset":
             await watch.stream.aclose()
         elif fault == "down":
             await watch.write("HTTP/1.1 503 Busy")
             for _ in range(2):
-                await made.until(lambda: made.watches)
-                await made.watches.pop().write("HTTP/1.1 503 Busy")
+                await made.wait_until(lambda: made.open_watches)
+                await made.open_watches.pop().write("HTTP/1.1 503 Busy")
             within = 10.0
         elif fault == "moved":
             within = 4.0
-            made.node.reload(written(tmp_path, discovery=await made.discovery()))
-        calls = len(made.asked)
-        await made.until(lambda: len(made.asked) > calls and made.watches)
+            made.node.reload(written(tmp_path, discovery=await made.start_discovery()))
+        calls = len(made.discovery_paths)
+        await made.wait_until(lambda: len(made.discovery_paths) > calls and made.open_watches)
         await made.publish(
             6, fault == "moved", e0="leaving", **({"e1": "active"} if fault == "moved" else {})
         )
-        await made.until(lambda: made.node.directory.find_live("e0") is None)
+        await made.wait_until(lambda: made.node.directory.find_live("e0") is None)
         assert trio.current_time() < began + within
-        made.silent = False
+        made.is_discovery_silent = False
         await all_go_elsewhere(made)
 
-    play(story, given_settings=given)
+    run_scenario(story, given_settings=given)
 
 
 def test_an_agent_that_was_silent_is_heard_within_the_drain_rule_once_it_answers() -> None:
     # What it learns meanwhile counts as told in the moment in which it answers again.
-    async def story(made: Stage) -> None:
-        made.silent = True
-        await made.until(lambda: len(made.asked) > 5)
+    async def story(made: NodeHarness) -> None:
+        made.is_discovery_silent = True
+        await made.wait_until(lambda: len(made.discovery_paths) > 5)
         gaps = []
         for _ in range(4):
-            calls, since = len(made.asked), trio.current_time()
-            while len(made.asked) <= calls:
-                await made.news.wait()
+            calls, since = len(made.discovery_paths), trio.current_time()
+            while len(made.discovery_paths) <= calls:
+                await made._changed.wait()
             gaps.append(trio.current_time() - since)
         assert sorted(gaps)[1] < 0.3  # the machine may be busy for a call or two
 
-    play(story, given_settings=PUSHED)
+    run_scenario(story, given_settings=PUSHED)
 
 
 BAD = [
@@ -105,37 +105,37 @@
 def test_what_is_no_list_changes_nothing_and_does_not_stop_the_watch(
     body: bytes, event: str, field: str
 ) -> None:
-    async def story(made: Stage) -> None:
-        await made.until(lambda: made.watches)
+    async def story(made: NodeHarness) -> None:
+        await made.wait_until(lambda: made.open_watches)
         with suppress(
             trio.BrokenResourceError, trio.ClosedResourceError
         ):  # the node reads no more than it will hold
-            await made.watches.pop().write("HTTP/1.1 200 OK", body)
-        await made.until(lambda: any(event in line for line in lines))
+            await made.open_watches.pop().write("HTTP/1.1 200 OK", body)
+        await made.wait_until(lambda: any(event in line for line in lines))
         assert made.node.directory.version == 1
         assert made.node.directory.find_live("e0") and made.node.directory.find_live("e1")
         await made.publish(10, e0="leaving", e1="active")
-        await made.until(lambda: made.node.directory.version == 10)
+        await made.wait_until(lambda: made.node.directory.version == 10)
 
     lines: list[str] = []
-    play(story, lines=lines)
+    run_scenario(story, lines=lines)
     told = [each["error"] for each in map(json.loads, lines) if each["event"] == event]
     assert len(told) == 1
     assert field in told[0]
 
 
 def test_a_bad_entry_keeps_no_drain_from_being_heard_and_undoes_none() -> None:
-    async def story(made: Stage) -> None:
-        told = made.listed(7, True, e0="leaving", e1="active")
+    async def story(made: NodeHarness) -> None:
+        told = made.endpoint_list(7, True, e0="leaving", e1="active")
         twice = {**told["hosts"][0], "health": "active"}
         told["hosts"] += [
             twice,
             {**twice, "host": "e2", "dial": "nowhere"},
             {**twice, "host": "e3", "share": -1},
         ]
-        await made.until(lambda: made.watches)
-        await made.watches.pop().write("HTTP/1.1 200 OK", json.dumps(told).encode())
-        await made.until(lambda: made.node.directory.version == 7)
+        await made.wait_until(lambda: made.open_watches)
+        await made.open_watches.pop().write("HTTP/1.1 200 OK", json.dumps(told).encode())
+        await made.wait_until(lambda: made.node.directory.version == 7)
         assert [made.node.directory.find_live(f"e{n}") is not None for n in range(4)] == [
             False,
             True,
@@ -144,7 +144,7 @@
         ]
 
     lines: list[str] = []
-    play(story, lines=lines)
+    run_scenario(story, lines=lines)
     bad = next(each for each in map(json.loads, lines) if each["event"] == "endpoint-list-invalid-entries")
     assert bad["count"] == 3
     assert bad["error"].startswith("hosts[2].host")
@@ -154,26 +154,26 @@
 
 
 def test_a_long_list_is_served_and_changed_and_all_of_it_may_be_out_by_hand() -> None:
-    async def story(made: Stage) -> None:
-        told = made.listed(7, True, e0="active", e1="active")
+    async def story(made: NodeHarness) -> None:
+        told = made.endpoint_list(7, True, e0="active", e1="active")
         usual = {**told["hosts"][0], "health": "leaving"}
         told["hosts"] += [
             {**usual, "host": f"executor-{n:06d}", "dial": f"127.0.3.{n % 250}:8081"} for n in range(MANY)
         ]
         body = json.dumps(told, indent=8).encode()
         assert len(body) > 256 * 1024
-        await made.until(lambda: made.watches)
-        await made.watches.pop().write("HTTP/1.1 200 OK", body)
-        await made.until(lambda: made.node.directory.version == 7)
+        await made.wait_until(lambda: made.open_watches)
+        await made.open_watches.pop().write("HTTP/1.1 200 OK", body)
+        await made.wait_until(lambda: made.node.directory.version == 7)
         await made.publish(8, False, e0="leaving")
-        await made.until(lambda: made.node.directory.find_live("e0") is None)
+        await made.wait_until(lambda: made.node.directory.find_live("e0") is None)
         await all_go_elsewhere(made)
         out = {f"executor-{n:06d}": 1.0 for n in range(MANY)}
         made.node.directory.set_overrides(EndpointOverrides(disabled_since=out))
         _, shown = await call(made, "/ready", method="GET")
         assert shown["out"] == sorted(out)
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_message_between_processes_may_be_far_longer_than_a_datagram() -> None:
--- a/tests/golden/test_takeover.py
+++ b/tests/golden/test_takeover.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from tests.lifecycle.test_handover import House, house
+from tests.lifecycle.test_handover import HandoverHarness, open_handover_harness
 
 CONVERSATION = Path(__file__).parent / "data" / "conversation"
 LINK = "n1.link"
@@ -52,9 +52,9 @@
                 return sock
 
 
-async def hand_over(made: House) -> dict[str, bytes]:
+async def hand_over(made: HandoverHarness) -> dict[str, bytes]:
     """Play the successor of a real process; what that process said."""
-    process = await made.start()
+    process = await made.start_process()
     await process.ready()
     with await connect(made.folder / LINK) as successor:
         await successor.send(recorded("hello"))
@@ -66,12 +66,12 @@
     return {"snapshot": snapshot, "holds": counts}
 
 
-async def take_over(made: House) -> dict[str, bytes]:
+async def take_over(made: HandoverHarness) -> dict[str, bytes]:
     """Play the predecessor of a real process; what that process said."""
     with trio.socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener:
         await listener.bind(str(made.folder / LINK))
         listener.listen()
-        process = await made.start()
+        process = await made.start_process()
         with trio.fail_after(SECONDS):
             predecessor, _ = await listener.accept()
     with predecessor:
@@ -86,7 +86,7 @@
 
 def test_a_process_hands_over_to_one_of_the_release(tmp_path: Path) -> None:
     async def story() -> None:
-        async with house(tmp_path) as made:
+        async with open_handover_harness(tmp_path) as made:
             said = await hand_over(made)
         assert shape(said["snapshot"]) == shape(recorded("snapshot"))
         assert said["holds"] == recorded("holds")
@@ -96,7 +96,7 @@
 
 def test_a_process_takes_over_from_one_of_the_release(tmp_path: Path) -> None:
     async def story() -> None:
-        async with house(tmp_path) as made:
+        async with open_handover_harness(tmp_path) as made:
             said = await take_over(made)
         assert said == {"hello": recorded("hello"), "accepting": recorded("accepting")}
 
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -15,7 +15,7 @@
 
 from burlmoor.testbed.http_wire import Message
 from tests.config.test_node_config import OPTIONS
-from tests.support.node_harness import Stage, play
+from tests.support.node_harness import NodeHarness, run_scenario
 
 SETTINGS: dict[str, list[Any]] = {
     "kind": ["lookup", "once", "keyed"],
@@ -69,34 +69,34 @@
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: "-".join(str(value) for value in row.values()))
 def test_each_job_has_one_answer_and_goes_out_as_its_class_allows(row: dict[str, Any]) -> None:
-    async def story(made: Stage) -> Message:
-        wire = await made.submit(row["kind"], "a1", ms=1500)
+    async def story(made: NodeHarness) -> Message:
+        wire = await made.submit_job(row["kind"], "a1", ms=1500)
         finished: list[int] = []
 
         async def executors() -> None:
             while True:
-                await made.until(lambda: len(made.jobs) > len(finished))
+                await made.wait_until(lambda: len(made.jobs) > len(finished))
                 number = len(finished)
                 finished.append(number)
                 if number == 0 and row["act"] != "take":
                     continue
                 if row["told"]:
-                    await made.tell("started", job=number)
-                await made.tell("done", f"by {number}", job=number)
+                    await made.send_callback("started", job=number)
+                await made.send_callback("done", f"by {number}", job=number)
 
         made.nursery.start_soon(executors)
-        answer = await made.answer(wire)
-        await made.until(lambda: len(made.jobs) <= len(finished))
+        answer = await made.read_response(wire)
+        await made.wait_until(lambda: len(made.jobs) <= len(finished))
         return answer
 
     jobs: list[tuple[str, Message]] = []
 
-    async def told(made: Stage) -> Message:
+    async def told(made: NodeHarness) -> Message:
         answer = await story(made)
         jobs.extend(made.jobs)
         return answer
 
-    answer = play(told, row["act"], given_settings=settings(row))
+    answer = run_scenario(told, row["act"], given_settings=settings(row))
     sent = Counter(message.headers["request-id"] for _, message in jobs)["a1"]
     proved = row["act"] in ("full", "late")  # not started: may go out again whatever its class
     served = {200} if row["act"] == "take" or (proved and row["cap"] > 1) else {200, 429, 502, 503, 504}
--- a/tests/integration/test_endings.py
+++ b/tests/integration/test_endings.py
@@ -14,7 +14,7 @@
 from burlmoor.transport.stream import SocketStream, connect
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, PooledConnection
 from tests.config.test_node_config import OPTIONS
-from tests.support.node_harness import Stage, play
+from tests.support.node_harness import NodeHarness, run_scenario
 
 NO_CANCEL = {**OPTIONS, "Limits": {**OPTIONS["Limits"], "Cancel": False}}
 
@@ -22,18 +22,18 @@
 class Held:
     """Holds back each connection to an executor until the story lets it come up."""
 
-    def __init__(self, made: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
+    def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting, self.go = 0, trio.Event()
-        take = made.node.pool.acquire
+        take = harness.node.pool.acquire
 
         async def slow(dial: str) -> PooledConnection:
             link = await take(dial)
             self.waiting += 1
-            made.happened()
+            harness.notify()
             await self.go.wait()
             return link
 
-        monkeypatch.setattr(made.node.pool, "acquire", slow)
+        monkeypatch.setattr(harness.node.pool, "acquire", slow)
 
 
 # --- the client leaves --------------------------------------------------------------------------
@@ -44,44 +44,46 @@
 def test_a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent(
     how: str, given_settings: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story(made: Stage) -> None:
-        held = Held(made, monkeypatch)
-        wire = await made.submit()
-        await made.until(lambda: held.waiting)
+    async def story(harness: NodeHarness) -> None:
+        held = Held(harness, monkeypatch)
+        wire = await harness.submit_job()
+        await harness.wait_until(lambda: held.waiting)
         if how == "closes":
             await wire.stream.aclose()
         else:  # as a dying process does
             wire.reset()
-        await made.until(lambda: not made.node.engine.open_job_count)
+        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         held.go.set()
-        await made.until(lambda: not made.node.attempts.in_flight)
-        assert not made.jobs
-        await made.until(lambda: not made.node.engine.open_job_ids())  # nothing is kept of it either
+        await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+        assert not harness.jobs
+        await harness.wait_until(
+            lambda: not harness.node.engine.open_job_ids()
+        )  # nothing is kept of it either
 
-    play(story, given_settings=given_settings)
+    run_scenario(story, given_settings=given_settings)
 
 
 @pytest.mark.parametrize("after", [20_000, 300_000, 3_000_000])
 def test_a_client_that_sends_much_and_leaves_has_left(after: int) -> None:
     # Its close comes behind more than the node keeps of what is written to it.
-    async def story(made: Stage) -> None:
-        wire = await made.submit(ms=9000)
-        await made.until(lambda: made.jobs)
+    async def story(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(ms=9000)
+        await harness.wait_until(lambda: harness.jobs)
         began = trio.current_time()
         await wire.stream.send_all(b"x" * after)
         await wire.stream.aclose()
-        await made.until(lambda: not made.node.engine.open_job_count)
+        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         assert trio.current_time() - began < 2.0
-        await made.until(lambda: made.broken)  # and the executor hears of it
+        await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor hears of it
 
-    play(story, "hang")
+    run_scenario(story, "hang")
 
 
 def test_a_client_that_writes_on_without_end_is_answered_and_closed_on() -> None:
-    async def story(made: Stage) -> None:
-        wire = await made.submit(ms=5000)
-        await made.until(lambda: made.jobs)
-        await made.tell("started")  # else it is moved away after a while
+    async def story(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(ms=5000)
+        await harness.wait_until(lambda: harness.jobs)
+        await harness.send_callback("started")  # else it is moved away after a while
         flood = 0
 
         async def write() -> None:
@@ -90,21 +92,21 @@
                 for _ in range(200):
                     await wire.stream.send_all(b"x" * 100_000)
                     flood += 1
-                    made.happened()
+                    harness.notify()
             except trio.BrokenResourceError:
                 return
 
-        made.nursery.start_soon(write)
-        await made.until(lambda: flood > 100)
-        other = await made.submit(ref="b1")  # nobody else waits for it
+        harness.nursery.start_soon(write)
+        await harness.wait_until(lambda: flood > 100)
+        other = await harness.submit_job(ref="b1")  # nobody else waits for it
         for ref, each in (("b1", other), ("a1", wire)):
-            await made.until(lambda ref=ref: numbers(made, ref))  # type: ignore[misc]
-            await made.tell("done", "fine", job=numbers(made, ref)[-1])
-            answer = await made.answer(each)
+            await harness.wait_until(lambda ref=ref: numbers(harness, ref))  # type: ignore[misc]
+            await harness.send_callback("done", "fine", job=numbers(harness, ref)[-1])
+            answer = await harness.read_response(each)
             assert (answer.status, answer.body) == (200, b"fine")
         assert answer.headers["connection"] == "close"
 
-    play(story)
+    run_scenario(story)
 
 
 # --- executors --------------------------------------------------------------------------------
@@ -112,33 +114,33 @@
 
 def test_a_second_answer_some_milliseconds_late_is_not_taken_for_the_next_jobs() -> None:
     # It says that the job never ran: a job that must not run twice would go out again.
-    async def story(made: Stage) -> None:
-        made.node.pool._rest = 10.0  # as if no time passed
-        await made.publish(2, False, e1="leaving")
-        await made.until(lambda: made.node.directory.find_live("e1") is None)
+    async def story(harness: NodeHarness) -> None:
+        harness.node.pool._rest = 10.0  # as if no time passed
+        await harness.publish(2, False, e1="leaving")
+        await harness.wait_until(lambda: harness.node.directory.find_live("e1") is None)
         for number, ref in enumerate(("a1", "a2")):
-            made.kept.append(await made.submit("once", ref))
-            await made.until(lambda jobs=number + 1: len(made.jobs) == jobs)  # type: ignore[misc]
-            await made.until(lambda: not made.node.attempts.in_flight)
-        await made.tell("done", "fine")
-        assert (await made.answer(made.kept[-1])).body == b"fine"
-        assert numbers(made, "a2") == [1]
+            harness.open_clients.append(await harness.submit_job("once", ref))
+            await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
+            await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+        await harness.send_callback("done", "fine")
+        assert (await harness.read_response(harness.open_clients[-1])).body == b"fine"
+        assert numbers(harness, "a2") == [1]
 
-    play(story, "stray")
+    run_scenario(story, "stray")
 
 
 def test_a_connection_at_rest_that_has_been_answered_twice_is_not_used_again() -> None:
-    async def story(made: Stage) -> None:
-        pool, dial = made.node.pool, made.dials["e0"]
+    async def story(harness: NodeHarness) -> None:
+        pool, dial = harness.node.pool, harness.addresses["e0"]
         link = await pool.acquire(dial)
         pool.keep(link)
         assert await pool.acquire(dial) is not link
-        await made.until(lambda: trio.current_time() > link.idle_since + REUSE_DELAY_SECONDS)
-        await made.open[0].write("HTTP/1.1 202 Accepted")
-        await made.until(lambda: not link.quiet())
+        await harness.wait_until(lambda: trio.current_time() > link.idle_since + REUSE_DELAY_SECONDS)
+        await harness.executor_connections[0].write("HTTP/1.1 202 Accepted")
+        await harness.wait_until(lambda: not link.quiet())
         assert await pool.acquire(dial) is not link
 
-    play(story)
+    run_scenario(story)
 
 
 HALF = "HTTP/1.1 202 Acc"
@@ -162,17 +164,17 @@
 def test_an_answer_that_cannot_be_meant_ends_its_forward_as_perhaps_run(
     name: str, status: int, forwards: int, said: str
 ) -> None:
-    async def story(made: Stage) -> None:
-        wire = await made.submit(name)
-        await made.until(lambda: len(made.jobs) == forwards)
+    async def story(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(name)
+        await harness.wait_until(lambda: len(harness.jobs) == forwards)
         if forwards == 2:
-            await made.tell("done", "second")
-        answer = await made.answer(wire)
+            await harness.send_callback("done", "second")
+        answer = await harness.read_response(wire)
         assert (answer.status, answer.body == b"second") == (status, forwards == 2)
-        assert len(made.jobs) == forwards
-        assert not made.node.attempts.in_flight
+        assert len(harness.jobs) == forwards
+        assert not harness.node.attempts.in_flight
 
-    play(story, f"bytes:{said}")
+    run_scenario(story, f"bytes:{said}")
 
 
 @pytest.mark.parametrize(("name", "forwards"), [("lookup", 2), ("keyed", 2), ("once", 1)])
@@ -180,40 +182,40 @@
 def test_an_answer_that_never_ends_holds_only_what_must_not_run_twice(
     name: str, forwards: int, said: str
 ) -> None:
-    async def story(made: Stage) -> None:
-        wire = await made.submit(name, ms=1500)
-        await made.until(lambda: len(made.jobs) == forwards)
+    async def story(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(name, ms=1500)
+        await harness.wait_until(lambda: len(harness.jobs) == forwards)
         if forwards == 2:
-            await made.tell("done", "second")
-        answer = await made.answer(wire)
-        assert (answer.status, len(made.jobs)) == ((200, 2) if forwards == 2 else (502, 1))
-        await made.until(lambda: made.broken)  # the connection is not kept
+            await harness.send_callback("done", "second")
+        answer = await harness.read_response(wire)
+        assert (answer.status, len(harness.jobs)) == ((200, 2) if forwards == 2 else (502, 1))
+        await harness.wait_until(lambda: harness.unanswered_connection_count)  # the connection is not kept
 
-    play(story, f"bytes:{said}|")
+    run_scenario(story, f"bytes:{said}|")
 
 
 @pytest.mark.parametrize("name", ["lookup", "keyed", "once"])
 def test_a_result_of_a_forward_that_was_given_up_is_taken_and_changes_nothing(name: str) -> None:
-    async def story(made: Stage) -> None:
-        wire = await made.submit(name, ms=400)
-        await made.until(lambda: made.jobs)
-        answer = await made.answer(wire)  # its time is over: the forward is given up
+    async def story(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(name, ms=400)
+        await harness.wait_until(lambda: harness.jobs)
+        answer = await harness.read_response(wire)  # its time is over: the forward is given up
         assert answer.status in (502, 503)
-        await made.until(lambda: made.deleted)
-        assert await made.tell("done", "late", job=0) == 204
-        assert await made.tell("done", "late", job=0) == 204  # executors repeat what they tell
-        other = await made.submit(name, "b1")  # on another connection, with its own answer
-        await made.until(lambda: numbers(made, "b1"))
-        await made.tell("done", "fine", job=numbers(made, "b1")[0])
-        assert (await made.answer(other)).body == b"fine"
+        await harness.wait_until(lambda: harness.cancelled_attempts)
+        assert await harness.send_callback("done", "late", job=0) == 204
+        assert await harness.send_callback("done", "late", job=0) == 204  # executors repeat what they tell
+        other = await harness.submit_job(name, "b1")  # on another connection, with its own answer
+        await harness.wait_until(lambda: numbers(harness, "b1"))
+        await harness.send_callback("done", "fine", job=numbers(harness, "b1")[0])
+        assert (await harness.read_response(other)).body == b"fine"
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_dial_that_comes_up_after_it_was_given_up_carries_nothing_and_is_not_counted_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(made: Stage) -> None:
+    async def story(harness: NodeHarness) -> None:
         up, go = trio.Event(), trio.Event()
 
         async def late(dial: str, limit: int) -> SocketStream:
@@ -223,26 +225,28 @@
             return stream
 
         monkeypatch.setattr("burlmoor.upstream.pool.connect", late)
-        wire = await made.submit()
+        wire = await harness.submit_job()
         await up.wait()
         await wire.stream.aclose()
-        await made.until(lambda: not made.node.engine.open_job_count)
+        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         go.set()
-        await made.until(lambda: not made.node.attempts.in_flight and not made.node.pool.open_count)
-        assert not made.jobs
+        await harness.wait_until(
+            lambda: not harness.node.attempts.in_flight and not harness.node.pool.open_count
+        )
+        assert not harness.jobs
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_forward_whose_task_dies_still_ends_and_its_client_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(made: Stage) -> int:
-        monkeypatch.setattr(made.node.pool, "acquire", lambda _dial: 1 // 0)
-        return (await made.answer(await made.submit("once", ms=800))).status
+    async def story(harness: NodeHarness) -> int:
+        monkeypatch.setattr(harness.node.pool, "acquire", lambda _dial: 1 // 0)
+        return (await harness.read_response(await harness.submit_job("once", ms=800))).status
 
     lines: list[str] = []
-    assert play(story, lines=lines) == 502  # what became of it is not known
+    assert run_scenario(story, lines=lines) == 502  # what became of it is not known
     assert any("attempt-error" in line for line in lines)
 
 
@@ -256,36 +260,36 @@
     taken: list[str] = []
     receive_now = SocketStream.receive_now
 
-    async def story(made: Stage) -> None:
-        wire = await made.submit("once", "a1")
-        await made.until(lambda: made.jobs)
-        await made.tell("done", "fine")
-        assert (await made.answer(wire)).body == b"fine"
-        take = made.node.engine.admit
+    async def story(harness: NodeHarness) -> None:
+        wire = await harness.submit_job("once", "a1")
+        await harness.wait_until(lambda: harness.jobs)
+        await harness.send_callback("done", "fine")
+        assert (await harness.read_response(wire)).body == b"fine"
+        take = harness.node.engine.admit
 
         def take_noted(*asked: Any) -> Any:
             taken.append(asked[1])
             return take(*asked)
 
-        monkeypatch.setattr(made.node.engine, "admit", take_noted)
+        monkeypatch.setattr(harness.node.engine, "admit", take_noted)
 
         def closing(stream: SocketStream) -> bool | None:
             # The socket is readable and its task about to read when the sweep closes what lies idle.
             monkeypatch.setattr(SocketStream, "receive_now", receive_now)
-            made.node.server.close_idle()
+            harness.node.server.close_idle()
             return receive_now(stream)
 
         monkeypatch.setattr(SocketStream, "receive_now", closing)
-        await made.ask(wire, "once", "a2")
+        await harness.send_job(wire, "once", "a2")
         with suppress(trio.BrokenResourceError):
             assert await wire.read() is None
-        again = await made.submit("once", "a2")  # as the protocol has clients do
-        await made.until(lambda: len(made.jobs) == 2)
-        await made.tell("done", "again")
-        assert (await made.answer(again)).body == b"again"
+        again = await harness.submit_job("once", "a2")  # as the protocol has clients do
+        await harness.wait_until(lambda: len(harness.jobs) == 2)
+        await harness.send_callback("done", "again")
+        assert (await harness.read_response(again)).body == b"again"
         assert taken == ["a2"]
 
-    play(story)
+    run_scenario(story)
 
 
 def classes(deadline: float) -> dict[str, Any]:
@@ -302,18 +306,18 @@
     killed = min(deadline / 1000.0, 3.0) + 0.7
     late: list[float] = []
 
-    async def story(made: Stage) -> None:
+    async def story(harness: NodeHarness) -> None:
         began = trio.current_time()
 
         async def client(number: int) -> None:
             """Asks again and again on its connection for as long as that stays open."""
-            wire = await made.client()
+            wire = await harness.connect_client()
             for again in range(1000):
                 asked = trio.current_time() - began
                 if asked >= killed:
                     return
                 try:
-                    await made.ask(wire, "once", f"c{number}-{again}", int(deadline))
+                    await harness.send_job(wire, "once", f"c{number}-{again}", int(deadline))
                     answer = await wire.read()
                 except trio.BrokenResourceError:
                     answer = None
@@ -322,22 +326,22 @@
                 if answer is None or answer.headers.get("connection") == "close":
                     if trio.current_time() - began > 0.4:
                         return
-                    wire = await made.client()
+                    wire = await harness.connect_client()
                 await trio.sleep(0.02)
 
-        made.nursery.start_soon(made.node.shut_down)
+        harness.nursery.start_soon(harness.node.shut_down)
         with trio.move_on_after(killed):
             async with trio.open_nursery() as nursery:
                 for number in range(6):
                     nursery.start_soon(client, number)
         # Whoever still waits for an answer now asked less than 0.7 s after SIGTERM, or not at all.
-        assert not made.node.engine.open_job_count
-        assert not made.node.server.has_unsent
+        assert not harness.node.engine.open_job_count
+        assert not harness.node.server.has_unsent
 
-    play(story, given_settings=classes(deadline))
+    run_scenario(story, given_settings=classes(deadline))
     assert all(at < killed for at in late)
 
 
-def numbers(made: Stage, ref: str) -> list[int]:
+def numbers(harness: NodeHarness, ref: str) -> list[int]:
     """Which of the forwards that executors got are of this job."""
-    return [number for number, (_, job) in enumerate(made.jobs) if job.headers["request-id"] == ref]
+    return [number for number, (_, job) in enumerate(harness.jobs) if job.headers["request-id"] == ref]
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -15,15 +15,15 @@
 from burlmoor.testbed.http_wire import Wire
 from burlmoor.testbed.node_process import Node, call
 from tests.config.test_node_config import OPTIONS
-from tests.support.node_harness import Stage, play
+from tests.support.node_harness import NodeHarness, run_scenario
 
 TOLD, GRACE = 6.0, 0.25
 
 
-async def idle_client(made: Stage, begun: bytes) -> Wire | None:
+async def idle_client(harness: NodeHarness, begun: bytes) -> Wire | None:
     """A client that connects, perhaps begins a request, and then says nothing."""
     with suppress(OSError):
-        wire = await made.client()
+        wire = await harness.connect_client()
         with suppress(trio.BrokenResourceError):
             await wire.stream.send_all(begun)
         return wire
@@ -37,31 +37,33 @@
     # Jobs at executors that hang hold a client's place and an executor's each: those can't be closed on.
     async def story() -> None:
         async with trio.open_nursery() as nursery:
-            made = Stage(["hang"] * hanging, nursery)
+            harness = NodeHarness(["hang"] * hanging, nursery)
             for name in [f"e{number}" for number in range(16 if hanging else 2)]:
-                await made.executor(name)
+                await harness.start_executor(name)
             discovery = Discovery(nursery)
-            address = await discovery.listen("n0", made.dials)
-            for name in made.dials:
+            address = await discovery.listen("n0", harness.addresses)
+            for name in harness.addresses:
                 discovery.tell(name)
             node = Node("n0", tmp_path)
-            made.address = node.listen
+            harness.address = node.listen
             limited = f'ulimit -n {descriptors}; exec "$0" -m burlmoor'
             node.command = ["/bin/sh", "-c", limited, sys.executable]
             discovery.down = True
             try:
                 await node.start(nursery, OPTIONS, address, discovery.whole("n0"))
                 for number in range(hanging):
-                    made.kept.append(await made.submit("once", f"h{number}", 5000))
+                    harness.open_clients.append(await harness.submit_job("once", f"h{number}", 5000))
                 if hanging:
-                    await made.until(lambda: len(made.jobs) >= 8)
-                crowd = [await idle_client(made, (b"", b"POST /loo")[n % 2]) for n in range(2 * descriptors)]
+                    await harness.wait_until(lambda: len(harness.jobs) >= 8)
+                crowd = [
+                    await idle_client(harness, (b"", b"POST /loo")[n % 2]) for n in range(2 * descriptors)
+                ]
                 crowding = trio.CancelScope()
 
                 async def crowd_on() -> None:
                     with crowding:
                         while True:  # who was closed on comes again
-                            crowd.append(await idle_client(made, b""))
+                            crowd.append(await idle_client(harness, b""))
                             await trio.sleep(0.01)
 
                 nursery.start_soon(crowd_on)
@@ -70,16 +72,16 @@
                 discovery.tell("e0", health="leaving")
                 discovery.down = False
                 back = trio.current_time()
-                await made.until(lambda: any(health == "leaving" for *_, health in discovery.heard))
+                await harness.wait_until(lambda: any(health == "leaving" for *_, health in discovery.heard))
                 assert trio.current_time() - back < TOLD + GRACE
                 # And clients are served, by whom it may send to, unless all that they could hold hangs.
                 for ref in () if hanging else ("a1", "a2", "a3"):
-                    jobs = len(made.jobs)
-                    wire = await made.submit("once", ref, 4000)
-                    await made.until(lambda jobs=jobs: len(made.jobs) > jobs)  # type: ignore[misc]
-                    assert made.jobs[-1][0] == "e1"
-                    assert await made.tell("done", ref) == 204
-                    assert (await made.answer(wire)).body == ref.encode()
+                    jobs = len(harness.jobs)
+                    wire = await harness.submit_job("once", ref, 4000)
+                    await harness.wait_until(lambda jobs=jobs: len(harness.jobs) > jobs)  # type: ignore[misc]
+                    assert harness.jobs[-1][0] == "e1"
+                    assert await harness.send_callback("done", ref) == 204
+                    assert (await harness.read_response(wire)).body == ref.encode()
                 crowding.cancel()
                 assert await node.stop() == 0
             finally:
@@ -91,12 +93,12 @@
 
 @pytest.mark.parametrize("descriptors", [64, 80, 128, 200, 1024])
 def test_all_that_may_be_open_at_once_fits_into_the_descriptors(descriptors: int) -> None:
-    async def story(made: Stage) -> int:
-        node = made.node
+    async def story(harness: NodeHarness) -> int:
+        node = harness.node
         return node.server.max_connections + node.pool.max_connections + node.discovery_pool.max_connections
 
     own = 12 + 12  # operators' calls; standard streams, the loop's own, two that listen, one being accepted
-    assert play(story, sockets=descriptors) + own <= descriptors
+    assert run_scenario(story, sockets=descriptors) + own <= descriptors
 
 
 def with_time(story: Callable[[], Awaitable[None]], seconds: float) -> None:
@@ -114,8 +116,8 @@
 def test_a_node_is_ready_whatever_discovery_does(mode: str, what: str, tmp_path: Path) -> None:
     async def story() -> None:
         async with trio.open_nursery() as nursery:
-            made = Stage([], nursery)
-            await made.executor("e0")
+            harness = NodeHarness([], nursery)
+            await harness.start_executor("e0")
 
             async def serve(wire: Wire) -> None:
                 while await wire.read() is not None:
@@ -124,18 +126,18 @@
                     elif what == "never ends its answer":
                         await wire.stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
 
-            address = "127.0.0.1:9" if what == "refuses" else await made.listen(serve)
+            address = "127.0.0.1:9" if what == "refuses" else await harness.listen(serve)
             node = Node("n0", tmp_path)
             began = time.monotonic()
             try:
                 settings = {**OPTIONS, "RegistryMode": mode}
-                await node.start(nursery, settings, address, made.listed(1, e0="active"))
+                await node.start(nursery, settings, address, harness.endpoint_list(1, e0="active"))
                 assert time.monotonic() - began < 10.0
-                made.address = node.listen
-                wire = await made.submit("once")
-                await made.until(lambda: made.jobs)
-                await made.tell("done", "served")
-                assert (await made.answer(wire)).body == b"served"
+                harness.address = node.listen
+                wire = await harness.submit_job("once")
+                await harness.wait_until(lambda: harness.jobs)
+                await harness.send_callback("done", "served")
+                assert (await harness.read_response(wire)).body == b"served"
             finally:
                 await node.kill()
             nursery.cancel_scope.cancel()
@@ -146,8 +148,8 @@
 def test_nine_in_ten_of_thirty_that_start_at_once_are_ready_within_ten_seconds(tmp_path: Path) -> None:
     async def story() -> None:
         async with trio.open_nursery() as nursery:
-            made = Stage([], nursery)
-            await made.executor("e0")
+            harness = NodeHarness([], nursery)
+            await harness.start_executor("e0")
             discovery = Discovery(nursery)
             took: list[float] = []
             nodes = [Node(f"n{number}", tmp_path / f"n{number}") for number in range(30)]
@@ -157,7 +159,7 @@
                 node.listen, node.control = (here, node.listen[1]), (here, node.control[1])
 
             async def start(node: Node) -> None:
-                address = await discovery.listen(node.name, made.dials)
+                address = await discovery.listen(node.name, harness.addresses)
                 began = trio.current_time()
                 await node.start(nursery, {**OPTIONS, "Balancers": 30}, address, discovery.whole(node.name))
                 took.append(trio.current_time() - began)
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -14,7 +14,7 @@
 
 from burlmoor.testbed.http_wire import Wire
 from tests.config.test_node_config import written
-from tests.support.node_harness import Stage
+from tests.support.node_harness import NodeHarness
 
 ROOT = Path(__file__).parents[2]
 
@@ -25,34 +25,34 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-async def ready(made: Stage) -> int:
+async def ready(harness: NodeHarness) -> int:
     """The status of /health/ready, once somebody listens."""
     with trio.fail_after(30.0):
         while True:
             try:
-                wire: Wire = await made.client()
+                wire: Wire = await harness.connect_client()
             except OSError:
                 await trio.sleep(0.05)
                 continue
             await wire.write("GET /health/ready HTTP/1.1", Host="node")
-            return (await made.answer(wire)).status
+            return (await harness.read_response(wire)).status
 
 
 def test_the_program_takes_up_a_new_discovery_and_finishes_what_it_took_on_sigterm(tmp_path: Path) -> None:
     async def story() -> tuple[int, list[str]]:
         async with trio.open_nursery() as nursery:
-            made = Stage([], nursery)
+            harness = NodeHarness([], nursery)
             for name in ("e0", "e1"):
-                await made.executor(name)
+                await harness.start_executor(name)
             listen = free_address()
             environment = written(
                 tmp_path,
                 listen=listen,
-                discovery=await made.discovery(),
-                known=made.listed(3, e0="active", e1="active"),
+                discovery=await harness.start_discovery(),
+                known=harness.endpoint_list(3, e0="active", e1="active"),
             )
             host, _, port = listen.partition(":")
-            made.address = (host, int(port))
+            harness.address = (host, int(port))
             process = await trio.lowlevel.open_process(
                 [sys.executable, "-m", "burlmoor"],
                 env={**os.environ, **environment},
@@ -60,25 +60,25 @@
                 stderr=subprocess.PIPE,
             )
             try:
-                assert await ready(made) == 200
-                wire = await made.submit("once")
-                await made.until(lambda: made.jobs)
-                assert await made.tell("done", "served") == 204
-                assert (await made.answer(wire)).body == b"served"
-                open_job = await made.submit("once", "b2", 5000)
-                await made.until(lambda: len(made.jobs) == 2)
-                asked = len(made.asked)
-                written(tmp_path, listen=listen, discovery=await made.discovery())
+                assert await ready(harness) == 200
+                wire = await harness.submit_job("once")
+                await harness.wait_until(lambda: harness.jobs)
+                assert await harness.send_callback("done", "served") == 204
+                assert (await harness.read_response(wire)).body == b"served"
+                open_job = await harness.submit_job("once", "b2", 5000)
+                await harness.wait_until(lambda: len(harness.jobs) == 2)
+                asked = len(harness.discovery_paths)
+                written(tmp_path, listen=listen, discovery=await harness.start_discovery())
                 process.send_signal(signal.SIGHUP)
-                await made.until(lambda: len(made.asked) > asked)
-                assert made.asked[-1] == "/registry/instances"
-                await made.publish(4, e0="active", e1="active")
+                await harness.wait_until(lambda: len(harness.discovery_paths) > asked)
+                assert harness.discovery_paths[-1] == "/registry/instances"
+                await harness.publish(4, e0="active", e1="active")
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
-                while await ready(made) == 200:
+                while await ready(harness) == 200:
                     await trio.sleep(0.01)
-                assert await made.tell("done", "to the end") == 204
-                answer = await made.answer(open_job)
+                assert await harness.send_callback("done", "to the end") == 204
+                answer = await harness.read_response(open_job)
                 assert (answer.status, answer.body) == (200, b"to the end")
                 with trio.fail_after(30.0):
                     status = await process.wait()
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -20,10 +20,10 @@
 from tests.admin.test_admin import call, ready, serve
 from tests.config.test_node_config import written
 from tests.integration.test_program import ROOT, free_address
-from tests.support.node_harness import Stage, play
+from tests.support.node_harness import NodeHarness, run_scenario
 
 
-class Process:
+class ServiceProcess:
     """One real process of the node."""
 
     def __init__(self, process: trio.Process, control: str) -> None:
@@ -56,17 +56,17 @@
             assert await self.process.wait() == 0
 
 
-class House(Stage):
+class HandoverHarness(NodeHarness):
     """Peers round one node whose processes share the socket that clients come to."""
 
     def __init__(self, nursery: trio.Nursery, held: socket.socket, folder: Path) -> None:
         super().__init__([], nursery)
-        self.held, self.folder, self.address = held, folder, held.getsockname()
+        self.shared_listener, self.folder, self.address = held, folder, held.getsockname()
         self.environment: dict[str, str] = {}
         self.processes: list[trio.Process] = []
 
-    async def start(self, **more: str) -> Process:
-        control, number = free_address(), self.held.fileno()
+    async def start_process(self, **more: str) -> ServiceProcess:
+        control, number = free_address(), self.shared_listener.fileno()
         environment = {
             **os.environ, **self.environment, "TMPDIR": str(self.folder), "RELAY_CONTROL": control,
             "RELAY_PASSED_SOCKET": str(number), **more,
@@ -79,52 +79,52 @@
             stderr=subprocess.DEVNULL,
         )
         self.processes.append(process)
-        return Process(process, control)
+        return ServiceProcess(process, control)
 
 
 @asynccontextmanager
-async def house(folder: Path) -> AsyncIterator[House]:
+async def open_handover_harness(folder: Path) -> AsyncIterator[HandoverHarness]:
     shared = folder / "shared"
     shared.mkdir()
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with trio.open_nursery() as nursery:
-            made = House(nursery, held, shared)
+            harness = HandoverHarness(nursery, held, shared)
             for name in ("e0", "e1"):
-                await made.executor(name)
+                await harness.start_executor(name)
             host, port = held.getsockname()
-            made.environment = written(
+            harness.environment = written(
                 folder,
                 listen=f"{host}:{port}",
-                discovery=await made.discovery(),
-                known=made.listed(3, e0="active", e1="active"),
+                discovery=await harness.start_discovery(),
+                known=harness.endpoint_list(3, e0="active", e1="active"),
             )
             try:
-                yield made
+                yield harness
             finally:
-                for process in made.processes:
+                for process in harness.processes:
                     process.kill()
             nursery.cancel_scope.cancel()
 
 
 def test_a_new_process_takes_over_without_a_client_noticing(tmp_path: Path) -> None:
     async def story() -> None:
-        async with house(tmp_path) as made:
-            old = await made.start()
+        async with open_handover_harness(tmp_path) as harness:
+            old = await harness.start_process()
             await old.ready()
-            kept = await made.submit("once", "a1")
-            await made.until(lambda: made.jobs)
-            assert await made.tell("done", "one") == 204
-            assert (await made.answer(kept)).body == b"one"
-            under_way = await made.submit("once", "a2", 5000)
-            await made.until(lambda: len(made.jobs) == 2)
-            half = await made.client()
+            kept = await harness.submit_job("once", "a1")
+            await harness.wait_until(lambda: harness.jobs)
+            assert await harness.send_callback("done", "one") == 204
+            assert (await harness.read_response(kept)).body == b"one"
+            under_way = await harness.submit_job("once", "a2", 5000)
+            await harness.wait_until(lambda: len(harness.jobs) == 2)
+            half = await harness.connect_client()
             await half.stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
-            silent = await made.client()
+            silent = await harness.connect_client()
             assert (await old.call("/executors/disable", "e0")).status == 200
 
-            new = await made.start()
+            new = await harness.start_process()
             await new.ready()
-            assert await ready(made) == 200
+            assert await ready(harness) == 200
             assert (await old.call("/ready")).status == 503
             # What is set at either of them holds at both.
             assert (await new.call("/executors/disable", "e1")).status == 200
@@ -132,28 +132,28 @@
             assert msgspec.json.decode((await new.call("/ready")).body)["out"] == ["e0"]
 
             # The job is the old process's, its call-back comes to the new one.
-            assert await made.tell("started", job=1) == 204
-            assert await made.tell("done", "two", job=1) == 204
-            answer = await made.answer(under_way)
+            assert await harness.send_callback("started", job=1) == 204
+            assert await harness.send_callback("done", "two", job=1) == 204
+            answer = await harness.read_response(under_way)
             assert (answer.status, answer.body, answer.headers.get("connection")) == (200, b"two", None)
-            taken = await made.submit("once", "a4")
-            await made.until(lambda: len(made.jobs) == 3)
+            taken = await harness.submit_job("once", "a4")
+            await harness.wait_until(lambda: len(harness.jobs) == 3)
             old.process.send_signal(signal.SIGTERM)
             await half.stream.send_all(b"Request-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
-            await made.until(lambda: len(made.jobs) == 4)
-            assert {name for name, _ in made.jobs[2:]} == {"e1"}
+            await harness.wait_until(lambda: len(harness.jobs) == 4)
+            assert {name for name, _ in harness.jobs[2:]} == {"e1"}
             for job in (2, 3):
-                await made.tell("done", "on", job=job)
+                await harness.send_callback("done", "on", job=job)
             for wire in (taken, half):
-                assert (await made.answer(wire)).body == b"on"
+                assert (await harness.read_response(wire)).body == b"on"
             with trio.fail_after(3.0):
                 assert await old.process.wait() == 0
             # Every connection that was open goes on at the new process.
             for number, wire in enumerate((kept, under_way, half, silent, taken)):
-                await made.ask(wire, "once", f"b{number}")
-                await made.until(lambda number=number: len(made.jobs) == 5 + number)  # type: ignore[misc]
-                await made.tell("done", "fine")
-                assert (await made.answer(wire)).body == b"fine"
+                await harness.send_job(wire, "once", f"b{number}")
+                await harness.wait_until(lambda number=number: len(harness.jobs) == 5 + number)  # type: ignore[misc]
+                await harness.send_callback("done", "fine")
+                assert (await harness.read_response(wire)).body == b"fine"
             await new.stop()
 
     trio.run(story)
@@ -161,23 +161,23 @@
 
 def test_a_drained_node_is_upgraded_twice_while_the_first_process_still_has_a_job(tmp_path: Path) -> None:
     async def story() -> None:
-        async with house(tmp_path) as made:
-            first = await made.start()
+        async with open_handover_harness(tmp_path) as harness:
+            first = await harness.start_process()
             await first.ready()
-            wire = await made.submit("once", "a1", 5000)
-            await made.until(lambda: made.jobs)
-            second = await made.start()
+            wire = await harness.submit_job("once", "a1", 5000)
+            await harness.wait_until(lambda: harness.jobs)
+            second = await harness.start_process()
             await second.ready()
             assert (await second.call("/drain")).status == 200
-            third = await made.start()
+            third = await harness.start_process()
             # This process is ready, and its old one may go; the node is drained all the same.
             await third.ready()
-            assert await ready(made) == 503
+            assert await ready(harness) == 503
             # The result comes to the third process, for a job of the first.
-            assert await made.tell("done", "far") == 204
-            assert (await made.answer(wire)).body == b"far"
+            assert await harness.send_callback("done", "far") == 204
+            assert (await harness.read_response(wire)).body == b"far"
             assert (await third.call("/undrain")).status == 200
-            assert await ready(made) == 200
+            assert await ready(harness) == 200
             for process in (first, second, third):
                 await process.stop()
 
@@ -186,17 +186,17 @@
 
 def test_a_new_process_that_fails_changes_nothing(tmp_path: Path) -> None:
     async def story() -> None:
-        async with house(tmp_path) as made:
-            old = await made.start()
+        async with open_handover_harness(tmp_path) as harness:
+            old = await harness.start_process()
             await old.ready()
-            broken = await made.start(RELAY_LISTEN="nowhere")
+            broken = await harness.start_process(RELAY_LISTEN="nowhere")
             assert await broken.process.wait() == 2
             # One that is killed after it took over: the old process takes clients again.
-            killed = await made.start()
+            killed = await harness.start_process()
             await killed.ready()
             killed.process.kill()
             await old.ready()
-            assert await serve(made, "a1") in ("e0", "e1")
+            assert await serve(harness, "a1") in ("e0", "e1")
             await old.stop()
 
     trio.run(story)
@@ -213,9 +213,9 @@
     ],
 )
 def test_a_peer_that_makes_no_sense_leaves_the_node_alone(said: bytes, tmp_path: Path) -> None:
-    async def story(made: Stage) -> None:
+    async def story(harness: NodeHarness) -> None:
         link = tmp_path / "n0.link"
-        await made.until(link.exists)
+        await harness.wait_until(link.exists)
         for _ in range(2):
             peer = p.connect_to(link)
             assert peer is not None
@@ -224,16 +224,16 @@
                 peer.send(said)
                 await trio.to_thread.run_sync(peer.recv, 100)  # ended by the node
             peer.close()
-        assert await serve(made, "a1") in ("e0", "e1")
-        assert (await call(made, "/ready", method="GET"))[0] == 200
+        assert await serve(harness, "a1") in ("e0", "e1")
+        assert (await call(harness, "/ready", method="GET"))[0] == 200
 
     with socket.create_server(("127.0.0.1", 0)) as held:
 
-        async def run(made: Stage) -> None:
-            made.address = held.getsockname()
-            await story(made)
+        async def run(harness: NodeHarness) -> None:
+            harness.address = held.getsockname()
+            await story(harness)
 
-        play(run, listener_fd=held.dup().detach(), state_folder=tmp_path)
+        run_scenario(run, listener_fd=held.dup().detach(), state_folder=tmp_path)
 
 
 @pytest.mark.parametrize("predecessor", ["stale", "mute", "gone"])
@@ -242,23 +242,23 @@
     if predecessor == "stale":
         old.close()
 
-    async def story(made: Stage) -> None:
-        made.address = held.getsockname()
+    async def story(harness: NodeHarness) -> None:
+        harness.address = held.getsockname()
         if predecessor == "gone":
             peer = await trio.to_thread.run_sync(lambda: old.accept()[0])
             peer.close()
-        await made.until(lambda: made.node.admin.is_serving)
-        assert await ready(made) == 200
+        await harness.wait_until(lambda: harness.node.admin.is_serving)
+        assert await ready(harness) == 200
 
     with socket.create_server(("127.0.0.1", 0)) as held:
         if predecessor != "stale":
             old.setblocking(True)
-        play(story, listener_fd=held.dup().detach(), state_folder=tmp_path)
+        run_scenario(story, listener_fd=held.dup().detach(), state_folder=tmp_path)
         old.close()
 
 
 def test_a_call_back_is_answered_only_once_the_other_process_has_taken_it() -> None:
-    async def story(made: Stage) -> None:
+    async def story(harness: NodeHarness) -> None:
         asked: list[bytes] = []
         answers = [False, True]
 
@@ -266,44 +266,44 @@
             asked.append(body)
             return answers[len(asked) - 1]
 
-        made.node.server.forward_callback = elsewhere
+        harness.node.server.forward_callback = elsewhere
         body = b'{"id":"x","from":"e0","state":"done"}'
-        assert await made.tell_raw(body) == 503  # its executor tells it again
-        assert await made.tell_raw(body) == 204
+        assert await harness.send_callback_body(body) == 503  # its executor tells it again
+        assert await harness.send_callback_body(body) == 204
         assert asked == [body, body]
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_connection_is_passed_on_only_between_requests() -> None:
-    async def story(made: Stage) -> None:
+    async def story(harness: NodeHarness) -> None:
         passed: list[tuple[socket.socket, bool]] = []
-        wire = await made.submit("once", "a1")
-        half = await made.client()
+        wire = await harness.submit_job("once", "a1")
+        half = await harness.connect_client()
         await half.stream.send_all(b"POST /once")
-        await made.until(lambda: made.jobs and len(made.node.server.connections) == 2)
-        made.node.server.pass_connection = lambda sock, used, _age: passed.append((sock, used))
-        made.node.server.hand_over_idle()
+        await harness.wait_until(lambda: harness.jobs and len(harness.node.server.connections) == 2)
+        harness.node.server.pass_connection = lambda sock, used, _age: passed.append((sock, used))
+        harness.node.server.hand_over_idle()
         assert not passed
-        await made.tell("done", "fine")
-        assert (await made.answer(wire)).status == 200
+        await harness.send_callback("done", "fine")
+        assert (await harness.read_response(wire)).status == 200
         assert [used for _, used in passed] == [True]
         # The descriptor is taken over by whoever serves it next.
-        made.node.server.pass_connection = None
+        harness.node.server.pass_connection = None
         for sock, used in passed:
-            made.node.server.adopt(sock, used)
-        await made.ask(wire, "once", "a2")
-        await made.until(lambda: len(made.jobs) == 2)
-        await made.tell("done", "again")
-        assert (await made.answer(wire)).body == b"again"
+            harness.node.server.adopt(sock, used)
+        await harness.send_job(wire, "once", "a2")
+        await harness.wait_until(lambda: len(harness.jobs) == 2)
+        await harness.send_callback("done", "again")
+        assert (await harness.read_response(wire)).body == b"again"
 
-    play(story)
+    run_scenario(story)
 
 
 def test_an_id_that_the_other_process_has_taken_is_refused() -> None:
-    async def story(made: Stage) -> None:
-        made.node.engine.ids_in_other_process.add("a1")
-        assert (await made.answer(await made.submit("once", "a1"))).status == 400
-        assert not made.jobs
+    async def story(harness: NodeHarness) -> None:
+        harness.node.engine.ids_in_other_process.add("a1")
+        assert (await harness.read_response(await harness.submit_job("once", "a1"))).status == 400
+        assert not harness.jobs
 
-    play(story)
+    run_scenario(story)
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -29,39 +29,45 @@
 }
 
 
-class Stage:
+class NodeHarness:
     """Owns the peers of one node. Both executors play from one script, an act for each job."""
 
     def __init__(self, script: list[str], nursery: trio.Nursery) -> None:
-        self.script, self.nursery = script, nursery
+        self.executor_script, self.nursery = script, nursery
         self.node: Node
         self.address: tuple[str, int]
         self.jobs: list[tuple[str, Message]] = []
-        self.deleted: list[tuple[str, str]] = []
-        self.ended = False  # whether the node has ended by itself
-        self.broken = 0  # connections that the node closed without an answer
-        self.connects = 0
-        self.open: list[Wire] = []  # connections of executors
-        self.dials: dict[str, str] = {}
-        self.watches: list[Wire] = []
-        self.silent = False  # whether watches get no answer even when their wait is over
-        self.left: list[Wire] = []  # calls to discovery whose connection the node has ended
-        self.asked: list[str] = []
-        self.heard: list[Wire] = []  # whose call each was
-        self.stray: Wire | None = None  # an executor's connection on which a second answer is to come
-        self.kept: list[Wire] = []  # clients' connections that a story holds open without looking at them
-        self.news = trio.Event()
-
-    def happened(self) -> None:
-        self.news.set()
-        self.news = trio.Event()
-
-    async def until(self, true: Callable[[], object]) -> None:
+        self.cancelled_attempts: list[tuple[str, str]] = []
+        self.has_node_ended = False  # whether the node has ended by itself
+        self.unanswered_connection_count = 0  # connections that the node closed without an answer
+        self.executor_connection_count = 0
+        self.executor_connections: list[Wire] = []  # connections of executors
+        self.addresses: dict[str, str] = {}
+        self.open_watches: list[Wire] = []
+        self.is_discovery_silent = False  # whether watches get no answer even when their wait is over
+        self.closed_discovery_connections: list[
+            Wire
+        ] = []  # calls to discovery whose connection the node has ended
+        self.discovery_paths: list[str] = []
+        self.discovery_connections: list[Wire] = []  # whose call each was
+        self.connection_for_second_response: Wire | None = (
+            None  # an executor's connection on which a second answer is to come
+        )
+        self.open_clients: list[
+            Wire
+        ] = []  # clients' connections that a story holds open without looking at them
+        self._changed = trio.Event()
+
+    def notify(self) -> None:
+        self._changed.set()
+        self._changed = trio.Event()
+
+    async def wait_until(self, condition: Callable[[], object]) -> None:
         """Wait for something to have happened."""
         with trio.fail_after(10.0):
-            while not true():
+            while not condition():
                 with trio.move_on_after(0.05):
-                    await self.news.wait()
+                    await self._changed.wait()
 
     async def listen(self, serve: Callable[[Wire], Any]) -> str:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
@@ -74,24 +80,28 @@
         host, port = listener.socket.getsockname()
         return f"{host}:{port}"
 
-    async def executor(self, name: str) -> None:
+    async def start_executor(self, name: str) -> None:
         async def serve(wire: Wire) -> None:
-            self.connects += 1
-            self.open.append(wire)
+            self.executor_connection_count += 1
+            self.executor_connections.append(wire)
             while (message := await wire.read()) is not None:
                 if message.start.startswith("DELETE"):
-                    self.deleted.append((name, message.start.split()[1]))
+                    self.cancelled_attempts.append((name, message.start.split()[1]))
                     await wire.write("HTTP/1.1 204 Gone")
                 elif message.start.startswith("GET"):
                     await wire.write("HTTP/1.1 200 OK")
                 else:
-                    act = self.script.pop(0) if self.script else "take"
+                    act = self.executor_script.pop(0) if self.executor_script else "take"
                     self.jobs.append((name, message))
-                    self.happened()
-                    if self.stray is not None:  # now that the next job has been written
+                    self.notify()
+                    if (
+                        self.connection_for_second_response is not None
+                    ):  # now that the next job has been written
                         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                            await self.stray.write("HTTP/1.1 503 No", Not_Started="1")
-                        self.stray = None
+                            await self.connection_for_second_response.write(
+                                "HTTP/1.1 503 No", Not_Started="1"
+                            )
+                        self.connection_for_second_response = None
                     if act.startswith("bytes:"):  # whatever they are; then silence, or the end
                         data, _, then = act.removeprefix("bytes:").partition("|")
                         await wire.stream.send_all(data.encode("latin-1"))
@@ -100,53 +110,59 @@
                             return
                         continue
                     if act == "stray":
-                        self.stray = wire
+                        self.connection_for_second_response = wire
                         act = "take"
                     if act == "reset":
                         await wire.stream.aclose()
                         return
                     if act == "early":  # the result comes before the 202
-                        await self.tell("done", "early")
+                        await self.send_callback("done", "early")
                         await wire.write("HTTP/1.1 202 Accepted")
                     elif act != "hang":
                         start, headers = REPLIES[act]
                         await wire.write(start, **headers)
-                self.happened()
-            self.broken += 1
-            self.happened()
+                self.notify()
+            self.unanswered_connection_count += 1
+            self.notify()
 
-        self.dials[name] = await self.listen(serve)
+        self.addresses[name] = await self.listen(serve)
 
-    async def discovery(self) -> str:
+    async def start_discovery(self) -> str:
         async def serve(wire: Wire) -> None:
             while (message := await wire.read()) is not None:
                 path = message.start.split()[1]
-                self.asked.append(path)
-                self.heard.append(wire)
-                self.watches.append(wire)
-                self.happened()
-                self.nursery.start_soon(self._nothing_new, wire, len(self.heard), path)
-            self.left.append(wire)
-            self.happened()
+                self.discovery_paths.append(path)
+                self.discovery_connections.append(wire)
+                self.open_watches.append(wire)
+                self.notify()
+                self.nursery.start_soon(
+                    self._answer_expired_watch, wire, len(self.discovery_connections), path
+                )
+            self.closed_discovery_connections.append(wire)
+            self.notify()
 
         return await self.listen(serve)
 
-    async def _nothing_new(self, wire: Wire, number: int, path: str) -> None:
+    async def _answer_expired_watch(self, wire: Wire, number: int, path: str) -> None:
         """Answer a watch when its wait is over, unless a story has answered it."""
         _, _, wait = path.partition("&wait_ms=")
         if not wait:
             return
         await trio.sleep(float(wait) / 1000.0)
         after = path.partition("after=")[2].partition("&")[0]
-        if wire in self.watches and not self.silent and wire not in self.heard[number:]:
-            self.watches.remove(wire)
+        if (
+            wire in self.open_watches
+            and not self.is_discovery_silent
+            and wire not in self.discovery_connections[number:]
+        ):
+            self.open_watches.remove(wire)
             body = json.dumps({"seq": int(after), "whole": False, "hosts": []}).encode()
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await wire.write("HTTP/1.1 200 OK", body)
 
-    def listed(self, seq: int, whole: bool = True, **states: str) -> dict[str, Any]:
+    def endpoint_list(self, seq: int, whole: bool = True, **states: str) -> dict[str, Any]:
         hosts = [
-            {"host": name, "dial": self.dials[name], "site": "a", "class": "m", "block": 1, "share": 4.0,
+            {"host": name, "dial": self.addresses[name], "site": "a", "class": "m", "block": 1, "share": 4.0,
              "health": state, "born_ms": 0}
             for name, state in states.items()
         ]  # fmt: skip
@@ -154,23 +170,23 @@
 
     async def publish(self, seq: int, whole: bool = True, **states: str) -> None:
         """Answer the watch that is open."""
-        await self.until(lambda: self.watches)
-        body = json.dumps(self.listed(seq, whole, **states)).encode()
-        await self.watches.pop().write("HTTP/1.1 200 OK", body)
+        await self.wait_until(lambda: self.open_watches)
+        body = json.dumps(self.endpoint_list(seq, whole, **states)).encode()
+        await self.open_watches.pop().write("HTTP/1.1 200 OK", body)
 
-    async def client(self, receive_buffer: int = 0) -> Wire:
+    async def connect_client(self, receive_buffer: int = 0) -> Wire:
         sock = trio.socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         await sock.connect(self.address)
         return Wire(trio.SocketStream(sock))
 
-    async def submit(self, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> Wire:
-        wire = await self.client()
-        await self.ask(wire, name, ref, ms)
+    async def submit_job(self, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> Wire:
+        wire = await self.connect_client()
+        await self.send_job(wire, name, ref, ms)
         return wire
 
-    async def ask(self, wire: Wire, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> None:
+    async def send_job(self, wire: Wire, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> None:
         head: dict[str, Any] = {
             "Host": "svc",
             "Request_Id": ref,
@@ -180,21 +196,23 @@
         }
         await wire.write(f"POST /{name}/0f HTTP/1.1", b"work", **head)
 
-    async def tell(self, state: str, result: str = "", job: int = -1, pause: float = 0.0, **more: Any) -> int:
+    async def send_callback(
+        self, state: str, result: str = "", job: int = -1, pause: float = 0.0, **more: Any
+    ) -> int:
         """A call-back for one of the jobs taken so far; the status that the node answers."""
         name, message = self.jobs[job]
         event = {"id": message.headers["request-id"], "from": name, "state": state, "result": result, **more}
-        return await self.tell_raw(json.dumps(event).encode(), pause)
+        return await self.send_callback_body(json.dumps(event).encode(), pause)
 
-    async def tell_raw(self, body: bytes, pause: float = 0.0) -> int:
-        wire = await self.client()
+    async def send_callback_body(self, body: bytes, pause: float = 0.0) -> int:
+        wire = await self.connect_client()
         await trio.sleep(pause)
         await wire.write("POST /v1/job-events HTTP/1.1", body, Host="node", Connection="close")
         answer = await wire.read()
         assert answer is not None
         return answer.status
 
-    async def answer(self, wire: Wire) -> Message:
+    async def read_response(self, wire: Wire) -> Message:
         with trio.fail_after(10.0):
             answer = await wire.read()
         assert answer is not None
@@ -202,13 +220,13 @@
 
 
 @asynccontextmanager
-async def stage(
+async def open_node_harness(
     *script: str,
     sockets: int = 1024,
     lines: list[str] | None = None,
     given_settings: dict[str, Any] = OPTIONS,
     **more: Any,
-) -> AsyncIterator[Stage]:
+) -> AsyncIterator[NodeHarness]:
     """A node that knows two live executors, e0 and e1, playing `script`."""
 
     class Sink:
@@ -219,11 +237,11 @@
         def flush(self) -> None: ...
 
     async with trio.open_nursery() as nursery:
-        made = Stage(list(script), nursery)
+        harness = NodeHarness(list(script), nursery)
         for name in ("e0", "e1"):
-            await made.executor(name)
-        discovery = await made.discovery()
-        known = msgspec.convert(made.listed(1, e0="active", e1="active"), DiscoveredList)
+            await harness.start_executor(name)
+        discovery = await harness.start_discovery()
+        known = msgspec.convert(harness.endpoint_list(1, e0="active", e1="active"), DiscoveredList)
         more = {"admin": ("127.0.0.1", 0), **more}
         decisions = parse_settings(given_settings)
         given = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, decisions, **more)
@@ -231,24 +249,24 @@
         async def run(task_status: trio.TaskStatus[None]) -> None:
             # A nursery of its own: a node that stops cancels its nursery, and must not end the story.
             async with trio.open_nursery() as inner:
-                made.node = Node(given, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
-                made.address = made.node.server.address
-                made.node.start()
+                harness.node = Node(given, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
+                harness.address = harness.node.server.address
+                harness.node.start()
                 task_status.started()
-            made.ended = True
-            made.happened()
+            harness.has_node_ended = True
+            harness.notify()
 
         await nursery.start(run)
-        yield made
+        yield harness
         nursery.cancel_scope.cancel()
 
 
-def play(story: Callable[[Stage], Awaitable[Any]], *script: str, **given: Any) -> Any:
+def run_scenario(story: Callable[[NodeHarness], Awaitable[Any]], *script: str, **given: Any) -> Any:
     """Play a story against a node; what it returns."""
 
     async def run() -> Any:
         with trio.fail_after(20.0):
-            async with stage(*script, **given) as made:
-                return await story(made)
+            async with open_node_harness(*script, **given) as harness:
+                return await story(harness)
 
     return trio.run(run)
