--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from burlmoor.downstream.http import Payload
+from burlmoor.downstream.requests import Payload
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.endpoint_table import ListedEndpoint
 from burlmoor.engine.engine import Engine
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -14,11 +14,11 @@
 from burlmoor.types.endpoint_list import EndpointState, ListKind
 from burlmoor.types.events import EndpointListUpdate
 from tests.support.admin_client import call_admin, get_readiness_status, serve_job
-from tests.support.node_harness import Stage, play
+from tests.support.node_harness import NodeHarness, run_scenario
 
 
 def test_a_disabled_executor_gets_no_job_whatever_is_listed() -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         assert (await call_admin(made, "/executors/disable", "nobody"))[0] == 404
         assert (await call_admin(made, "/executors/enable", "nobody"))[0] == 404
         for _ in range(2):  # disabled twice, one call enables it
@@ -30,17 +30,17 @@
         for hosts in (*listed, listed[0]):
             seq += 1
             await made.publish(seq, **hosts)
-            await made.until(lambda seq=seq: made.node.directory.version == seq)  # type: ignore[misc]
+            await made.wait_until(lambda seq=seq: made.node.directory.version == seq)  # type: ignore[misc]
             assert {await serve_job(made, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
         assert (await call_admin(made, "/executors/enable", "e0"))[1]["out"] == []
         assert made.node.directory.find_live("e0") is not None
 
-    play(story)
+    run_scenario(story)
 
 
 def test_an_enabled_executor_counts_as_newly_started_even_where_the_list_lags() -> None:
     # Protocol rule 4: it was restarted while it was disabled; at once under full load, it would fail.
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         updates: list[EndpointListUpdate] = []
         on_endpoint_list = made.node.engine.on_endpoint_list
 
@@ -57,34 +57,34 @@
         assert (enabled.endpoint, enabled.state) == ("e0", EndpointState.LIVE)
         assert enabled.started_at >= before
         await made.publish(2, e0="active", e1="active")  # with the old start
-        await made.until(lambda: made.node.directory.version == 2)
+        await made.wait_until(lambda: made.node.directory.version == 2)
         assert updates[-1].entries[0].started_at == enabled.started_at
 
-    play(story)
+    run_scenario(story)
 
 
 def test_an_attempt_that_is_still_connecting_does_not_reach_a_disabled_executor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         acquire = made.node.pool.acquire
         disabled: list[str] = []
 
         async def disable_while_connecting(address: str) -> Any:
             connection = await acquire(address)
             if not disabled:
-                disabled.append(next(name for name, dial in made.dials.items() if dial == address))
+                disabled.append(next(name for name, dial in made.addresses.items() if dial == address))
                 assert (await call_admin(made, "/executors/disable", disabled[0]))[0] == 200
             return connection
 
         monkeypatch.setattr(made.node.pool, "acquire", disable_while_connecting)
         assert await serve_job(made, "a1") != disabled[0]
 
-    play(story)
+    run_scenario(story)
 
 
 def test_silent_and_incomplete_calls_do_not_delay_others() -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         assert made.node.admin_server is not None
         silent = [Wire(await trio.open_tcp_stream(*made.node.admin_server.address)) for _ in range(40)]
         for wire in silent[::2]:
@@ -97,11 +97,11 @@
         assert trio.current_time() - began < 3.0
         assert made.node.directory.overrides.disabled_since == {}
 
-    play(story)
+    run_scenario(story)
 
 
 def test_an_exception_in_a_call_ends_only_that_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         assert made.node.admin_server is not None
         with monkeypatch.context() as patch:
             patch.setattr(made.node.drain, "begin_drain", lambda: 1 / 0)
@@ -111,12 +111,12 @@
         assert (await call_admin(made, "/ready", method="GET"))[0] == 200
 
     lines: list[str] = []
-    play(story, lines=lines)
+    run_scenario(story, lines=lines)
     assert "admin-connection-failed" in lines[-1]
 
 
 def test_a_forwarded_override_is_applied_and_an_unknown_one_ignored() -> None:
-    async def story(made: Stage) -> None:
+    async def story(made: NodeHarness) -> None:
         made.node.admin.apply_forwarded("/executors/disable", "e0")
         before = made.node.admin.overrides
         assert list(before.endpoints.disabled_since) == ["e0"]
@@ -124,43 +124,43 @@
         assert made.node.admin.overrides == before
         assert made.node.directory.find_live("e1") is not None
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_drain_rejects_new_jobs_within_four_seconds_and_ends_at_once() -> None:
-    async def story(made: Stage) -> None:
-        open_job = await made.submit("once", "a1", 5000)
-        idle = await made.submit("once", "a2")
-        await made.until(lambda: len(made.jobs) == 2)
+    async def story(made: NodeHarness) -> None:
+        open_job = await made.submit_job("once", "a1", 5000)
+        idle = await made.submit_job("once", "a2")
+        await made.wait_until(lambda: len(made.jobs) == 2)
         ids = [job.headers["request-id"] for _, job in made.jobs]
         number = ids.index("a2")
-        await made.tell("started", job=1 - number)  # it runs, so its wait is not measured
-        await made.tell("done", "fine", job=number)
-        assert "connection" not in (await made.answer(idle)).headers
+        await made.send_callback("started", job=1 - number)  # it runs, so its wait is not measured
+        await made.send_callback("done", "fine", job=number)
+        assert "connection" not in (await made.read_response(idle)).headers
         for _ in range(2):  # twice changes nothing
             assert (await call_admin(made, "/drain"))[1]["drained"] is True
         assert await get_readiness_status(made) == 503
         assert (await call_admin(made, "/ready", method="GET"))[0] == 503
-        await made.ask(idle, "once", "a3")  # idle connections are served for a while
-        await made.until(lambda: len(made.jobs) == 3)
-        await made.tell("done", "fine")
-        assert (await made.answer(idle)).status == 200
+        await made.send_job(idle, "once", "a3")  # idle connections are served for a while
+        await made.wait_until(lambda: len(made.jobs) == 3)
+        await made.send_callback("done", "fine")
+        assert (await made.read_response(idle)).status == 200
         began = trio.current_time()
         assert await idle.read() is None  # closed while idle
         assert trio.current_time() - began < 3.0
-        await made.until(lambda: made.node.drain.state is ServiceState.REJECTING)
-        assert (await made.answer(await made.submit("once", "a4"))).status == 503
-        await made.tell("done", "fine", job=1 - number)  # it listens for call-backs all the while
-        answer = await made.answer(open_job)
+        await made.wait_until(lambda: made.node.drain.state is ServiceState.REJECTING)
+        assert (await made.read_response(await made.submit_job("once", "a4"))).status == 503
+        await made.send_callback("done", "fine", job=1 - number)  # it listens for call-backs all the while
+        answer = await made.read_response(open_job)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
         assert (await call_admin(made, "/undrain"))[0] == 200
         assert await get_readiness_status(made) == 200
-        wire = await made.submit("once", "a5")
-        await made.until(lambda: len(made.jobs) == 4)
-        await made.tell("done", "fine")
-        assert "connection" not in (await made.answer(wire)).headers
+        wire = await made.submit_job("once", "a5")
+        await made.wait_until(lambda: len(made.jobs) == 4)
+        await made.send_callback("done", "fine")
+        assert "connection" not in (await made.read_response(wire)).headers
 
-    play(story)
+    run_scenario(story)
 
 
 def test_a_drain_and_a_shutdown_share_one_service_state(autojump_clock: trio.testing.MockClock) -> None:
@@ -196,30 +196,30 @@
 
 @pytest.mark.parametrize("is_damaged", [False, True])
 def test_overrides_outlive_the_process_unless_their_file_is_damaged(is_damaged: bool, tmp_path: Path) -> None:
-    async def first(made: Stage) -> None:
+    async def first(made: NodeHarness) -> None:
         await call_admin(made, "/executors/disable", "e0")
         await call_admin(made, "/drain")
 
-    async def second(made: Stage) -> None:
+    async def second(made: NodeHarness) -> None:
         assert (made.node.directory.find_live("e0") is None) is not is_damaged
         assert made.node.drain.is_drained is not is_damaged
 
-    play(first, state_folder=tmp_path)
+    run_scenario(first, state_folder=tmp_path)
     (file,) = tmp_path.iterdir()
     if is_damaged:
         file.write_bytes(file.read_bytes()[:-9])
     lines: list[str] = []
-    play(second, state_folder=tmp_path, lines=lines)
+    run_scenario(second, state_folder=tmp_path, lines=lines)
     assert ("override-load-failed" in "".join(lines)) is is_damaged
 
 
 def test_a_node_accepts_from_a_passed_listening_socket() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
-        async def story(made: Stage) -> None:
+        async def story(made: NodeHarness) -> None:
             made.address = listener.getsockname()
             assert await get_readiness_status(made) == 200
 
         lines: list[str] = []
-        play(story, listener_fd=listener.dup().detach(), lines=lines)
+        run_scenario(story, listener_fd=listener.dup().detach(), lines=lines)
         assert "handover-unavailable" in lines[-1]  # no state folder, so no handover channel
--- a/tests/config/test_settings_page.py
+++ b/tests/config/test_settings_page.py
@@ -27,7 +27,7 @@
     node_config._MachineLimits,
     discovered_list.DiscoveredList,
     discovered_list.DiscoveredEndpoint,
-    callbacks._Event,
+    callbacks._JobEvent,
 ]
 
 # Fields that hold a part of the object: their own fields have the rows.
