--- /dev/null
+++ b/burlmoor/endpoints/candidates.py
@@ -0,0 +1,35 @@
+"""The endpoints that may take a job of a kind, drawn at random by weight or found by key."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterable
+from itertools import accumulate
+
+from burlmoor.endpoints.affinity import AffinityOrders
+from burlmoor.stats.endpoint import Endpoint
+
+
+class Candidates:
+    """Endpoints split into those of the node's own zone and remote ones, and the keys' affinity orders."""
+
+    def __init__(self, endpoints: Iterable[Endpoint], zone: str) -> None:
+        usable = list(endpoints)
+        self.local = [endpoint for endpoint in usable if endpoint.zone == zone]
+        self.remote = [endpoint for endpoint in usable if endpoint.zone != zone]
+        if not self.local:
+            self.local = self.remote
+            self.remote = []
+        self._local_weights = list(accumulate(endpoint.weight for endpoint in self.local))
+        self._remote_weights = list(accumulate(endpoint.weight for endpoint in self.remote))
+        self.affinity = AffinityOrders(self.local + self.remote)
+
+    def sample(self, rng: random.Random, local_count: int, remote_count: int) -> list[Endpoint]:
+        """Draw endpoints, each as likely as its weight says; one may be drawn twice."""
+        local: list[Endpoint] = []
+        remote: list[Endpoint] = []
+        if self.local:
+            local = rng.choices(self.local, cum_weights=self._local_weights, k=local_count)
+        if self.remote:
+            remote = rng.choices(self.remote, cum_weights=self._remote_weights, k=remote_count)
+        return local + remote
--- /dev/null
+++ b/burlmoor/endpoints/outlier_detection.py
@@ -0,0 +1,63 @@
+"""Outlier detection by consecutive faults: which endpoints are ejected, and when they may be probed."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from burlmoor.stats.endpoint import Endpoint
+from burlmoor.types.settings import Idempotency
+
+EJECTION_FAULTS = 2  # so many faults in a row eject an endpoint
+FIRST_PROBE_DELAY_MS = 500.0  # each probe that fails doubles the delay of the next
+MAX_PROBE_DELAY_DOUBLINGS = 4
+
+
+class OutlierDetector:
+    """Ejects endpoints that fail, unless most of them do: then the fault is likely to be on our own side."""
+
+    def __init__(self) -> None:
+        self.is_wary = True  # whether a single fault counts
+        self.is_ejecting = True
+
+    def update(self, live: Sequence[Endpoint]) -> None:
+        """Look at all endpoints: with more than half of them at fault, faults are disregarded."""
+        faults = [endpoint.consecutive_faults for endpoint in live]
+        self.is_wary = 2 * sum(count > 0 for count in faults) <= len(faults)
+        self.is_ejecting = 2 * sum(count >= EJECTION_FAULTS for count in faults) <= len(faults)
+
+    def without_ejected(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
+        """Return the endpoints that are not ejected, or are due for a probe."""
+        if not self.is_ejecting:
+            return endpoints
+        return [
+            endpoint
+            for endpoint in endpoints
+            if endpoint.consecutive_faults < EJECTION_FAULTS or now >= endpoint.next_probe_at
+        ]
+
+    def may_receive(self, endpoint: Endpoint, idempotency: Idempotency, now: float) -> bool:
+        """Return whether a job may be sent there for all that is known of the endpoint's faults.
+
+        Without this, endpoints that fail at once, and so are always free, draw most jobs: an ejected one is
+        probed by one idempotent job at a time.
+        """
+        faults = endpoint.consecutive_faults
+        if faults < EJECTION_FAULTS:
+            return not (faults and self.is_wary and idempotency is Idempotency.NON_IDEMPOTENT)
+        if not self.is_ejecting:
+            return True
+        is_idle = endpoint.slots_in_flight <= 0.0
+        return idempotency is Idempotency.IDEMPOTENT and is_idle and now >= endpoint.next_probe_at
+
+    @staticmethod
+    def record_success(endpoint: Endpoint) -> None:
+        """Count a job that was served."""
+        endpoint.consecutive_faults = 0
+
+    @staticmethod
+    def record_fault(endpoint: Endpoint, now: float) -> None:
+        """Count a fault, and put off the next probe."""
+        endpoint.consecutive_faults += 1
+        doublings = endpoint.consecutive_faults - EJECTION_FAULTS
+        doublings = max(0, min(doublings, MAX_PROBE_DELAY_DOUBLINGS))
+        endpoint.next_probe_at = now + FIRST_PROBE_DELAY_MS * 2.0**doublings
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -18,7 +18,7 @@
 from burlmoor.engine.job import Attempt, Job
 from burlmoor.log import EventLogger
 from burlmoor.policy.dispatcher import Dispatcher
-from burlmoor.stats import snapshot
+from burlmoor.stats.snapshot import StatisticsSnapshot, restore_snapshot, take_snapshot
 from burlmoor.types.actions import (
     Action,
     CancelAttempt,
@@ -93,14 +93,16 @@
         """The ids of the jobs taken here that are not forgotten."""
         return list(self._ids)
 
-    def statistics_snapshot(self) -> snapshot.StatisticsSnapshot:
+    def statistics_snapshot(self) -> StatisticsSnapshot:
         """What the module has learnt."""
-        return snapshot.take_snapshot(self._policy, self.clock())
+        policy = self._policy
+        return take_snapshot(policy.statistics, policy.endpoints.by_name, self.clock())
 
-    def restore_statistics(self, given: snapshot.StatisticsSnapshot) -> None:
+    def restore_statistics(self, given: StatisticsSnapshot) -> None:
         """Go on from what the module of the process before this one has learnt."""
         self.step()  # the list that was told comes first: figures are taken up for whom it names
-        snapshot.restore_snapshot(self._policy, given, self.clock())
+        policy = self._policy
+        restore_snapshot(policy.statistics, policy.endpoints.by_name, given, self.clock())
 
     def set_handed_over(self, yielded: bool) -> None:
         """Whether another process takes this node's jobs in this one's place."""
@@ -300,8 +302,8 @@
     def _releasable_slots(self) -> float:
         """Slots for deferred jobs: a share of the warm capacity less what is in flight or queued."""
         policy = self._policy
-        capacity = _RELEASABLE_SHARE * policy.warm_capacity(self.clock())
-        return capacity - policy.slots_in_flight - policy.slots_queued
+        capacity = _RELEASABLE_SHARE * policy.endpoints.warm_capacity(self.clock())
+        return capacity - policy.endpoints.slots_in_flight - policy.rounds.queued_slots()
 
     def _aged(self, event: Event, now: float) -> Event:
         """What is left of a request's patience when the module hears of it.
--- /dev/null
+++ b/burlmoor/policy/endpoint_eligibility.py
@@ -0,0 +1,54 @@
+"""Which of the endpoints drawn may take a job: capacity, outliers, reservations and the safety rules."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from burlmoor.policy.context import PolicyContext
+from burlmoor.stats.endpoint import Endpoint
+from burlmoor.stats.job import ScheduledJob
+
+WIDE_JOB_SLOTS = 2.5  # an endpoint is reserved for a job of more slots than this
+MAX_RESERVED_SHARE = 0.25  # of all endpoints
+
+
+class EndpointEligibility:
+    """The hard tests of a placement, and the endpoints reserved in this round for wide jobs."""
+
+    def __init__(self, context: PolicyContext) -> None:
+        self._endpoints = context.endpoints
+        self._safety = context.safety
+        self._reserved: set[Endpoint] = set()
+
+    def start_round(self) -> None:
+        """Look at the endpoints' faults anew, and drop the reservations of the round before."""
+        self._endpoints.outliers.update(self._endpoints.live)
+        self._reserved.clear()
+
+    def eligible(self, job: ScheduledJob, drawn: list[Endpoint], now: float) -> Iterator[Endpoint]:
+        """Iterate over the endpoints drawn that may have capacity for the job and that the rules allow."""
+        tried = [attempt.endpoint for attempt in job.attempts]
+        idempotency = job.job_class.idempotency
+        for endpoint in dict.fromkeys(drawn):
+            if not endpoint.is_available() or endpoint in self._reserved:
+                continue
+            if endpoint in tried or job.job_class.required_kind not in (None, endpoint.kind):
+                continue
+            if not endpoint.has_capacity(job.slots, job.memory):
+                continue
+            is_trusted = self._endpoints.outliers.may_receive(endpoint, idempotency, now)
+            if is_trusted and self._safety.may_send(job, endpoint, now):
+                yield endpoint
+
+    def reserve(self, job: ScheduledJob, drawn: list[Endpoint], now: float) -> None:
+        """Reserve an endpoint for a wide job: others would take each slot there as it comes free."""
+        limit = MAX_RESERVED_SHARE * len(self._endpoints.by_name)
+        if job.slots <= WIDE_JOB_SLOTS or len(self._reserved) >= limit:
+            return
+        usable = [
+            endpoint
+            for endpoint in dict.fromkeys(drawn)
+            if endpoint.is_available() and self._safety.may_send(job, endpoint, now)
+        ]
+        if usable:
+            self._reserved.add(min(usable, key=lambda endpoint: endpoint.slots_in_flight))
--- /dev/null
+++ b/burlmoor/policy/retries.py
@@ -0,0 +1,93 @@
+"""Checks of jobs whose attempts are overdue or silent, their redistribution (hedging), and retries."""
+
+from __future__ import annotations
+
+from burlmoor.policy.attempts import AttemptSender
+from burlmoor.policy.context import PolicyContext
+from burlmoor.policy.dispatch_rounds import DispatchRounds
+from burlmoor.stats.endpoint_statistics import EVIDENCE_HALF_LIFE_MS
+from burlmoor.stats.job import ScheduledAttempt, ScheduledJob
+from burlmoor.types.settings import Idempotency
+
+SILENT_ENDPOINT_MS = 3000.0  # an endpoint that has reported nothing for this long may not be working
+RETRY_TICKS = 1.0  # a retry waits for a round after about so many ticks
+
+
+class RetryPolicy:
+    """Decides what becomes of a job whose attempt is late, hangs or has failed."""
+
+    def __init__(self, context: PolicyContext, rounds: DispatchRounds, sender: AttemptSender) -> None:
+        self._context = context
+        self._limits = context.settings.limits
+        self._tick_ms = context.settings.tick_ms
+        self._measured = context.statistics.endpoints
+        self._rounds = rounds
+        self._sender = sender
+
+    def check(self, job: ScheduledJob, now: float) -> None:
+        """Look at a job of which something should have been heard by now."""
+        if job.is_closed or job.is_streaming:
+            return
+        has_started = any(attempt.started_at is not None for attempt in job.pending_attempts())
+        is_useless = now >= job.useful_until and not has_started
+        if now >= job.deadline_at - self._tick_ms or is_useless:
+            # Rule 1; and what has not even started when it can no longer count must free its slots.
+            self._context.jobs.abandon(job)
+            return
+        for attempt in job.pending_attempts():
+            if now >= attempt.check_at:
+                self._check_attempt(job, attempt, now)
+        self._sender.schedule_next_check(job, now)
+
+    def _check_attempt(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
+        attempt.check_at = now + self._sender.max_silence_ms
+        if attempt.started_at is not None or attempt.is_overdue:
+            self._measured.record_attempt_end(attempt.endpoint, False, now)
+            self._context.warn("silent executors: moving repeatable work away", now)
+            self._redistribute(job, attempt, now)
+            return
+        # Not started by now: it waits behind others. Nothing more is sent there until it starts.
+        attempt.is_overdue = True
+        attempt.endpoint.overdue_attempts += 1
+        self._measured.record_start_delay(attempt.endpoint, now - attempt.sent_at, now, has_started=False)
+        if self._may_redistribute_unstarted(job, attempt, now):
+            self._sender.redistribution_tokens -= 1.0
+            self._redistribute(job, attempt, now)
+
+    def _may_redistribute_unstarted(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> bool:
+        """Return whether an attempt that has not started may be made elsewhere.
+
+        Without these limits redistribution feeds an overload, since the job may run at both endpoints: it is
+        for few jobs, while prompt starts are to be had, and away from endpoints that report nothing.
+        """
+        prompt_rate = self._measured.prompt_start_rate.read(now, EVIDENCE_HALF_LIFE_MS, 1.0)
+        return (
+            prompt_rate * self._limits.max_attempts > 1.0
+            and attempt.endpoint.last_heard_at < now - SILENT_ENDPOINT_MS
+            and self._sender.redistribution_tokens >= 1.0
+            and job.job_class.idempotency is Idempotency.IDEMPOTENT
+        )
+
+    def _redistribute(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
+        """Send a job elsewhere, where its class allows a repeat and attempts are left."""
+        if job.is_queued or not self._limits.may_cancel:
+            return
+        if len(job.attempts) >= self._limits.max_attempts:
+            return
+        if job.job_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            return
+        if not self._limits.may_hedge:
+            self._context.safety.cancel(job, attempt)
+        elif len(job.pending_attempts()) == 1:
+            self._rounds.enqueue(job, now, RETRY_TICKS)
+
+    def retry_or_abandon(self, job: ScheduledJob, now: float) -> None:
+        """Queue a job whose attempt brought no answer again where that is safe, else end it."""
+        if job.pending_attempts() or job.is_queued:
+            return
+        last = (job.possibly_run_attempts() or job.attempts)[-1]
+        if now < job.useful_until and self._context.safety.may_send(job, last.endpoint, now):
+            job.rounds_waited += 1
+            self._rounds.enqueue(job, now, RETRY_TICKS)
+        else:
+            self._context.jobs.abandon(job)
--- a/burlmoor/policy/safety.py
+++ b/burlmoor/policy/safety.py
@@ -1,78 +1,74 @@
-"""The rules that every send, rejection and cancel has to keep."""
+"""The retry-safety rules, which every send, final answer and cancel has to keep."""
 
 from __future__ import annotations
 
-from burlmoor.policy.job import ScheduledAttempt, ScheduledJob
 from burlmoor.stats.endpoint import Endpoint
-from burlmoor.types.actions import (
-    Action,
-    CancelAttempt,
-    FailJob,
-    RejectJob,
-    StartAttempt,
-)
-from burlmoor.types.settings import DeduplicationScope, Idempotency, Settings
+from burlmoor.stats.job import ScheduledAttempt, ScheduledJob
+from burlmoor.types.actions import Action, CancelAttempt, FailJob, RejectJob, StartAttempt
+from burlmoor.types.settings import DeduplicationScope, Idempotency, Limits
 
 
-class Gate:
-    """Holds rules 1 and 2: every send, refusal, failure and cancel of every job passes here."""
+class RetrySafety:
+    """Keeps rules 1 and 2: every send, rejection, failure and cancel of every job passes here."""
 
-    def __init__(self, settings: Settings, actions: list[Action]) -> None:
-        self.limits, self.actions = settings.limits, actions
+    def __init__(self, limits: Limits, actions: list[Action]) -> None:
+        self._limits = limits
+        self._actions = actions
 
-    def may_send(self, job: ScheduledJob, worker: Endpoint, now: float) -> bool:
-        """Whether one more attempt, at this worker, can break neither rule."""
-        if (
-            job.done
-            or job.streaming
-            or now >= job.deadline_at
-            or len(job.attempts) >= self.limits.max_attempts
-        ):
+    def may_send(self, job: ScheduledJob, endpoint: Endpoint, now: float) -> bool:
+        """Return whether one more attempt, at this endpoint, can break neither rule."""
+        if job.is_closed or job.is_streaming or now >= job.deadline_at:
             return False
-        risky, effect = job.risky(), job.job_class.idempotency
-        if not risky or effect is Idempotency.NON_IDEMPOTENT:
-            return not risky
-        if len(job.out()) > (1 if self.limits.may_hedge else 0):
+        if len(job.attempts) >= self._limits.max_attempts:
             return False
-        if effect is Idempotency.IDEMPOTENT:
+        possibly_run = job.possibly_run_attempts()
+        idempotency = job.job_class.idempotency
+        if not possibly_run or idempotency is Idempotency.NON_IDEMPOTENT:
+            return not possibly_run
+        if len(job.pending_attempts()) > (1 if self._limits.may_hedge else 0):
+            return False
+        if idempotency is Idempotency.IDEMPOTENT:
             return True
-        first, group = risky[0], job.job_class.deduplication_scope
-        near = first.worker.zone == worker.zone
-        if group is DeduplicationScope.CELL:
-            near = near and first.worker.entry.cell == worker.entry.cell
-        return now < first.sent + job.job_class.deduplication_window_ms and (
-            near or group is DeduplicationScope.ALL
-        )
+        first = possibly_run[0]
+        is_in_window = now < first.sent_at + job.job_class.deduplication_window_ms
+        return is_in_window and first.endpoint.deduplicates_with(endpoint, job.job_class.deduplication_scope)
 
-    def may_refuse(self, job: ScheduledJob) -> bool:
-        """Whether the client may be told that a retry does no harm."""
-        effect, group = job.job_class.idempotency, job.job_class.deduplication_scope
-        repeatable = effect is Idempotency.IDEMPOTENT or (
-            effect is Idempotency.IDEMPOTENT_WITH_KEY and group is DeduplicationScope.ALL
+    def may_reject(self, job: ScheduledJob) -> bool:
+        """Return whether the client may be told that a retry does no harm."""
+        idempotency = job.job_class.idempotency
+        is_scope_all = job.job_class.deduplication_scope is DeduplicationScope.ALL
+        may_repeat = idempotency is Idempotency.IDEMPOTENT or (
+            idempotency is Idempotency.IDEMPOTENT_WITH_KEY and is_scope_all
         )
-        return repeatable or not job.risky()
+        return may_repeat or not job.possibly_run_attempts()
 
     def send(self, job: ScheduledJob, attempt: ScheduledAttempt) -> None:
         """Send an attempt that `may_send` has allowed."""
         job.attempts.append(attempt)
-        self.actions.append(StartAttempt(job.id, attempt.worker.id, 0.0))
+        self._actions.append(StartAttempt(job.id, attempt.endpoint.id, 0.0))
 
-    def finish(self, job: ScheduledJob, retry_after: float = 0.0) -> None:
-        """Give the one final answer: a refusal where the rules allow it, else a failure."""
-        if job.done or job.streaming:
+    def finish(self, job: ScheduledJob, retry_after_ms: float) -> None:
+        """Give the one final answer: a rejection where the rules allow it, else a failure."""
+        if job.is_closed or job.is_streaming:
             return
-        # The advice is given also where the platform's own clients are not told of it: others may read it.
-        self.actions.append(RejectJob(job.id, retry_after) if self.may_refuse(job) else FailJob(job.id))
+        # The Retry-After is given also where the platform's own clients ignore it: others may read it.
+        is_rejection = self.may_reject(job)
+        self._actions.append(RejectJob(job.id, retry_after_ms) if is_rejection else FailJob(job.id))
         self.close(job)
 
     def close(self, job: ScheduledJob) -> None:
-        """The request is over: nothing more goes out for it."""
-        if not job.done:
-            job.done = True
-            self.drop(job)
+        """End the request: nothing more is sent for it."""
+        if not job.is_closed:
+            job.is_closed = True
+            self.cancel_pending(job)
+
+    def cancel_pending(self, job: ScheduledJob, keep: ScheduledAttempt | None = None) -> None:
+        """Cancel the attempts that can no longer count, where the settings allow it."""
+        for attempt in job.pending_attempts():
+            if attempt is not keep:
+                self.cancel(job, attempt)
 
-    def drop(self, job: ScheduledJob, but: ScheduledAttempt | None = None) -> None:
-        """Cancel the attempts that can no longer count, where the site lets us."""
-        for attempt in job.out():
-            if attempt is not but and self.limits.may_cancel and not job.streaming:
-                self.actions.append(CancelAttempt(job.id, attempt.number))
+    def cancel(self, job: ScheduledJob, attempt: ScheduledAttempt) -> None:
+        """Cancel one attempt, where the settings allow it and no response has begun."""
+        if self._limits.may_cancel and not job.is_streaming:
+            self._actions.append(CancelAttempt(job.id, attempt.number))
--- a/burlmoor/stats/class_weights.py
+++ b/burlmoor/stats/class_weights.py
@@ -1,12 +1,12 @@
-"""What one more job served adds to the result, by its class: from the site's blend and from who is behind.
+"""How much a unit of each class's priority weight adds to the operators' objective.
 
-The result is a sum of parts: the share of all worth that is served, and the share of the worst-served
-class. A job adds to the first by its part of all worth, and to the second only where its class is the
-worst, but there by its part of that class's worth, which is more. Which class is the worst is known
-only roughly, so each counts as the worst the more, the further it lies behind (a softmin): the weights
-then move evenly and don't swing.
+The objective is a sum of two parts: the share of all priority weight that is served in time, and that share
+for the worst-served class. A job adds to the first by its part of all weight, and to the second only where
+its class is the worst, but there by its part of that class's weight, which is more. Which class is the
+worst is known only roughly, so each counts as the worst the more, the further it lies behind (a softmin):
+the weights then move evenly and don't oscillate.
 
-Decides nothing and knows no clock. Worth is in any unit, times are ms.
+Priority weights are in any unit, times in ms.
 """
 
 from __future__ import annotations
@@ -16,56 +16,64 @@
 from burlmoor.stats.decayed_mean import DecayedMean
 from burlmoor.types.settings import ObjectiveWeights
 
-HALF = 60_000.0  # evidence halves in this time: the result counts whole days, and a node sees little of one
-TRUST = 5.0  # jobs as good as served that each class starts with
-LEEWAY = 0.1  # a class this far behind another is e times as likely to be the worst in the end
-REVIEW = 200.0  # how often weights are worked out anew
-LEAST = 0.02  # of all worth: a class that has less is not given more weight for it
+EVIDENCE_HALF_LIFE_MS = 60_000.0  # long: the objective counts whole days, and one node sees little of one
+PRIOR_JOBS = 5.0  # jobs taken as served that each class starts with
+SOFTMIN_SCALE = 0.1  # a class whose served share is this much lower is e times as likely to be the worst
+RECOMPUTE_INTERVAL_MS = 200.0  # how often the weights are computed anew
+MIN_CLASS_SHARE = 0.02  # of all priority weight: a class with less is weighted as if it had this much
 
 
 class ClassWeights:
-    """What was asked and what was served in time, by class, and the weights that follow from it."""
+    """The priority weight requested and served in time, by class, and the class weights that follow."""
 
-    def __init__(self, blend: ObjectiveWeights) -> None:
-        self.blend = blend
-        self.requested: dict[str, DecayedMean] = {}  # `total` is the worth, `weight` the number of jobs
+    def __init__(self, objective: ObjectiveWeights) -> None:
+        self._objective = objective
+        self.requested: dict[str, DecayedMean] = {}  # `total` is priority weight, `weight` counts jobs
         self.served: dict[str, DecayedMean] = {}
         self._weights: dict[str, float] = {}
-        self._review_at = -math.inf
+        self._recompute_at = -math.inf
 
-    def record_request(self, name: str, worth: float, now: float) -> None:
-        """A job of this class has come, worth so much."""
-        self.requested.setdefault(name, DecayedMean()).add(now, worth, HALF)
+    def record_request(self, class_name: str, priority_weight: float, now: float) -> None:
+        """Count the priority weight of a job that has arrived."""
+        mean = self.requested.setdefault(class_name, DecayedMean())
+        mean.add(now, priority_weight, EVIDENCE_HALF_LIFE_MS)
 
-    def record_served(self, name: str, worth: float, now: float) -> None:
-        """So much of a class's worth was served."""
-        self.served.setdefault(name, DecayedMean()).add(now, worth, HALF)
+    def record_served(self, class_name: str, priority_weight: float, now: float) -> None:
+        """Count the priority weight of a job that was served."""
+        mean = self.served.setdefault(class_name, DecayedMean())
+        mean.add(now, priority_weight, EVIDENCE_HALF_LIFE_MS)
 
-    def weight(self, name: str, now: float) -> float:
-        """What a unit of this class's worth adds, where one of a class like all others adds 1."""
-        if now >= self._review_at:
-            self._review_at = now + REVIEW
-            self._weights = self._work_out(now)
-        return self._weights.get(name, 1.0)
+    def weight(self, class_name: str, now: float) -> float:
+        """Return what a unit of this class's priority weight adds; 1 where all classes are served alike."""
+        if now >= self._recompute_at:
+            self._recompute_at = now + RECOMPUTE_INTERVAL_MS
+            self._weights = self._compute_weights(now)
+        return self._weights.get(class_name, 1.0)
 
-    def _work_out(self, now: float) -> dict[str, float]:
-        parts = self.blend.overall + self.blend.worst_class
-        # All of one age, so that they can be compared.
-        asked = {name: mean.decayed_total(now, HALF) for name, mean in self.requested.items()}
-        total = sum(asked.values())
-        if parts <= 0.0 or total <= 0.0:
+    def _compute_weights(self, now: float) -> dict[str, float]:
+        objective_total = self._objective.overall + self._objective.worst_class
+        # All decayed to the same moment, so that they can be compared.
+        requested = {
+            name: mean.decayed_total(now, EVIDENCE_HALF_LIFE_MS) for name, mean in self.requested.items()
+        }
+        total = sum(requested.values())
+        if objective_total <= 0.0 or total <= 0.0:
             return {}
-        shares = {}
-        for name, worth in asked.items():
-            mean = self.served.get(name)
-            served = mean.decayed_total(now, HALF) if mean is not None else 0.0
-            prior = TRUST * self.requested[name].total / self.requested[name].weight
-            shares[name] = (served + prior) / (worth + prior)
+        shares = {name: self._served_share(name, weight, now) for name, weight in requested.items()}
         worst = min(shares.values())
-        claims = {name: math.exp((worst - share) / LEEWAY) for name, share in shares.items()}
+        claims = {name: math.exp((worst - share) / SOFTMIN_SCALE) for name, share in shares.items()}
         all_claims = sum(claims.values())
         weights = {}
         for name, claim in claims.items():
-            part = max(LEAST, asked[name] / total)
-            weights[name] = (self.blend.overall + self.blend.worst_class * claim / all_claims / part) / parts
+            class_share = max(MIN_CLASS_SHARE, requested[name] / total)
+            as_worst = self._objective.worst_class * claim / all_claims / class_share
+            weights[name] = (self._objective.overall + as_worst) / objective_total
         return weights
+
+    def _served_share(self, class_name: str, requested_weight: float, now: float) -> float:
+        """Return the share of a class's priority weight that was served, drawn towards 1 by few jobs."""
+        mean = self.served.get(class_name)
+        served = mean.decayed_total(now, EVIDENCE_HALF_LIFE_MS) if mean is not None else 0.0
+        requested = self.requested[class_name]
+        prior = PRIOR_JOBS * requested.total / requested.weight
+        return (served + prior) / (requested_weight + prior)
--- a/burlmoor/stats/decayed_mean.py
+++ b/burlmoor/stats/decayed_mean.py
@@ -1,15 +1,17 @@
-"""A mean that forgets, in which what a node learns is kept. It decides nothing."""
+"""An exponentially decayed mean, the form in which a node keeps what it measures."""
 
 from __future__ import annotations
 
 
 class DecayedMean:
-    """A mean that forgets: old evidence halves in weight every half-life and yields to the prior."""
+    """A mean over all evidence, each piece of which loses half of its weight in every half-life."""
 
     __slots__ = ("total", "updated_at", "weight")
 
     def __init__(self) -> None:
-        self.total = self.weight = self.updated_at = 0.0
+        self.total = 0.0
+        self.weight = 0.0
+        self.updated_at = 0.0
 
     def add(self, now: float, value: float, half_life: float, weight: float = 1.0) -> None:
         """Take in one piece of evidence."""
@@ -19,10 +21,10 @@
         self.updated_at = now
 
     def decayed_total(self, now: float, half_life: float) -> float:
-        """All evidence taken in, each piece by what is left of its weight."""
+        """Return the sum of all evidence, each piece by what is left of its weight."""
         return self.total * float(0.5 ** ((now - self.updated_at) / half_life))
 
     def read(self, now: float, half_life: float, prior: float, prior_weight: float = 1.0) -> float:
-        """The mean, with `prior` counted as `trust` pieces of evidence."""
+        """Return the mean, with `prior` counted as `prior_weight` further pieces of evidence."""
         keep: float = 0.5 ** ((now - self.updated_at) / half_life)
         return (self.total * keep + prior * prior_weight) / (self.weight * keep + prior_weight)
--- a/burlmoor/stats/endpoint_statistics.py
+++ b/burlmoor/stats/endpoint_statistics.py
@@ -1,7 +1,7 @@
-"""The worker book: what one node has learnt of executors and of how its jobs come out.
+"""What one node has measured of its endpoints: speed, start delay, clean ends, and what their time earns.
 
-It chooses nothing: `burlmoor/policy` asks it. Times are ms. Each figure forgets, and falls back from the
-worker to its kind to the fleet while there is little evidence.
+Times are ms. Each figure decays, and falls back from the endpoint to its kind to the whole fleet while there
+is little evidence. Nothing is decided here: `burlmoor/policy` reads it.
 """
 
 from __future__ import annotations
@@ -12,147 +12,164 @@
 from burlmoor.stats.decayed_mean import DecayedMean
 from burlmoor.stats.endpoint import Endpoint
 
-SKILL_HALF = 8000.0  # evidence on speed and stability halves in this time
-BANDS = 5  # complexity classes, by the hint's size against the mean
-# The spread of what jobs take against what is expected, as a logarithm, before any is seen; its weight.
-OFF, OFF_TRUST = 0.4, 5.0
-LOW = -5.0  # what a ms earns before any job was sent, as a logarithm: nobody is kept away for it
-OFF_HALF = 30_000.0  # evidence on it halves in this time
-REVIEW = 100.0  # how often it is worked out anew
+EVIDENCE_HALF_LIFE_MS = 8000.0  # of evidence on speed and clean ends
+WORK_CLASSES = 5  # complexity classes of jobs, by hinted work against the mean, in powers of two
+MIN_WORK_MS = 1e-3
+UNKNOWN_LOG_WEIGHT_RATE = -5.0  # before any job was sent: so low that no job is kept away for it
+MIN_WEIGHT_RATE = 1e-9
+PRIOR_RUN_MS = 500.0
+PRIOR_FASTEST_START_MS = 25.0
+GRACE_TICKS = 4.0  # how long a start notification may take: so many ticks of the clock
+GRACE_FASTEST_STARTS = 3.0  # and so many times the fastest start seen in the zone
+FASTEST_START_GROWTH = 1.02  # per start: lets the fastest start follow a network that has become slower
+NOT_STARTED_WEIGHT = 0.5  # of evidence from an attempt that has not started yet
+MAX_RUN_RATIO = 4.0  # by how much one run may differ from the kind's, either way
 
 
 class EndpointStatistics:
-    """The worker book: learned time, waiting and stability, each falling back worker -> kind -> fleet."""
-
-    def __init__(self, tick: float) -> None:
-        self.tick = tick
-        self.fleet_slow, self.fleet_clean, self.promptness = DecayedMean(), DecayedMean(), DecayedMean()
-        self.kind_slow: dict[str, DecayedMean] = defaultdict(DecayedMean)
-        self.usual_delay: dict[tuple[str, str], DecayedMean] = defaultdict(DecayedMean)
-        self.delay_lately: dict[tuple[str, str], DecayedMean] = defaultdict(DecayedMean)
-        self.hit, self.miss = (
-            DecayedMean(),
-            DecayedMean(),
-        )  # what jobs took beyond their time, key at hand or not
-        self.mean_work, self.mean_run = DecayedMean(), DecayedMean()
-        self.fleet_value = DecayedMean()  # what a ms of a slot promised to earn, as a logarithm
-        self.kind_value: dict[str, DecayedMean] = defaultdict(DecayedMean)
-        self.off, self.off_square = (
-            defaultdict[str, DecayedMean](DecayedMean),
-            defaultdict[str, DecayedMean](DecayedMean),
-        )  # by class
-        self._spreads: dict[str, tuple[float, float, float]] = {}  # when worked out, mean, spread
-        self.prompt: dict[str, float] = {}  # per zone, how soon an idle executor tells of a start
-
-    def pace(self, now: float) -> float:
-        """The half-life of news on load: as long as two jobs run."""
-        return 2.0 * self.mean_run.read(now, SKILL_HALF, 500.0)
-
-    def band(self, work: float, now: float) -> int:
-        """The complexity class of a job, by its hinted work against the mean."""
-        mean = self.mean_work.read(now, SKILL_HALF, work)
-        return max(0, min(BANDS - 1, BANDS // 2 + round(math.log2(max(work, 1e-3) / max(mean, 1e-3)))))
-
-    def kind(self, kind: str, now: float) -> float:
-        """Time taken per unit of hinted work on this kind of executor."""
-        return self.kind_slow[kind].read(now, SKILL_HALF, self.fleet_slow.read(now, SKILL_HALF, 1.0), 2.0)
-
-    def fastest(self, now: float, unknown: float) -> float:
-        """Time taken per unit of hinted work on the fastest kind; `unknown` where no kind has been met."""
-        return min((self.kind(kind, now) for kind in self.kind_slow), default=unknown)
-
-    def slowness(self, worker: Endpoint, band: int, kind: float, now: float) -> float:
-        """Time per unit of hinted work at this worker for this complexity class."""
-        return worker.cells[band].read(now, SKILL_HALF, worker.slow.read(now, SKILL_HALF, kind, 2.0), 3.0)
-
-    def delay(self, worker: Endpoint, now: float, pace: float) -> float:
-        """Expected wait at this worker, from start delays seen there lately, else on its kind in its zone.
-
-        There too what was seen lately goes first: a node of many has hardly met this worker, and a burst is
-        over in seconds.
+    """Measured slowness, start delay and clean ends, each falling back endpoint -> kind -> fleet."""
+
+    def __init__(self, tick_ms: float) -> None:
+        self._tick_ms = tick_ms
+        self.fleet_slowness = DecayedMean()
+        self.fleet_clean_rate = DecayedMean()
+        self.fleet_weight_rate = DecayedMean()  # logarithm, as by kind and by endpoint
+        self.kind_slowness: dict[str, DecayedMean] = defaultdict(DecayedMean)
+        self.kind_weight_rate: dict[str, DecayedMean] = defaultdict(DecayedMean)
+        self.prompt_start_rate = DecayedMean()
+        self.typical_start_delay: dict[tuple[str, str], DecayedMean] = defaultdict(DecayedMean)
+        self.recent_start_delay: dict[tuple[str, str], DecayedMean] = defaultdict(DecayedMean)
+        self.cache_hit_excess = DecayedMean()  # what jobs took beyond their time, key cached or not
+        self.cache_miss_excess = DecayedMean()
+        self.mean_work = DecayedMean()
+        self.mean_run = DecayedMean()
+        self.fastest_start_ms: dict[str, float] = {}  # by zone, until an idle endpoint reports a start
+
+    def load_half_life(self, now: float) -> float:
+        """Return the half-life of evidence on load: as long as two jobs run."""
+        return 2.0 * self.mean_run.read(now, EVIDENCE_HALF_LIFE_MS, PRIOR_RUN_MS)
+
+    def work_class(self, work_ms: float, now: float) -> int:
+        """Return the complexity class of a job, by its hinted work against the mean."""
+        mean = self.mean_work.read(now, EVIDENCE_HALF_LIFE_MS, work_ms)
+        octaves = round(math.log2(max(work_ms, MIN_WORK_MS) / max(mean, MIN_WORK_MS)))
+        return max(0, min(WORK_CLASSES - 1, WORK_CLASSES // 2 + octaves))
+
+    def slowness_of_kind(self, kind: str, now: float) -> float:
+        """Return the time taken per unit of hinted work on this kind of endpoint."""
+        fleet = self.fleet_slowness.read(now, EVIDENCE_HALF_LIFE_MS, 1.0)
+        return self.kind_slowness[kind].read(now, EVIDENCE_HALF_LIFE_MS, fleet, 2.0)
+
+    def slowness_of_fastest_kind(self, now: float, unknown: float) -> float:
+        """Return the time per unit of hinted work on the fastest kind; `unknown` if no kind was met."""
+        return min((self.slowness_of_kind(kind, now) for kind in self.kind_slowness), default=unknown)
+
+    def slowness(self, endpoint: Endpoint, work_class: int, of_kind: float, now: float) -> float:
+        """Return the time per unit of hinted work at this endpoint for this complexity class."""
+        mean = endpoint.slowness.read(now, EVIDENCE_HALF_LIFE_MS, of_kind, 2.0)
+        return endpoint.slowness_by_work_class[work_class].read(now, EVIDENCE_HALF_LIFE_MS, mean, 3.0)
+
+    def expected_start_delay(self, endpoint: Endpoint, now: float, half_life: float) -> float:
+        """Return the expected wait at this endpoint, from recent start delays, else those of its kind.
+
+        Of its kind in its zone, too, what was seen recently goes first: one node of many has hardly met this
+        endpoint, and a burst is over in seconds.
         """
-        of_kind = worker.zone, worker.kind
-        usual = self.usual_delay[of_kind].read(now, SKILL_HALF, 0.0)
-        return worker.delay.read(now, pace, self.delay_lately[of_kind].read(now, pace, usual))
-
-    def stability(self, worker: Endpoint, now: float) -> float:
-        """The share of jobs done cleanly here, against the whole fleet's so that none is judged alone."""
-        return worker.clean.read(now, SKILL_HALF, self.fleet_clean.read(now, SKILL_HALF, 1.0, 4.0), 2.0)
-
-    def setup(self, now: float) -> float:
-        """What a job takes longer where its key is not at hand."""
-        return max(0.0, self.miss.read(now, SKILL_HALF, 0.0, 4.0) - self.hit.read(now, SKILL_HALF, 0.0, 4.0))
-
-    def grace(self, zone: str) -> float:
-        """How long a start note may take from an executor with a free slot."""
-        return 4.0 * self.tick + 3.0 * self.prompt.get(zone, 25.0)
-
-    def learn_delay(self, worker: Endpoint, seen: float, now: float, started: bool = True) -> None:
-        """A start note came (or is overdue) this long after the send."""
-        prompt = self.prompt.get(worker.zone, seen)
-        self.prompt[worker.zone] = min(seen, 1.02 * prompt)  # near the least: queues are not network
-        # One that has not started would have waited longer still: no sign of a wait below what is expected.
-        wait = max(0.0, seen - prompt, 0.0 if started else self.delay(worker, now, self.pace(now)))
-        weight = 1.0 if started else 0.5
-        self.promptness.add(now, float(seen <= self.grace(worker.zone)), SKILL_HALF, weight)
-        if seen > self.grace(worker.zone):
-            worker.room = max(1.0, 0.9 * worker.room)
-        elif worker.slots > worker.room - 1.0:
-            worker.room += 1.0 / worker.room
-        worker.delay.add(now, wait, self.pace(now), weight)
-        self.usual_delay[worker.zone, worker.kind].add(now, wait, SKILL_HALF, weight)
-        if started:  # one that has not may hang, which is no sign of a burst
-            self.delay_lately[worker.zone, worker.kind].add(now, wait, self.pace(now))
-
-    def learn_run(self, worker: Endpoint, work: float, run: float, now: float, weight: float = 1.0) -> float:
-        """A job ran (or by its progress will run) this long; returns how slow that is for its kind."""
-        kind = self.kind(worker.kind, now)
-        # A heavy job is not held against the worker that ran it: what one job can say is bounded.
-        ratio = max(0.25 * kind, min(4.0 * kind, run / max(work, 1e-3)))
-        # By work, lest what small jobs take beyond their work make every executor look slow.
-        weight *= min(1.0, work / max(self.mean_work.read(now, SKILL_HALF, work), 1e-3))
-        band = self.band(work, now)
-        for mean in (worker.cells[band], worker.slow, self.kind_slow[worker.kind], self.fleet_slow):
-            mean.add(now, ratio, SKILL_HALF, weight)
-        self.mean_run.add(now, run, SKILL_HALF, weight)
-        return ratio / kind
-
-    def learn_clean(self, worker: Endpoint, clean: bool, now: float) -> None:
-        """An attempt ended cleanly or not."""
-        worker.clean.add(now, float(clean), SKILL_HALF)
-        self.fleet_clean.add(now, float(clean), SKILL_HALF)
-
-    def chance(self, job_class: str, expected: float, left: float, now: float) -> float:
-        """How likely a job that is expected to take so long is done within `left`, from how others came out.
-
-        What jobs of its class took against what was expected of them is taken to be lognormal.
+        zone_and_kind = (endpoint.zone, endpoint.kind)
+        typical = self.typical_start_delay[zone_and_kind].read(now, EVIDENCE_HALF_LIFE_MS, 0.0)
+        recent = self.recent_start_delay[zone_and_kind].read(now, half_life, typical)
+        return endpoint.start_delay.read(now, half_life, recent)
+
+    def clean_rate(self, endpoint: Endpoint, now: float) -> float:
+        """Return the share of jobs that end cleanly here, with the fleet's as prior."""
+        fleet = self.fleet_clean_rate.read(now, EVIDENCE_HALF_LIFE_MS, 1.0, 4.0)
+        return endpoint.clean_rate.read(now, EVIDENCE_HALF_LIFE_MS, fleet, 2.0)
+
+    def cache_miss_penalty(self, now: float) -> float:
+        """Return how much longer a job takes where its key is not cached."""
+        miss = self.cache_miss_excess.read(now, EVIDENCE_HALF_LIFE_MS, 0.0, 4.0)
+        return max(0.0, miss - self.cache_hit_excess.read(now, EVIDENCE_HALF_LIFE_MS, 0.0, 4.0))
+
+    def start_grace(self, zone: str) -> float:
+        """Return how long the start notification of an endpoint with a free slot may take."""
+        fastest = self.fastest_start_ms.get(zone, PRIOR_FASTEST_START_MS)
+        return GRACE_TICKS * self._tick_ms + GRACE_FASTEST_STARTS * fastest
+
+    def weight_rate(self, endpoint: Endpoint, now: float) -> float:
+        """Return the priority weight that a slot's ms there earns: the geometric mean over recent jobs.
+
+        A few jobs of many times the usual weight move it little, as they would not a price that most pay.
         """
-        at, mean, spread = self._spreads.get(job_class, (-math.inf, 0.0, OFF))
-        if now >= at + REVIEW:
-            mean = self.off[job_class].read(now, OFF_HALF, 0.0, OFF_TRUST)
-            square = self.off_square[job_class].read(now, OFF_HALF, OFF * OFF, OFF_TRUST)
-            spread = math.sqrt(max(0.01, square - mean * mean))
-            self._spreads[job_class] = now, mean, spread
-        deviations = (math.log(max(left, 1e-3) / max(expected, 1.0)) - mean) / spread
-        # The logistic curve that is nearest to the normal distribution's.
-        return 1.0 / (1.0 + math.exp(max(-30.0, min(30.0, -1.702 * deviations))))
-
-    def learn_finish(self, job_class: str, expected: float, taken: float, now: float) -> None:
-        """A job was done so long after it was sent, and so long was expected."""
-        off = max(-2.0, min(2.0, math.log(max(taken, 1.0) / max(expected, 1.0))))
-        self.off[job_class].add(now, off, OFF_HALF)
-        self.off_square[job_class].add(now, off * off, OFF_HALF)
-
-    def value(self, worker: Endpoint, now: float) -> float:
-        """What a ms of a slot there earns of late: the geometric mean over the jobs that it was given.
-
-        A few jobs of many times the usual worth move it little, as they would not a price that most pay.
-        """
-        fleet = self.fleet_value.read(now, SKILL_HALF, LOW)
-        kind = self.kind_value[worker.kind].read(now, SKILL_HALF, fleet, 2.0)
-        return math.exp(worker.value.read(now, SKILL_HALF, kind, 2.0))
-
-    def learn_value(self, worker: Endpoint, rate: float, now: float) -> None:
-        """A job was sent there that is expected to earn so much a ms."""
-        for mean in (worker.value, self.kind_value[worker.kind], self.fleet_value):
-            mean.add(now, math.log(max(rate, 1e-9)), SKILL_HALF)
+        fleet = self.fleet_weight_rate.read(now, EVIDENCE_HALF_LIFE_MS, UNKNOWN_LOG_WEIGHT_RATE)
+        kind = self.kind_weight_rate[endpoint.kind].read(now, EVIDENCE_HALF_LIFE_MS, fleet, 2.0)
+        return math.exp(endpoint.weight_rate.read(now, EVIDENCE_HALF_LIFE_MS, kind, 2.0))
+
+    def record_start_delay(
+        self, endpoint: Endpoint, seen_ms: float, now: float, has_started: bool = True
+    ) -> None:
+        """Count an attempt that started, or is overdue, this long after it was sent."""
+        fastest = self.fastest_start_ms.get(endpoint.zone, seen_ms)
+        # Near the least seen: time spent in a queue is not the network's.
+        self.fastest_start_ms[endpoint.zone] = min(seen_ms, FASTEST_START_GROWTH * fastest)
+        half_life = self.load_half_life(now)
+        # One that has not started would have waited longer still: no sign of a wait below the expected one.
+        least_ms = 0.0 if has_started else self.expected_start_delay(endpoint, now, half_life)
+        wait_ms = max(0.0, seen_ms - fastest, least_ms)
+        weight = 1.0 if has_started else NOT_STARTED_WEIGHT
+        is_prompt = seen_ms <= self.start_grace(endpoint.zone)
+        self.prompt_start_rate.add(now, float(is_prompt), EVIDENCE_HALF_LIFE_MS, weight)
+        if not is_prompt:
+            endpoint.decrease_capacity()
+        elif endpoint.slots_in_flight > endpoint.capacity - 1.0:
+            endpoint.capacity += 1.0 / endpoint.capacity
+        zone_and_kind = (endpoint.zone, endpoint.kind)
+        endpoint.start_delay.add(now, wait_ms, half_life, weight)
+        self.typical_start_delay[zone_and_kind].add(now, wait_ms, EVIDENCE_HALF_LIFE_MS, weight)
+        if has_started:  # one that has not may hang, which is no sign of a burst
+            self.recent_start_delay[zone_and_kind].add(now, wait_ms, half_life)
+
+    def record_run(
+        self, endpoint: Endpoint, work_ms: float, run_ms: float, now: float, weight: float = 1.0
+    ) -> float:
+        """Count a job that ran (or by its progress will run) this long; return its slowness for the kind."""
+        of_kind = self.slowness_of_kind(endpoint.kind, now)
+        # A heavy job is not held against the endpoint that ran it: what one job can say is bounded.
+        ratio = run_ms / max(work_ms, MIN_WORK_MS)
+        ratio = max(of_kind / MAX_RUN_RATIO, min(MAX_RUN_RATIO * of_kind, ratio))
+        # By work, lest what small jobs take beyond their work make every endpoint look slow.
+        mean_work = self.mean_work.read(now, EVIDENCE_HALF_LIFE_MS, work_ms)
+        weight *= min(1.0, work_ms / max(mean_work, MIN_WORK_MS))
+        of_class = endpoint.slowness_by_work_class[self.work_class(work_ms, now)]
+        for mean in (of_class, endpoint.slowness, self.kind_slowness[endpoint.kind], self.fleet_slowness):
+            mean.add(now, ratio, EVIDENCE_HALF_LIFE_MS, weight)
+        self.mean_run.add(now, run_ms, EVIDENCE_HALF_LIFE_MS, weight)
+        return ratio / of_kind
+
+    def record_cache_use(
+        self, endpoint: Endpoint, work_ms: float, run_ms: float, is_cache_miss: bool, now: float
+    ) -> float:
+        """Count a run with a key that was cached or not; return the run time less the fetch of the key."""
+        of_kind = self.slowness_of_kind(endpoint.kind, now)
+        usual_ms = work_ms * self.slowness(endpoint, self.work_class(work_ms, now), of_kind, now)
+        excess = self.cache_miss_excess if is_cache_miss else self.cache_hit_excess
+        excess.add(now, run_ms - usual_ms, EVIDENCE_HALF_LIFE_MS)
+        if not is_cache_miss:
+            return run_ms
+        return max(0.25 * run_ms, run_ms - self.cache_miss_penalty(now))
+
+    def record_attempt_end(self, endpoint: Endpoint, is_clean: bool, now: float) -> None:
+        """Count an attempt that ended cleanly or not."""
+        endpoint.clean_rate.add(now, float(is_clean), EVIDENCE_HALF_LIFE_MS)
+        self.fleet_clean_rate.add(now, float(is_clean), EVIDENCE_HALF_LIFE_MS)
+
+    def record_overload(self, endpoint: Endpoint, now: float) -> None:
+        """Count an attempt that the endpoint refused for want of capacity."""
+        half_life = self.load_half_life(now)
+        endpoint.start_delay.add(now, half_life, half_life, 2.0)
+        endpoint.decrease_capacity()
+
+    def record_weight_rate(self, endpoint: Endpoint, weight_rate: float, now: float) -> None:
+        """Count a job sent there that is expected to earn so much priority weight a ms."""
+        log_rate = math.log(max(weight_rate, MIN_WEIGHT_RATE))
+        for mean in (endpoint.weight_rate, self.kind_weight_rate[endpoint.kind], self.fleet_weight_rate):
+            mean.add(now, log_rate, EVIDENCE_HALF_LIFE_MS)
--- /dev/null
+++ b/burlmoor/stats/node_statistics.py
@@ -0,0 +1,39 @@
+"""All that one node measures, in one place."""
+
+from __future__ import annotations
+
+from burlmoor.stats.class_weights import ClassWeights
+from burlmoor.stats.demand import DemandStatistics
+from burlmoor.stats.endpoint_statistics import EVIDENCE_HALF_LIFE_MS, EndpointStatistics
+from burlmoor.stats.estimate_errors import EstimateErrors
+from burlmoor.types.settings import Settings
+
+
+class NodeStatistics:
+    """The statistics of one node; those of single endpoints are kept in `Endpoint`."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._classes = settings.classes
+        self._is_weight_by_work = settings.weight_by_work
+        self.endpoints = EndpointStatistics(settings.tick_ms)
+        self.estimates = EstimateErrors()
+        self.demand = DemandStatistics(settings)
+        self.class_weights = ClassWeights(settings.objective)
+
+    def record_arrival(self, work_ms: float, cost: float, now: float) -> None:
+        """Count a job that has arrived, by its work and its cost (work times slots)."""
+        self.endpoints.mean_work.add(now, work_ms, EVIDENCE_HALF_LIFE_MS)
+        self.demand.record_cost(cost, now)
+
+    def record_weight_density(self, density: float, now: float) -> float:
+        """Count a job of so much priority weight per ms of work; return the highest density there is."""
+        highest = max(self._highest_class_density(now) or self.demand.highest_weight_density, density)
+        self.demand.highest_weight_density = highest
+        return highest
+
+    def _highest_class_density(self, now: float) -> float:
+        """Return the highest density that a class can have now; 0 where weight does not go by work."""
+        if not self._is_weight_by_work:
+            return 0.0
+        weight = self.class_weights.weight
+        return max(each.priority_weight * weight(each.name, now) for each in self._classes)
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -71,38 +71,40 @@
 
 def _in_step() -> None:
     """All nodes send in the same moments, four times a second."""
-    from burlmoor.policy.dispatcher import Dispatcher  # noqa: PLC0415
-    from burlmoor.policy.job import ScheduledJob  # noqa: PLC0415
+    from burlmoor.policy.dispatch_rounds import ROUND_TICKS, DispatchRounds  # noqa: PLC0415
+    from burlmoor.stats.job import ScheduledJob  # noqa: PLC0415
 
     def strike(now: float) -> float:
         # By the machine's clock, which is all nodes' own: each process counts from elsewhere.
         return now + 250.0 - time.monotonic() * 1000.0 % 250.0
 
-    round_ = Dispatcher._round
+    run = DispatchRounds.run
 
-    def wait(self: Dispatcher, job: ScheduledJob, now: float, ticks: float) -> None:
-        job.waiting = True
-        self.waiting[job.id] = job
-        self.round_at = min(self.round_at, strike(now))
+    def enqueue(self: DispatchRounds, job: ScheduledJob, now: float, ticks: float = ROUND_TICKS) -> None:
+        job.is_queued = True
+        self.queue[job.id] = job
+        self.next_round_at = min(self.next_round_at, strike(now))
 
-    def in_step(self: Dispatcher, now: float) -> None:
-        round_(self, now)
-        if self.waiting:
-            self.round_at = strike(now)
+    def run_in_step(self: DispatchRounds, now: float) -> None:
+        run(self, now)
+        if self.queue:
+            self.next_round_at = strike(now)
 
-    Dispatcher._wait, Dispatcher._round = wait, in_step  # type: ignore[method-assign]
+    DispatchRounds.enqueue = enqueue  # type: ignore[method-assign]
+    DispatchRounds.run = run_in_step  # type: ignore[method-assign]
 
 
 def _one_order() -> None:
     """All nodes look at executors in the same order, and take the first that seems to have room."""
-    from burlmoor.endpoints.endpoint_list import Reach  # noqa: PLC0415
+    from burlmoor.endpoints.affinity import AffinityOrders  # noqa: PLC0415
+    from burlmoor.endpoints.candidates import Candidates  # noqa: PLC0415
 
-    def sample(self: Reach, _rng: Any, near: int, far: int) -> Any:
-        return [*self.near, *self.far][: near + far]
+    def sample(self: Candidates, _rng: Any, local_count: int, remote_count: int) -> Any:
+        return [*self.local, *self.remote][: local_count + remote_count]
 
-    Reach.sample = sample  # type: ignore[assignment, method-assign]
-    home = Reach.home
-    Reach.home = lambda self, key: home(self, "one") if key else []  # type: ignore[method-assign]
+    order_of = AffinityOrders.order_of
+    Candidates.sample = sample  # type: ignore[assignment, method-assign]
+    AffinityOrders.order_of = lambda self, key: order_of(self, "one") if key else []  # type: ignore[method-assign]
 
 
 def _no_ageing() -> None:
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -133,9 +133,9 @@
     job = world.core._ids["c"]
     assert [each.job.id for each in world.sent][-1] == "c"
     assert 2500.0 < job.deadline - world.now < 3000.0
-    known = world.core._policy.jobs[job.number]
+    known = world.core._policy.context.jobs.by_id[job.number]
     # The aim counts from the release: nothing of it was spent on earlier tries.
-    assert known.aim_at == pytest.approx(job.admitted_at + known.aim, abs=10.0)
+    assert known.objective_at == pytest.approx(job.admitted_at + known.objective_ms, abs=10.0)
     world.serve("c")
     assert kinds(child) == [Served]
 
@@ -228,8 +228,8 @@
     plain = world.core._policy
     world.ask(ref="plain")
     world.run(2.0)
-    jobs = {job.id: job for job in plain.jobs.values()}
-    assert max(job.standing for job in jobs.values()) - min(job.standing for job in jobs.values()) <= 1.01
+    jobs = {job.id: job for job in plain.context.jobs.by_id.values()}
+    assert max(job.priority for job in jobs.values()) - min(job.priority for job in jobs.values()) <= 1.01
 
 
 def test_a_clock_that_steps_releases_when_its_time_has_come_by_it() -> None:
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -21,14 +21,14 @@
 from burlmoor.membership.codec import Message, MessageKind, decode, encode
 from burlmoor.membership.member import MemberState, MemberStatus
 from burlmoor.simulator_adapter import Host
-from burlmoor.stats import snapshot
+from burlmoor.stats.snapshot import StatisticsSnapshot
 from burlmoor.testbed.drill import Ask, Verdict
 from burlmoor.testbed.drill_deferred import judge as judge_waiting
 from burlmoor.testbed.drill_watch import judge as judge_watch
 from burlmoor.testbed.event_record import Ledger
 from burlmoor.testbed.fleet import record as records
 from burlmoor.testbed.fleet.verdict import found
-from tests.stats.test_snapshot import taught
+from tests.stats.test_snapshot import taken, taught
 
 DATA = Path(__file__).parent / "data"
 STATISTICS = (DATA / "statistics.msgpack").read_bytes()
@@ -47,7 +47,7 @@
     "snapshot": handover_channel.Snapshot(
         OVERRIDES,
         LISTED,
-        msgspec.msgpack.decode(STATISTICS, type=snapshot.StatisticsSnapshot),
+        msgspec.msgpack.decode(STATISTICS, type=StatisticsSnapshot),
         ["a1", "a2"],
         5,
         6,
@@ -71,13 +71,13 @@
 
 
 def test_the_statistics_snapshot_keeps_its_encoding() -> None:
-    decoded = msgspec.msgpack.decode(STATISTICS, type=snapshot.StatisticsSnapshot)
+    decoded = msgspec.msgpack.decode(STATISTICS, type=StatisticsSnapshot)
     assert msgspec.msgpack.encode(decoded) == STATISTICS
 
 
 def test_the_same_conversation_gives_the_same_statistics_snapshot() -> None:
     talk = taught()
-    assert msgspec.msgpack.encode(snapshot.take_snapshot(talk.node, talk.now)) == STATISTICS
+    assert msgspec.msgpack.encode(taken(talk)) == STATISTICS
 
 
 def test_the_overrides_file_keeps_its_encoding() -> None:
--- a/tests/policy/test_dispatch_rounds.py
+++ b/tests/policy/test_dispatch_rounds.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from burlmoor.policy.dispatcher import AGING, DELTA
+from burlmoor.policy.admission import WEIGHT_DENSITY_WEIGHT
+from burlmoor.policy.dispatch_rounds import PRIORITY_PER_ROUND_WAITED
 from burlmoor.types.actions import FailJob, RejectJob, StartAttempt
 from burlmoor.types.events import AttemptStarted
 from burlmoor.types.outcome import Outcome
@@ -44,8 +45,8 @@
     for ref in range(60):
         talk.ask(ref, tenant="loud", timeout_ms=5000.0)
     talk.ask(99, tenant="calm")
-    job = talk.node.jobs[99]
-    assert job.standing > talk.node.jobs[59].standing
+    job = talk.node.context.jobs.by_id[99]
+    assert job.priority > talk.node.context.jobs.by_id[59].priority
     talk.run(30.0)
     talk.end(held, Outcome.SERVED)
     talk.run(30.0)
@@ -58,12 +59,12 @@
     talk = Talk(settings(classes=(LOOKUP, GOLD)), entries(1))
     busy_executor(talk)
     talk.ask(1, "lookup", work_ms=2000.0)
-    before = talk.node.jobs[1].rounds
+    before = talk.node.context.jobs.by_id[1].rounds_waited
     talk.run(200.0)
-    job = talk.node.jobs[1]
-    assert job.rounds > before
-    assert job.standing + AGING * job.rounds > job.standing
-    assert AGING * 1000 > DELTA
+    job = talk.node.context.jobs.by_id[1]
+    assert job.rounds_waited > before
+    assert job.priority + PRIORITY_PER_ROUND_WAITED * job.rounds_waited > job.priority
+    assert PRIORITY_PER_ROUND_WAITED * 1000 > WEIGHT_DENSITY_WEIGHT
 
 
 def test_a_job_too_wide_for_what_is_free_is_held_not_sent() -> None:
@@ -126,11 +127,11 @@
     tight = replace(LOOKUP, name="tight", latency_objective_ms=117.0, objective_stretch=0.0)
     talk = Talk(settings(classes=(LOOKUP, tight)), entries(1, weight=8.0))
     for _ in range(10):  # what its time earns otherwise
-        talk.node.book.learn_value(talk.node.members.workers["a0"], 2.0, talk.now)
+        talk.node.statistics.endpoints.record_weight_rate(talk.node.endpoints.by_name["a0"], 2.0, talk.now)
     if crowded:
         talk.placed(1000, slots=7.0, work_ms=2000.0)
     talk.ask(1, "tight", work_ms=100.0)
-    talk.node.jobs[1].trial = False
+    talk.node.context.jobs.by_id[1].is_exploratory = False
     talk.run(60.0)
     assert len(talk.all(StartAttempt, 1)) == (not crowded)
 
@@ -178,7 +179,7 @@
     assert urgent.endpoint.startswith("a")
     bulk_talks = []
     for seed in range(10):
-        talk.node.rng.seed(seed)
+        talk.node.context.rng.seed(seed)
         send = talk.placed(600 + seed, work_ms=200.0)
         talk.tell(AttemptStarted(send.id, 0, send.endpoint))
         talk.run(300.0)
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
+import math
 import random
 from dataclasses import replace
 
 import pytest
 
-from burlmoor.policy.job import ScheduledJob
 from burlmoor.stats.decayed_mean import DecayedMean
 from burlmoor.stats.endpoint import Endpoint
-from burlmoor.stats.endpoint_statistics import BANDS, EndpointStatistics
+from burlmoor.stats.endpoint_statistics import WORK_CLASSES, EndpointStatistics
+from burlmoor.stats.estimate_errors import EstimateErrors
+from burlmoor.stats.job import ScheduledJob
 from burlmoor.types.actions import CheckHealth, StartAttempt
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
 from burlmoor.types.events import (
@@ -43,13 +45,13 @@
 def test_one_outcome_teaches_every_class_and_kind_mates() -> None:
     book, known, mate, other = EndpointStatistics(5.0), worker("a0"), worker("a1"), worker("b0", "other")
     for _ in range(10):
-        book.learn_run(known, 100.0, 300.0, 1000.0)
-    kind = book.kind("std", 1000.0)
-    for band in range(BANDS):
+        book.record_run(known, 100.0, 300.0, 1000.0)
+    kind = book.slowness_of_kind("std", 1000.0)
+    for band in range(WORK_CLASSES):
         assert book.slowness(known, band, kind, 1000.0) > 2.0
         assert book.slowness(mate, band, kind, 1000.0) > 2.0
-    assert book.kind("other", 1000.0) < kind
-    assert other.slow.weight == 0.0
+    assert book.slowness_of_kind("other", 1000.0) < kind
+    assert other.slowness.weight == 0.0
 
 
 def test_a_cell_of_its_own_tells_one_class_from_another() -> None:
@@ -57,19 +59,19 @@
     for _ in range(20):
         book.mean_work.add(0.0, 200.0, 8000.0)
     for _ in range(20):
-        book.learn_run(known, 50.0, 50.0, 1000.0)
-        book.learn_run(known, 1600.0, 4800.0, 1000.0)
-    kind = book.kind("std", 1000.0)
-    assert book.slowness(known, 0, kind, 1000.0) < book.slowness(known, BANDS - 1, kind, 1000.0)
+        book.record_run(known, 50.0, 50.0, 1000.0)
+        book.record_run(known, 1600.0, 4800.0, 1000.0)
+    kind = book.slowness_of_kind("std", 1000.0)
+    assert book.slowness(known, 0, kind, 1000.0) < book.slowness(known, WORK_CLASSES - 1, kind, 1000.0)
 
 
 def test_a_heavy_job_is_not_held_against_its_worker() -> None:
     # Guards against one job of twenty times its hint making a sound worker look dead.
     book, known = EndpointStatistics(5.0), worker()
     for _ in range(10):
-        book.learn_run(known, 100.0, 100.0, 1000.0)
-    book.learn_run(known, 100.0, 2000.0, 1000.0)
-    assert book.slowness(known, 2, book.kind("std", 1000.0), 1000.0) < 1.6
+        book.record_run(known, 100.0, 100.0, 1000.0)
+    book.record_run(known, 100.0, 2000.0, 1000.0)
+    assert book.slowness(known, 2, book.slowness_of_kind("std", 1000.0), 1000.0) < 1.6
 
 
 def test_progress_tells_of_slowness_before_the_outcome() -> None:
@@ -78,7 +80,7 @@
     talk.tell(AttemptStarted(1, 0, send.endpoint))
     talk.run(1000.0)
     talk.tell(AttemptProgressed(1, 0, send.endpoint, 0.25))
-    assert talk.node.book.kind("std", talk.now) > 1.2
+    assert talk.node.statistics.endpoints.slowness_of_kind("std", talk.now) > 1.2
 
 
 def test_a_late_start_closes_the_worker_until_it_starts() -> None:
@@ -89,20 +91,20 @@
     talk.run(100.0)
     assert not talk.all(StartAttempt, 2)
     talk.tell(AttemptStarted(1, 0, send.endpoint))
-    assert talk.node.members.workers["a0"].overdue == 0
+    assert talk.node.endpoints.by_name["a0"].overdue_attempts == 0
 
 
 def test_prompt_starts_at_the_cap_raise_it_and_late_ones_lower_it() -> None:
     talk = Talk(listed=entries(1))
-    known = talk.node.members.workers["a0"]
-    start = known.room
+    known = talk.node.endpoints.by_name["a0"]
+    start = known.capacity
     for ref in range(4):
         send = talk.placed(ref)
         talk.tell(AttemptStarted(ref, 0, send.endpoint))
-    assert known.room > start
-    raised = known.room
-    talk.node.book.learn_delay(known, 500.0, talk.now)
-    assert known.room < raised
+    assert known.capacity > start
+    raised = known.capacity
+    talk.node.statistics.endpoints.record_start_delay(known, 500.0, talk.now)
+    assert known.capacity < raised
 
 
 def test_full_turns_the_next_job_elsewhere() -> None:
@@ -150,8 +152,8 @@
     send = talk.placed(1, work_ms=2000.0)
     talk.tell(AttemptStarted(1, 0, send.endpoint))
     talk.run(1700.0)
-    known = talk.node.members.workers[send.endpoint]
-    assert talk.node.book.stability(known, talk.now) < 0.8
+    known = talk.node.endpoints.by_name[send.endpoint]
+    assert talk.node.statistics.endpoints.clean_rate(known, talk.now) < 0.8
     assert len(talk.all(StartAttempt, 1)) == 2
 
 
@@ -188,7 +190,7 @@
     talk = Talk(settings(classes=(tight,)))
     for ref in range(1, 21):
         talk.ask(ref, work_ms=100.0)
-        if talk.node.jobs[ref].trial:
+        if talk.node.context.jobs.by_id[ref].is_exploratory:
             trials.add(ref)
         talk.run(20.0)
         talk.tell(ClientDisconnected(ref))
@@ -197,15 +199,15 @@
 
 def test_a_chance_is_as_good_as_what_jobs_took_says() -> None:
     # Guards against a margin that suits one deployment: hints and noise differ, and each class shows its own.
-    book, rng = EndpointStatistics(5.0), random.Random(3)
+    errors, rng = EstimateErrors(), random.Random(3)
     for number in range(400):
-        book.learn_finish("rough", 1000.0, 1000.0 * rng.lognormvariate(0.3, 0.6), 50.0 * number)
-        book.learn_finish("fine", 1000.0, 1000.0 * rng.lognormvariate(0.0, 0.1), 50.0 * number)
+        errors.record("rough", 1000.0, 1000.0 * rng.lognormvariate(0.3, 0.6), 50.0 * number)
+        errors.record("fine", 1000.0, 1000.0 * rng.lognormvariate(0.0, 0.1), 50.0 * number)
     now = 50.0 * 400
     for left, rough in ((1000.0, 0.31), (1350.0, 0.5), (2000.0, 0.74), (3000.0, 0.91)):
-        assert book.chance("rough", 1000.0, left, now) == pytest.approx(rough, abs=0.06)
-    assert book.chance("fine", 1000.0, 1350.0, now) > 0.97
-    assert book.chance("unseen", 1000.0, 1000.0, now) == pytest.approx(0.5)
+        assert errors.on_time_probability("rough", 1000.0, left, now) == pytest.approx(rough, abs=0.06)
+    assert errors.on_time_probability("fine", 1000.0, 1350.0, now) > 0.97
+    assert errors.on_time_probability("unseen", 1000.0, 1000.0, now) == pytest.approx(0.5)
 
 
 def test_a_place_far_worse_than_the_fastest_kinds_is_not_taken_while_there_is_time() -> None:
@@ -215,14 +217,14 @@
     talk = Talk(settings(classes=(tight,)), [*slow, *fast])
     for kind, run, seen in (("slow", 400.0, 20), ("fast", 100.0, 200)):
         for _ in range(seen):
-            talk.node.book.learn_run(worker("x", kind), 100.0, run, talk.now)
-    filled = talk.node.members.workers["a1"]
-    filled.slots = filled.room
+            talk.node.statistics.endpoints.record_run(worker("x", kind), 100.0, run, talk.now)
+    filled = talk.node.endpoints.by_name["a1"]
+    filled.slots_in_flight = filled.capacity
     talk.ask(1, work_ms=100.0)
-    talk.node.jobs[1].trial = False
+    talk.node.context.jobs.by_id[1].is_exploratory = False
     talk.run(60.0)
     assert not talk.all(StartAttempt)
-    filled.slots = 0.0
+    filled.slots_in_flight = 0.0
     talk.run(60.0)
     assert [send.endpoint for send in talk.all(StartAttempt)] == ["a1"]
 
@@ -247,20 +249,20 @@
         talk.tell(EndpointListUpdate(ListKind.DELTA, [EndpointEntry(f"n{ref}", EndpointState.GONE)]))
     talk.run(10_000.0)
     node = talk.node
-    assert not node.jobs
-    assert not node.waiting
-    assert not node.agenda
-    assert len(node.members.workers) == 4
-    assert all(len(known.keys) <= 10 for known in node.members.workers.values())
+    assert not node.context.jobs.by_id
+    assert not node.rounds.queue
+    assert node.context.timers.next_at() == math.inf
+    assert len(node.endpoints.by_name) == 4
+    assert all(len(known.cached_keys) <= 10 for known in node.endpoints.by_name.values())
 
 
 def test_a_standing_queue_does_not_pass_for_a_slow_network() -> None:
     # Guards against moving jobs too late: starts delayed by a queue must not raise what counts as prompt.
     book, known = EndpointStatistics(5.0), worker()
-    book.learn_delay(known, 4.0, 0.0)
+    book.record_start_delay(known, 4.0, 0.0)
     for step in range(20):
-        book.learn_delay(known, 3000.0, 100.0 * step)
-    assert book.grace("a") < 60.0
+        book.record_start_delay(known, 3000.0, 100.0 * step)
+    assert book.start_grace("a") < 60.0
 
 
 def test_a_crowded_zone_tells_nothing_of_another() -> None:
@@ -270,18 +272,18 @@
         worker("a0"),
         Endpoint(EndpointEntry("b0", zone="b", weight=4.0, kind="std")),
     )
-    book.learn_delay(near, 4.0, 0.0)
+    book.record_start_delay(near, 4.0, 0.0)
     for step in range(20):
-        book.learn_delay(near, 2000.0, 100.0 * step)
-    assert book.delay(worker("a1"), 2000.0, 500.0) > 500.0
-    assert book.delay(far, 2000.0, 500.0) == 0.0
+        book.record_start_delay(near, 2000.0, 100.0 * step)
+    assert book.expected_start_delay(worker("a1"), 2000.0, 500.0) > 500.0
+    assert book.expected_start_delay(far, 2000.0, 500.0) == 0.0
 
 
 def test_moves_stop_while_hardly_any_start_is_prompt() -> None:
     # Guards against feeding an overload: where a cancel leaves waiting work in place, each move adds to it.
     talk = Talk(listed=entries(6))
     for _ in range(40):
-        talk.node.book.promptness.add(talk.now, 0.0, 8000.0)
+        talk.node.statistics.endpoints.prompt_start_rate.add(talk.now, 0.0, 8000.0)
     talk.placed(1, work_ms=2000.0)
     talk.run(500.0)
     assert len(talk.all(StartAttempt, 1)) == 1
@@ -290,25 +292,25 @@
 def test_a_wait_cut_short_is_no_sign_of_a_short_wait() -> None:
     # Guards against sending into standing queues: jobs moved after 25 ms must not teach a wait of 25 ms.
     book, known = EndpointStatistics(5.0), worker()
-    book.learn_delay(known, 4.0, 0.0)
+    book.record_start_delay(known, 4.0, 0.0)
     for step in range(10):
-        book.learn_delay(known, 2000.0, 10.0 * step)
-    before = book.delay(known, 100.0, 500.0)
+        book.record_start_delay(known, 2000.0, 10.0 * step)
+    before = book.expected_start_delay(known, 100.0, 500.0)
     for _ in range(10):
-        book.learn_delay(known, 25.0, 100.0, started=False)
-    assert book.delay(known, 100.0, 500.0) >= 0.99 * before
+        book.record_start_delay(known, 25.0, 100.0, has_started=False)
+    assert book.expected_start_delay(known, 100.0, 500.0) >= 0.99 * before
 
 
 def test_where_nodes_are_many_a_burst_shows_in_what_is_expected_of_executors_never_met() -> None:
     # With hundreds of nodes each has met hardly any executor lately: it goes by the kind.
     book, met, other = EndpointStatistics(5.0), worker("a0"), worker("a1")
-    pace = book.pace(0.0)
+    pace = book.load_half_life(0.0)
     for step in range(20):
-        book.learn_delay(met, 4.0, 10.0 * step)
+        book.record_start_delay(met, 4.0, 10.0 * step)
     for step in range(3):  # two jobs' time later executors are full
-        book.learn_delay(met, 2004.0, 2.0 * pace + 10.0 * step)
-    full = book.delay(other, 2.0 * pace + 30.0, pace)
+        book.record_start_delay(met, 2004.0, 2.0 * pace + 10.0 * step)
+    full = book.expected_start_delay(other, 2.0 * pace + 30.0, pace)
     assert full > 400.0
     for step in range(3):  # and free again
-        book.learn_delay(met, 4.0, 5.0 * pace + 10.0 * step)
-    assert book.delay(other, 5.0 * pace + 30.0, pace) < 0.4 * full
+        book.record_start_delay(met, 4.0, 5.0 * pace + 10.0 * step)
+    assert book.expected_start_delay(other, 5.0 * pace + 30.0, pace) < 0.4 * full
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -254,9 +254,9 @@
     talk.now = 2000.0
     restarted = entries(1)[0]._replace(started_at=1990.0)
     talk.tell(EndpointListUpdate(ListKind.DELTA, [restarted]))
-    worker = talk.node.members.workers["a0"]
-    assert worker.slots == 0.0
-    assert talk.node.members.warmth(worker, 2000.0) < 0.3
+    worker = talk.node.endpoints.by_name["a0"]
+    assert worker.slots_in_flight == 0.0
+    assert talk.node.endpoints.slow_start.capacity_fraction(worker, 2000.0) < 0.3
 
 
 def cold_sends(listed: list[EndpointEntry], slots: int = 4, yielded: bool = False) -> int:
@@ -304,7 +304,7 @@
     # A rolling deploy or executors put back leave keys whose homes are all cold, beside free executors.
     listed = entries(8, weight=1.0)
     talk = Talk(listed=listed)
-    homes = [worker.id for worker in talk.node.members.reach(None).home("k")[:4]]
+    homes = [worker.id for worker in talk.node.endpoints.candidates(None).affinity.order_of("k")[:4]]
     cold = [entry._replace(started_at=900.0) if entry.endpoint in homes else entry for entry in listed]
     talk = Talk(listed=cold)
     assert talk.placed(1, affinity_key="k", work_ms=3500.0, timeout_ms=6000.0).endpoint not in homes
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -145,25 +145,25 @@
     """Every once job goes out a second time, whatever is known of the first."""
     for node in world.nodes:
         assert node is not None
-        node.core._policy.gate.may_send = lambda job, worker, now: len(job.attempts) < 3  # type: ignore[method-assign]
+        node.core._policy.context.safety.may_send = lambda job, endpoint, now: len(job.attempts) < 3  # type: ignore[method-assign]
 
 
 def _ignore_drains(world: SimulatedCluster) -> None:
     for node in world.nodes:
         assert node is not None
-        members = node.core._policy.members
+        endpoints = node.core._policy.endpoints
 
-        def hear(event: EndpointListUpdate, real: Any = members.update) -> None:
+        def hear(event: EndpointListUpdate, real: Any = endpoints.update) -> None:
             if event.kind is not ListKind.DELTA:
                 real(event)
 
-        members.update = hear  # type: ignore[method-assign]
+        endpoints.update = hear  # type: ignore[method-assign]
 
 
 def _all_warm(world: SimulatedCluster) -> None:
     for node in world.nodes:
         assert node is not None
-        node.core._policy.members.warmth = lambda worker, now: 1.0  # type: ignore[method-assign]
+        node.core._policy.endpoints.slow_start.capacity_fraction = lambda endpoint, now: 1.0  # type: ignore[method-assign]
 
 
 def _forget_answers(world: SimulatedCluster) -> None:
--- a/tests/simulation/test_slow_start.py
+++ b/tests/simulation/test_slow_start.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from burlmoor.endpoints.endpoint_list import EndpointList
+from burlmoor.endpoints.slow_start import SlowStart
 from burlmoor.simulation.audit import audit
 from burlmoor.simulation.cluster import ClusterSpec, SimulatedCluster
 from burlmoor.testbed.executor_model import Spec, most_calls
@@ -83,7 +83,7 @@
 def test_nodes_that_each_send_cold_executors_what_they_like_are_noticed(
     nodes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(EndpointList, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(SlowStart, "capacity_fraction", lambda *_: 1.0)
     assert any("in a window where it bears" in line for line in audit(play(nodes, 12, load=3.0)))
 
 
--- a/tests/stats/test_class_weights.py
+++ b/tests/stats/test_class_weights.py
@@ -46,11 +46,11 @@
         talk = Talk(settings(classes=(LOOKUP, ONCE), objective=blend))
         for _ in range(100):
             for name, served in (("lookup", 0.0), ("once", 300.0)):
-                talk.node.standings.record_request(name, 300.0, talk.now)
-                talk.node.standings.record_served(name, served, talk.now)
+                talk.node.statistics.class_weights.record_request(name, 300.0, talk.now)
+                talk.node.statistics.class_weights.record_served(name, served, talk.now)
         talk.ask(1001, "lookup")
         talk.ask(1002, "once")
-        return talk.node.jobs[1001].standing, talk.node.jobs[1002].standing
+        return talk.node.context.jobs.by_id[1001].priority, talk.node.context.jobs.by_id[1002].priority
 
     lookup, once = standing(ObjectiveWeights())
     assert lookup < once
--- a/tests/stats/test_snapshot.py
+++ b/tests/stats/test_snapshot.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from burlmoor.stats import snapshot
+from burlmoor.stats.snapshot import StatisticsSnapshot, restore_snapshot, take_snapshot
 from burlmoor.types.events import AttemptStarted
 from burlmoor.types.outcome import Outcome
 from tests.support.dispatcher_driver import Talk, entries
@@ -20,32 +20,44 @@
     return talk
 
 
+def taken(talk: Talk) -> StatisticsSnapshot:
+    return take_snapshot(talk.node.statistics, talk.node.endpoints.by_name, talk.now)
+
+
+def restore(talk: Talk, given: StatisticsSnapshot) -> None:
+    restore_snapshot(talk.node.statistics, talk.node.endpoints.by_name, given, talk.now)
+
+
 def test_what_was_learnt_is_the_same_in_a_process_with_another_clock() -> None:
     old = taught()
-    data = msgspec.msgpack.encode(snapshot.take_snapshot(old.node, old.now))
+    data = msgspec.msgpack.encode(taken(old))
     new = Talk(listed=entries(4), now=90_000.0, seed=2)
-    snapshot.restore_snapshot(
-        new.node, msgspec.msgpack.decode(data, type=snapshot.StatisticsSnapshot), new.now
-    )
-    for name, worker in old.node.members.workers.items():
-        other = new.node.members.workers[name]
-        assert (worker.room, worker.faults, list(worker.keys)) == (other.room, other.faults, list(other.keys))
-        for band in worker.cells:
-            kinds = [talk.node.book.kind("std", talk.now) for talk in (old, new)]
+    restore(new, msgspec.msgpack.decode(data, type=StatisticsSnapshot))
+    for name, worker in old.node.endpoints.by_name.items():
+        other = new.node.endpoints.by_name[name]
+        assert (worker.capacity, worker.consecutive_faults, list(worker.cached_keys)) == (
+            other.capacity,
+            other.consecutive_faults,
+            list(other.cached_keys),
+        )
+        for band in worker.slowness_by_work_class:
+            kinds = [talk.node.statistics.endpoints.slowness_of_kind("std", talk.now) for talk in (old, new)]
             slow = [
-                talk.node.book.slowness(talk.node.members.workers[name], band, kind, talk.now)
+                talk.node.statistics.endpoints.slowness(
+                    talk.node.endpoints.by_name[name], band, kind, talk.now
+                )
                 for talk, kind in zip((old, new), kinds, strict=True)
             ]
             assert abs(slow[0] - slow[1]) < 1e-9
-    assert new.node.book.prompt == old.node.book.prompt
+    assert new.node.statistics.endpoints.fastest_start_ms == old.node.statistics.endpoints.fastest_start_ms
     # Jobs stay where they are: nothing is held here, and what comes is placed as usual.
-    assert new.node.held == 0.0
-    assert not new.node.jobs
-    assert new.placed(1).endpoint in new.node.members.workers
+    assert new.node.endpoints.slots_in_flight == 0.0
+    assert not new.node.context.jobs.by_id
+    assert new.placed(1).endpoint in new.node.endpoints.by_name
 
 
 def test_executors_that_are_not_listed_are_left_out() -> None:
     old = taught()
     new = Talk(listed=entries(2))
-    snapshot.restore_snapshot(new.node, snapshot.take_snapshot(old.node, old.now), new.now)
-    assert set(new.node.members.workers) == {"a0", "a1"}
+    restore(new, taken(old))
+    assert set(new.node.endpoints.by_name) == {"a0", "a1"}
