--- a/burlmoor/types/actions.py
+++ b/burlmoor/types/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a node's policy asks its host to take."""
+"""The actions that the policy asks its host to take; `id` is the job's number in the policy's events."""
 
 from __future__ import annotations
 
@@ -6,56 +6,56 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt; it is dropped after `give_up` (0: when the client leaves)."""
+    """Send a job to an endpoint; a job's attempts are numbered from 0 in the order of these actions."""
 
     id: int
     endpoint: str
-    timeout_ms: float = 0.0
+    timeout_ms: float = 0.0  # 0: until the client's timeout
 
 
 class RejectJob(NamedTuple):
-    """Final answer: turned away, a retry does no harm after `retry_after`."""
+    """Final answer: rejected, a retry is harmless."""
 
     id: int
-    retry_after_ms: float = 0.0
+    retry_after_ms: float = 0.0  # advice for the client; 0: none
 
 
 class FailJob(NamedTuple):
-    """Final answer: failed; promises nothing."""
+    """Final answer: failed. The client is not told whether the job has run."""
 
     id: int
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt, whose outcome is CANCELLED unless another one is on its way already."""
 
     id: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `Timer` event after `delay`."""
+    """Ask for a `TimerFired` event; timers can't be cancelled."""
 
     delay_ms: float
-    token: int
+    token: int  # returned in the event
 
 
 class WatchEndpoints(NamedTuple):
-    """Ask to be told of changes to the list from now on."""
+    """Keep a watch on the endpoint list from now on."""
 
 
 class FetchEndpoints(NamedTuple):
-    """Ask once for the whole list."""
+    """Fetch the complete endpoint list once."""
 
 
 class CheckHealth(NamedTuple):
-    """Look at an executor."""
+    """Start a health check of an endpoint."""
 
     endpoint: str
 
 
 class LogWarning(NamedTuple):
-    """A line for the operators."""
+    """Log a line for the operators."""
 
     text: str
 
--- a/burlmoor/types/endpoint_list.py
+++ b/burlmoor/types/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The entries of the endpoint list and the kinds of update to it."""
+"""The entries of the endpoint list and the kinds of update to it (protocol: "Discovery")."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 
 class EndpointState(Enum):
-    """What the list says of an executor."""
+    """The state of an endpoint as the list has it."""
 
     LIVE = "live"
-    DRAINING = "draining"
-    GONE = "gone"
+    DRAINING = "draining"  # finishes what it has; nothing new may be sent
+    GONE = "gone"  # removed; among changes only
 
 
 class ListKind(Enum):
-    """What kind of list a `Members` event brings."""
+    """What an `EndpointListUpdate` holds."""
 
-    DELTA = "changes"
-    SNAPSHOT = "full"
-    CACHED = "cached"  # a full list as this node last saw it: perhaps stale
-    FAILED = "failed"  # a call failed or the subscription dropped; the old list holds
+    DELTA = "changes"  # the entries that changed
+    SNAPSHOT = "full"  # all entries
+    CACHED = "cached"  # all entries as this node last saw them; perhaps stale
+    FAILED = "failed"  # nothing: a call failed or the watch ended, and the list so far stays in force
 
 
 class EndpointEntry(NamedTuple):
-    """One executor as the list tells it. `started` 0: long ago."""
+    """One endpoint as the list has it."""
 
-    endpoint: str
+    endpoint: str  # its name, the same at every node
     state: EndpointState = EndpointState.LIVE
     zone: str = ""
-    weight: float = 1.0
-    cell: int = 0
-    kind: str = ""
-    started_at: float = 0.0
+    weight: float = 1.0  # relative size, without a unit
+    cell: int = 0  # the small set of endpoints with which it shares the keys that it has seen
+    kind: str = ""  # of machine
+    started_at: float = 0.0  # last start, ms on the policy's clock; 0: long ago
--- a/burlmoor/types/events.py
+++ b/burlmoor/types/events.py
@@ -1,4 +1,4 @@
-"""The events that a host reports to a node's policy."""
+"""The events that a host reports to the policy; `id` is the job's number at this host, never reused."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """The list of executors, or changes to it."""
+    """The endpoint list, or changes to it."""
 
     kind: ListKind
     entries: Sequence[EndpointEntry] = ()
 
 
 class JobRequest(NamedTuple):
-    """A request that this node now owes one final answer within `patience`."""
+    """A request that the node has admitted: it has to get one final answer within its timeout."""
 
     id: int
     job_class: str
-    timeout_ms: float
-    work_ms: float = 0.0  # hinted time on a standard core; 0: no hint
-    slots: float = 1.0
-    memory: float = 0.0
+    timeout_ms: float  # from this event on
+    work_ms: float = 0.0  # expected time on a standard core; 0: not known
+    slots: float = 1.0  # that it takes at an endpoint
+    memory: float = 0.0  # units that it takes at an endpoint, where memory counts
     tenant: str = ""
-    affinity_key: str = ""
-    is_client_retry: bool = False
-    deferred_ms: float = 0.0  # how much of what its client allows has gone in waiting for leave to run
-    deferral_credit: float = 0.0  # from 0 to 1: what that waiting has earned
+    affinity_key: str = ""  # what the request is about; "": none
+    is_client_retry: bool = False  # where clients mark their retries
+    deferred_ms: float = 0.0  # how much of the client's timeout the job was deferred
+    deferral_credit: float = 0.0  # from 0 to 1: the priority that this has earned
 
 
 class AttemptStarted(NamedTuple):
-    """An attempt's job has begun to run."""
+    """The endpoint has begun to run the job."""
 
     id: int
     attempt: int
@@ -41,7 +41,7 @@
 
 
 class AttemptProgressed(NamedTuple):
-    """A running attempt has done this share of its job."""
+    """The endpoint has done a fraction, from 0 to 1, of the job."""
 
     id: int
     attempt: int
@@ -50,7 +50,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The answer has begun to flow: the attempt belongs to the client now."""
+    """A streamed response has begun: the job is bound to this attempt, and no timeout applies any more."""
 
     id: int
     attempt: int
@@ -58,24 +58,24 @@
 
 
 class AttemptEnded(NamedTuple):
-    """How an attempt ended; `closed` when the request is over with it."""
+    """How an attempt ended; each attempt that the policy starts ends exactly once."""
 
     id: int
     attempt: int
     endpoint: str
     outcome: Outcome
-    elapsed_ms: float
-    is_job_closed: bool
+    elapsed_ms: float  # since the attempt was sent
+    is_job_closed: bool  # whether the job needs no final answer any more
 
 
 class ClientDisconnected(NamedTuple):
-    """The client left: nothing more is owed."""
+    """The client has disconnected, or the host has answered the job itself: it needs no answer any more."""
 
     id: int
 
 
 class HealthChecked(NamedTuple):
-    """What a probe found."""
+    """The result of a health check."""
 
     endpoint: str
     outcome: Outcome
@@ -83,20 +83,20 @@
 
 
 class PeerMessageReceived(NamedTuple):
-    """Another node wrote."""
+    """A message from another node of the tier."""
 
-    sender: int
+    sender: int  # the node's index
     data: bytes
 
 
 class HandoverChanged(NamedTuple):
-    """Whether another process of this same node takes its jobs, and its budgets, in this one's place."""
+    """Whether another process of this node admits its jobs, and uses its budgets, in place of this one."""
 
     is_handed_over: bool
 
 
 class TimerFired(NamedTuple):
-    """A timer that was set has come due."""
+    """A timer that the policy set has come due."""
 
     token: int
 
--- a/burlmoor/types/outcome.py
+++ b/burlmoor/types/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt ended."""
+"""How an attempt ended (protocol: "Nodes to executors")."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 class Outcome(Enum):
     """How an attempt ended."""
 
-    SERVED = "served"
-    ERROR = "error"
-    OVERLOADED = "full"
-    TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    UNSENT = "unsent"
+    SERVED = "served"  # the endpoint gave a result
+    ERROR = "error"  # the endpoint reported a failure; the job may have run
+    OVERLOADED = "full"  # rejected or handed back by the endpoint, not started
+    TIMEOUT = "timeout"  # the node stopped waiting; the job may have run, or may yet
+    UNREACHABLE = "unreachable"  # no connection, or it broke before the request was written
+    RESET = "reset"  # the connection or the job's process was lost; the job may have run
+    CANCELLED = "cancelled"  # the node cancelled it; the job may have run
+    UNSENT = "unsent"  # never sent: the job was over, out of time or out of attempts
 
     @property
     def proves_not_started(self) -> bool:
-        """True where the outcome proves that the attempt did not run."""
+        """Whether the outcome proves that the job did not run in this attempt."""
         return self in _PROVES_NOT_STARTED
 
 
--- a/burlmoor/types/settings.py
+++ b/burlmoor/types/settings.py
@@ -1,16 +1,27 @@
-"""The settings of one node, as the policy and the engine use them."""
+"""The settings of one node, as the policy and the engine use them; `burlmoor.config` decodes them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
+from burlmoor.errors import BurlmoorError
+
+
+class InvalidSettingError(BurlmoorError, ValueError):
+    """A setting is invalid; its text is one line."""
+
+    def __init__(self, field: str, problem: str) -> None:
+        super().__init__(f"{field}: {problem}")
+        self.field = field
+        self.problem = problem
+
 
 class Idempotency(Enum):
-    """What a repeat of a request of a class would do."""
+    """What it does to run a job of a class twice."""
 
     IDEMPOTENT = "repeatable"
-    IDEMPOTENT_WITH_KEY = "keyed"  # repeats are dropped inside a group of executors, for a while
+    IDEMPOTENT_WITH_KEY = "keyed"  # repeats are dropped within the deduplication scope, for a while
     NON_IDEMPOTENT = "once"  # must never run twice
 
 
@@ -27,61 +38,74 @@
     """One class of requests."""
 
     name: str
-    priority_weight: float = 1.0
-    latency_objective_ms: float = 1000.0
-    objective_stretch: float = 0.0  # the aim grows by this multiple of the job's own work
-    deadline_ms: float = 10_000.0
+    priority_weight: float = 1.0  # what a job served in time is worth, beside other classes
+    latency_objective_ms: float = 1000.0  # a job served within this earns its full weight
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the job's own work
+    deadline_ms: float = 10_000.0  # how long a client waits in all, over its retries
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = 0.0  # how long repeats of a keyed request are dropped
-    late_fraction: float = 0.0
+    deduplication_window_ms: float = 0.0  # from the first attempt that may have run
+    late_fraction: float = 0.0  # of its weight that a job served after the objective earns
     required_kind: str | None = None  # the only kind of executor that runs it
     priority: int = 0  # at executors that serve their queue by priority
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and what it may send: `quota` in requests a second over all nodes."""
+    """One tenant and what it may send."""
 
     name: str
-    share: float = 0.0
-    quota_per_second: float = 0.0
+    share: float = 0.0  # of the service, from 0 to 1
+    quota_per_second: float = 0.0  # requests, over all nodes
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     """What a node may do."""
 
-    max_attempts: int = 3
+    max_attempts: int = 3  # of one job
     may_cancel: bool = False
     may_check_health: bool = False
-    may_hedge: bool = False
+    may_hedge: bool = False  # have two attempts of a job open at a time
     sends_retry_after: bool = False
-    max_retry_after_ms: float = 1000.0
+    max_retry_after_ms: float = 1000.0  # the longest that clients follow
     connect_timeout_ms: float = 250.0
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures behind the rules that every node keeps alone."""
+    """The figures of the four rules that every node has to keep by itself."""
+
+    response_slack_ms: float = 0.0  # how long after the client's deadline an answer still counts
+    drain_grace_ms: float = 1000.0  # within which sends to a draining or removed endpoint have to stop
+    initial_capacity: float = 0.2  # the fraction of its capacity that a started executor has at least
+    slow_start_ms: float = 10_000.0  # after which it has all of it
+    overload_multiple: float = 2.0  # more than this many times its present capacity,
+    overload_window_ms: float = 2000.0  # kept up for this long, brings down an executor in slow start
+    poll_interval_ms: float = 10_000.0  # within which a node without a watch has to fetch the list
 
-    response_slack_ms: float = 0.0
-    drain_grace_ms: float = 1000.0
-    initial_capacity: float = 0.2  # a started executor has at least this share of its capacity
-    slow_start_ms: float = 10_000.0  # and is warm after this long at most
-    overload_multiple: float = 2.0
-    overload_window_ms: float = 2000.0
-    poll_interval_ms: float = 10_000.0
+    def check(self) -> None:
+        """Raise InvalidSettingError for the first time that is negative, under its name in the settings."""
+        times_ms = {
+            "answer_slack": self.response_slack_ms,
+            "drain_grace": self.drain_grace_ms,
+            "cold": self.slow_start_ms,
+            "fall_window": self.overload_window_ms,
+            "ask_within": self.poll_interval_ms,
+        }
+        for name, time_ms in times_ms.items():
+            if time_ms < 0.0:
+                raise InvalidSettingError(f"rules.{name}", "a time is negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, as fractions of all worth, per unit."""
+    """Points taken off the result, as fractions of all weight, per unit."""
 
-    cross_zone: float = 0.0
-    waste: float = 0.0
-    health_check: float = 0.0
-    late_failure: float = 0.0
+    cross_zone: float = 0.0  # for attempts in another zone, per first attempt
+    waste: float = 0.0  # for executors' work without an answer, per work offered
+    health_check: float = 0.0  # per first attempt
+    late_failure: float = 0.0  # for jobs that ended unserved after their objective
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,39 +127,28 @@
     prices: Prices = Prices()
     objective: ObjectiveWeights = ObjectiveWeights()
     zone: str = ""
-    node_index: int | None = None  # this node's number, below `balancers`
+    node_index: int | None = None  # this node's number, from 0 and below `node_count`
     node_count: int = 1
-    must_poll: bool = False  # the list comes only to those who ask
-    tick_ms: float = 1.0  # the shortest time between two calls of `handle`
-    progress_interval_ms: float = 0.0  # between progress notes of a running job; 0: none
-    reports_start: bool = False
-    weight_by_work: bool = False
-    over_quota_fraction: float = 1.0
+    must_poll: bool = False  # list updates come only to a node that fetches or watches
+    tick_ms: float = 1.0  # the shortest time between two calls of the policy
+    progress_interval_ms: float = 0.0  # between progress reports of a running job; 0: none
+    reports_start: bool = False  # whether executors report that a job has started
+    weight_by_work: bool = False  # whether a job's weight counts by its work
+    over_quota_fraction: float = 1.0  # of its weight that a job over its tenant's quota has
 
     def check(self) -> None:
-        """Raise a `ValueError` naming the setting that cannot be meant."""
+        """Raise InvalidSettingError for the first setting that is invalid."""
         if not self.classes:
-            raise ValueError("classes: at least one class is needed")
+            raise InvalidSettingError("classes", "at least one class is needed")
         for job_class in self.classes:
-            if (
-                min(
-                    job_class.latency_objective_ms,
-                    job_class.deadline_ms,
-                    job_class.deduplication_window_ms,
-                    job_class.objective_stretch,
-                )
-                < 0.0
-            ):
-                raise ValueError(f"classes: {job_class.name}: a time is negative")
-        times = {
-            "answer_slack": self.rules.response_slack_ms,
-            "drain_grace": self.rules.drain_grace_ms,
-            "cold": self.rules.slow_start_ms,
-            "fall_window": self.rules.overload_window_ms,
-            "ask_within": self.rules.poll_interval_ms,
-        }
-        for name, time_ms in times.items():
-            if time_ms < 0.0:
-                raise ValueError(f"rules.{name}: a time is negative")
+            times_ms = (
+                job_class.latency_objective_ms,
+                job_class.deadline_ms,
+                job_class.deduplication_window_ms,
+                job_class.objective_stretch,
+            )
+            if min(times_ms) < 0.0:
+                raise InvalidSettingError(f"classes: {job_class.name}", "a time is negative")
+        self.rules.check()
         if self.tick_ms <= 0.0:
-            raise ValueError("tick: must be above 0")
+            raise InvalidSettingError("tick", "must be above 0")
