--- a/tests/deferred/test_dependency_graph.py
+++ b/tests/deferred/test_dependency_graph.py
@@ -4,6 +4,7 @@
 
 import math
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import pytest
 from hypothesis import given, settings
@@ -13,63 +14,81 @@
 from burlmoor.deferred.dependency_graph import DependencyGraph, GraphLimits
 from burlmoor.deferred.timer_queue import TimerQueue
 
-BOUNDS = GraphLimits(
+LIMITS = GraphLimits(
     max_jobs=10_000, max_dependents=1000, unknown_timeout_ms=2000.0, history_ms=1e9, history_size=10**6
 )
-UNIX = 1_700_000_000_000.0
+UNIX_EPOCH_MS = 1_700_000_000_000.0
 
 
-def drained(
+def drain(
     graph: DependencyGraph, now: float, unix: float | None = None
 ) -> list[tuple[str, DeferralReason | None]]:
-    """Carry out all that is to be done: what is free is let go, what ends is told as ended."""
+    """Release what is runnable and end what is to end; return the ids and reasons."""
     done = []
-    while (waiter := graph.pop_ready(now, UNIX + now if unix is None else unix)) is not None:
-        done.append((waiter.id, waiter.end_reason))
-        if waiter.end_reason is None:
-            graph.remove(waiter.id)
+    while (job := graph.pop_ready(now, UNIX_EPOCH_MS + now if unix is None else unix)) is not None:
+        done.append((job.id, job.end_reason))
+        if job.end_reason is None:
+            graph.remove(job.id)
         else:
-            graph.on_job_ended(waiter.id, False, now)
+            graph.on_job_ended(job.id, False, now)
     return done
 
 
-def wait(
-    graph: DependencyGraph, ref: str, *after: str, at: float = 0.0, latest: float = 1e6, now: float = 0.0
+def defer(
+    graph: DependencyGraph,
+    request_id: str,
+    *after: str,
+    not_before_unix_ms: float = 0.0,
+    latest_release_at: float = 1e6,
+    now: float = 0.0,
 ) -> DeferredJob:
-    graph.on_job_opened(ref)
-    return graph.add(ref, after, at, latest, now, UNIX + now)
+    graph.on_job_opened(request_id)
+    return graph.add(request_id, after, not_before_unix_ms, latest_release_at, now, UNIX_EPOCH_MS + now)
+
+
+class Conditions(NamedTuple):
+    after: tuple[str, ...]
+    not_before_unix_ms: float
+    latest_release_at: float
+    deferred_at: float
 
 
 @dataclass
-class Naive:
-    """The same rules, worked out anew from all that has happened."""
+class NaiveModel:
+    """The same rules, computed anew from all that has happened."""
 
-    state: dict[str, str] = field(default_factory=dict)  # open, waiting, served, dead
-    asked: dict[str, tuple[tuple[str, ...], float, float, float]] = field(default_factory=dict)
+    states: dict[str, str] = field(default_factory=dict)  # open, deferred, served or failed
+    conditions: dict[str, Conditions] = field(default_factory=dict)
 
-    def settle(self, now: float, unix: float) -> None:
+    def settle(self, now: float, unix_now: float) -> None:
         while True:
-            before = dict(self.state)
-            for ref in [ref for ref, state in self.state.items() if state == "waiting"]:
-                after, at, latest, since = self.asked[ref]
-                strangers = any(name not in self.state for name in after)
-                dead = any(self.state.get(name) == "dead" for name in after)
-                if dead or now >= latest or (strangers and now >= since + BOUNDS.unknown_timeout_ms):
-                    self.state[ref] = "dead"
-                elif all(self.state.get(name) == "served" for name in after) and unix >= at:
-                    self.state[ref] = "open"
-            if before == self.state:
+            before = dict(self.states)
+            for request_id in [name for name, state in self.states.items() if state == "deferred"]:
+                self.states[request_id] = self.next_state(self.conditions[request_id], now, unix_now)
+            if before == self.states:
                 return
 
-    def cycle(self, ref: str, after: tuple[str, ...]) -> bool:
-        seen, look = set(), list(after)
-        while look:
-            name = look.pop()
-            if name == ref:
+    def next_state(self, conditions: Conditions, now: float, unix_now: float) -> str:
+        parents = [self.states.get(name, "unknown") for name in conditions.after]
+        if "failed" in parents or now >= conditions.latest_release_at:
+            return "failed"
+        if "unknown" in parents and now >= conditions.deferred_at + LIMITS.unknown_timeout_ms:
+            return "failed"
+        is_runnable = set(parents) <= {"served"} and unix_now >= conditions.not_before_unix_ms
+        return "open" if is_runnable else "deferred"
+
+    def closes_cycle(self, request_id: str, after: tuple[str, ...]) -> bool:
+        visited = set()
+        pending = list(after)
+        while pending:
+            name = pending.pop()
+            if name == request_id:
                 return True
-            if name not in seen and self.state.get(name) == "waiting":
-                seen.add(name)
-                look += [each for each in self.asked[name][0] if self.state.get(each) != "served"]
+            if name not in visited and self.states.get(name) == "deferred":
+                visited.add(name)
+                pending += [
+                    parent for parent in self.conditions[name].after if self.states.get(parent) != "served"
+                ]
         return False
 
 
@@ -91,113 +110,130 @@
 
 @settings(max_examples=400)
 @given(_STEPS)
-def test_it_does_what_a_naive_model_does(steps: list[tuple]) -> None:  # type: ignore[type-arg]
-    graph, naive, now = DependencyGraph(BOUNDS), Naive(), 0.0
+def test_the_graph_agrees_with_a_naive_model(steps: list[tuple]) -> None:  # type: ignore[type-arg]
+    graph, model, now = DependencyGraph(LIMITS), NaiveModel(), 0.0
     for step in steps:
         match step:
-            case ("plain", ref) if ref not in naive.state:
-                graph.on_job_opened(ref)
-                naive.state[ref] = "open"
-            case ("wait", ref, after, at, patience) if ref not in naive.state and ref not in after:
-                not_before = UNIX + now + at if at else 0.0
-                naive.asked[ref] = (after, not_before, now + patience, now)
-                hopeless = now + at > now + patience
-                doomed = hopeless or naive.cycle(ref, after)
-                naive.state[ref] = "dead" if doomed else "waiting"
-                wait(graph, ref, *after, at=not_before, latest=now + patience, now=now)
-            case ("end", ref, served) if naive.state.get(ref) == "open":
-                graph.on_job_ended(ref, served, now)
-                naive.state[ref] = "served" if served else "dead"
-            case ("leave", ref) if naive.state.get(ref) in ("open", "waiting"):
-                graph.on_job_ended(ref, False, now)
-                naive.state[ref] = "dead"
+            case ("plain", request_id) if request_id not in model.states:
+                graph.on_job_opened(request_id)
+                model.states[request_id] = "open"
+            case ("wait", request_id, after, at, timeout_ms) if (
+                request_id not in model.states and request_id not in after
+            ):
+                not_before = UNIX_EPOCH_MS + now + at if at else 0.0
+                model.conditions[request_id] = Conditions(after, not_before, now + timeout_ms, now)
+                is_too_late = now + at > now + timeout_ms
+                is_failed = is_too_late or model.closes_cycle(request_id, after)
+                model.states[request_id] = "failed" if is_failed else "deferred"
+                defer(
+                    graph,
+                    request_id,
+                    *after,
+                    not_before_unix_ms=not_before,
+                    latest_release_at=now + timeout_ms,
+                    now=now,
+                )
+            case ("end", request_id, served) if model.states.get(request_id) == "open":
+                graph.on_job_ended(request_id, served, now)
+                model.states[request_id] = "served" if served else "failed"
+            case ("leave", request_id) if model.states.get(request_id) in ("open", "deferred"):
+                graph.on_job_ended(request_id, False, now)
+                model.states[request_id] = "failed"
             case ("pass", time):
                 now += time
-        drained(graph, now)
-        naive.settle(now, UNIX + now)
-        assert set(graph.jobs) == {ref for ref, state in naive.state.items() if state == "waiting"}
-        assert graph._open_ids == {ref for ref, state in naive.state.items() if state in ("open", "waiting")}
-        assert {ref: each[1] for ref, each in graph._history._ended.items()} == {
-            ref: state == "served" for ref, state in naive.state.items() if state in ("served", "dead")
+        drain(graph, now)
+        model.settle(now, UNIX_EPOCH_MS + now)
+        assert set(graph.jobs) == {
+            request_id for request_id, state in model.states.items() if state == "deferred"
+        }
+        assert graph._open_ids == {
+            request_id for request_id, state in model.states.items() if state in ("open", "deferred")
+        }
+        assert {request_id: each[1] for request_id, each in graph._history._ended.items()} == {
+            request_id: state == "served"
+            for request_id, state in model.states.items()
+            if state in ("served", "failed")
         }
-        assert graph.next_due(now, UNIX + now) > now
+        assert graph.next_due(now, UNIX_EPOCH_MS + now) > now
         # Nothing is kept of what is over.
-        unmet = {(name, ref) for ref, waiter in graph.jobs.items() for name in waiter.unmet_dependencies}
-        assert {(name, ref) for name, held in graph._dependents.items() for ref in held} == unmet
+        unmet = {
+            (name, request_id) for request_id, job in graph.jobs.items() for name in job.unmet_dependencies
+        }
+        assert {
+            (name, request_id) for name, held in graph._dependents.items() for request_id in held
+        } == unmet
 
 
-def test_a_chain_of_ten_thousand_ends_link_by_link_without_recursion() -> None:
-    graph = DependencyGraph(BOUNDS)
+def test_a_chain_of_ten_thousand_jobs_ends_one_by_one_without_recursion() -> None:
+    graph = DependencyGraph(LIMITS)
     graph.on_job_opened("0")
     for number in range(1, 10_000):
-        wait(graph, str(number), str(number - 1))
+        defer(graph, str(number), str(number - 1))
     graph.on_job_ended("0", False, 1.0)
-    done = drained(graph, 1.0)
-    assert [ref for ref, _ in done] == [str(number) for number in range(1, 10_000)]
+    done = drain(graph, 1.0)
+    assert [request_id for request_id, _ in done] == [str(number) for number in range(1, 10_000)]
     assert {reason for _, reason in done} == {DeferralReason.DEPENDENCY_FAILED}
     assert not graph.jobs and not graph._dependents
 
 
-def test_a_cycle_that_closes_with_the_last_arrival_ends_all_of_it() -> None:
-    graph = DependencyGraph(BOUNDS)
+def test_a_cycle_closed_by_the_last_job_ends_all_of_its_jobs() -> None:
+    graph = DependencyGraph(LIMITS)
     for number in range(1000):
-        wait(graph, str(number), str(number + 1))
-    done = dict(drained(graph, 0.0))
+        defer(graph, str(number), str(number + 1))
+    done = dict(drain(graph, 0.0))
     assert done == {}
-    wait(graph, "1000", "0")
-    done = dict(drained(graph, 0.0))
+    defer(graph, "1000", "0")
+    done = dict(drain(graph, 0.0))
     assert done["1000"] is DeferralReason.CYCLE
     assert len(done) == 1001
 
 
-def test_a_job_that_names_itself_is_a_cycle_of_one() -> None:
-    graph = DependencyGraph(BOUNDS)
-    wait(graph, "a", "a")
-    assert drained(graph, 0.0) == [("a", DeferralReason.CYCLE)]
+def test_a_job_that_depends_on_itself_is_a_cycle() -> None:
+    graph = DependencyGraph(LIMITS)
+    defer(graph, "a", "a")
+    assert drain(graph, 0.0) == [("a", DeferralReason.CYCLE)]
 
 
-def test_a_diamond_waits_for_both_sides() -> None:
-    graph = DependencyGraph(BOUNDS)
+def test_a_job_waits_for_all_its_dependencies() -> None:
+    graph = DependencyGraph(LIMITS)
     graph.on_job_opened("top")
-    wait(graph, "left", "top")
-    wait(graph, "right", "top")
-    wait(graph, "bottom", "left", "right")
+    defer(graph, "left", "top")
+    defer(graph, "right", "top")
+    defer(graph, "bottom", "left", "right")
     graph.on_job_ended("top", True, 1.0)
-    assert drained(graph, 1.0) == [("left", None), ("right", None)]
+    assert drain(graph, 1.0) == [("left", None), ("right", None)]
     graph.on_job_ended("left", True, 2.0)
-    assert drained(graph, 2.0) == []
+    assert drain(graph, 2.0) == []
     graph.on_job_ended("right", True, 3.0)
-    assert drained(graph, 3.0) == [("bottom", None)]
+    assert drain(graph, 3.0) == [("bottom", None)]
 
 
-def test_a_name_not_heard_of_may_come_a_moment_later_and_else_ends_the_wait() -> None:
-    graph = DependencyGraph(BOUNDS)
-    wait(graph, "early", "parent")
-    wait(graph, "lost", "nobody")
+def test_an_unknown_dependency_may_come_later_and_otherwise_ends_the_deferral() -> None:
+    graph = DependencyGraph(LIMITS)
+    defer(graph, "early", "parent")
+    defer(graph, "lost", "nobody")
     assert graph.jobs["early"].reason.value == "unknown"
     graph.on_job_opened("parent")
     assert graph.jobs["early"].reason.value == "jobs"
-    assert graph.next_due(1.0, UNIX) == 2000.0
-    assert drained(graph, 2000.0) == [("lost", DeferralReason.DEPENDENCY_UNKNOWN)]
+    assert graph.next_due(1.0, UNIX_EPOCH_MS) == 2000.0
+    assert drain(graph, 2000.0) == [("lost", DeferralReason.DEPENDENCY_UNKNOWN)]
     graph.on_job_ended("parent", True, 2100.0)
-    assert drained(graph, 2100.0) == [("early", None)]
+    assert drain(graph, 2100.0) == [("early", None)]
 
 
 @pytest.mark.parametrize(("served", "reason"), [(True, None), (False, DeferralReason.DEPENDENCY_FAILED)])
-def test_a_job_that_is_long_over_is_remembered_for_a_while(
-    served: bool, reason: DeferralReason | None
-) -> None:
+def test_how_a_job_ended_is_remembered_for_a_while(served: bool, reason: DeferralReason | None) -> None:
     graph = DependencyGraph(GraphLimits(10, 10, 2000.0, history_ms=5000.0, history_size=2))
     graph.on_job_opened("parent")
     graph.on_job_ended("parent", served, 0.0)
-    wait(graph, "soon", "parent", now=4000.0)
-    assert drained(graph, 4000.0) == [("soon", reason)]
-    wait(graph, "late", "parent", now=5001.0)
-    assert drained(graph, 5001.0) == []  # forgotten: waits as for one that was never heard of
-    assert drained(graph, 7001.0) == [("late", DeferralReason.DEPENDENCY_UNKNOWN)]
+    defer(graph, "soon", "parent", now=4000.0)
+    assert drain(graph, 4000.0) == [("soon", reason)]
+    defer(graph, "late", "parent", now=5001.0)
+    assert drain(graph, 5001.0) == []  # forgotten: waits as for one that was never heard of
+    assert drain(graph, 7001.0) == [("late", DeferralReason.DEPENDENCY_UNKNOWN)]
 
 
-def test_the_memory_of_ended_jobs_is_bounded_in_count() -> None:
+def test_the_history_of_ended_jobs_is_bounded_in_count() -> None:
     graph = DependencyGraph(GraphLimits(10, 10, 2000.0, history_ms=1e9, history_size=100))
     for number in range(1000):
         graph.on_job_opened(str(number))
@@ -206,82 +242,84 @@
 
 
 @pytest.mark.parametrize("bounds", [GraphLimits(2, 10, 1e3, 1e3, 10), GraphLimits(10, 2, 1e3, 1e3, 10)])
-def test_beyond_a_cap_a_job_ends_and_the_others_wait_on(bounds: GraphLimits) -> None:
+def test_a_job_beyond_a_limit_ends_and_the_others_stay_deferred(bounds: GraphLimits) -> None:
     graph = DependencyGraph(bounds)
     graph.on_job_opened("parent")
-    for ref in "abc":
-        wait(graph, ref, "parent")
-    assert drained(graph, 0.0) == [("c", DeferralReason.CAPACITY_REACHED)]
+    for request_id in "abc":
+        defer(graph, request_id, "parent")
+    assert drain(graph, 0.0) == [("c", DeferralReason.CAPACITY_REACHED)]
     graph.on_job_ended("a", False, 1.0)
-    wait(graph, "d", "parent", now=1.0)
-    assert drained(graph, 1.0) == []
+    defer(graph, "d", "parent", now=1.0)
+    assert drain(graph, 1.0) == []
 
 
-def test_times_far_past_and_far_off() -> None:
-    graph = DependencyGraph(BOUNDS)
-    wait(graph, "past", at=5.0)
-    wait(graph, "ten years", at=UNIX + 3.2e11)
-    assert drained(graph, 0.0) == [("past", None), ("ten years", DeferralReason.TOO_LATE)]
+def test_a_not_before_time_may_be_long_past_or_too_far_ahead() -> None:
+    graph = DependencyGraph(LIMITS)
+    defer(graph, "past", not_before_unix_ms=5.0)
+    defer(graph, "ten years", not_before_unix_ms=UNIX_EPOCH_MS + 3.2e11)
+    assert drain(graph, 0.0) == [("past", None), ("ten years", DeferralReason.TOO_LATE)]
 
 
-def test_a_clock_that_steps_is_followed_and_the_latest_time_is_not() -> None:
-    graph = DependencyGraph(BOUNDS)
-    wait(graph, "a", at=UNIX + 5000.0, latest=60_000.0)
-    wait(graph, "b", at=UNIX + 5000.0, latest=8000.0)
-    assert graph.next_due(0.0, UNIX) == 5000.0
+def test_a_step_of_the_unix_clock_moves_not_before_and_not_the_latest_release() -> None:
+    graph = DependencyGraph(LIMITS)
+    defer(graph, "a", not_before_unix_ms=UNIX_EPOCH_MS + 5000.0, latest_release_at=60_000.0)
+    defer(graph, "b", not_before_unix_ms=UNIX_EPOCH_MS + 5000.0, latest_release_at=8000.0)
+    assert graph.next_due(0.0, UNIX_EPOCH_MS) == 5000.0
     # Set back by an hour: its time has not come, and its client's runs out all the same.
-    assert drained(graph, 5000.0, UNIX - 3_600_000.0) == []
-    assert drained(graph, 8000.0, UNIX - 3_597_000.0) == [("b", DeferralReason.TOO_LATE)]
+    assert drain(graph, 5000.0, UNIX_EPOCH_MS - 3_600_000.0) == []
+    assert drain(graph, 8000.0, UNIX_EPOCH_MS - 3_597_000.0) == [("b", DeferralReason.TOO_LATE)]
     # Set right again, and beyond: it is free at once.
-    assert graph.next_due(9000.0, UNIX + 9000.0) == 9000.0
-    assert drained(graph, 9000.0, UNIX + 9000.0) == [("a", None)]
+    assert graph.next_due(9000.0, UNIX_EPOCH_MS + 9000.0) == 9000.0
+    assert drain(graph, 9000.0, UNIX_EPOCH_MS + 9000.0) == [("a", None)]
 
 
-def test_what_leaves_early_leaves_nothing_behind() -> None:
-    graph = DependencyGraph(BOUNDS)
+def test_nothing_is_kept_of_jobs_that_end_early() -> None:
+    graph = DependencyGraph(LIMITS)
     for number in range(5000):
-        wait(graph, str(number), "nobody", at=UNIX + 9000.0)
+        defer(graph, str(number), "nobody", not_before_unix_ms=UNIX_EPOCH_MS + 9000.0)
         graph.on_job_ended(str(number), False, 0.0)
     assert not graph._dependents and not graph.jobs
     assert len(graph._latest_release_timers._heap) < 200
-    assert graph.next_due(0.0, UNIX) == math.inf
+    assert graph.next_due(0.0, UNIX_EPOCH_MS) == math.inf
 
 
-def test_closing_ends_all_that_waits() -> None:
-    graph = DependencyGraph(BOUNDS)
+def test_end_all_ends_every_deferral() -> None:
+    graph = DependencyGraph(LIMITS)
     graph.on_job_opened("parent")
-    wait(graph, "a", "parent")
-    wait(graph, "b", "a")
+    defer(graph, "a", "parent")
+    defer(graph, "b", "a")
     graph.end_all()
-    assert drained(graph, 0.0) == [("a", DeferralReason.DRAINING), ("b", DeferralReason.DRAINING)]
+    assert drain(graph, 0.0) == [("a", DeferralReason.DRAINING), ("b", DeferralReason.DRAINING)]
 
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.booleans()), max_size=200))
-def test_an_agenda_hands_out_what_is_in_it_in_order(entries: list[tuple[int, bool]]) -> None:
-    agenda: TimerQueue[int] = TimerQueue()
+def test_a_timer_queue_returns_what_is_due_in_order_without_what_was_cancelled(
+    entries: list[tuple[int, bool]],
+) -> None:
+    timers: TimerQueue[int] = TimerQueue()
     kept = []
-    for number, (at, out) in enumerate(entries):
-        ticket = agenda.schedule(float(at), number)
-        if out:
-            agenda.cancel(ticket)
-            agenda.cancel(ticket)
+    for number, (at, is_cancelled) in enumerate(entries):
+        timer_id = timers.schedule(float(at), number)
+        if is_cancelled:
+            timers.cancel(timer_id)
+            timers.cancel(timer_id)
         else:
             kept.append((at, number))
-    assert len(agenda) == len(kept)
-    assert agenda.next_due() == min((float(at) for at, _ in kept), default=math.inf)
-    handed = []
-    while (thing := agenda.pop_due(25.0)) is not None:
-        handed.append(thing)
-    assert handed == [number for at, number in sorted(kept) if at <= 25]
+    assert len(timers) == len(kept)
+    assert timers.next_due() == min((float(at) for at, _ in kept), default=math.inf)
+    returned = []
+    while (item := timers.pop_due(25.0)) is not None:
+        returned.append(item)
+    assert returned == [number for at, number in sorted(kept) if at <= 25]
 
 
-def test_a_thousand_parents() -> None:
-    graph = DependencyGraph(BOUNDS)
+def test_a_job_may_depend_on_a_thousand_others() -> None:
+    graph = DependencyGraph(LIMITS)
     names = [f"p{number}" for number in range(1000)]
     for name in names:
         graph.on_job_opened(name)
-    wait(graph, "c", *names)
+    defer(graph, "c", *names)
     for name in names:
-        assert drained(graph, 1.0) == []
+        assert drain(graph, 1.0) == []
         graph.on_job_ended(name, True, 1.0)
-    assert drained(graph, 1.0) == [("c", None)]
+    assert drain(graph, 1.0) == [("c", None)]
--- a/tests/deferred/test_handover.py
+++ b/tests/deferred/test_handover.py
@@ -1,4 +1,4 @@
-"""A new process takes over from one where jobs wait."""
+"""Handover from a process that holds deferred jobs to a new one."""
 
 from __future__ import annotations
 
@@ -6,41 +6,41 @@
 
 import trio
 
-from tests.deferred.test_over_sockets import ask, sent
 from tests.lifecycle.test_handover import HandoverHarness, open_handover_harness
+from tests.support.deferral_over_sockets import submit_deferred, wait_until_sent
 
 
-def test_what_waits_stays_with_its_process_and_is_answered_in_time(tmp_path: Path) -> None:
-    async def story(made: HandoverHarness) -> None:
-        old = await made.start_process()
+def test_deferred_jobs_stay_with_their_process_and_are_answered_in_time(tmp_path: Path) -> None:
+    async def scenario(harness: HandoverHarness) -> None:
+        old = await harness.start_process()
         await old.ready()
-        parent, child = await ask(made, "p1"), await ask(made, "c1", "p1")
-        await sent(made, "p1")
-        lasting, stays = await ask(made, "p2"), await ask(made, "c2", "p2")
-        await sent(made, "p1", "p2")
-        new = await made.start_process()
+        parent, child = await submit_deferred(harness, "p1"), await submit_deferred(harness, "c1", "p1")
+        await wait_until_sent(harness, "p1")
+        lasting, stays = await submit_deferred(harness, "p2"), await submit_deferred(harness, "c2", "p2")
+        await wait_until_sent(harness, "p1", "p2")
+        new = await harness.start_process()
         await new.ready()
-        # Its parent is at the old process: it gets a defined end, soon.
-        assert (await made.read_response(await ask(made, "c3", "p1"))).status == 503
-        assert await made.send_callback("started", job=0) == 204
-        assert await made.send_callback("done", "parent", job=0) == 204
-        assert (await made.read_response(parent)).body == b"parent"
-        await sent(made, "p1", "p2", "c1")
-        assert await made.send_callback("done", "child") == 204
-        assert (await made.read_response(child)).body == b"child"
-        await made.send_callback("started", job=1)
+        # Its parent is at the old process, so it is rejected soon.
+        assert (await harness.read_response(await submit_deferred(harness, "c3", "p1"))).status == 503
+        assert await harness.send_callback("started", job=0) == 204
+        assert await harness.send_callback("done", "parent", job=0) == 204
+        assert (await harness.read_response(parent)).body == b"parent"
+        await wait_until_sent(harness, "p1", "p2", "c1")
+        assert await harness.send_callback("done", "child") == 204
+        assert (await harness.read_response(child)).body == b"child"
+        await harness.send_callback("started", job=1)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(old.stop)
-            assert (await made.read_response(stays)).status in (424, 503)
-            assert (await made.read_response(lasting)).status == 502
+            assert (await harness.read_response(stays)).status in (424, 503)
+            assert (await harness.read_response(lasting)).status == 502
         await new.stop()
 
     async def run() -> None:
         with trio.fail_after(60.0):
-            async with open_handover_harness(tmp_path) as made:
+            async with open_handover_harness(tmp_path) as harness:
                 options = tmp_path / "options.ini"
                 options.write_text("[waiting]\nunknown = 300 ms\n")
-                made.environment["BURLMOOR_OPTIONS"] = str(options)
-                await story(made)
+                harness.environment["BURLMOOR_OPTIONS"] = str(options)
+                await scenario(harness)
 
     trio.run(run)
--- /dev/null
+++ b/tests/deferred/test_status.py
@@ -0,0 +1,46 @@
+"""The status that operators see of the deferred jobs."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import trio
+
+from burlmoor.deferred.status import build_status
+from tests.support.deferral_harness import UNIX_EPOCH_MS, DeferralHarness
+
+
+def test_the_status_counts_by_class_and_reason_of_one_moment() -> None:
+    harness = DeferralHarness(max_jobs=100_000, max_dependents=100_000)
+    harness.submit(request_id="p", job_class="once")
+    for number in range(5000):
+        harness.submit_deferred(f"c{number}", "p", size_bytes=7)
+    harness.submit_deferred("t", not_before_unix_ms=UNIX_EPOCH_MS + harness.now + 10_000.0, job_class="once")
+    harness.submit_deferred("u", "nobody", job_class="once")
+    harness.advance(10.0)
+    harness.engine.step()
+
+    async def look() -> dict[str, Any]:
+        seen: dict[str, Any] = {}
+        began = trio.Event()
+
+        def clock() -> float:
+            began.set()
+            return harness.now
+
+        async def view() -> None:
+            seen.update(await build_status(harness.queue, clock))
+
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(view)
+            await began.wait()
+            harness.engine.on_client_disconnected(harness.find_job("c7"))  # while it is counted
+            harness.engine.step()
+        return seen
+
+    seen = trio.run(look)
+    assert seen["waiting"] == 5002
+    assert seen["by_class"]["lookup"]["waiting"] == 5000
+    assert seen["by_reason"] == {"jobs": 5000, "time": 1, "unknown": 1}
+    assert seen["bytes"] == 5000 * 7 + 20
+    assert len(harness.queue.status_by_id) == 5001
--- /dev/null
+++ b/tests/support/deferral_over_sockets.py
@@ -0,0 +1,64 @@
+"""Deferred jobs of a node on loopback sockets: submit them, and wait for what becomes of them."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import trio
+
+from burlmoor.config.options import DeferredOptions, Options
+from burlmoor.testbed.http_wire import Wire
+from burlmoor.testbed.node_process import call
+from tests.support import node_harness
+from tests.support.node_harness import NodeHarness
+
+
+def run_scenario_with_deferral(
+    scenario: Callable[[NodeHarness], Awaitable[Any]], sockets: int = 1024, **deferred_options: Any
+) -> Any:
+    """Run a scenario against a node that defers jobs."""
+    options = Options(waiting=DeferredOptions(**{"unknown_timeout_ms": 300.0, **deferred_options}))
+    return node_harness.run_scenario(scenario, options=options, sockets=sockets)
+
+
+async def submit_deferred(
+    harness: NodeHarness, request_id: str, *after: str, wire: Wire | None = None, **head: str
+) -> Wire:
+    """Submit a job that is to run after others."""
+    wire = wire or await harness.connect_client()
+    harness.open_clients.append(wire)
+    fields = {
+        "Host": "svc",
+        "Request_Id": request_id,
+        "Request_Timeout_Ms": "8000",
+        "Work_Hint": "90000",
+        **head,
+    }
+    if after:
+        fields["Run_After"] = ", ".join(after)
+    await wire.write(f"POST /{head.pop('name', 'once')}/0f HTTP/1.1", b"work", **fields)
+    return wire
+
+
+async def wait_until_sent(harness: NodeHarness, *request_ids: str) -> None:
+    """Wait until executors have received exactly these jobs."""
+    await harness.wait_until(lambda: len(harness.jobs) >= len(request_ids))
+    assert [message.headers["request-id"] for _, message in harness.jobs] == list(request_ids)
+
+
+async def fetch_status(harness: NodeHarness) -> dict[str, Any]:
+    """The admin server's status of the deferred jobs."""
+    assert harness.node.admin_server is not None
+    answer = await call(harness.node.admin_server.address, "GET", "/waiting")
+    assert answer.status == 200
+    status: dict[str, Any] = json.loads(answer.body)
+    return status
+
+
+async def wait_until_deferred(harness: NodeHarness, count: int) -> None:
+    """Wait until so many jobs are deferred."""
+    with trio.fail_after(10.0):
+        while (await fetch_status(harness))["waiting"] != count:  # noqa: ASYNC110 - no event tells of it
+            await trio.sleep(0.02)
