--- a/burlmoor/types/settings.py
+++ b/burlmoor/types/settings.py
@@ -148,7 +148,7 @@
                 job_class.objective_stretch,
             )
             if min(times_ms) < 0.0:
-                raise InvalidSettingError(f"classes: {job_class.name}", "a time is negative")
+                raise InvalidSettingError(f"classes.{job_class.name}", "a time is negative")
         self.rules.check()
         if self.tick_ms <= 0.0:
             raise InvalidSettingError("tick", "must be above 0")
--- a/tests/deferred/test_dependency_graph.py
+++ b/tests/deferred/test_dependency_graph.py
@@ -173,7 +173,8 @@
     done = drain(graph, 1.0)
     assert [request_id for request_id, _ in done] == [str(number) for number in range(1, 10_000)]
     assert {reason for _, reason in done} == {DeferralReason.DEPENDENCY_FAILED}
-    assert not graph.jobs and not graph._dependents
+    assert not graph.jobs
+    assert not graph._dependents
 
 
 def test_a_cycle_closed_by_the_last_job_ends_all_of_its_jobs() -> None:
@@ -278,7 +279,8 @@
     for number in range(5000):
         defer(graph, str(number), "nobody", not_before_unix_ms=UNIX_EPOCH_MS + 9000.0)
         graph.on_job_ended(str(number), False, 0.0)
-    assert not graph._dependents and not graph.jobs
+    assert not graph._dependents
+    assert not graph.jobs
     assert len(graph._latest_release_timers._heap) < 200
     assert graph.next_due(0.0, UNIX_EPOCH_MS) == math.inf
 
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -19,6 +19,7 @@
     submit_deferred,
     wait_until_deferred,
     wait_until_sent,
+    wait_until_status,
 )
 from tests.support.node_harness import NodeHarness
 
@@ -142,9 +143,7 @@
         await wait_until_sent(harness, "p")
         size = harness.node.server.max_connections
         wires = [await submit_deferred(harness, f"c{number}", "p") for number in range(size // 2)]
-        with trio.fail_after(10.0):
-            while (await fetch_status(harness))["turned_away"] < size // 2 - size // 4:
-                await trio.sleep(0.02)
+        await wait_until_status(harness, lambda status: status["turned_away"] >= size // 2 - size // 4)
         assert (await fetch_status(harness))["waiting"] == size // 4
         plain = await submit_deferred(harness, "plain")
         await wait_until_sent(harness, "p", "plain")
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -57,8 +57,13 @@
     return status
 
 
-async def wait_until_deferred(harness: NodeHarness, count: int) -> None:
-    """Wait until so many jobs are deferred."""
+async def wait_until_status(harness: NodeHarness, is_reached: Callable[[dict[str, Any]], bool]) -> None:
+    """Wait until the status is as wanted."""
     with trio.fail_after(10.0):
-        while (await fetch_status(harness))["waiting"] != count:  # noqa: ASYNC110 - no event tells of it
+        while not is_reached(await fetch_status(harness)):  # noqa: ASYNC110 - the status has no event
             await trio.sleep(0.02)
+
+
+async def wait_until_deferred(harness: NodeHarness, count: int) -> None:
+    """Wait until so many jobs are deferred."""
+    await wait_until_status(harness, lambda status: status["waiting"] == count)
--- a/tests/types/test_settings.py
+++ b/tests/types/test_settings.py
@@ -16,8 +16,8 @@
         (Settings(()), "classes", "classes: at least one class is needed"),
         (
             Settings((JobClass("lookup", deadline_ms=-1.0),)),
-            "classes: lookup",
-            "classes: lookup: a time is negative",
+            "classes.lookup",
+            "classes.lookup: a time is negative",
         ),
         (
             Settings(CLASSES, rules=Rules(poll_interval_ms=-1.0)),
