--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -9,7 +9,8 @@
 from burlmoor.admin.http import BODY_LIMIT, HEAD_LIMIT, AdminConnection
 from burlmoor.admin.requests import AdminHandler, AdminRequest, AdminResponse, reject
 from burlmoor.log import EventLogger
-from burlmoor.transport.stream import SocketStream, accept, open_listener
+from burlmoor.transport.sockets import accept, open_listening_socket
+from burlmoor.transport.stream import SocketStream
 
 _RESPONSE_LIMIT = 1 << 20  # bytes: each executor may be disabled, and is named; memory is taken as needed
 _REQUEST_TIMEOUT_SECONDS = 0.7  # for a call to arrive: its response is due within 1 s
@@ -27,7 +28,7 @@
         self._nursery = nursery
         self._log = log
         self._connections: dict[SocketStream, trio.CancelScope] = {}
-        self._listener = open_listener(listen)
+        self._listener = open_listening_socket(listen)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -80,7 +81,7 @@
             while received is None:
                 if not await stream.receive():
                     return
-                received = connection.receive(stream.inbound.take())
+                received = connection.receive(stream.inbound.read_all())
         if received is None:
             received = reject(408, "the call did not come in time")
         elif isinstance(received, AdminRequest):
@@ -92,5 +93,5 @@
         with trio.move_on_after(_LINGER_SECONDS):
             await stream.drain()
             # Closing while the caller still writes would lose the response in a reset.
-            stream.end_sending()
-            await stream.skip(BODY_LIMIT)
+            stream.shut_down_sending()
+            await stream.discard_until_end(BODY_LIMIT)
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -20,7 +20,7 @@
 from burlmoor.testbed.load import Generator, Meter, Report, draw
 from burlmoor.testbed.local_cluster import KINDS, Kind, fleet, town
 from burlmoor.testbed.single_node import own_node, roomy
-from burlmoor.transport.stream import parse_address
+from burlmoor.transport.address import parse_address
 
 _ERR = Console(stderr=True)
 
--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -13,7 +13,7 @@
 from burlmoor.config.errors import ConfigFault, InvalidConfigError, invalid_value
 from burlmoor.config.settings import NodeSettings, parse_settings
 from burlmoor.endpoints.discovered_list import DiscoveredList
-from burlmoor.transport.stream import parse_address
+from burlmoor.transport.address import parse_address
 
 if TYPE_CHECKING:
     from burlmoor.config.options import Options
--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from http import HTTPStatus
-
 import trio
 
 from burlmoor.discovery.schedule import CallResult, DiscoveryCall, WatchSchedule
@@ -14,6 +12,7 @@
 from burlmoor.upstream.pool import ConnectionPool
 
 _PATH = b"/registry/instances"
+_STATUS_OK = 200
 
 
 class UnexpectedStatusError(BurlmoorError):
@@ -107,7 +106,7 @@
         if not call.is_full_list and version is not None:
             path = b"%s?after=%d&wait_ms=%d" % (_PATH, version, round(call.wait_seconds * 1000.0))
         response = await self._pool.call(self._address, b"GET", path)
-        if response.status != HTTPStatus.OK:
+        if response.status != _STATUS_OK:
             raise UnexpectedStatusError(response.status)
         return response.body
 
--- a/burlmoor/downstream/connection.py
+++ b/burlmoor/downstream/connection.py
@@ -123,7 +123,7 @@
                 # written. A client that writes on like this has more than one request open, so the rest is
                 # not looked at, and the response, which ends this, closes the connection.
                 self._http.is_closing = True
-                await self._stream.skip(_LINGER_BYTES)
+                await self._stream.discard_until_end(_LINGER_BYTES)
                 return
             if not await self._stream.receive():
                 return
@@ -134,14 +134,14 @@
 
         A body that was announced is read to its end, since its client may read only once it has written.
         """
-        self._stream.end_sending()
+        self._stream.shut_down_sending()
         deadline = trio.current_time() + _LINGER_SECONDS
         max_bytes = _LINGER_BYTES
         if self._http.has_rejected_body:
             deadline = self._accepted_at + _LINGER_BODY_SECONDS
             max_bytes = _LINGER_BODY_BYTES
         with trio.move_on_at(deadline):
-            await self._stream.skip(max_bytes)
+            await self._stream.discard_until_end(max_bytes)
 
     def close_soon(self) -> None:
         """Close the connection soon."""
@@ -179,7 +179,7 @@
             while not self._http.has_open_request and not self._http.is_closing:
                 if self.has_been_used and self._http.is_idle:
                     self.state_since = trio.current_time()
-                request = self._http.receive_data(self._stream.inbound.take())
+                request = self._http.receive_data(self._stream.inbound.read_all())
                 if request is None:
                     if interim := self._http.encode_continue_response():
                         self._send(interim)
--- a/burlmoor/downstream/server.py
+++ b/burlmoor/downstream/server.py
@@ -25,7 +25,7 @@
 from burlmoor.engine.deferral import RunConditions
 from burlmoor.engine.engine import Engine
 from burlmoor.log import EventLogger
-from burlmoor.transport.stream import accept
+from burlmoor.transport.sockets import accept
 from burlmoor.types.settings import Idempotency
 
 _SWEEP_INTERVAL_SECONDS = 0.2
--- a/burlmoor/endpoints/list_validation.py
+++ b/burlmoor/endpoints/list_validation.py
@@ -9,7 +9,7 @@
 
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
 from burlmoor.errors import BurlmoorError
-from burlmoor.transport.stream import InvalidAddressError, parse_address
+from burlmoor.transport.address import InvalidAddressError, parse_address
 from burlmoor.types.endpoint_list import EndpointState
 
 _DECODER = msgspec.json.Decoder(DiscoveredList | None)
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -29,7 +29,7 @@
 from burlmoor.lifecycle.handover import Handover
 from burlmoor.lifecycle.parts import NodeParts
 from burlmoor.log import EventLog
-from burlmoor.transport.stream import open_listener
+from burlmoor.transport.sockets import open_listening_socket
 from burlmoor.upstream.attempts import AttemptRunner
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectionPool
 
@@ -94,13 +94,15 @@
             settings.keepalive_ms / 1000.0 * _IDLE_SHARE,
             settings.policy.limits.connect_timeout_ms / 1000.0,
             max_connections,
-            rest=REUSE_DELAY_SECONDS,
+            reuse_delay_seconds=REUSE_DELAY_SECONDS,
         )
 
     def _build_discovery_pool(self) -> ConnectionPool:
         # Discovery has connections of its own: attempts that hang must not keep watch events from coming.
         timeout_seconds = self._config.settings.policy.limits.connect_timeout_ms / 1000.0
-        return ConnectionPool(self.pool.idle_limit, timeout_seconds, _DISCOVERY_CONNECTIONS, _MAX_LIST_BYTES)
+        return ConnectionPool(
+            self.pool.idle_limit_seconds, timeout_seconds, _DISCOVERY_CONNECTIONS, _MAX_LIST_BYTES
+        )
 
     def _build_discovery_client(self) -> DiscoveryClient:
         policy = self._config.settings.policy
@@ -116,7 +118,7 @@
 
     def _build_server(self, max_connections: int) -> DownstreamServer:
         classes = [each.name for each in self._config.settings.policy.classes]
-        listener = open_listener(self._config.listen, self._config.listener_fd)
+        listener = open_listening_socket(self._config.listen, self._config.listener_fd)
         return DownstreamServer(
             self.engine, classes, listener, max_connections, self.drain, self._nursery, self._log
         )
@@ -191,8 +193,8 @@
         """Close connections to executors and discovery that have been idle for too long."""
         while True:
             await trio.sleep(_IDLE_SWEEP_SECONDS)
-            self.pool.sweep()
-            self.discovery_pool.sweep()
+            self.pool.close_expired()
+            self.discovery_pool.close_expired()
 
     # --- signals --------------------------------------------------------------------------------
 
--- a/burlmoor/transport/__init__.py
+++ b/burlmoor/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and ring buffers."""
+"""Addresses, sockets, the streams over them, and ring buffers."""
--- a/burlmoor/transport/ring_buffer.py
+++ b/burlmoor/transport/ring_buffer.py
@@ -2,13 +2,31 @@
 
 from __future__ import annotations
 
-_FIRST = 4096
+from burlmoor.errors import BurlmoorError
+
+_MIN_CAPACITY = 4096
+
+
+class BufferFullError(BurlmoorError, BufferError):
+    """More bytes were to be written than the buffer has space for."""
+
+    def __init__(self, size: int, free_space: int) -> None:
+        super().__init__(f"{size} bytes do not fit into {free_space}")
+        self.size, self.free_space = size, free_space
+
+
+class BufferUnderrunError(BurlmoorError, BufferError):
+    """More bytes were to be consumed than the buffer holds, or less than none."""
+
+    def __init__(self, count: int, size: int) -> None:
+        super().__init__(f"{count} of {size} bytes")
+        self.count, self.size = count, size
 
 
 class RingBuffer:
     """Owns the bytes that wait in one direction, at most `limit` of them.
 
-    Its memory grows by doubling and is given back once the ring is empty, since hundreds of
+    Its memory grows by doubling and is given back once the buffer is empty, since hundreds of
     connections are idle at any time.
     """
 
@@ -17,7 +35,8 @@
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._data = bytearray()
-        self._head = self._size = 0
+        self._head = 0
+        self._size = 0
 
     def __len__(self) -> int:
         return self._size
@@ -28,9 +47,9 @@
         return self.limit - self._size
 
     def write(self, data: bytes) -> None:
-        """Append all of `data`; it must fit into `room`."""
+        """Append all of `data`; BufferFullError if it exceeds `free_space`."""
         if len(data) > self.free_space:
-            raise BufferError(f"{len(data)} bytes do not fit into {self.free_space}")
+            raise BufferFullError(len(data), self.free_space)
         if self._size + len(data) > len(self._data):
             self._grow(self._size + len(data))
         tail = (self._head + self._size) % len(self._data) if self._data else 0
@@ -43,34 +62,35 @@
         self._size += len(data)
 
     def peek(self) -> memoryview:
-        """The longest run of waiting bytes that lies in one piece."""
+        """Return the waiting bytes up to the end of the memory, without consuming them."""
         return memoryview(self._data)[self._head : min(self._head + self._size, len(self._data))]
 
-    def drop(self, count: int) -> None:
-        """Forget the first `count` waiting bytes."""
+    def consume(self, count: int) -> None:
+        """Remove the first `count` waiting bytes; BufferUnderrunError if there are fewer."""
         if not 0 <= count <= self._size:
-            raise BufferError(f"{count} of {self._size} bytes")
+            raise BufferUnderrunError(count, self._size)
         self._size -= count
         if self._size:
             self._head = (self._head + count) % len(self._data)
         else:
             self._head = 0
-            if len(self._data) > _FIRST:
+            if len(self._data) > _MIN_CAPACITY:
                 self._data = bytearray()
 
-    def take(self) -> bytes:
-        """All waiting bytes; the ring is empty afterwards."""
+    def read_all(self) -> bytes:
+        """Return all waiting bytes; the buffer is empty afterwards."""
         data = bytes(self.peek())
         if len(data) < self._size:
             data += bytes(self._data[: self._size - len(data)])
-        self.drop(self._size)
+        self.consume(self._size)
         return data
 
     def _grow(self, needed: int) -> None:
-        size = max(_FIRST, len(self._data))
-        while size < needed:
-            size *= 2
-        waiting = self.take()
-        self._data = bytearray(min(size, self.limit))
+        capacity = max(_MIN_CAPACITY, len(self._data))
+        while capacity < needed:
+            capacity *= 2
+        waiting = self.read_all()
+        self._data = bytearray(min(capacity, self.limit))
         self._data[: len(waiting)] = waiting
-        self._head, self._size = 0, len(waiting)
+        self._head = 0
+        self._size = len(waiting)
--- /dev/null
+++ b/burlmoor/transport/sockets.py
@@ -0,0 +1,73 @@
+"""Sockets that listen, and connections accepted from them or made to an address."""
+
+from __future__ import annotations
+
+import errno
+import os
+import socket
+from collections.abc import Callable
+
+import trio
+
+from burlmoor.transport.address import parse_address
+from burlmoor.transport.stream import SocketStream
+
+_LISTEN_BACKLOG = 1024
+_ACCEPT_RETRY_SECONDS = 0.05  # after an error of accept
+DESCRIPTORS_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+
+
+def open_listening_socket(address: tuple[str, int], inherited_fd: int | None = None) -> socket.socket:
+    """Open a socket that listens at `address`, or take the one that was inherited."""
+    if inherited_fd is not None:
+        # Never bound, listened on or shut down here: other processes accept from it too.
+        sock = socket.socket(fileno=inherited_fd)
+        sock.setblocking(False)
+        return sock
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        sock.setblocking(False)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind(address)
+        sock.listen(_LISTEN_BACKLOG)
+    except OSError:
+        sock.close()
+        raise
+    return sock
+
+
+async def accept(
+    sock: socket.socket, on_descriptors_exhausted: Callable[[OSError], None]
+) -> socket.socket | None:
+    """Accept a connection that waits on a listening socket; None if there is none."""
+    try:
+        return sock.accept()[0]
+    except (BlockingIOError, InterruptedError):
+        return None
+    except OSError as error:
+        # Without this, the node would loop without pause, or end, when descriptors run out.
+        if error.errno in DESCRIPTORS_EXHAUSTED:
+            on_descriptors_exhausted(error)
+        await trio.sleep(_ACCEPT_RETRY_SECONDS)
+        return None
+
+
+async def connect(address: str, buffer_limit: int) -> SocketStream:
+    """Connect to `host:port`; the buffers hold `buffer_limit` bytes in each direction.
+
+    Raises OSError if the connection fails and InvalidAddressError. The caller bounds the time.
+    """
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        sock.setblocking(False)
+        code = sock.connect_ex(parse_address(address))
+        if code == errno.EINPROGRESS:
+            await trio.lowlevel.wait_writable(sock)
+            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if code:
+            raise OSError(code, os.strerror(code))  # noqa: TRY301
+        return SocketStream(sock, buffer_limit, buffer_limit)
+    except BaseException:
+        # Without this, each connect that is cancelled would leak a descriptor.
+        sock.close()
+        raise
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -1,44 +1,69 @@
-"""Carries forwards to targets: one task a forward, from the connect to the 202."""
+"""Carries attempts to endpoints: one task for each, from the connection to the 202."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
 import trio
 
-from burlmoor.downstream.requests import Payload
 from burlmoor.endpoints.directory import EndpointDirectory
-from burlmoor.endpoints.endpoint_table import ListedEndpoint
 from burlmoor.engine.engine import Engine
 from burlmoor.engine.job import Attempt
 from burlmoor.log import EventLogger
 from burlmoor.types.outcome import Outcome
-from burlmoor.upstream.http import BrokenResponseError, Response
-from burlmoor.upstream.pool import ConnectError, ConnectionPool, PooledConnection, RequestNotSentError
+from burlmoor.upstream.connection import PooledConnection
+from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
+from burlmoor.upstream.health_check import HealthChecker
+from burlmoor.upstream.http import Response
+from burlmoor.upstream.outcome import STATUS_ACCEPTED, outcome_of
+from burlmoor.upstream.pool import ConnectionPool
+from burlmoor.upstream.send_precondition import (
+    SendPreconditionError,
+    check_send_precondition,
+    recheck_send_precondition,
+)
+
+# Seconds in which an endpoint accepts or rejects an attempt: measured 0.3 at most, where it paused meanwhile.
+_ACCEPT_TIMEOUT_SECONDS = 0.45
+_CANCEL_TIMEOUT_SECONDS = 2.0  # of a DELETE
+
+
+class RequestPayload(Protocol):
+    """What an attempt passes on of its job's request, unchanged."""
 
-# Seconds in which a target takes or refuses a forward: measured 0.3 at most, where it stood still meanwhile.
-_TAKEN_WITHIN = 0.45
-_GIVE_UP_WITHIN = 2.0  # seconds that a DELETE may take
-_PROBE_WITHIN = 0.5
-_TAKEN = 202
+    @property
+    def method(self) -> bytes:
+        """The HTTP method."""
 
+    @property
+    def path(self) -> bytes:
+        """The path with its query."""
 
-class _Unwanted(Exception):
-    """The forward is not to go out: nobody waits for it any more, or its target has left."""
+    @property
+    def body(self) -> bytes:
+        """The body, perhaps empty."""
+
+    @property
+    def idempotency_key(self) -> str:
+        """The key by which executors recognise a repeated request; empty if there is none."""
 
 
 @dataclass(slots=True)
-class _Exchange:
-    """One forward on its way."""
+class _InFlight:
+    """An attempt that waits for its 202."""
 
     scope: trio.CancelScope
-    taken: bool = False
+    is_accepted: bool = False
 
 
 class AttemptRunner:
-    """Owns every forward that waits for its 202, and the calls that give forwards up."""
+    """Owns every attempt that waits for its 202, and the DELETE calls that cancel attempts.
+
+    Each attempt runs as a task of `nursery`. `clock` gives ms.
+    """
 
     def __init__(
         self,
@@ -49,160 +74,144 @@
         clock: Callable[[], float],
         log: EventLogger,
     ) -> None:
-        self._engine, self._directory, self._pool = engine, directory, pool
-        self._nursery, self._clock, self._log = nursery, clock, log
-        self._exchanges: dict[Attempt, _Exchange] = {}
-        self.pending_cancels = 0  # DELETEs under way
+        self._engine = engine
+        self._directory = directory
+        self._pool = pool
+        self._nursery = nursery
+        self._clock = clock
+        self._log = log
+        self._health_checker = HealthChecker(engine, directory, pool, clock, log)
+        self._in_flight: dict[Attempt, _InFlight] = {}
+        self.pending_cancels = 0  # DELETE calls in flight
 
     @property
     def in_flight(self) -> int:
-        """How many forwards wait for their 202."""
-        return len(self._exchanges)
-
-    def start_attempt(self, forward: Attempt) -> None:
-        """Start the forward."""
-        self._exchanges[forward] = exchange = _Exchange(trio.CancelScope())
-        self._nursery.start_soon(self._carry, forward, exchange)
-
-    def cancel_attempt(self, forward: Attempt) -> None:
-        """Give the forward up: by its connection before the 202, by a DELETE after it."""
-        exchange = self._exchanges.get(forward)
-        if exchange is not None and not exchange.taken:
-            exchange.scope.cancel()
-            self._engine.on_attempt_cancelled(forward)
+        """How many attempts wait for their 202."""
+        return len(self._in_flight)
+
+    # --- what the engine requires -----------------------------------------------------------------
+
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Start the attempt; the engine is told how it ends, unless the endpoint accepts the job."""
+        self._in_flight[attempt] = in_flight = _InFlight(trio.CancelScope())
+        self._nursery.start_soon(self._run, attempt, in_flight)
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel the attempt: by closing its connection before the 202, by a DELETE after it."""
+        in_flight = self._in_flight.get(attempt)
+        if in_flight is not None and not in_flight.is_accepted:
+            in_flight.scope.cancel()
+            self._engine.on_attempt_cancelled(attempt)
         else:
             self.pending_cancels += 1
-            self._nursery.start_soon(self._delete, forward)
+            self._nursery.start_soon(self._send_cancel, attempt)
+
+    def check_health(self, endpoint: str) -> None:
+        """Start a health check of an endpoint; the engine is told its outcome."""
+        self._nursery.start_soon(self._health_checker.check, endpoint)
 
-    def check_health(self, target: str) -> None:
-        """Look at a target."""
-        self._nursery.start_soon(self._probe, target)
+    # --- one attempt ------------------------------------------------------------------------------
 
-    async def _carry(self, forward: Attempt, exchange: _Exchange) -> None:
+    async def _run(self, attempt: Attempt, in_flight: _InFlight) -> None:
         try:
-            with exchange.scope:
-                outcome = await self._attempt(forward, exchange)
+            with in_flight.scope:
+                outcome = await self._exchange(attempt, in_flight)
                 if outcome is not None:
-                    self._engine.on_attempt_ended(forward, outcome)
+                    self._engine.on_attempt_ended(attempt, outcome)
         except Exception as error:
-            # Guards against one forward's fault ending the node. Whether it ran is not known.
-            self._log("attempt-error", target=forward.endpoint, error=repr(error))
-            self._engine.on_attempt_ended(forward, Outcome.RESET)
+            # The boundary of the attempt's task: without this, an error in one attempt would end the node.
+            # Whether the job has run is not known.
+            self._log("attempt-error", target=attempt.endpoint, error=repr(error))
+            self._engine.on_attempt_ended(attempt, Outcome.RESET)
         finally:
-            del self._exchanges[forward]
+            del self._in_flight[attempt]
 
-    async def _attempt(self, forward: Attempt, exchange: _Exchange) -> Outcome | None:
-        """The forward's end as far as this exchange tells it; None once the target has taken the job."""
+    async def _exchange(self, attempt: Attempt, in_flight: _InFlight) -> Outcome | None:
+        """Send the request and read the response; the outcome, or None if the endpoint accepts the job."""
         try:
-            link = await self._written(forward)
-        except _Unwanted:
+            connection = await self._send_request(attempt)
+        except SendPreconditionError:
             return Outcome.UNSENT
         except (ConnectError, RequestNotSentError):
             return Outcome.UNREACHABLE
-        # What must not run twice can't go elsewhere anyway, so it waits for as long as its client does.
-        limit = math.inf if forward.job.is_non_idempotent else _TAKEN_WITHIN
-        reply: Response | None = None
         try:
-            with trio.move_on_after(limit):
-                reply = await link.read()
-            if reply is None:
-                # Guards against a connection that fell silent: a job would wait there until its deadline.
-                raise BrokenResponseError("nothing came")
+            response = await self._read_response(attempt, connection)
         except BrokenResponseError:
-            self._pool.broken(link)
-            link.close()
+            self._pool.on_connection_broken(connection)
+            connection.close()
             return Outcome.RESET
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        exchange.taken = reply.status == _TAKEN
-        link.release()
-        return None if exchange.taken else _outcome(reply)
-
-    async def _written(self, forward: Attempt) -> PooledConnection:
-        """A connection to which the whole request has been written."""
-        # What must not run twice would be lost with a kept connection that turns out to be dead.
-        fresh = forward.job.is_non_idempotent and self._pool.wary
+        in_flight.is_accepted = response.status == STATUS_ACCEPTED
+        connection.release()
+        return None if in_flight.is_accepted else outcome_of(response)
+
+    async def _read_response(self, attempt: Attempt, connection: PooledConnection) -> Response:
+        """Read the response; BrokenResponseError if none comes in time."""
+        # A non-idempotent job can't be retried elsewhere anyway, so it waits for as long as its client does.
+        timeout = math.inf if attempt.job.is_non_idempotent else _ACCEPT_TIMEOUT_SECONDS
+        with trio.move_on_after(timeout):
+            return await connection.read()
+        # Without this, a job would wait until its deadline on a connection that has fallen silent.
+        raise BrokenResponseError("no response came in time")
+
+    async def _send_request(self, attempt: Attempt) -> PooledConnection:
+        """Write the complete request to a connection; that connection."""
+        # On a pooled connection that turns out to be dead a non-idempotent job would be lost.
+        must_connect = attempt.job.is_non_idempotent and self._pool.is_reuse_risky
         while True:
-            target = self._wanted(forward)
-            link = await (self._pool.connect(target.address) if fresh else self._pool.acquire(target.address))
+            endpoint = check_send_precondition(attempt, self._directory)
+            open_connection = self._pool.connect if must_connect else self._pool.acquire
+            connection = await open_connection(endpoint.address)
             try:
-                # All may have changed while it came up. Nothing waits from here to the first byte.
-                if self._wanted(forward) != target:
-                    raise _Unwanted("the target is another process now")
-                payload: Payload = forward.job.payload
-                left = max(1, int(forward.deadline - self._clock()))
-                headers = [("Request-Id", forward.job.id), ("Request-Timeout-Ms", str(left))]
-                if payload.idempotency_key:
-                    headers.append(("Idempotency-Key", payload.idempotency_key))
-                await link.write(payload.method, payload.path, headers, payload.body)
+                # All may have changed while the connection came up. No await from here to the first byte.
+                recheck_send_precondition(attempt, self._directory, endpoint)
+                await self._write_request(attempt, connection)
             except RequestNotSentError:
-                link.close()
-                if fresh or not link.is_reused:
+                connection.close()
+                if must_connect or not connection.is_reused:
                     raise
-                # An idle connection that had gone stale: the request has not gone out, so it may go again.
-                fresh = True
+                # An idle connection that had gone stale: the request was not sent, so it may be sent again.
+                must_connect = True
                 continue
             except BaseException:
-                link.close()
+                connection.close()
                 raise
-            return link
-
-    def _wanted(self, forward: Attempt) -> ListedEndpoint:
-        """The gate that each forward passes right before its first byte; `_Unwanted` where it may not go.
-
-        Guards the drain rule, executors against jobs whose clients have left (also where settings bar a
-        give-up, so that nothing else stops what waits for a connection), and rule 1 against a second copy of
-        a job that is answered.
-        """
-        if forward.is_over or forward.job.is_over:
-            raise _Unwanted("nobody waits for it any more")
-        target = self._directory.find_live(forward.endpoint)
-        if target is None:
-            raise _Unwanted("the target is not live")
-        return target
-
-    async def _delete(self, forward: Attempt) -> None:
-        dial = self._directory.address_of(forward.endpoint)
-        path = f"/jobs/{forward.job.id}".encode()
+            return connection
+
+    async def _write_request(self, attempt: Attempt, connection: PooledConnection) -> None:
+        payload: RequestPayload = attempt.job.payload
+        timeout_ms = max(1, int(attempt.deadline - self._clock()))
+        headers = [("Request-Id", attempt.job.id), ("Request-Timeout-Ms", str(timeout_ms))]
+        if payload.idempotency_key:
+            headers.append(("Idempotency-Key", payload.idempotency_key))
+        await connection.write(payload.method, payload.path, headers, payload.body)
+
+    # --- cancellation -----------------------------------------------------------------------------
+
+    async def _send_cancel(self, attempt: Attempt) -> None:
+        """Send the DELETE; the engine is told if the endpoint has answered it, or is gone."""
         try:
-            if dial:
-                with trio.move_on_after(_GIVE_UP_WITHIN):
-                    await self._pool.call(dial, b"DELETE", path)
-                    self._engine.on_attempt_cancelled(forward)
-        except ConnectError as error:
-            if error.is_refused:  # the process is gone, and the job with it
-                self._engine.on_attempt_cancelled(forward)
+            if await self._is_cancelled_by_delete(attempt):
+                self._engine.on_attempt_cancelled(attempt)
         except (RequestNotSentError, BrokenResponseError):
-            return  # whether the target has heard is not known: the module gives it up again
+            return  # whether it arrived is not known: the policy cancels the attempt again
         except Exception as error:
-            # Guards against one call's fault ending the node.
-            self._log("attempt-error", target=forward.endpoint, error=repr(error))
+            # The boundary of the call's task: without this, an error in one call would end the node.
+            self._log("attempt-error", target=attempt.endpoint, error=repr(error))
         finally:
             self.pending_cancels -= 1
 
-    async def _probe(self, target: str) -> None:
-        dial, began = self._directory.address_of(target), self._clock()
-        outcome = Outcome.UNREACHABLE
+    async def _is_cancelled_by_delete(self, attempt: Attempt) -> bool:
+        address = self._directory.address_of(attempt.endpoint)
+        if not address:
+            return False
+        path = f"/jobs/{attempt.job.id}".encode()
         try:
-            if dial:
-                outcome = Outcome.TIMEOUT
-                with trio.move_on_after(_PROBE_WITHIN):
-                    reply = await self._pool.call(dial, b"GET", b"/health/live")
-                    outcome = Outcome.SERVED if reply.status == 200 else _outcome(reply)
-        except (ConnectError, RequestNotSentError):
-            outcome = Outcome.UNREACHABLE
-        except BrokenResponseError:
-            outcome = Outcome.RESET
-        except Exception as error:
-            # Guards against one probe's fault ending the node.
-            self._log("attempt-error", target=target, error=repr(error))
-        self._engine.on_health_checked(target, outcome, self._clock() - began)
-
-
-def _outcome(reply: Response) -> Outcome:
-    """What an answer other than 202 says of the job."""
-    # Only the header proves that it has not run: without it, 503 and 504 are errors like any other.
-    if reply.status in (503, 504) and reply.headers.get(b"not-started", b"").strip() == b"1":
-        return Outcome.OVERLOADED
-    return Outcome.ERROR
+            with trio.move_on_after(_CANCEL_TIMEOUT_SECONDS):
+                await self._pool.call(address, b"DELETE", path)
+                return True
+        except ConnectError as error:
+            return error.is_refused  # the process is gone, and the job with it
+        return False
--- /dev/null
+++ b/burlmoor/upstream/connection.py
@@ -0,0 +1,80 @@
+"""One pooled connection to an endpoint."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from burlmoor.transport.stream import SocketStream
+from burlmoor.upstream.errors import BrokenResponseError, RequestNotSentError
+from burlmoor.upstream.http import HttpClientConnection, Response
+
+
+class ConnectionOwner(Protocol):
+    """What a connection requires of its pool."""
+
+    def return_connection(self, connection: PooledConnection) -> None:
+        """Take back a connection that can carry another request."""
+
+    def on_connection_closed(self) -> None:
+        """Take note that one connection less is open."""
+
+
+class PooledConnection:
+    """Owns one connection to an endpoint and the request that is in flight on it.
+
+    Times are trio's, in seconds.
+    """
+
+    def __init__(self, pool: ConnectionOwner, address: str, stream: SocketStream, body_limit: int) -> None:
+        self._pool = pool
+        self.address = address
+        self._stream = stream
+        self._http = HttpClientConnection(address, body_limit)
+        self.is_reused = False  # whether it has carried a request before this one
+        self.idle_since = 0.0
+        self.reused_at = 0.0
+
+    async def write(self, method: bytes, path: bytes, headers: list[tuple[str, str]], body: bytes) -> None:
+        """Write a complete request; RequestNotSentError if the connection breaks before its last byte."""
+        try:
+            self._stream.send(self._http.encode_request(method, path, headers, body))
+            await self._stream.drain()
+        except (OSError, BufferError) as error:
+            raise RequestNotSentError(self.address, str(error)) from error
+
+    async def read(self) -> Response:
+        """Read the complete response; BrokenResponseError if the connection ends before it."""
+        while True:
+            try:
+                has_received = await self._stream.receive()
+            except OSError as error:
+                raise BrokenResponseError(str(error)) from error
+            response = self._http.receive(self._stream.inbound.read_all() if has_received else b"")
+            if response is not None:
+                return response
+
+    async def exchange(self, method: bytes, path: bytes) -> Response:
+        """Write a request without a body and read its response; closes the connection on any error."""
+        try:
+            await self.write(method, path, [], b"")
+            return await self.read()
+        except BaseException:
+            self.close()
+            raise
+
+    def release(self) -> None:
+        """Give the connection back after a complete response, or close it if it can carry no more."""
+        if self._http.prepare_next_request():
+            self._pool.return_connection(self)
+        else:
+            self.close()
+
+    def is_reusable(self) -> bool:
+        """Whether the idle connection can carry another request."""
+        return self._stream.is_idle_open()
+
+    def close(self) -> None:
+        """Close the connection; repeated, it changes nothing."""
+        if not self._stream.is_closed:
+            self._stream.close()
+            self._pool.on_connection_closed()
--- /dev/null
+++ b/burlmoor/upstream/errors.py
@@ -0,0 +1,32 @@
+"""What goes wrong on a connection to an endpoint, by what it says of the request."""
+
+from __future__ import annotations
+
+from burlmoor.errors import BurlmoorError
+
+
+class ConnectError(BurlmoorError):
+    """No connection came up, so nothing of the request has been sent."""
+
+    def __init__(self, address: str, reason: str, is_refused: bool = False) -> None:
+        super().__init__(f"{address}: {reason}")
+        self.address = address  # `host:port`
+        self.reason = reason
+        self.is_refused = is_refused  # whether the endpoint's machine said that nothing listens there
+
+
+class RequestNotSentError(BurlmoorError):
+    """The connection broke before the request's last byte was written, so the request has not run."""
+
+    def __init__(self, address: str, reason: str) -> None:
+        super().__init__(f"{address}: {reason}")
+        self.address = address
+        self.reason = reason
+
+
+class BrokenResponseError(BurlmoorError):
+    """The response was not complete or not valid HTTP; whether the request has run is not known."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
--- /dev/null
+++ b/burlmoor/upstream/health_check.py
@@ -0,0 +1,60 @@
+"""Health checks of endpoints that the policy asks for."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import trio
+
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.engine.engine import Engine
+from burlmoor.log import EventLogger
+from burlmoor.types.outcome import Outcome
+from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
+from burlmoor.upstream.outcome import STATUS_OK, outcome_of
+from burlmoor.upstream.pool import ConnectionPool
+
+_TIMEOUT_SECONDS = 0.5
+_PATH = b"/health/live"
+
+
+class HealthChecker:
+    """Makes health checks and reports their outcomes to the engine. `clock` gives ms."""
+
+    def __init__(
+        self,
+        engine: Engine,
+        directory: EndpointDirectory,
+        pool: ConnectionPool,
+        clock: Callable[[], float],
+        log: EventLogger,
+    ) -> None:
+        self._engine = engine
+        self._directory = directory
+        self._pool = pool
+        self._clock = clock
+        self._log = log
+
+    async def check(self, endpoint: str) -> None:
+        """Check an endpoint once; the engine gets the outcome and the time that it took in ms."""
+        started_at = self._clock()
+        try:
+            outcome = await self._request(endpoint)
+        except (ConnectError, RequestNotSentError):
+            outcome = Outcome.UNREACHABLE
+        except BrokenResponseError:
+            outcome = Outcome.RESET
+        except Exception as error:  # noqa: BLE001
+            # The boundary of the check's task: without this, an error in one check would end the node.
+            outcome = Outcome.TIMEOUT
+            self._log("attempt-error", target=endpoint, error=repr(error))
+        self._engine.on_health_checked(endpoint, outcome, self._clock() - started_at)
+
+    async def _request(self, endpoint: str) -> Outcome:
+        address = self._directory.address_of(endpoint)
+        if not address:
+            return Outcome.UNREACHABLE
+        with trio.move_on_after(_TIMEOUT_SECONDS):
+            response = await self._pool.call(address, b"GET", _PATH)
+            return Outcome.SERVED if response.status == STATUS_OK else outcome_of(response)
+        return Outcome.TIMEOUT
--- a/burlmoor/upstream/http.py
+++ b/burlmoor/upstream/http.py
@@ -1,4 +1,4 @@
-"""A target's side of a connection as a state machine over h11; discovery's connections use it too.
+"""The client's side of an HTTP connection as a state machine over h11, for endpoints and for discovery.
 
 Knows no socket and no clock.
 """
@@ -10,71 +10,81 @@
 
 import h11
 
-_END = h11.EndOfMessage()
+from burlmoor.upstream.errors import BrokenResponseError
+
+_END_OF_MESSAGE = h11.EndOfMessage()
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response; the headers' names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
 
 
-class BrokenResponseError(Exception):
-    """The connection ended or lost its framing before the answer was whole."""
-
-
 class HttpClientConnection:
-    """Owns the HTTP state of one connection to a target: one request, then its answer, then the next."""
+    """Owns the HTTP state of one connection: one request, then its response, then the next request.
+
+    `body_limit` is the most bytes that a response's body may have.
+    """
 
-    def __init__(self, host: str, reply_limit: int) -> None:
-        self._host, self._limit = host, reply_limit
+    def __init__(self, host: str, body_limit: int) -> None:
+        self._host = host
+        self._body_limit = body_limit
         self._http = h11.Connection(h11.CLIENT)
-        self._head: h11.Response | None = None
+        self._response_head: h11.Response | None = None
         self._body = bytearray()
 
-    def request(
+    def encode_request(
         self, method: bytes, path: bytes, headers: Iterable[tuple[str, str]] = (), body: bytes = b""
     ) -> bytes:
-        """The bytes of a request."""
-        self._head, self._body = None, bytearray()
+        """Encode a request; its bytes are to be sent next."""
+        self._response_head = None
+        self._body = bytearray()
         fields = [("Host", self._host), *headers]
         if body or method == b"POST":
             fields.append(("Content-Length", str(len(body))))
         data = self._http.send(h11.Request(method=method, target=path, headers=fields)) or b""
         if body:
             data += self._http.send(h11.Data(data=body)) or b""
-        return data + (self._http.send(_END) or b"")
+        return data + (self._http.send(_END_OF_MESSAGE) or b"")
 
     def receive(self, data: bytes) -> Response | None:
-        """Take in bytes (none: the connection has ended); the answer once it is whole."""
+        """Take in bytes (none: the connection has ended); the response once it is complete.
+
+        Raises BrokenResponseError if the connection ended before that, or if the bytes are invalid.
+        """
         try:
             self._http.receive_data(data)
-            return self._next()
+            return self._next_response()
         except h11.RemoteProtocolError as error:
             raise BrokenResponseError(str(error)) from error
 
-    def _next(self) -> Response | None:
+    def _next_response(self) -> Response | None:
         while True:
             event = self._http.next_event()
             if isinstance(event, h11.Response):
-                self._head = event
+                self._response_head = event
             elif isinstance(event, h11.Data):
-                self._body += event.data
-                if len(self._body) > self._limit:
-                    raise BrokenResponseError("the answer is too long")
+                self._append_to_body(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                assert self._head is not None
-                return Response(self._head.status_code, dict(self._head.headers), bytes(self._body))
+                assert self._response_head is not None
+                head = self._response_head
+                return Response(head.status_code, dict(head.headers), bytes(self._body))
             elif isinstance(event, h11.ConnectionClosed):
                 raise BrokenResponseError("the connection has ended")
             elif not isinstance(event, h11.InformationalResponse):
                 return None
 
-    def reusable(self) -> bool:
-        """Make ready for another request; False where the connection can carry none."""
+    def _append_to_body(self, data: bytes | bytearray) -> None:
+        self._body += data
+        if len(self._body) > self._body_limit:
+            raise BrokenResponseError(f"the response is too long, {self._body_limit} bytes are allowed")
+
+    def prepare_next_request(self) -> bool:
+        """Make ready for another request; False if the connection cannot carry one."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             return not self._http.trailing_data[0]
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -1,209 +1,171 @@
-"""Connections to targets, kept for reuse."""
+"""The pool of connections to endpoints; discovery's connections have one of their own."""
 
 from __future__ import annotations
 
 import trio
 
-from burlmoor.transport.stream import DESCRIPTORS_EXHAUSTED, SocketStream, connect
-from burlmoor.upstream.http import BrokenResponseError, HttpClientConnection, Response
+from burlmoor.transport.sockets import DESCRIPTORS_EXHAUSTED, connect
+from burlmoor.transport.stream import SocketStream
+from burlmoor.upstream.connection import PooledConnection
+from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
+from burlmoor.upstream.http import Response
 
-_LIMIT = 256 * 1024  # bytes of an answer: an executor's body holds 64 KiB at most
-_STALE_WITHIN = 0.25  # seconds after a request is written in which a connection that was dead breaks
-REUSE_DELAY_SECONDS = (
-    0.05  # seconds in which a second answer to what a connection last carried may still come
-)
-_WARY = 30.0  # seconds for which a broken one tells how long others may lie idle
-
-
-class ConnectError(Exception):
-    """No connection came up: whatever was to be sent has not been."""
-
-    is_refused = False  # whether the target's machine answered that nothing listens there
-
-
-class RequestNotSentError(Exception):
-    """The connection broke before the request's last byte was written: it has not run."""
-
-
-class PooledConnection:
-    """Owns one connection to a target and what is under way on it."""
-
-    def __init__(self, pool: ConnectionPool, dial: str, stream: SocketStream) -> None:
-        self._pool, self.dial, self._stream = pool, dial, stream
-        self._http = HttpClientConnection(dial, pool.limit)
-        self.is_reused = False
-        self.idle_since = self.taken_at = 0.0
-
-    async def write(self, method: bytes, path: bytes, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Write a whole request; `NotSent` if it breaks before its last byte."""
-        try:
-            self._stream.send(self._http.request(method, path, headers, body))
-            await self._stream.drain()
-        except (OSError, BufferError) as error:
-            raise RequestNotSentError(str(error)) from error
-
-    async def read(self) -> Response:
-        """The whole answer; `BrokenReply` where the connection ends before it."""
-        while True:
-            try:
-                more = await self._stream.receive()
-            except OSError as error:
-                raise BrokenResponseError(str(error)) from error
-            reply = self._http.receive(self._stream.inbound.take() if more else b"")
-            if reply is not None:
-                return reply
-
-    async def exchange(self, method: bytes, path: bytes) -> Response:
-        """Write a request without a body and read its answer; closed unless that is whole."""
-        try:
-            await self.write(method, path, [], b"")
-            return await self.read()
-        except BaseException:
-            self.close()
-            raise
-
-    def release(self) -> None:
-        """The answer is whole: keep the connection if it can carry another request."""
-        if self._http.reusable():
-            self._pool.keep(self)
-        else:
-            self.close()
-
-    def quiet(self) -> bool:
-        """Whether the idle connection is still fit for use."""
-        return self._stream.still_quiet()
-
-    def close(self) -> None:
-        """Close the connection."""
-        if not self._stream.closed:
-            self._stream.close()
-            self._pool.open_count -= 1
+_RESPONSE_LIMIT_BYTES = 256 * 1024  # an executor's body holds 64 KiB at most
+# Seconds after a request is written in which a connection breaks that its peer had closed before.
+_STALE_BREAK_SECONDS = 0.25
+# Seconds in which a second response to what a connection last carried may still arrive.
+REUSE_DELAY_SECONDS = 0.05
+_SHORTENED_SECONDS = 30.0  # for which a stale connection shortens the time that others may lie idle
 
 
 class ConnectionPool:
-    """Owns the idle connections, freshest last, and the count of all of them."""
+    """Owns the idle connections by address, the freshest last, and counts all open ones.
+
+    `reuse_delay_seconds` is the least time that a connection lies idle before it carries the next request,
+    `idle_limit_seconds` the most.
+    """
 
     def __init__(
-        self, idle_limit: float, connect_timeout: float, size: int, limit: int = _LIMIT, rest: float = 0.0
+        self,
+        idle_limit_seconds: float,
+        connect_timeout_seconds: float,
+        max_connections: int,
+        response_limit_bytes: int = _RESPONSE_LIMIT_BYTES,
+        reuse_delay_seconds: float = 0.0,
     ) -> None:
-        self.idle_limit, self._connect_timeout, self.max_connections = idle_limit, connect_timeout, size
-        self.limit = limit  # bytes of one answer
-        self._rest = rest  # seconds that a connection lies idle at least before it carries the next request
+        self.idle_limit_seconds = idle_limit_seconds
+        self._connect_timeout_seconds = connect_timeout_seconds
+        self.max_connections = max_connections
+        self._response_limit_bytes = response_limit_bytes
+        self._reuse_delay_seconds = reuse_delay_seconds
         self._idle: dict[str, list[PooledConnection]] = {}
-        self._shorter, self._shorter_until = idle_limit, 0.0
+        self._shortened_limit_seconds = idle_limit_seconds
+        self._shortened_until = 0.0
         self.open_count = 0
 
-    def _trusted(self) -> float:
-        """How long a connection may have lain idle and be used again."""
-        return self._shorter if trio.current_time() < self._shorter_until else self.idle_limit
+    # --- stale connections ------------------------------------------------------------------------
 
     @property
-    def wary(self) -> bool:
-        """Whether a kept connection has broken lately under the next request."""
-        return trio.current_time() < self._shorter_until
+    def is_reuse_risky(self) -> bool:
+        """Whether a pooled connection has lately turned out to be closed by its peer."""
+        return trio.current_time() < self._shortened_until
+
+    def _max_idle_seconds(self) -> float:
+        """Return how long a connection may have lain idle and be used again."""
+        return self._shortened_limit_seconds if self.is_reuse_risky else self.idle_limit_seconds
 
-    def broken(self, link: PooledConnection) -> None:
-        """A connection has broken before its answer: if it had been kept, keep others for less time.
+    def on_connection_broken(self, connection: PooledConnection) -> None:
+        """Take in that a connection broke before its response: if it was reused, keep others for less time.
 
-        Guards against peers that drop kept connections sooner than the settings say, and don't show it: what
-        is written to such a connection counts as perhaps run.
+        Without this, peers that drop idle connections sooner than the settings say, and don't show it, would
+        lose request after request: what is written to such a connection counts as perhaps run.
         """
         now = trio.current_time()
-        if link.is_reused and now < link.taken_at + _STALE_WITHIN:
-            self._shorter = min(self._trusted(), 0.5 * (link.taken_at - link.idle_since))
-            self._shorter_until = now + _WARY
-
-    async def acquire(self, dial: str) -> PooledConnection:
-        """The freshest idle connection, or a new one; `NotConnected` in time if none comes up."""
-        return self._reuse(dial) or await self.connect(dial)
-
-    def _reuse(self, dial: str) -> PooledConnection | None:
-        idle, now = self._idle.get(dial, []), trio.current_time()
-        for link in idle[::-1]:
-            if now < link.idle_since + self._rest:
-                # Guards rule 2: a second answer to the last request would be taken for this one's.
+        if connection.is_reused and now < connection.reused_at + _STALE_BREAK_SECONDS:
+            half_its_idle_time = 0.5 * (connection.reused_at - connection.idle_since)
+            self._shortened_limit_seconds = min(self._max_idle_seconds(), half_its_idle_time)
+            self._shortened_until = now + _SHORTENED_SECONDS
+
+    # --- use --------------------------------------------------------------------------------------
+
+    async def acquire(self, address: str) -> PooledConnection:
+        """Take the freshest idle connection or open one; ConnectError if none comes up in time."""
+        return self._take_idle(address) or await self.connect(address)
+
+    def _take_idle(self, address: str) -> PooledConnection | None:
+        now = trio.current_time()
+        idle = self._idle.get(address, [])
+        for connection in idle[::-1]:
+            if now < connection.idle_since + self._reuse_delay_seconds:
+                # Without this, a second response to the last request would be taken for this one's (rule 2).
                 continue
-            idle.remove(link)
+            idle.remove(connection)
             # What is written to a connection that its peer has closed would end as a reset.
-            if now - link.idle_since < self._trusted() and link.quiet():
-                link.is_reused, link.taken_at = True, now
-                return link
-            link.close()
+            if now - connection.idle_since < self._max_idle_seconds() and connection.is_reusable():
+                connection.is_reused = True
+                connection.reused_at = now
+                return connection
+            connection.close()
         return None
 
-    async def connect(self, dial: str) -> PooledConnection:
-        """A new connection, whatever is idle."""
-        if self.open_count >= self.max_connections and not self.spare():
-            raise ConnectError("every connection is busy")
+    async def connect(self, address: str) -> PooledConnection:
+        """Open a connection, whatever is idle; ConnectError if it does not come up in time."""
+        if self.open_count >= self.max_connections and not self.close_oldest_idle():
+            raise ConnectError(address, "every connection is busy")
         self.open_count += 1
         stream: SocketStream | None = None
         try:
-            with trio.fail_after(self._connect_timeout):
-                stream = await connect(dial, self.limit)
+            with trio.fail_after(self._connect_timeout_seconds):
+                stream = await connect(address, self._response_limit_bytes)
         except trio.TooSlowError as error:
-            raise ConnectError("timed out") from error
+            raise ConnectError(address, "timed out") from error
         except OSError as error:
             if error.errno in DESCRIPTORS_EXHAUSTED:
-                self.spare()
-            fault = ConnectError(str(error))
-            fault.is_refused = isinstance(error, ConnectionRefusedError)
-            raise fault from error
-        except ValueError as error:
-            raise ConnectError(str(error)) from error
+                self.close_oldest_idle()
+            is_refused = isinstance(error, ConnectionRefusedError)
+            raise ConnectError(address, str(error), is_refused) from error
+        except ValueError as error:  # an invalid address, or a host name that cannot be encoded
+            raise ConnectError(address, str(error)) from error
         finally:
             if stream is None:
                 self.open_count -= 1
-        return PooledConnection(self, dial, stream)
+        return PooledConnection(self, address, stream, self._response_limit_bytes)
+
+    async def call(self, address: str, method: bytes, path: bytes) -> Response:
+        """Send a request without a body that is idempotent; its complete response.
 
-    async def call(self, dial: str, method: bytes, path: bytes) -> Response:
-        """A small request that does no harm if it goes out twice, and its whole answer."""
-        link = await self.acquire(dial)
+        Raises ConnectError, RequestNotSentError or BrokenResponseError.
+        """
+        connection = await self.acquire(address)
         try:
-            reply = await link.exchange(method, path)
+            response = await connection.exchange(method, path)
         except (RequestNotSentError, BrokenResponseError):
-            if not link.is_reused:
+            if not connection.is_reused:
                 raise
-            self.broken(link)
-            # Guards against a DELETE or a watch lost on a connection that had gone stale.
-            link = await self.connect(dial)
-            reply = await link.exchange(method, path)
-        link.release()
-        return reply
-
-    def keep(self, link: PooledConnection) -> None:
-        """Take back a connection that has carried its answer."""
-        link.idle_since = trio.current_time()
-        self._idle.setdefault(link.dial, []).append(link)
-
-    def spare(self) -> bool:
-        """Close the connection that has been idle longest; False where none is idle."""
-        oldest = min((idle[0] for idle in self._idle.values() if idle), key=_age, default=None)
+            self.on_connection_broken(connection)
+            # Without the retry, a DELETE or a watch would be lost on a connection that had gone stale.
+            connection = await self.connect(address)
+            response = await connection.exchange(method, path)
+        connection.release()
+        return response
+
+    def return_connection(self, connection: PooledConnection) -> None:
+        """Take back a connection that has carried its response and can carry another request."""
+        connection.idle_since = trio.current_time()
+        self._idle.setdefault(connection.address, []).append(connection)
+
+    def on_connection_closed(self) -> None:
+        """Take note that one connection less is open."""
+        self.open_count -= 1
+
+    # --- closing ----------------------------------------------------------------------------------
+
+    def close_oldest_idle(self) -> bool:
+        """Close the connection that has been idle longest; False if none is idle."""
+        candidates = (idle[0] for idle in self._idle.values() if idle)
+        oldest = min(candidates, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
             return False
-        self._idle[oldest.dial].remove(oldest)
+        self._idle[oldest.address].remove(oldest)
         oldest.close()
         return True
 
-    def sweep(self) -> None:
-        """Close what has been idle for too long, or has been closed by its peer."""
-        limit = trio.current_time() - self.idle_limit
-        for dial, idle in list(self._idle.items()):
-            kept = []
-            for link in idle:
-                if link.idle_since > limit and link.quiet():
-                    kept.append(link)
+    def close_expired(self) -> None:
+        """Close what has been idle for too long, or was closed by its peer."""
+        expired_since = trio.current_time() - self.idle_limit_seconds
+        for address, idle in list(self._idle.items()):
+            remaining = []
+            for connection in idle:
+                if connection.idle_since > expired_since and connection.is_reusable():
+                    remaining.append(connection)
                 else:
-                    link.close()
-            if kept:
-                self._idle[dial] = kept
+                    connection.close()
+            if remaining:
+                self._idle[address] = remaining
             else:
-                del self._idle[dial]
+                del self._idle[address]
 
     def close_idle_to(self, address: str) -> None:
         """Close the idle connections to an address."""
-        for link in self._idle.pop(address, []):
-            link.close()
-
-
-def _age(link: PooledConnection) -> float:
-    return link.idle_since
+        for connection in self._idle.pop(address, []):
+            connection.close()
--- /dev/null
+++ b/burlmoor/upstream/send_precondition.py
@@ -0,0 +1,47 @@
+"""The send precondition: the one check that each attempt passes right before its request's first byte."""
+
+from __future__ import annotations
+
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.endpoint_table import ListedEndpoint
+from burlmoor.engine.job import Attempt
+from burlmoor.errors import BurlmoorError
+
+
+class SendPreconditionError(BurlmoorError):
+    """An attempt must not be sent: its job or the attempt is over, or its endpoint may get no new work."""
+
+    def __init__(self, attempt: Attempt, reason: str) -> None:
+        super().__init__(f"attempt {attempt.number} of {attempt.job.id} to {attempt.endpoint}: {reason}")
+        self.attempt = attempt
+        self.reason = reason
+
+
+def check_send_precondition(attempt: Attempt, directory: EndpointDirectory) -> ListedEndpoint:
+    """Check that an attempt may be sent now; the endpoint that it is to be sent to.
+
+    Three things must hold, else SendPreconditionError is raised:
+
+    - The job is open and its client connected. Without this, executors would work for clients that have left
+      (also where the settings bar cancellation, so that nothing else stops an attempt that waits for a
+      connection), and a hedged request could be sent for a job that is answered already (rule 1).
+    - The attempt is not over: it has not been cancelled or timed out.
+    - The endpoint is live: neither draining, nor gone, nor disabled by an override. Without this, an endpoint
+      would get work after the node was notified that it drains (the drain rule, rule 3).
+
+    No task may run between this check and the first byte: the caller must not await in between.
+    """
+    if attempt.is_over or attempt.job.is_over:
+        raise SendPreconditionError(attempt, "its job needs it no more")
+    endpoint = directory.find_live(attempt.endpoint)
+    if endpoint is None:
+        raise SendPreconditionError(attempt, "the endpoint is not live")
+    return endpoint
+
+
+def recheck_send_precondition(
+    attempt: Attempt, directory: EndpointDirectory, connected_to: ListedEndpoint
+) -> None:
+    """Check again once a connection is up, and that it leads to the same process of the endpoint."""
+    if check_send_precondition(attempt, directory) != connected_to:
+        raise SendPreconditionError(attempt, "the endpoint is another process now")
--- a/tests/discovery/test_schedule.py
+++ b/tests/discovery/test_schedule.py
@@ -17,7 +17,8 @@
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.types.endpoint_list import EndpointEntry, ListKind
-from burlmoor.upstream.http import BrokenResponseError, Response
+from burlmoor.upstream.errors import BrokenResponseError
+from burlmoor.upstream.http import Response
 from tests.discovery.watch_simulation import DRAIN_RULE, QUEUE_TIMEOUT, new_schedule
 
 
--- a/tests/integration/test_endings.py
+++ b/tests/integration/test_endings.py
@@ -11,8 +11,10 @@
 import pytest
 import trio
 
-from burlmoor.transport.stream import SocketStream, connect
-from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, PooledConnection
+from burlmoor.transport.sockets import connect
+from burlmoor.transport.stream import SocketStream
+from burlmoor.upstream.connection import PooledConnection
+from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
 
@@ -115,7 +117,7 @@
 def test_a_second_answer_some_milliseconds_late_is_not_taken_for_the_next_jobs() -> None:
     # It says that the job never ran: a job that must not run twice would go out again.
     async def story(harness: NodeHarness) -> None:
-        harness.node.pool._rest = 10.0  # as if no time passed
+        harness.node.pool._reuse_delay_seconds = 10.0  # as if no time passed
         await harness.publish(2, False, e1="leaving")
         await harness.wait_until(lambda: harness.node.directory.find_live("e1") is None)
         for number, ref in enumerate(("a1", "a2")):
@@ -133,11 +135,11 @@
     async def story(harness: NodeHarness) -> None:
         pool, dial = harness.node.pool, harness.addresses["e0"]
         link = await pool.acquire(dial)
-        pool.keep(link)
+        pool.return_connection(link)
         assert await pool.acquire(dial) is not link
         await harness.wait_until(lambda: trio.current_time() > link.idle_since + REUSE_DELAY_SECONDS)
         await harness.executor_connections[0].write("HTTP/1.1 202 Accepted")
-        await harness.wait_until(lambda: not link.quiet())
+        await harness.wait_until(lambda: not link.is_reusable())
         assert await pool.acquire(dial) is not link
 
     run_scenario(story)
--- a/tests/integration/test_node_over_sockets.py
+++ b/tests/integration/test_node_over_sockets.py
@@ -15,8 +15,8 @@
 from burlmoor.downstream.drain import ServiceState
 from burlmoor.testbed.http_wire import Message
 from burlmoor.types.outcome import Outcome
-from burlmoor.upstream.http import BrokenResponseError
-from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectError
+from burlmoor.upstream.errors import BrokenResponseError, ConnectError
+from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
 from tests.support.configuration import write_config
 from tests.support.node_harness import NodeHarness, run_scenario
 
@@ -158,13 +158,13 @@
         pool, dial = made.node.pool, made.addresses["e0"]
         first, second = await pool.acquire(dial), await pool.acquire(dial)
         for link in (first, second):
-            pool.keep(link)
+            pool.return_connection(link)
         await trio.sleep(0.05)
         again = await pool.acquire(dial)
         assert again is second
-        assert not pool.wary
-        pool.broken(again)
-        assert pool.wary
+        assert not pool.is_reuse_risky
+        pool.on_connection_broken(again)
+        assert pool.is_reuse_risky
         assert await pool.acquire(dial) is not first
 
     run_scenario(story)
@@ -261,9 +261,7 @@
         async def call(*_: object) -> None:
             if fault == "broken":
                 raise BrokenResponseError("reset")
-            error = ConnectError(fault)
-            error.is_refused = fault == "refused"
-            raise error
+            raise ConnectError("127.0.0.1:1", fault, fault == "refused")
 
         if fault != "none":
             monkeypatch.setattr(made.node.pool, "call", call)
@@ -552,7 +550,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The peer closes an idle connection while the DELETE is on its way: what it finds cannot tell.
-    monkeypatch.setattr("burlmoor.transport.stream.SocketStream.still_quiet", lambda _self: True)
+    monkeypatch.setattr("burlmoor.transport.stream.SocketStream.is_idle_open", lambda _self: True)
 
     async def story(made: NodeHarness) -> None:
         wire = await made.submit_job()
--- a/tests/transport/test_ring_buffer.py
+++ b/tests/transport/test_ring_buffer.py
@@ -17,11 +17,11 @@
         put += data
         count = rng.randint(0, len(ring.peek()))
         got += ring.peek()[:count]
-        ring.drop(count)
+        ring.consume(count)
         if rng.random() < 0.05:
-            got += ring.take()
+            got += ring.read_all()
         assert len(ring) == len(put) - len(got)
-    got += ring.take()
+    got += ring.read_all()
     assert got == put
 
 
@@ -31,5 +31,5 @@
     with pytest.raises(BufferError):
         ring.write(b"abc")
     with pytest.raises(BufferError):
-        ring.drop(9)
-    assert ring.take() == b"12345678"
+        ring.consume(9)
+    assert ring.read_all() == b"12345678"
--- a/tests/upstream/test_http.py
+++ b/tests/upstream/test_http.py
@@ -4,12 +4,13 @@
 
 import pytest
 
-from burlmoor.upstream.http import BrokenResponseError, HttpClientConnection, Response
+from burlmoor.upstream.errors import BrokenResponseError
+from burlmoor.upstream.http import HttpClientConnection, Response
 
 
 def asked() -> HttpClientConnection:
     http = HttpClientConnection("127.0.0.1:1", 1000)
-    data = http.request(b"POST", b"/lookup/1?x=2", [("Request-Id", "a1")], b"body")
+    data = http.encode_request(b"POST", b"/lookup/1?x=2", [("Request-Id", "a1")], b"body")
     assert data.startswith(b"POST /lookup/1?x=2 HTTP/1.1\r\n")
     assert data.endswith(b"\r\n\r\nbody")
     return http
@@ -38,7 +39,7 @@
     reply = fed(http, data, step)
     assert reply is not None
     assert (reply.status, reply.body) == (status, body)
-    assert http.reusable() == again
+    assert http.prepare_next_request() == again
 
 
 @pytest.mark.parametrize(
