--- a/burlmoor/downstream/job_headers.py
+++ b/burlmoor/downstream/job_headers.py
@@ -8,9 +8,10 @@
 import h11
 
 from burlmoor.downstream.interfaces import RunConditionParser
-from burlmoor.downstream.requests import JobSubmission, Payload
+from burlmoor.downstream.requests import JobSubmission
 from burlmoor.errors import BurlmoorError
 from burlmoor.types.events import JobRequest
+from burlmoor.types.payload import Payload
 
 REQUEST_ID = re.compile(r"[0-9A-Za-z._~-]{1,64}")
 _DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
--- a/burlmoor/downstream/requests.py
+++ b/burlmoor/downstream/requests.py
@@ -6,16 +6,7 @@
 
 from burlmoor.engine.deferral import RunConditions
 from burlmoor.types.events import JobRequest
-
-
-@dataclass(frozen=True, slots=True)
-class Payload:
-    """What is passed on to an executor unchanged."""
-
-    method: bytes
-    path: bytes
-    body: bytes
-    idempotency_key: str = ""  # by which executors know a repeat
+from burlmoor.types.payload import Payload
 
 
 @dataclass(frozen=True, slots=True)
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -8,13 +8,13 @@
 
 import trio
 
-from burlmoor.downstream.requests import Payload
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.endpoint_table import ListedEndpoint
 from burlmoor.engine.engine import Engine
 from burlmoor.engine.job import Attempt
 from burlmoor.log import EventLogger
 from burlmoor.types.outcome import Outcome
+from burlmoor.types.payload import Payload
 from burlmoor.upstream.http import BrokenResponseError, Response
 from burlmoor.upstream.pool import ConnectError, ConnectionPool, PooledConnection, RequestNotSentError
 
