--- a/burlmoor/log.py
+++ b/burlmoor/log.py
@@ -10,44 +10,52 @@
 
 import orjson
 
-_PER_WINDOW = 10  # lines of one event in a window; the next window's first line tells how many were left out
-_WINDOW = 10.0
+# Lines of one event in a window; the first line of the next window says how many were dropped.
+_MAX_LINES_PER_WINDOW = 10
+_WINDOW_SECONDS = 10.0
+
+
+# Logs one event: called with its name, and its fields as keyword arguments.
+EventLogger = Callable[..., None]
 
 
 class EventLog:
-    """Owns the log's stream and how often each event has been written lately."""
+    """Owns the log's stream, and how many lines of each event the current window has."""
 
     def __init__(
         self, node: str, sink: BinaryIO | None = None, clock: Callable[[], float] = time.time
     ) -> None:
-        self._node, self._clock = node, clock
+        self._node = node
         self._sink = sink or sys.stderr.buffer
-        self._since = clock()
-        self._written: dict[str, int] = defaultdict(int)
+        self._clock = clock
+        self._window_start = clock()
+        self._line_counts: dict[str, int] = defaultdict(int)
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Write one line, unless this event has filled its share of the window."""
+        """Write one line, unless the window has enough of this event."""
         now = self._clock()
-        if now >= self._since + _WINDOW:
-            dropped = {
-                name: count - _PER_WINDOW for name, count in self._written.items() if count > _PER_WINDOW
-            }
-            self._since = now
-            self._written.clear()
-            if dropped:
-                self._write(now, "log-dropped", {"events": dropped})
-        self._written[event] += 1
-        if self._written[event] <= _PER_WINDOW:
+        if now >= self._window_start + _WINDOW_SECONDS:
+            self._start_window(now)
+        self._line_counts[event] += 1
+        if self._line_counts[event] <= _MAX_LINES_PER_WINDOW:
             self._write(now, event, fields)
 
+    def _start_window(self, now: float) -> None:
+        dropped = {
+            event: count - _MAX_LINES_PER_WINDOW
+            for event, count in self._line_counts.items()
+            if count > _MAX_LINES_PER_WINDOW
+        }
+        self._window_start = now
+        self._line_counts.clear()
+        if dropped:
+            self._write(now, "log-dropped", {"events": dropped})
+
     def _write(self, now: float, event: str, fields: dict[str, Any]) -> None:
         line = {"at": round(now, 3), "node": self._node, "event": event, **fields}
         try:
             self._sink.write(orjson.dumps(line, default=repr, option=orjson.OPT_APPEND_NEWLINE))
             self._sink.flush()
         except (OSError, ValueError):
-            # Guards against a full or closed log ending the node.
+            # Without this, a full or closed log would end the node.
             return
-
-
-EventLogger = Callable[..., None]
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -1,4 +1,4 @@
-"""Configuration: what is read, and the one line that bad configuration gets."""
+"""A node's configuration: what is read, and the one line that an invalid one is rejected with."""
 
 from __future__ import annotations
 
@@ -12,31 +12,33 @@
 import pytest
 
 from burlmoor.config import node_config
+from burlmoor.config.errors import ConfigFault
 from tests.support.configuration import SETTINGS_OBJECT, write_config
 
 
-def test_the_environment_wins_over_the_file(tmp_path: Path) -> None:
-    given = node_config.load_config(
+def test_the_environment_has_precedence_over_the_file(tmp_path: Path) -> None:
+    config = node_config.load_config(
         {**write_config(tmp_path), "RELAY_NAME": "n7", "RELAY_LISTEN": "127.0.0.2:90"}
     )
-    assert (given.name, given.listen, given.discovery) == ("n7", ("127.0.0.2", 90), "127.0.0.1:8500")
-    assert (given.seed, given.max_sockets) == (0x8C1F, 900)
-    assert given.admin is None
-    told = write_config(tmp_path, control="127.0.0.1:9901")
-    assert node_config.load_config(told).admin == ("127.0.0.1", 9901)
-    assert node_config.load_config({**told, "RELAY_CONTROL": "127.0.0.1:9902"}).admin == ("127.0.0.1", 9902)
-    assert given.settings.keepalive_ms == 30_000.0
-    assert [each.name for each in given.settings.policy.classes] == ["lookup", "once", "keyed"]
+    assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.2", 90), "127.0.0.1:8500")
+    assert (config.seed, config.max_sockets) == (0x8C1F, 900)
+    assert config.admin is None
+    environment = write_config(tmp_path, control="127.0.0.1:9901")
+    assert node_config.load_config(environment).admin == ("127.0.0.1", 9901)
+    environment["RELAY_CONTROL"] = "127.0.0.1:9902"
+    assert node_config.load_config(environment).admin == ("127.0.0.1", 9902)
+    assert config.settings.keepalive_ms == 30_000.0
+    assert [job_class.name for job_class in config.settings.policy.classes] == ["lookup", "once", "keyed"]
 
 
 PEERS = {"peer_listen": "127.0.0.1:9000", "peers_all": "127.0.0.9:9000"}
 
 
-def test_other_nodes_are_read_where_nodes_may_talk(tmp_path: Path) -> None:
+def test_other_nodes_are_read_only_with_a_peer_address(tmp_path: Path) -> None:
     assert node_config.load_config(write_config(tmp_path)).peers is None
     assert node_config.load_config(write_config(tmp_path, peer_listen="127.0.0.1:9000")).peers is None
-    for told, name in (({"n2": "127.0.0.2:9000"}, "n2"), (["127.0.0.2:9000"], "0")):
-        peers = node_config.load_config(write_config(tmp_path, peers=told, **PEERS)).peers
+    for others, name in (({"n2": "127.0.0.2:9000"}, "n2"), (["127.0.0.2:9000"], "0")):
+        peers = node_config.load_config(write_config(tmp_path, peers=others, **PEERS)).peers
         assert peers is not None
         assert peers.listen == ("127.0.0.1", 9000)
         assert peers.everyone == ("127.0.0.9", 9000)
@@ -61,7 +63,9 @@
         ({"known": {"seq": "new"}}, "known"),
     ],
 )
-def test_bad_configuration_gets_one_plain_line(tmp_path: Path, changes: dict[str, Any], field: str) -> None:
+def test_an_invalid_field_is_named_on_one_line_and_the_node_does_not_start(
+    tmp_path: Path, changes: dict[str, Any], field: str
+) -> None:
     environment = {**os.environ, **write_config(tmp_path, **changes)}
     done = subprocess.run(
         [sys.executable, "-m", "burlmoor"], env=environment, capture_output=True, text=True, timeout=30,
@@ -72,10 +76,20 @@
     assert field in done.stderr
 
 
-def test_a_passed_descriptor_has_to_listen(tmp_path: Path) -> None:
-    with socket.socket() as bound, socket.create_server(("127.0.0.1", 0)) as listens:
-        good = {**write_config(tmp_path), "RELAY_PASSED_SOCKET": str(listens.fileno())}
-        assert node_config.load_config(good).listener_fd == listens.fileno()
+def test_a_passed_descriptor_has_to_be_a_listening_socket(tmp_path: Path) -> None:
+    with socket.socket() as bound, socket.create_server(("127.0.0.1", 0)) as listener:
+        valid = {**write_config(tmp_path), "RELAY_PASSED_SOCKET": str(listener.fileno())}
+        assert node_config.load_config(valid).listener_fd == listener.fileno()
         for text in ("three", "987", str(bound.fileno())):
             with pytest.raises(node_config.InvalidConfigError, match="RELAY_PASSED_SOCKET"):
-                node_config.load_config({**good, "RELAY_PASSED_SOCKET": text})
+                node_config.load_config({**valid, "RELAY_PASSED_SOCKET": text})
+
+
+def test_a_fault_names_the_field_the_value_and_what_is_allowed(tmp_path: Path) -> None:
+    environment = write_config(tmp_path, listen="nowhere")
+    with pytest.raises(node_config.InvalidConfigError) as caught:
+        node_config.load_config(environment)
+    allowed = "host:port, port 1 to 65535"
+    problem = f"invalid value 'nowhere'; allowed: {allowed}"
+    assert caught.value.faults == (ConfigFault("listen", problem, value="nowhere", allowed=allowed),)
+    assert str(caught.value) == f"listen: {problem}"
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -20,7 +20,7 @@
 from burlmoor.lifecycle import handover_messages
 from burlmoor.membership.codec import Message, MessageKind, decode, encode
 from burlmoor.membership.member import MemberState, MemberStatus
-from burlmoor.simulator_adapter import Host
+from burlmoor.simulator_adapter import DispatcherHost
 from burlmoor.stats.snapshot import StatisticsSnapshot
 from burlmoor.testbed.drill import Ask, Verdict
 from burlmoor.testbed.drill_deferred import judge as judge_waiting
@@ -110,7 +110,7 @@
 
 
 def test_the_simulator_gets_the_same_replies() -> None:
-    host = Host()
+    host = DispatcherHost()
     for line, reply in json.loads(gzip.decompress((DATA / "simulator.json.gz").read_bytes())):
         assert host.reply(line) == reply
 
