--- a/burlmoor/cli/drill.py
+++ b/burlmoor/cli/drill.py
@@ -2,18 +2,15 @@
 
 from __future__ import annotations
 
-import json
-import sys
 import tempfile
 from pathlib import Path
 from typing import IO
 
 import click
 import trio
-from rich.console import Console
-from rich.table import Table
 
-from burlmoor.testbed.drill import Ask, Drill, Verdict
+from burlmoor.cli.output import exit_with_verdict
+from burlmoor.testbed.drill import Ask, Drill
 from burlmoor.testbed.drill_deferred import WAITING
 from burlmoor.testbed.drill_spread import SPREAD
 from burlmoor.testbed.drill_watch import WATCH
@@ -21,21 +18,6 @@
 DRILLS: dict[str, Drill] = {"waiting": WAITING, "spread": SPREAD, "watch": WATCH}
 
 
-def told(verdict: Verdict) -> None:
-    """Print a verdict as a table."""
-    table = Table(
-        title=f"drill {verdict.drill}, seed {verdict.seed}: {'held' if verdict.held else 'NOT HELD'}"
-    )
-    for head in ("claim", "value", "bound", ""):
-        table.add_column(head, justify="left" if head == "claim" else "right")
-    for name, claim in verdict.claims.items():
-        bound = f"{'≥' if claim.least else '≤'} {claim.bound:g}"
-        table.add_row(name, f"{claim.value:.4g}", bound, "held" if claim.held else "NOT HELD")
-    for name, value in verdict.figures.items():
-        table.add_row(name, f"{value:.4g}", "", "", style="dim")
-    Console(stderr=True).print(table)
-
-
 @click.command()
 @click.argument("name", type=click.Choice(sorted(DRILLS)))
 @click.option(
@@ -45,21 +27,23 @@
 @click.option(
     "--nodes", default=0, type=click.IntRange(0, 1000), help="How many, where a drill has a choice."
 )
-@click.option("--sabotage", help="A fault of the node, with which the drill must fail.")
+@click.option("--sabotage", "mutation", help="A fault of the node, with which the drill must fail.")
 @click.option("--json", "sink", type=click.File("w"), help="Write the verdict there; - is standard output.")
 def drill(
-    name: str, seconds: float, seed: int, nodes: int, sabotage: str | None, sink: IO[str] | None
+    name: str, seconds: float, seed: int, nodes: int, mutation: str | None, sink: IO[str] | None
 ) -> None:
-    """A subsystem under its failures on loopback, and the verdict: status 1 where a claim did not hold."""
+    """Run a subsystem under failures on loopback; status 1 where a claim of the verdict did not hold."""
     chosen = DRILLS[name]
-    if sabotage is not None and sabotage not in chosen.sabotages:
-        known = ", ".join(chosen.sabotages)
-        raise click.BadParameter(f"{sabotage!r} is none of: {known}", param_hint="--sabotage")
-    if nodes and not chosen.sized:
-        raise click.BadParameter(f"the drill {name} has its own number", param_hint="--nodes")
+    _check_options(name, chosen, mutation, nodes)
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
-        verdict = trio.run(chosen.run, Ask(seconds, seed, sabotage, nodes), Path(folder))
-    told(verdict)
-    if sink is not None:
-        sink.write(json.dumps(verdict.written(), indent=2) + "\n")
-    sys.exit(0 if verdict.held else 1)
+        verdict = trio.run(chosen.run, Ask(seconds, seed, mutation, nodes), Path(folder))
+    exit_with_verdict(verdict, sink)
+
+
+def _check_options(name: str, chosen: Drill, mutation: str | None, nodes: int) -> None:
+    if mutation is not None and mutation not in chosen.sabotages:
+        problem = f"invalid value {mutation!r}; allowed: {', '.join(chosen.sabotages)}"
+        raise click.BadParameter(problem, param_hint="--sabotage")
+    if nodes and not chosen.sized:
+        problem = f"the drill {name} has its own number"
+        raise click.BadParameter(problem, param_hint="--nodes")
--- /dev/null
+++ b/burlmoor/cli/errors.py
@@ -0,0 +1,19 @@
+"""How the commands report what is wrong: lines on standard error, and exit status 2 for bad usage."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Iterable
+from typing import NoReturn
+
+
+def print_errors(lines: Iterable[str]) -> None:
+    """Print lines on standard error, each with the program's name."""
+    for line in lines:
+        print(f"burlmoor: {line}", file=sys.stderr)
+
+
+def exit_with_errors(lines: Iterable[str]) -> NoReturn:
+    """Print a line an error, and exit with status 2."""
+    print_errors(lines)
+    sys.exit(2)
--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import json
-import sys
 import tempfile
 from pathlib import Path
 from typing import IO
@@ -12,26 +10,21 @@
 import trio
 from rich.console import Console
 
-from burlmoor.cli.drill import told
-from burlmoor.cli.main import complain
+from burlmoor.cli.errors import exit_with_errors, print_errors
+from burlmoor.cli.output import exit_with_verdict, print_verdict
 from burlmoor.testbed.drill import Verdict
 from burlmoor.testbed.fleet import record as records
-from burlmoor.testbed.fleet.faults import draw, read
+from burlmoor.testbed.fleet.faults import Schedule, draw, read
 from burlmoor.testbed.fleet.run import Fleet
 from burlmoor.testbed.fleet.verdict import found
 
+_ERR = Console(stderr=True)
+_MAX_VIOLATIONS_PRINTED = 20
+
 
 @click.group()
 def fleet() -> None:
-    """Many node processes on loopback, stand-ins round them, and faults between them."""
-
-
-def _verdict(record: records.Record) -> Verdict:
-    judged = found(record)
-    verdict = Verdict("fleet", record.plan.seed, record.plan.seconds, judged.claims(), judged.figures())
-    for line in judged.audit.broken[:20]:
-        print(f"burlmoor: {line}", file=sys.stderr)
-    return verdict
+    """Run many node processes on loopback, stand-ins round them, and faults between them."""
 
 
 @fleet.command()
@@ -47,7 +40,11 @@
 @click.option("--keys", default=0, show_default=True, help="Keys that jobs share; 0: each its own.")
 @click.option("--loud", default=1.0, show_default=True, help="How many times its share the first node gets.")
 @click.option(
-    "--troubles", default=0, show_default=True, help="How many to draw, where no SCHEDULE is given."
+    "--troubles",
+    "fault_count",
+    default=0,
+    show_default=True,
+    help="How many to draw, where no SCHEDULE is given.",
 )
 @click.option("--keep", type=click.Path(file_okay=False, path_type=Path), help="Where to keep the record.")
 @click.option("--json", "sink", type=click.File("w"), help="Write the verdict there; - is standard output.")
@@ -63,55 +60,69 @@
     hot: float,
     keys: int,
     loud: float,
-    troubles: int,
+    fault_count: int,
     keep: Path | None,
     sink: IO[str] | None,
 ) -> None:
-    """Play a SCHEDULE of troubles (INI), and say what was found: status 1 where a claim did not hold."""
-    try:
-        wanted = read(schedule.read_text()) if schedule is not None else draw(seed, seconds, troubles)
-    except (ValueError, UnicodeDecodeError) as error:
-        complain([f"{schedule}: {error}"])
-        return
+    """Run a fleet under a SCHEDULE of faults (INI); status 1 where a claim of the verdict did not hold."""
     plan = records.Plan(
-        nodes,
-        executors,
-        seconds,
-        seed,
-        rate,
-        load,
-        zones,
+        nodes=nodes,
+        executors=executors,
+        seconds=seconds,
+        seed=seed,
+        rate=rate,
+        load=load,
+        zones=zones,
         loud=loud,
         keys=keys,
         hot=hot,
-        schedule=wanted,
+        schedule=_load_schedule(schedule, seed, seconds, fault_count),
     )
-    console = Console(stderr=True)
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
-        played = Fleet(plan, keep or Path(folder), lambda line: console.print(line, style="dim"))
-        record = trio.run(played.run)
-        record.write(keep or Path(folder))
-    verdict = _verdict(record)
-    console.print(f"nodes ready after {record.started:.1f} s; {record.cpus:.1f} cores used", style="dim")
-    told(verdict)
-    if sink is not None:
-        sink.write(json.dumps(verdict.written(), indent=2) + "\n")
-    sys.exit(0 if verdict.held else 1)
+        record = _run_fleet(plan, keep or Path(folder))
+    verdict = _judge(record)
+    _print_status(f"nodes ready after {record.started:.1f} s; {record.cpus:.1f} cores used")
+    exit_with_verdict(verdict, sink)
+
+
+def _load_schedule(path: Path | None, seed: int, seconds: float, fault_count: int) -> Schedule:
+    """Read the schedule of faults, or draw one where no file is given."""
+    try:
+        return read(path.read_text()) if path is not None else draw(seed, seconds, fault_count)
+    except (ValueError, UnicodeDecodeError) as error:
+        exit_with_errors([f"{path}: {error}"])
+
+
+def _run_fleet(plan: records.Plan, folder: Path) -> records.Record:
+    """Run the fleet and write its record into the folder."""
+    record = trio.run(Fleet(plan, folder, _print_status).run)
+    record.write(folder)
+    return record
+
+
+def _print_status(line: str) -> None:
+    _ERR.print(line, style="dim")
+
+
+def _judge(record: records.Record) -> Verdict:
+    """Return the verdict on a record; the first violations are printed."""
+    judged = found(record)
+    print_errors(judged.audit.broken[:_MAX_VIOLATIONS_PRINTED])
+    return Verdict("fleet", record.plan.seed, record.plan.seconds, judged.claims(), judged.figures())
 
 
 @fleet.command()
 @click.argument("run", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="The picture; RUN/report.png.")
 def report(run: Path, out: Path | None) -> None:
-    """Draw the record that a RUN has kept, and tell its figures again."""
+    """Draw the record that a RUN has kept, and print its verdict again."""
     from burlmoor.testbed.fleet.report import draw as draw_report  # noqa: PLC0415
 
     try:
         record = records.read(run)
     except ValueError as error:
-        complain([str(error)])
-        return
+        exit_with_errors([str(error)])
     path = out or run / "report.png"
     draw_report(record, path)
-    told(_verdict(record))
+    print_verdict(_judge(record))
     print(path)
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import json
 import sys
 import tempfile
 from collections.abc import Callable
@@ -15,6 +14,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
+from burlmoor.cli.output import write_json
 from burlmoor.testbed.clients import Clients
 from burlmoor.testbed.event_record import Ledger
 from burlmoor.testbed.load import Generator, Meter, Report, draw
@@ -23,135 +23,172 @@
 from burlmoor.transport.stream import parse_address
 
 _ERR = Console(stderr=True)
+_NO_ANSWER = "no answer"
+_OUTCOMES = ("served", "refused", "failed", _NO_ANSWER)
+_PERCENTILES = (50.0, 90.0, 99.0, 100.0)
 
+_Option = Callable[[Callable[..., Any]], Callable[..., Any]]
 
-def written(report: Report, title: str) -> Table:
-    """A table of outcomes and latencies by class."""
-    table = Table(title=title)
-    counted = ("served", "refused", "failed", "no answer")
-    heads = ("class", "asked", *counted, "p50 ms", "p90 ms", "p99 ms", "max ms")
-    for head in heads:
-        table.add_column(head, justify="left" if head == "class" else "right", no_wrap=head == "class")
-    for name, tally in [*sorted(report.by_class.items()), ("all", report.total)]:
-        counts = [tally.asked, *(tally.outcomes[each] for each in counted)]
-        times = [f"{tally.at(each):.0f}" for each in (50.0, 90.0, 99.0, 100.0)]
-        table.add_row(name, *map(str, counts), *times)
-    return table
+
+def _number_option(name: str, *, default: float, minimum: float, maximum: float, help_text: str) -> _Option:
+    number_range: Any = click.IntRange if isinstance(default, int) else click.FloatRange
+    return click.option(
+        name, default=default, show_default=True, type=number_range(minimum, maximum), help=help_text
+    )
 
 
-def bar() -> Progress:
-    """A progress bar on standard error."""
-    return Progress(
-        TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(), console=_ERR
+_seconds_option = _number_option(
+    "--seconds", default=8.0, minimum=1.0, maximum=3600.0, help_text="How long jobs come."
+)
+_rate_option = _number_option(
+    "--rate", default=40.0, minimum=0.1, maximum=10_000.0, help_text="Jobs a second."
+)
+_seed_option = _number_option(
+    "--seed", default=1, minimum=0, maximum=2**31, help_text="Of the jobs that are drawn."
+)
+_json_option = click.option(
+    "--json", "sink", type=click.File("w"), help="Write figures there; - is standard output."
+)
+
+
+@click.command("try")
+@_seconds_option
+@_rate_option
+@_seed_option
+@_number_option("--executors", default=6, minimum=1, maximum=100, help_text="Stand-in executors.")
+@_json_option
+def try_(seconds: float, rate: float, seed: int, executors: int, sink: IO[str] | None) -> None:
+    """Run a whole installation on loopback: discovery, executors, one node, clients. Needs no file."""
+    with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
+        report = trio.run(_load_new_installation, rate, seconds, seed, executors, Path(folder))
+    _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
+    _ERR.print(
+        f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job and {report.memory / 2**20:.0f} MiB."
     )
+    _finish(report, sink)
+
+
+@click.command()
+@click.option(
+    "--to", metavar="HOST:PORT", help="A node that runs. [default: one of our own, with room for all]"
+)
+@click.option("--pid", type=int, help="The process of the node, for its CPU and memory.")
+@_rate_option
+@_seconds_option
+@_number_option(
+    "--run-ms",
+    default=50.0,
+    minimum=0.1,
+    maximum=60_000.0,
+    help_text="How long a job runs on a core, on average.",
+)
+@_number_option("--executors", default=14, minimum=1, maximum=1000, help_text="Of our own.")
+@_seed_option
+@_json_option
+def load(
+    to: str | None,
+    pid: int | None,
+    rate: float,
+    seconds: float,
+    run_ms: float,
+    executors: int,
+    seed: int,
+    sink: IO[str] | None,
+) -> None:
+    """Put an open-loop load on one node: latency from the intended start, outcomes, the node's CPU a job."""
+    kinds = tuple(kind._replace(work=run_ms) for kind in KINDS)
+    if to is not None:
+        address = _parse_node_address(to)
+        report = trio.run(_load_node, address, pid, rate, seconds, seed, kinds)
+    else:
+        with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
+            report = trio.run(_load_own_node, rate, seconds, seed, executors, kinds, Path(folder))
+    _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s"))
+    _ERR.print(f"generator behind by {report.behind_ms:.1f} ms at most")
+    if report.cpu_ms:
+        _ERR.print(f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {report.memory / 2**20:.0f} MiB")
+    _finish(report, sink)
 
 
-def told(figures: dict[str, Any], sink: IO[str] | None) -> None:
-    """Write figures as JSON where they are asked for."""
-    if sink is not None:
-        sink.write(json.dumps(figures, indent=2) + "\n")
+def _parse_node_address(text: str) -> tuple[str, int]:
+    try:
+        return parse_address(text)
+    except ValueError as error:
+        raise click.BadParameter(str(error), param_hint="--to") from error
 
 
-async def _tried(rate: float, seconds: float, seed: int, executors: int, folder: Path) -> Report:
+async def _load_new_installation(
+    rate: float, seconds: float, seed: int, executors: int, folder: Path
+) -> Report:
+    """Start an installation and load its node."""
     arrivals = draw(rate, seconds, KINDS, seed)
-    with bar() as progress:
+    with _progress_bar() as progress:
         task = progress.add_task("starting", total=len(arrivals))
         async with town(folder, fleet(executors)) as made:
             progress.update(task, description="jobs answered")
             meter = Meter(made.nodes[0].pid)
             generator = Generator(made.clients, "try")
-            report = await generator.run(arrivals, lambda n: progress.advance(task, n))
+            report = await generator.run(arrivals, lambda count: progress.advance(task, count))
             meter.read(report)
     return report
 
 
-_Option = Callable[[Callable[..., Any]], Callable[..., Any]]
-
-
-def _number(*names: str, default: float, least: float, most: float, help: str) -> _Option:
-    kind: Any = click.IntRange if isinstance(default, int) else click.FloatRange
-    return click.option(*names, default=default, show_default=True, type=kind(least, most), help=help)
-
-
-_SECONDS = _number("--seconds", default=8.0, least=1.0, most=3600.0, help="How long jobs come.")
-_RATE = _number("--rate", default=40.0, least=0.1, most=10_000.0, help="Jobs a second.")
-_SEED = _number("--seed", default=1, least=0, most=2**31, help="Of the jobs that are drawn.")
-_SINK = click.option(
-    "--json", "sink", type=click.File("w"), help="Write figures there; - is standard output."
-)
-
-
-@click.command("try")
-@_SECONDS
-@_RATE
-@_SEED
-@_number("--executors", default=6, least=1, most=100, help="Stand-in executors.")
-@_SINK
-def try_(seconds: float, rate: float, seed: int, executors: int, sink: IO[str] | None) -> None:
-    """A whole installation on loopback: discovery, executors, one node, clients. Needs no file."""
-    with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
-        report = trio.run(_tried, rate, seconds, seed, executors, Path(folder))
-    _ERR.print(written(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
-    cpu = report.cpu_ms / max(1, report.total.asked)
-    _ERR.print(f"The node used {cpu:.2f} ms of CPU a job and {report.memory / 2**20:.0f} MiB.")
-    told(report.figures(), sink)
-    if report.total.outcomes["no answer"]:
-        sys.exit(1)
-
-
-async def _loaded(to: tuple[str, int], pid: int | None, rate: float, seconds: float, seed: int,
-                  kinds: tuple[Kind, ...]) -> Report:  # fmt: skip
+async def _load_own_node(
+    rate: float, seconds: float, seed: int, executors: int, kinds: tuple[Kind, ...], folder: Path
+) -> Report:
+    """Start a node with enough executors and load it."""
+    async with own_node(roomy(executors), kinds, folder) as node:
+        return await _load_node(node.listen, node.pid, rate, seconds, seed, kinds)
+
+
+async def _load_node(
+    address: tuple[str, int],
+    pid: int | None,
+    rate: float,
+    seconds: float,
+    seed: int,
+    kinds: tuple[Kind, ...],
+) -> Report:
+    """Load the node at the address; with its process id, its CPU and memory are measured."""
     arrivals = draw(rate, seconds, kinds, seed)
-    with bar() as progress:
+    with _progress_bar() as progress:
         task = progress.add_task(f"{rate:g} jobs/s", total=len(arrivals))
-        clients = Clients(to, Ledger())
+        clients = Clients(address, Ledger())
         meter = Meter(pid) if pid is not None else None
-        report = await Generator([clients], f"load{seed}").run(arrivals, lambda n: progress.advance(task, n))
+        generator = Generator([clients], f"load{seed}")
+        report = await generator.run(arrivals, lambda count: progress.advance(task, count))
         if meter is not None:
             meter.read(report)
         clients.close()
     return report
 
 
-async def _own(rate: float, seconds: float, seed: int, executors: int, run_ms: float, folder: Path) -> Report:
-    kinds = tuple(kind._replace(work=run_ms) for kind in KINDS)
-    async with own_node(roomy(executors), kinds, folder) as node:
-        return await _loaded(node.listen, node.pid, rate, seconds, seed, kinds)
+def _progress_bar() -> Progress:
+    """Return a progress bar on standard error."""
+    return Progress(
+        TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(), console=_ERR
+    )
 
 
-@click.command()
-@click.option(
-    "--to", metavar="HOST:PORT", help="A node that runs. [default: one of our own, with room for all]"
-)
-@click.option("--pid", type=int, help="The process of the node, for its CPU and memory.")
-@_RATE
-@_SECONDS
-@_number(
-    "--run-ms", default=50.0, least=0.1, most=60_000.0, help="How long a job runs on a core, on average."
-)
-@_number("--executors", default=14, least=1, most=1000, help="Of our own.")
-@_SEED
-@_SINK
-def load(
-    to: str | None, pid: int | None, rate: float, seconds: float, run_ms: float, executors: int, seed: int,
-    sink: IO[str] | None,
-) -> None:  # fmt: skip
-    """An open-loop load on one node: latency from the intended start, outcomes, the node's CPU a job."""
-    if to is not None:
-        try:
-            where = parse_address(to)
-        except ValueError as error:
-            raise click.BadParameter(str(error), param_hint="--to") from error
-        kinds = tuple(kind._replace(work=run_ms) for kind in KINDS)
-        report = trio.run(_loaded, where, pid, rate, seconds, seed, kinds)
-    else:
-        with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
-            report = trio.run(_own, rate, seconds, seed, executors, run_ms, Path(folder))
-    _ERR.print(written(report, f"{rate:g} jobs/s for {seconds:g} s"))
-    _ERR.print(f"generator behind by {report.behind_ms:.1f} ms at most")
-    if report.cpu_ms:
-        _ERR.print(f"node: {report.cpu_ms / max(1, report.total.asked):.3f} ms of CPU a job, "
-                   f"{report.memory / 2**20:.0f} MiB")  # fmt: skip
-    told(report.figures(), sink)
-    if report.total.outcomes["no answer"]:
+def format_report(report: Report, title: str) -> Table:
+    """Return a table of outcomes and latencies by class."""
+    table = Table(title=title)
+    for heading in ("class", "asked", *_OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "max ms"):
+        is_class = heading == "class"
+        table.add_column(heading, justify="left" if is_class else "right", no_wrap=is_class)
+    for name, tally in [*sorted(report.by_class.items()), ("all", report.total)]:
+        counts = [tally.asked, *(tally.outcomes[outcome] for outcome in _OUTCOMES)]
+        latencies = [f"{tally.at(percentile):.0f}" for percentile in _PERCENTILES]
+        table.add_row(name, *map(str, counts), *latencies)
+    return table
+
+
+def _cpu_ms_per_job(report: Report) -> float:
+    return report.cpu_ms / max(1, report.total.asked)
+
+
+def _finish(report: Report, sink: IO[str] | None) -> None:
+    """Write the figures where they are asked for; exit with status 1 if a job got no answer."""
+    write_json(report.figures(), sink)
+    if report.total.outcomes[_NO_ANSWER]:
         sys.exit(1)
--- a/burlmoor/cli/node.py
+++ b/burlmoor/cli/node.py
@@ -4,46 +4,75 @@
 
 import os
 import sys
+from collections.abc import Callable, Mapping
 from pathlib import Path
+from typing import Any
 
 import click
 
-from burlmoor.cli.main import complain, environment, existing
+from burlmoor.cli.errors import exit_with_errors
 
-_CONFIG = existing("The node's configuration, JSON. [default: $RELAY_CONFIG]")
-_OPTIONS = existing("The operators' options, INI. [default: $BURLMOOR_OPTIONS, else all is off]")
+_CONFIG_VARIABLE = "RELAY_CONFIG"
+_OPTIONS_VARIABLE = "BURLMOOR_OPTIONS"
+
+
+def _file_option(name: str, help_text: str) -> Callable[[Callable[..., Any]], Callable[..., Any]]:
+    return click.option(name, type=click.Path(exists=True, dir_okay=False, path_type=Path), help=help_text)
+
+
+_config_option = _file_option("--config", "The node's configuration, JSON. [default: $RELAY_CONFIG]")
+_options_option = _file_option(
+    "--options", "The operators' options, INI. [default: $BURLMOOR_OPTIONS, else all is off]"
+)
 
 
 @click.command()
-@click.option("--config", **_CONFIG)  # type: ignore[arg-type]
-@click.option("--options", **_OPTIONS)  # type: ignore[arg-type]
+@_config_option
+@_options_option
 def run(config: Path | None, options: Path | None) -> None:
     """Run one node until it is told to stop (SIGTERM); SIGHUP reads its files again."""
-    environment(config, options)
+    _set_variables(config, options)
     from burlmoor.lifecycle.node import main  # noqa: PLC0415 - a check needs no node
 
     sys.exit(main())
 
 
 @click.command()
-@click.option("--config", **_CONFIG)  # type: ignore[arg-type]
-@click.option("--options", **_OPTIONS)  # type: ignore[arg-type]
+@_config_option
+@_options_option
 def check(config: Path | None, options: Path | None) -> None:
-    """Whether the files can be meant: status 2, and a line a fault on standard error, if not."""
-    environment(config, options)
-    from burlmoor.config import node_config as reading  # noqa: PLC0415
-
-    told = [name for name in ("RELAY_CONFIG", "BURLMOOR_OPTIONS") if os.environ.get(name)]
-    if not told:
-        complain(["nothing to check: name a file with --config or --options"])
-    faults: list[str] = []
-    for name, read in (("RELAY_CONFIG", reading.load_config), ("BURLMOOR_OPTIONS", reading.load_options)):
-        if name in told:
-            try:
-                # The configuration is judged without the options, so that each fault is told once.
-                read({key: text for key, text in os.environ.items() if key not in told or key == name})
-            except reading.InvalidConfigError as error:
-                faults += str(error).splitlines()
+    """Check the files: status 2, and a line a fault on standard error, if one is invalid."""
+    _set_variables(config, options)
+    variables = [name for name in (_CONFIG_VARIABLE, _OPTIONS_VARIABLE) if os.environ.get(name)]
+    if not variables:
+        exit_with_errors(["nothing to check: name a file with --config or --options"])
+    faults = [line for variable in variables for line in _check_file(variable, variables)]
     if faults:
-        complain(faults)
-    click.echo(f"{' and '.join(os.environ[name] for name in told)}: good")
+        exit_with_errors(faults)
+    click.echo(f"{' and '.join(os.environ[variable] for variable in variables)}: good")
+
+
+def _set_variables(config: Path | None, options: Path | None) -> None:
+    """Have the node find the files that the command line names."""
+    if config is not None:
+        os.environ[_CONFIG_VARIABLE] = str(config)
+    if options is not None:
+        os.environ[_OPTIONS_VARIABLE] = str(options)
+
+
+def _check_file(variable: str, variables: list[str]) -> list[str]:
+    """Return the faults of the file that one of the variables names, a line each."""
+    from burlmoor.config import node_config  # noqa: PLC0415 - a run reads it with the node
+
+    readers: dict[str, Callable[[Mapping[str, str]], object]] = {
+        _CONFIG_VARIABLE: node_config.load_config,
+        _OPTIONS_VARIABLE: node_config.load_options,
+    }
+    # The configuration is read without the options, so that each fault is reported once.
+    others = {name for name in variables if name != variable}
+    environment = {name: text for name, text in os.environ.items() if name not in others}
+    try:
+        readers[variable](environment)
+    except node_config.InvalidConfigError as error:
+        return str(error).splitlines()
+    return []
--- /dev/null
+++ b/burlmoor/cli/output.py
@@ -0,0 +1,40 @@
+"""What the commands write: verdicts and figures on the terminal, JSON, and the exit status of a verdict."""
+
+from __future__ import annotations
+
+import json
+import sys
+from typing import IO, Any, NoReturn
+
+from rich.console import Console
+from rich.table import Table
+
+from burlmoor.testbed.drill import Verdict
+
+
+def write_json(value: dict[str, Any], sink: IO[str] | None) -> None:
+    """Write a value as indented JSON; without a sink, nothing."""
+    if sink is not None:
+        sink.write(json.dumps(value, indent=2) + "\n")
+
+
+def print_verdict(verdict: Verdict) -> None:
+    """Print a verdict as a table on standard error."""
+    table = Table(
+        title=f"drill {verdict.drill}, seed {verdict.seed}: {'held' if verdict.held else 'NOT HELD'}"
+    )
+    for heading in ("claim", "value", "bound", ""):
+        table.add_column(heading, justify="left" if heading == "claim" else "right")
+    for name, claim in verdict.claims.items():
+        bound = f"{'≥' if claim.least else '≤'} {claim.bound:g}"
+        table.add_row(name, f"{claim.value:.4g}", bound, "held" if claim.held else "NOT HELD")
+    for name, value in verdict.figures.items():
+        table.add_row(name, f"{value:.4g}", "", "", style="dim")
+    Console(stderr=True).print(table)
+
+
+def exit_with_verdict(verdict: Verdict, sink: IO[str] | None) -> NoReturn:
+    """Print a verdict, write it where it is asked for, and exit: status 1 where a claim did not hold."""
+    print_verdict(verdict)
+    write_json(verdict.written(), sink)
+    sys.exit(0 if verdict.held else 1)
--- /dev/null
+++ b/tests/cli/test_fleet.py
@@ -0,0 +1,62 @@
+"""`burlmoor fleet run` and `fleet report` on a recorded run: what they write and their exit status."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+from click.testing import CliRunner
+
+from burlmoor.cli import fleet as fleet_command
+from burlmoor.cli.main import main
+from burlmoor.testbed.fleet import record as records
+
+RECORDED = Path(__file__).parents[1] / "golden" / "data" / "run"
+
+
+class RecordedFleet:
+    """Stands for the processes of a fleet; its run is the recorded one."""
+
+    plans: list[records.Plan]
+
+    def __init__(self, plan: records.Plan, folder: Path, *_report_progress: Any) -> None:
+        self.plans.append(plan)
+        self._folder = folder
+
+    async def run(self) -> records.Record:
+        assert self._folder.is_dir()
+        return records.read(RECORDED)
+
+
+def test_fleet_run_keeps_the_record_and_exits_with_the_verdict(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    RecordedFleet.plans = []
+    monkeypatch.setattr(fleet_command, "Fleet", RecordedFleet)
+    options = ["--nodes", "3", "--seconds", "5", "--loud", "4", "--hot", "0.3", "--troubles", "2"]
+    done = CliRunner().invoke(main, ["fleet", "run", *options, "--keep", str(tmp_path), "--json", "-"])
+    verdict = json.loads(done.stdout)
+    assert done.exit_code == (0 if verdict["held"] else 1)
+    assert {"claims", "figures"} <= set(verdict)
+    (plan,) = RecordedFleet.plans
+    assert (plan.nodes, plan.executors, plan.seconds, plan.loud, plan.hot) == (3, 20, 5.0, 4.0, 0.3)
+    assert (tmp_path / "record.json.gz").exists()
+
+
+def test_fleet_run_reports_an_invalid_schedule_on_one_line_with_status_2(tmp_path: Path) -> None:
+    schedule = tmp_path / "schedule.ini"
+    schedule.write_text("[nothing]\nwhat = nothing\n")
+    done = CliRunner().invoke(main, ["fleet", "run", str(schedule)])
+    assert done.exit_code == 2
+    assert len(done.stderr.splitlines()) == 1
+    assert done.stderr.startswith(f"burlmoor: {schedule}: ")
+
+
+def test_fleet_report_draws_a_kept_record(tmp_path: Path) -> None:
+    picture = tmp_path / "report.png"
+    done = CliRunner().invoke(main, ["fleet", "report", str(RECORDED), "--out", str(picture)])
+    assert done.exit_code == 0
+    assert done.stdout.splitlines() == [str(picture)]
+    assert picture.read_bytes().startswith(b"\x89PNG")
