--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess, on the wire's own lines."""
+"""The simulator adapter as a subprocess, on the lines of the simulator's wire."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-OPTIONS: dict[str, Any] = {
+SETTINGS_OBJECT: dict[str, Any] = {
     "Balancers": 2,
     "Kinds": ["k1", "k2"],
     "Limits": {"Cancel": True, "SecondCopies": True, "SendCap": 4, "RetryAfter": True},
@@ -28,10 +28,10 @@
     "Zone": "z1",
     "SomethingNew": {"x": 1},
 }
-LIST = [["live", "z1", 3.0, 0, "k1", None, f"executor-{i}"] for i in range(6)]
+ENDPOINTS = [["live", "z1", 3.0, 0, "k1", None, f"executor-{number}"] for number in range(6)]
 
 
-def run(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "burlmoor.simulator_adapter"],
         input="".join(line + "\n" for line in lines),
@@ -44,29 +44,36 @@
     )
 
 
-def batch(now: float, *parts: tuple[int, list[list[Any]]]) -> str:
-    return json.dumps({"Moment": now, "parts": [{"I": i, "events": events} for i, events in parts]})
+def make_batch(now: float, *parts: tuple[int, list[list[Any]]]) -> str:
+    return json.dumps(
+        {"Moment": now, "parts": [{"I": instance, "events": events} for instance, events in parts]}
+    )
 
 
-def spawn(seed: int = 1) -> list[list[Any]]:
-    return [["Spawn", seed, OPTIONS], ["Registry", "disk", 1, LIST]]
+def spawn_events(seed: int = 1) -> list[list[Any]]:
+    return [["Spawn", seed, SETTINGS_OBJECT], ["Registry", "disk", 1, ENDPOINTS]]
 
 
-def knock(ref: int, name: str = "c1") -> list[Any]:
-    return ["Knock", ref, name, 1, None, 4000.0, 200.0, "t1", None, 1]
+def job_request(job: int, job_class: str = "c1") -> list[Any]:
+    return ["Knock", job, job_class, 1, None, 4000.0, 200.0, "t1", None, 1]
 
 
-def conversation(instances: list[int]) -> list[str]:
-    lines = [batch(0.0, *((i, spawn(i)) for i in instances))]
+def make_conversation(instances: list[int]) -> list[str]:
+    lines = [make_batch(0.0, *((instance, spawn_events(instance)) for instance in instances))]
     for step in range(1, 40):
-        now = 10.0 * step
-        lines.append(batch(now, *((i, [knock(1000 * step + i, "c1"), ["Fired", 0]]) for i in instances)))
+        events = {instance: [job_request(1000 * step + instance), ["Fired", 0]] for instance in instances}
+        lines.append(make_batch(10.0 * step, *events.items()))
     return lines
 
 
-def test_every_line_is_answered_by_one_line_and_the_end_of_input_ends_it() -> None:
-    done = run(
-        [batch(0.0), batch(1.0, (1, spawn())), batch(2.0, (1, [knock(7)])), batch(60.0, (1, [["Fired", 0]]))]
+def test_every_line_gets_one_reply_and_the_end_of_input_ends_the_adapter() -> None:
+    done = run_adapter(
+        [
+            make_batch(0.0),
+            make_batch(1.0, (1, spawn_events())),
+            make_batch(2.0, (1, [job_request(7)])),
+            make_batch(60.0, (1, [["Fired", 0]])),
+        ]
     )
     assert done.returncode == 0
     assert done.stderr == ""
@@ -79,9 +86,9 @@
     assert part["decisions"][0][1] == 7
 
 
-def test_every_event_is_understood_and_the_unknown_skipped() -> None:
+def test_every_event_is_parsed_and_an_unknown_one_skipped() -> None:
     events: list[list[Any]] = [
-        knock(7),
+        job_request(7),
         ["Registry", "error", 1, None],
         ["Registry", "unheard of", 1, []],
         ["Registry", "diff", 2, [["quiescing", "z1", None, None, None, None, "executor-1"]]],
@@ -97,34 +104,44 @@
         ["Mail", 1, "aGk="],
         ["Brand new event", 1, 2, 3],
     ]
-    done = run([batch(0.0, (1, spawn())), batch(5.0, (1, events))])
+    done = run_adapter([make_batch(0.0, (1, spawn_events())), make_batch(5.0, (1, events))])
     assert done.returncode == 0, done.stderr
     assert "InternalError" not in done.stdout
 
 
-def test_killed_and_spawned_in_one_batch_starts_empty() -> None:
-    lines = [batch(0.0, (1, spawn())), batch(1.0, (1, [knock(7)])), batch(2.0, (1, [["Killed"], *spawn(2)]))]
-    done = run([*lines, batch(100.0, (1, [["Fired", 0]]))])
+def test_an_instance_killed_and_spawned_in_one_batch_starts_empty() -> None:
+    lines = [
+        make_batch(0.0, (1, spawn_events())),
+        make_batch(1.0, (1, [job_request(7)])),
+        make_batch(2.0, (1, [["Killed"], *spawn_events(2)])),
+    ]
+    done = run_adapter([*lines, make_batch(100.0, (1, [["Fired", 0]]))])
     assert done.returncode == 0
     assert "Issue" not in done.stdout
 
 
-def test_a_stopped_instance_takes_no_more_part() -> None:
-    done = run([batch(0.0, (1, spawn())), batch(1.0, (1, [["Killed"]])), batch(9.0, (1, [["Fired", 0]]))])
+def test_a_killed_instance_decides_nothing() -> None:
+    done = run_adapter(
+        [
+            make_batch(0.0, (1, spawn_events())),
+            make_batch(1.0, (1, [["Killed"]])),
+            make_batch(9.0, (1, [["Fired", 0]])),
+        ]
+    )
     assert json.loads(done.stdout.splitlines()[2]) == {"parts": []}
 
 
-def test_settings_that_cannot_be_meant_become_an_internal_error() -> None:
-    done = run([batch(0.0, (1, [["Spawn", 1, {**OPTIONS, "RequestClasses": []}]]))])
+def test_invalid_settings_become_an_internal_error() -> None:
+    done = run_adapter([make_batch(0.0, (1, [["Spawn", 1, {**SETTINGS_OBJECT, "RequestClasses": []}]]))])
     assert done.returncode == 0
     (decision,) = json.loads(done.stdout)["parts"][0]["decisions"]
     assert decision[0] == "InternalError"
     assert "classes" in decision[1]
 
 
-def test_a_malformed_line_ends_it_with_a_plain_message() -> None:
+def test_a_malformed_line_ends_the_adapter_with_a_message() -> None:
     for line in ["not json", "[]", '{"parts":[]}', '{"Moment":1,"parts":[{"I":1,"events":[["Knock"]]}]}']:
-        done = run([line])
+        done = run_adapter([line])
         assert done.returncode != 0
         assert "burlmoor:" in done.stderr
         assert "Traceback" not in done.stderr
@@ -132,19 +149,19 @@
 
 
 def test_the_same_events_give_the_same_actions_under_any_hash_seed() -> None:
-    lines = conversation([1, 2, 3])
-    assert run(lines, "1").stdout == run(lines, "77").stdout
+    lines = make_conversation([1, 2, 3])
+    assert run_adapter(lines, "1").stdout == run_adapter(lines, "77").stdout
 
 
-def test_instances_act_alike_in_one_process_and_apart() -> None:
-    def actions(instances: list[int]) -> dict[int, list[Any]]:
-        found: dict[int, list[Any]] = {i: [] for i in instances}
-        for line in run(conversation(instances)).stdout.splitlines():
+def test_instances_decide_alike_in_one_process_and_in_several() -> None:
+    def collect_decisions(instances: list[int]) -> dict[int, list[Any]]:
+        found: dict[int, list[Any]] = {instance: [] for instance in instances}
+        for line in run_adapter(make_conversation(instances)).stdout.splitlines():
             for part in json.loads(line)["parts"]:
                 found[part["I"]].append(part["decisions"])
         return found
 
-    together = actions([1, 2, 3])
-    apart = {i: actions([i])[i] for i in (1, 2, 3)}
+    together = collect_decisions([1, 2, 3])
+    apart = {instance: collect_decisions([instance])[instance] for instance in (1, 2, 3)}
     assert together == apart
     assert all(together.values())
