--- a/burlmoor/config/errors.py
+++ b/burlmoor/config/errors.py
@@ -2,10 +2,15 @@
 
 from __future__ import annotations
 
+import re
 from dataclasses import dataclass
 
+import msgspec
+
 from burlmoor.errors import BurlmoorError
 
+_PATH_IN_ERROR = re.compile(r"(.*) - at `\$(.*)`", re.DOTALL)
+
 
 @dataclass(frozen=True)
 class ConfigFault:
@@ -30,6 +35,15 @@
     return ConfigFault(field, problem, file, value, allowed)
 
 
+def decoding_fault(error: msgspec.MsgspecError, *, file: str = "", prefix: str = "") -> ConfigFault:
+    """Return the fault that msgspec has found; the field is the path that its text ends with, if it does."""
+    match = _PATH_IN_ERROR.fullmatch(str(error))
+    if match is None:
+        return ConfigFault(prefix, str(error), file)
+    problem, path = match.groups()
+    return ConfigFault(f"{prefix}{path}".lstrip("."), problem, file)
+
+
 class InvalidConfigError(BurlmoorError):
     """The configuration is invalid; as text, each of `faults` is a line."""
 
--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from burlmoor.config.errors import ConfigFault, InvalidConfigError, invalid_value
+from burlmoor.config.errors import ConfigFault, InvalidConfigError, decoding_fault, invalid_value
 from burlmoor.config.settings import NodeSettings, parse_settings
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.transport.stream import parse_address
@@ -128,13 +128,15 @@
             ConfigFault(_CONFIG_VARIABLE, f"{path}: {error.strerror}", value=path)
         ) from error
     except msgspec.MsgspecError as error:
-        raise InvalidConfigError(ConfigFault(_CONFIG_VARIABLE, f"{path}: {error}", value=path)) from error
+        raise InvalidConfigError(decoding_fault(error, file=path)) from error
 
 
 def _parse_settings(settings_object: dict[str, Any]) -> NodeSettings:
     try:
         settings = parse_settings(settings_object)
         settings.policy.check()
+    except msgspec.MsgspecError as error:
+        raise InvalidConfigError(decoding_fault(error, prefix="settings")) from error
     except ValueError as error:
         raise InvalidConfigError(ConfigFault("settings", str(error))) from error
     return settings
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -93,3 +93,31 @@
     problem = f"invalid value 'nowhere'; allowed: {allowed}"
     assert caught.value.faults == (ConfigFault("listen", problem, value="nowhere", allowed=allowed),)
     assert str(caught.value) == f"listen: {problem}"
+
+
+@pytest.mark.parametrize(
+    ("changes", "field", "problem"),
+    [
+        ({"limits": {"sockets": "many"}}, "limits.sockets", "Expected `int`, got `str`"),
+        ({"settings": {**SETTINGS_OBJECT, "Tick": "often"}}, "settings.Tick", "Expected `float"),
+        ({"settings": {"RequestClasses": [{"Credit": 1}]}}, "settings.RequestClasses[0]", "Object missing"),
+    ],
+)
+def test_a_fault_of_decoding_names_the_field_by_its_path(
+    tmp_path: Path, changes: dict[str, Any], field: str, problem: str
+) -> None:
+    with pytest.raises(node_config.InvalidConfigError) as caught:
+        node_config.load_config(write_config(tmp_path, **changes))
+    (fault,) = caught.value.faults
+    assert fault.field == field
+    assert fault.problem.startswith(problem)
+    assert isinstance(caught.value.__cause__, ValueError)
+
+
+def test_a_file_that_is_no_json_is_named(tmp_path: Path) -> None:
+    environment = write_config(tmp_path)
+    path = Path(environment["RELAY_CONFIG"])
+    path.write_text("{")
+    with pytest.raises(node_config.InvalidConfigError) as caught:
+        node_config.load_config(environment)
+    assert str(caught.value).startswith(f"{path}: ")
