--- a/burlmoor/simulator_adapter.py
+++ b/burlmoor/simulator_adapter.py
@@ -44,6 +44,9 @@
 
 Row = list[Any]  # an event or a decision on the wire: its name, then its fields by position
 
+# What a line is made of, for the text of an error.
+_BATCH = "a batch"
+_EVENT = "an event"
 _SPAWN = "Spawn"
 _KILLED = "Killed"
 _OUTCOMES = {
@@ -202,7 +205,7 @@
         parse = _EVENT_PARSERS.get(name)
         return parse(row) if parse else None
     except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-        raise MalformedLineError("an event", error) from error
+        raise MalformedLineError(_EVENT, error) from error
 
 
 # --- actions ----------------------------------------------------------------------------------
@@ -240,7 +243,7 @@
             now = float(batch["Moment"])
             parts = [(part["I"], part.get("events") or ()) for part in batch["parts"]]
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise MalformedLineError("a batch", error) from error
+            raise MalformedLineError(_BATCH, error) from error
         replies = []
         for instance, rows in parts:
             decisions = self._handle_rows(now, instance, rows)
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -18,153 +18,153 @@
 
 
 def test_a_disabled_executor_gets_no_job_whatever_is_listed() -> None:
-    async def story(made: NodeHarness) -> None:
-        assert (await call_admin(made, "/executors/disable", "nobody"))[0] == 404
-        assert (await call_admin(made, "/executors/enable", "nobody"))[0] == 404
+    async def scenario(harness: NodeHarness) -> None:
+        assert (await call_admin(harness, "/executors/disable", "nobody"))[0] == 404
+        assert (await call_admin(harness, "/executors/enable", "nobody"))[0] == 404
         for _ in range(2):  # disabled twice, one call enables it
-            assert await call_admin(made, "/executors/disable", "e0") == (
+            assert await call_admin(harness, "/executors/disable", "e0") == (
                 200, {"ready": True, "state": "open", "drained": False, "out": ["e0"]},
             )  # fmt: skip
         seq = 1
         listed: list[dict[str, Any]] = [{"e0": "active", "e1": "active"}, {"e1": "active"}]
         for hosts in (*listed, listed[0]):
             seq += 1
-            await made.publish(seq, **hosts)
-            await made.wait_until(lambda seq=seq: made.node.directory.version == seq)  # type: ignore[misc]
-            assert {await serve_job(made, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
-        assert (await call_admin(made, "/executors/enable", "e0"))[1]["out"] == []
-        assert made.node.directory.find_live("e0") is not None
+            await harness.publish(seq, **hosts)
+            await harness.wait_until(lambda seq=seq: harness.node.directory.version == seq)  # type: ignore[misc]
+            assert {await serve_job(harness, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
+        assert (await call_admin(harness, "/executors/enable", "e0"))[1]["out"] == []
+        assert harness.node.directory.find_live("e0") is not None
 
-    run_scenario(story)
+    run_scenario(scenario)
 
 
 def test_an_enabled_executor_counts_as_newly_started_even_where_the_list_lags() -> None:
     # Protocol rule 4: it was restarted while it was disabled; at once under full load, it would fail.
-    async def story(made: NodeHarness) -> None:
+    async def scenario(harness: NodeHarness) -> None:
         updates: list[EndpointListUpdate] = []
-        on_endpoint_list = made.node.engine.on_endpoint_list
+        on_endpoint_list = harness.node.engine.on_endpoint_list
 
         def record(kind: ListKind, entries: Any) -> None:
             updates.append(EndpointListUpdate(kind, list(entries)))
             on_endpoint_list(kind, updates[-1].entries)
 
-        made.node.engine.on_endpoint_list = record  # type: ignore[method-assign]
-        before = made.node.engine.clock()
-        await call_admin(made, "/executors/disable", "e0")
-        await call_admin(made, "/executors/enable", "e0")
+        harness.node.engine.on_endpoint_list = record  # type: ignore[method-assign]
+        before = harness.node.engine.clock()
+        await call_admin(harness, "/executors/disable", "e0")
+        await call_admin(harness, "/executors/enable", "e0")
         disabled, enabled = (update.entries[0] for update in updates)
         assert (disabled.endpoint, disabled.state, disabled.started_at) == ("e0", EndpointState.DRAINING, 0.0)
         assert (enabled.endpoint, enabled.state) == ("e0", EndpointState.LIVE)
         assert enabled.started_at >= before
-        await made.publish(2, e0="active", e1="active")  # with the old start
-        await made.wait_until(lambda: made.node.directory.version == 2)
+        await harness.publish(2, e0="active", e1="active")  # with the old start
+        await harness.wait_until(lambda: harness.node.directory.version == 2)
         assert updates[-1].entries[0].started_at == enabled.started_at
 
-    run_scenario(story)
+    run_scenario(scenario)
 
 
 def test_an_attempt_that_is_still_connecting_does_not_reach_a_disabled_executor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(made: NodeHarness) -> None:
-        acquire = made.node.pool.acquire
+    async def scenario(harness: NodeHarness) -> None:
+        acquire = harness.node.pool.acquire
         disabled: list[str] = []
 
         async def disable_while_connecting(address: str) -> Any:
             connection = await acquire(address)
             if not disabled:
-                disabled.append(next(name for name, dial in made.addresses.items() if dial == address))
-                assert (await call_admin(made, "/executors/disable", disabled[0]))[0] == 200
+                disabled.append(next(name for name, dial in harness.addresses.items() if dial == address))
+                assert (await call_admin(harness, "/executors/disable", disabled[0]))[0] == 200
             return connection
 
-        monkeypatch.setattr(made.node.pool, "acquire", disable_while_connecting)
-        assert await serve_job(made, "a1") != disabled[0]
+        monkeypatch.setattr(harness.node.pool, "acquire", disable_while_connecting)
+        assert await serve_job(harness, "a1") != disabled[0]
 
-    run_scenario(story)
+    run_scenario(scenario)
 
 
 def test_silent_and_incomplete_calls_do_not_delay_others() -> None:
-    async def story(made: NodeHarness) -> None:
-        assert made.node.admin_server is not None
-        silent = [Wire(await trio.open_tcp_stream(*made.node.admin_server.address)) for _ in range(40)]
+    async def scenario(harness: NodeHarness) -> None:
+        assert harness.node.admin_server is not None
+        silent = [Wire(await trio.open_tcp_stream(*harness.node.admin_server.address)) for _ in range(40)]
         for wire in silent[::2]:
             await wire.stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
         began = trio.current_time()
-        assert (await call_admin(made, "/ready", method="GET"))[0] == 200
+        assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
         assert trio.current_time() - began < 1.0
         for wire in silent:
             await wire.read()  # closed, or answered that the call did not come in time
         assert trio.current_time() - began < 3.0
-        assert made.node.directory.overrides.disabled_since == {}
+        assert harness.node.directory.overrides.disabled_since == {}
 
-    run_scenario(story)
+    run_scenario(scenario)
 
 
 def test_an_exception_in_a_call_ends_only_that_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(made: NodeHarness) -> None:
-        assert made.node.admin_server is not None
+    async def scenario(harness: NodeHarness) -> None:
+        assert harness.node.admin_server is not None
         with monkeypatch.context() as patch:
-            patch.setattr(made.node.drain, "begin_drain", lambda: 1 / 0)
-            wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
+            patch.setattr(harness.node.drain, "begin_drain", lambda: 1 / 0)
+            wire = Wire(await trio.open_tcp_stream(*harness.node.admin_server.address))
             await wire.write("POST /drain HTTP/1.1", Host="node")
             assert await wire.read() is None
-        assert (await call_admin(made, "/ready", method="GET"))[0] == 200
+        assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
 
     lines: list[str] = []
-    run_scenario(story, lines=lines)
+    run_scenario(scenario, lines=lines)
     assert "admin-connection-failed" in lines[-1]
 
 
 def test_a_forwarded_override_is_applied_and_an_unknown_one_ignored() -> None:
-    async def story(made: NodeHarness) -> None:
-        made.node.admin.apply_forwarded("/executors/disable", "e0")
-        before = made.node.admin.overrides
+    async def scenario(harness: NodeHarness) -> None:
+        harness.node.admin.apply_forwarded("/executors/disable", "e0")
+        before = harness.node.admin.overrides
         assert list(before.endpoints.disabled_since) == ["e0"]
-        made.node.admin.apply_forwarded("/of/a/later/release", "e1")
-        assert made.node.admin.overrides == before
-        assert made.node.directory.find_live("e1") is not None
+        harness.node.admin.apply_forwarded("/of/a/later/release", "e1")
+        assert harness.node.admin.overrides == before
+        assert harness.node.directory.find_live("e1") is not None
 
-    run_scenario(story)
+    run_scenario(scenario)
 
 
 def test_a_drain_rejects_new_jobs_within_four_seconds_and_ends_at_once() -> None:
-    async def story(made: NodeHarness) -> None:
-        open_job = await made.submit_job("once", "a1", 5000)
-        idle = await made.submit_job("once", "a2")
-        await made.wait_until(lambda: len(made.jobs) == 2)
-        ids = [job.headers["request-id"] for _, job in made.jobs]
+    async def scenario(harness: NodeHarness) -> None:
+        open_job = await harness.submit_job("once", "a1", 5000)
+        idle = await harness.submit_job("once", "a2")
+        await harness.wait_until(lambda: len(harness.jobs) == 2)
+        ids = [job.headers["request-id"] for _, job in harness.jobs]
         number = ids.index("a2")
-        await made.send_callback("started", job=1 - number)  # it runs, so its wait is not measured
-        await made.send_callback("done", "fine", job=number)
-        assert "connection" not in (await made.read_response(idle)).headers
+        await harness.send_callback("started", job=1 - number)  # it runs, so its wait is not measured
+        await harness.send_callback("done", "fine", job=number)
+        assert "connection" not in (await harness.read_response(idle)).headers
         for _ in range(2):  # twice changes nothing
-            assert (await call_admin(made, "/drain"))[1]["drained"] is True
-        assert await get_readiness_status(made) == 503
-        assert (await call_admin(made, "/ready", method="GET"))[0] == 503
-        await made.send_job(idle, "once", "a3")  # idle connections are served for a while
-        await made.wait_until(lambda: len(made.jobs) == 3)
-        await made.send_callback("done", "fine")
-        assert (await made.read_response(idle)).status == 200
+            assert (await call_admin(harness, "/drain"))[1]["drained"] is True
+        assert await get_readiness_status(harness) == 503
+        assert (await call_admin(harness, "/ready", method="GET"))[0] == 503
+        await harness.send_job(idle, "once", "a3")  # idle connections are served for a while
+        await harness.wait_until(lambda: len(harness.jobs) == 3)
+        await harness.send_callback("done", "fine")
+        assert (await harness.read_response(idle)).status == 200
         began = trio.current_time()
         assert await idle.read() is None  # closed while idle
         assert trio.current_time() - began < 3.0
-        await made.wait_until(lambda: made.node.drain.state is ServiceState.REJECTING)
-        assert (await made.read_response(await made.submit_job("once", "a4"))).status == 503
-        await made.send_callback("done", "fine", job=1 - number)  # it listens for call-backs all the while
-        answer = await made.read_response(open_job)
+        await harness.wait_until(lambda: harness.node.drain.state is ServiceState.REJECTING)
+        assert (await harness.read_response(await harness.submit_job("once", "a4"))).status == 503
+        await harness.send_callback("done", "fine", job=1 - number)  # it listens for call-backs all the while
+        answer = await harness.read_response(open_job)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
-        assert (await call_admin(made, "/undrain"))[0] == 200
-        assert await get_readiness_status(made) == 200
-        wire = await made.submit_job("once", "a5")
-        await made.wait_until(lambda: len(made.jobs) == 4)
-        await made.send_callback("done", "fine")
-        assert "connection" not in (await made.read_response(wire)).headers
+        assert (await call_admin(harness, "/undrain"))[0] == 200
+        assert await get_readiness_status(harness) == 200
+        wire = await harness.submit_job("once", "a5")
+        await harness.wait_until(lambda: len(harness.jobs) == 4)
+        await harness.send_callback("done", "fine")
+        assert "connection" not in (await harness.read_response(wire)).headers
 
-    run_scenario(story)
+    run_scenario(scenario)
 
 
 def test_a_drain_and_a_shutdown_share_one_service_state(autojump_clock: trio.testing.MockClock) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         drain = DrainController()
         drain.begin_drain()
         states.append(drain.state)
@@ -183,7 +183,7 @@
             states.append(drain.state)
 
     states: list[ServiceState] = []
-    trio.run(story, clock=autojump_clock)
+    trio.run(scenario, clock=autojump_clock)
     assert states == [
         ServiceState.UNREADY,
         ServiceState.CLOSING,
@@ -196,30 +196,30 @@
 
 @pytest.mark.parametrize("is_damaged", [False, True])
 def test_overrides_outlive_the_process_unless_their_file_is_damaged(is_damaged: bool, tmp_path: Path) -> None:
-    async def first(made: NodeHarness) -> None:
-        await call_admin(made, "/executors/disable", "e0")
-        await call_admin(made, "/drain")
+    async def override(harness: NodeHarness) -> None:
+        await call_admin(harness, "/executors/disable", "e0")
+        await call_admin(harness, "/drain")
 
-    async def second(made: NodeHarness) -> None:
-        assert (made.node.directory.find_live("e0") is None) is not is_damaged
-        assert made.node.drain.is_drained is not is_damaged
+    async def check(harness: NodeHarness) -> None:
+        assert (harness.node.directory.find_live("e0") is None) is not is_damaged
+        assert harness.node.drain.is_drained is not is_damaged
 
-    run_scenario(first, state_folder=tmp_path)
+    run_scenario(override, state_folder=tmp_path)
     (file,) = tmp_path.iterdir()
     if is_damaged:
         file.write_bytes(file.read_bytes()[:-9])
     lines: list[str] = []
-    run_scenario(second, state_folder=tmp_path, lines=lines)
+    run_scenario(check, state_folder=tmp_path, lines=lines)
     assert ("override-load-failed" in "".join(lines)) is is_damaged
 
 
 def test_a_node_accepts_from_a_passed_listening_socket() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
-        async def story(made: NodeHarness) -> None:
-            made.address = listener.getsockname()
-            assert await get_readiness_status(made) == 200
+        async def scenario(harness: NodeHarness) -> None:
+            harness.address = listener.getsockname()
+            assert await get_readiness_status(harness) == 200
 
         lines: list[str] = []
-        run_scenario(story, listener_fd=listener.dup().detach(), lines=lines)
+        run_scenario(scenario, listener_fd=listener.dup().detach(), lines=lines)
         assert "handover-unavailable" in lines[-1]  # no state folder, so no handover channel
--- a/tests/support/admin_client.py
+++ b/tests/support/admin_client.py
@@ -12,30 +12,30 @@
 
 
 async def call_admin(
-    made: NodeHarness, path: str, name: str = "", method: str = "POST"
+    harness: NodeHarness, path: str, name: str = "", method: str = "POST"
 ) -> tuple[int, dict[str, Any]]:
-    """Make one admin call; the response's status and JSON body."""
-    assert made.node.admin_server is not None
-    wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
+    """Make one admin call; return the response's status and JSON body."""
+    assert harness.node.admin_server is not None
+    wire = Wire(await trio.open_tcp_stream(*harness.node.admin_server.address))
     body = json.dumps({"name": name}).encode() if name else b""
     await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
-    answer = await made.read_response(wire)
+    answer = await harness.read_response(wire)
     assert await wire.read() is None
     return answer.status, json.loads(answer.body)
 
 
-async def serve_job(made: NodeHarness, ref: str, name: str = "once") -> str:
-    """Have one job served; the executor that it went to."""
-    jobs = len(made.jobs)
-    wire = await made.submit_job(name, ref)
-    await made.wait_until(lambda: len(made.jobs) > jobs)
-    await made.send_callback("done", "fine")
-    assert (await made.read_response(wire)).status == 200
-    return made.jobs[-1][0]
+async def serve_job(harness: NodeHarness, ref: str, name: str = "once") -> str:
+    """Have one job served; return the executor that it went to."""
+    jobs = len(harness.jobs)
+    wire = await harness.submit_job(name, ref)
+    await harness.wait_until(lambda: len(harness.jobs) > jobs)
+    await harness.send_callback("done", "fine")
+    assert (await harness.read_response(wire)).status == 200
+    return harness.jobs[-1][0]
 
 
-async def get_readiness_status(made: NodeHarness) -> int:
-    """The status of /health/ready."""
-    wire = await made.connect_client()
+async def get_readiness_status(harness: NodeHarness) -> int:
+    """Return the status of /health/ready."""
+    wire = await harness.connect_client()
     await wire.write("GET /health/ready HTTP/1.1", Host="node")
-    return (await made.read_response(wire)).status
+    return (await harness.read_response(wire)).status
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -23,11 +23,11 @@
 
 
 def write_config(folder: Path, **changes: Any) -> dict[str, str]:
-    """Write the configuration file, with `changes` to its fields; the environment that names it."""
-    given = {
+    """Write the configuration file, with `changes` to its fields; return the environment that names it."""
+    fields = {
         "name": "n1", "listen": "127.0.0.1:8081", "discovery": "127.0.0.1:8500", "seed": "8c1f",
         "limits": {"sockets": 900}, "settings": SETTINGS_OBJECT,
         "known": {"seq": 4, "whole": True, "hosts": []}, **changes,
     }  # fmt: skip
-    (folder / "config.json").write_text(json.dumps(given))
+    (folder / "config.json").write_text(json.dumps(fields))
     return {"RELAY_CONFIG": str(folder / "config.json")}
