--- a/burlmoor/downstream/http.py
+++ b/burlmoor/downstream/http.py
@@ -13,6 +13,7 @@
 from burlmoor.downstream.job_headers import InvalidHeaderError, parse_job_submission
 from burlmoor.downstream.requests import InvalidRequest, JobCallback, ParsedRequest, ReadinessCheck
 from burlmoor.engine.deferral import InvalidConditionError
+from burlmoor.errors import BurlmoorError
 
 MAX_BODY_BYTES = 64 * 1024
 READY_PATH = "/health/ready"
@@ -25,6 +26,10 @@
 _END_OF_MESSAGE = h11.EndOfMessage()
 
 
+class NoOpenRequestError(BurlmoorError, RuntimeError):
+    """A response was given where there is no open request: a fault of the caller."""
+
+
 class HttpServerConnection:
     """Owns the HTTP state of one accepted connection. One request at a time; the rest waits unread."""
 
@@ -155,7 +160,7 @@
     ) -> bytes:
         """Encode the response to the open request; afterwards the next request may come."""
         if not self._has_open_request:
-            raise RuntimeError("there is no open request to respond to")
+            raise NoOpenRequestError
         if status == _STATUS_NO_CONTENT:
             head = _NO_CONTENT_AND_CLOSE if self.is_closing else _NO_CONTENT
         else:
--- a/tests/deferred/test_handover.py
+++ b/tests/deferred/test_handover.py
@@ -6,20 +6,20 @@
 
 import trio
 
-from tests.lifecycle.test_handover import HandoverHarness, open_handover_harness
 from tests.support.deferral_over_sockets import submit_deferred, wait_until_sent
+from tests.support.handover_harness import HandoverHarness, open_handover_harness
 
 
 def test_deferred_jobs_stay_with_their_process_and_are_answered_in_time(tmp_path: Path) -> None:
     async def scenario(harness: HandoverHarness) -> None:
         old = await harness.start_process()
-        await old.ready()
+        await old.wait_ready()
         parent, child = await submit_deferred(harness, "p1"), await submit_deferred(harness, "c1", "p1")
         await wait_until_sent(harness, "p1")
         lasting, stays = await submit_deferred(harness, "p2"), await submit_deferred(harness, "c2", "p2")
         await wait_until_sent(harness, "p1", "p2")
         new = await harness.start_process()
-        await new.ready()
+        await new.wait_ready()
         # Its parent is at the old process, so it is rejected soon.
         assert (await harness.read_response(await submit_deferred(harness, "c3", "p1"))).status == 503
         assert await harness.send_callback("started", job=0) == 204
--- a/tests/golden/test_takeover.py
+++ b/tests/golden/test_takeover.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from tests.lifecycle.test_handover import HandoverHarness, open_handover_harness
+from tests.support.handover_harness import HandoverHarness, open_handover_harness
 
 CONVERSATION = Path(__file__).parent / "data" / "conversation"
 LINK = "n1.link"
@@ -55,13 +55,13 @@
 async def hand_over(made: HandoverHarness) -> dict[str, bytes]:
     """Play the successor of a real process; what that process said."""
     process = await made.start_process()
-    await process.ready()
+    await process.wait_ready()
     with await connect(made.folder / LINK) as successor:
         await successor.send(recorded("hello"))
         snapshot = await receive(successor)
         await successor.send(recorded("accepting"))
         counts = await receive(successor)
-    await process.ready()  # its successor is gone, so it accepts again
+    await process.wait_ready()  # its successor is gone, so it accepts again
     await process.stop()
     return {"snapshot": snapshot, "holds": counts}
 
@@ -79,7 +79,7 @@
         await predecessor.send(recorded("snapshot"))
         accepting = await receive(predecessor)
         await predecessor.send(recorded("holds"))
-        await process.ready()
+        await process.wait_ready()
     await process.stop()
     return {"hello": hello, "accepting": accepting}
 
--- /dev/null
+++ b/tests/integration/test_client_disconnects.py
@@ -0,0 +1,101 @@
+"""Clients that leave, or write on, while their jobs are open: rows of `docs/endings.md`."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+import trio
+
+from burlmoor.upstream.connection import PooledConnection
+from tests.support.configuration import SETTINGS_OBJECT
+from tests.support.node_harness import NodeHarness, run_scenario
+
+NO_CANCEL = {**SETTINGS_OBJECT, "Limits": {**SETTINGS_OBJECT["Limits"], "Cancel": False}}
+
+
+class DelayedConnections:
+    """Holds back each connection to an executor until the scenario releases it."""
+
+    def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.waiting_count = 0
+        self.released = trio.Event()
+        acquire = harness.node.pool.acquire
+
+        async def acquire_later(address: str) -> PooledConnection:
+            connection = await acquire(address)
+            self.waiting_count += 1
+            harness.notify()
+            await self.released.wait()
+            return connection
+
+        monkeypatch.setattr(harness.node.pool, "acquire", acquire_later)
+
+
+@pytest.mark.parametrize("given_settings", [SETTINGS_OBJECT, NO_CANCEL])
+@pytest.mark.parametrize("how", ["closes", "resets"])
+def test_a_client_that_leaves_while_the_node_connects_has_nothing_sent(
+    how: str, given_settings: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        delayed = DelayedConnections(harness, monkeypatch)
+        wire = await harness.submit_job()
+        await harness.wait_until(lambda: delayed.waiting_count)
+        if how == "closes":
+            await wire.stream.aclose()
+        else:  # as a dying process does
+            wire.reset()
+        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
+        delayed.released.set()
+        await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+        assert not harness.jobs
+        # Nothing is kept of it either.
+        await harness.wait_until(lambda: not harness.node.engine.open_job_ids())
+
+    run_scenario(scenario, given_settings=given_settings)
+
+
+@pytest.mark.parametrize("byte_count", [20_000, 300_000, 3_000_000])
+def test_the_close_of_a_client_is_noticed_behind_much_unread_input(byte_count: int) -> None:
+    # Its close comes behind more than the node keeps of what is written to it.
+    async def scenario(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(ms=9000)
+        await harness.wait_until(lambda: harness.jobs)
+        began = trio.current_time()
+        await wire.stream.send_all(b"x" * byte_count)
+        await wire.stream.aclose()
+        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
+        assert trio.current_time() - began < 2.0
+        await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
+
+    run_scenario(scenario, "hang")
+
+
+def test_a_client_that_never_stops_writing_is_answered_and_its_connection_closed() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(ms=5000)
+        await harness.wait_until(lambda: harness.jobs)
+        await harness.send_callback("started")  # else it is retried elsewhere after a while
+        written_count = 0
+
+        async def write() -> None:
+            nonlocal written_count
+            try:
+                for _ in range(200):
+                    await wire.stream.send_all(b"x" * 100_000)
+                    written_count += 1
+                    harness.notify()
+            except trio.BrokenResourceError:
+                return
+
+        harness.nursery.start_soon(write)
+        await harness.wait_until(lambda: written_count > 100)
+        other = await harness.submit_job(ref="b1")  # another client's, to be answered all the same
+        for ref, client in (("b1", other), ("a1", wire)):
+            await harness.wait_until(lambda ref=ref: harness.find_attempts(ref))  # type: ignore[misc]
+            await harness.send_callback("done", "fine", job=harness.find_attempts(ref)[-1])
+            answer = await harness.read_response(client)
+            assert (answer.status, answer.body) == (200, b"fine")
+        assert answer.headers["connection"] == "close"
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/integration/test_executor_responses.py
@@ -0,0 +1,150 @@
+"""Responses of executors that are late, invalid, doubled or missing: rows of `docs/endings.md`."""
+
+from __future__ import annotations
+
+import pytest
+import trio
+
+from burlmoor.transport.sockets import connect
+from burlmoor.transport.stream import SocketStream
+from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
+from tests.support.node_harness import NodeHarness, run_scenario
+
+
+def test_a_late_second_response_is_not_taken_for_the_next_jobs() -> None:
+    # It says that the job never ran: a non-idempotent job would be sent again.
+    async def scenario(harness: NodeHarness) -> None:
+        harness.node.pool._reuse_delay_seconds = 10.0  # as if no time passed
+        await harness.publish(2, False, e1="leaving")
+        await harness.wait_until(lambda: harness.node.directory.find_live("e1") is None)
+        for number, ref in enumerate(("a1", "a2")):
+            harness.open_clients.append(await harness.submit_job("once", ref))
+            await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
+            await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+        await harness.send_callback("done", "fine")
+        assert (await harness.read_response(harness.open_clients[-1])).body == b"fine"
+        assert harness.find_attempts("a2") == [1]
+
+    run_scenario(scenario, "stray")
+
+
+def test_an_idle_connection_with_a_second_response_is_not_reused() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        pool, address = harness.node.pool, harness.addresses["e0"]
+        connection = await pool.acquire(address)
+        pool.return_connection(connection)
+        assert await pool.acquire(address) is not connection
+        await harness.wait_until(lambda: trio.current_time() > connection.idle_since + REUSE_DELAY_SECONDS)
+        await harness.executor_connections[0].write("HTTP/1.1 202 Accepted")
+        await harness.wait_until(lambda: not connection.is_reusable())
+        assert await pool.acquire(address) is not connection
+
+    run_scenario(scenario)
+
+
+PARTIAL_STATUS_LINE = "HTTP/1.1 202 Acc"
+INVALID_RESPONSES = [
+    "HTTP/1.1 2x2 Accepted\r\nContent-Length: 0\r\n\r\n",
+    "\x00\x01\x02\r\n\r\n",
+    "HTTP/1.1 202 Accepted\r\nContent-Length: -4\r\n\r\n",
+    "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+    PARTIAL_STATUS_LINE + "|end",
+    "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nfour|end",
+    "|end",
+    "HTTP/1.1 202 Accepted\r\nX: " + 300_000 * "x",
+    "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n" + 300_000 * "x",
+]
+
+
+@pytest.mark.parametrize("response", INVALID_RESPONSES, ids=range(len(INVALID_RESPONSES)))
+@pytest.mark.parametrize(
+    ("name", "status", "attempt_count"), [("once", 502, 1), ("lookup", 200, 2), ("keyed", 200, 2)]
+)
+def test_an_invalid_response_ends_its_attempt_as_possibly_executed(
+    name: str, status: int, attempt_count: int, response: str
+) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(name)
+        await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
+        if attempt_count == 2:
+            await harness.send_callback("done", "second")
+        answer = await harness.read_response(wire)
+        assert (answer.status, answer.body == b"second") == (status, attempt_count == 2)
+        assert len(harness.jobs) == attempt_count
+        assert not harness.node.attempts.in_flight
+
+    run_scenario(scenario, f"bytes:{response}")
+
+
+@pytest.mark.parametrize(("name", "attempt_count"), [("lookup", 2), ("keyed", 2), ("once", 1)])
+@pytest.mark.parametrize("response", [PARTIAL_STATUS_LINE, ""])
+def test_a_response_that_never_ends_delays_only_non_idempotent_jobs(
+    name: str, attempt_count: int, response: str
+) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(name, ms=1500)
+        await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
+        if attempt_count == 2:
+            await harness.send_callback("done", "second")
+        answer = await harness.read_response(wire)
+        assert (answer.status, len(harness.jobs)) == ((200, 2) if attempt_count == 2 else (502, 1))
+        await harness.wait_until(lambda: harness.unanswered_connection_count)  # the connection is not kept
+
+    run_scenario(scenario, f"bytes:{response}|")
+
+
+@pytest.mark.parametrize("name", ["lookup", "keyed", "once"])
+def test_the_late_result_of_a_cancelled_attempt_is_accepted_and_changes_nothing(name: str) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        wire = await harness.submit_job(name, ms=400)
+        await harness.wait_until(lambda: harness.jobs)
+        answer = await harness.read_response(wire)  # its deadline: the attempt is cancelled
+        assert answer.status in (502, 503)
+        await harness.wait_until(lambda: harness.cancelled_attempts)
+        assert await harness.send_callback("done", "late", job=0) == 204
+        assert await harness.send_callback("done", "late", job=0) == 204  # executors repeat their call-backs
+        other = await harness.submit_job(name, "b1")  # on another connection, with its own response
+        await harness.wait_until(lambda: harness.find_attempts("b1"))
+        await harness.send_callback("done", "fine", job=harness.find_attempts("b1")[0])
+        assert (await harness.read_response(other)).body == b"fine"
+
+    run_scenario(scenario)
+
+
+def test_a_connection_established_after_its_cancellation_carries_nothing_and_is_not_counted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        established = trio.Event()
+        released = trio.Event()
+
+        async def connect_later(address: str, limit: int) -> SocketStream:
+            stream = await connect(address, limit)
+            established.set()
+            await released.wait()
+            return stream
+
+        monkeypatch.setattr("burlmoor.upstream.pool.connect", connect_later)
+        wire = await harness.submit_job()
+        await established.wait()
+        await wire.stream.aclose()
+        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
+        released.set()
+        await harness.wait_until(
+            lambda: not harness.node.attempts.in_flight and not harness.node.pool.open_count
+        )
+        assert not harness.jobs
+
+    run_scenario(scenario)
+
+
+def test_an_attempt_whose_task_fails_still_ends_and_its_client_is_answered(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(harness: NodeHarness) -> int:
+        monkeypatch.setattr(harness.node.pool, "acquire", lambda _address: 1 // 0)
+        return (await harness.read_response(await harness.submit_job("once", ms=800))).status
+
+    lines: list[str] = []
+    assert run_scenario(scenario, lines=lines) == 502  # whether it was executed is not known
+    assert any("attempt-error" in line for line in lines)
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -17,25 +17,48 @@
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
 
-TOLD, GRACE = 6.0, 0.25
+NOTIFICATION_DEADLINE_SECONDS = 6.0
+GRACE_SECONDS = 0.25
 
 
-async def idle_client(harness: NodeHarness, begun: bytes) -> Wire | None:
-    """A client that connects, perhaps begins a request, and then says nothing."""
-    with suppress(OSError):
-        wire = await harness.connect_client()
-        with suppress(trio.BrokenResourceError):
-            await wire.stream.send_all(begun)
-        return wire
-    return None
+class IdleClients:
+    """Clients that connect, perhaps begin a request, and then write nothing more."""
+
+    def __init__(self, harness: NodeHarness) -> None:
+        self._harness = harness
+        self._connections: list[Wire] = []  # held open
+
+    async def connect(self, begun: bytes = b"") -> None:
+        """Connect one more client, which writes these bytes."""
+        with suppress(OSError):
+            wire = await self._harness.connect_client()
+            with suppress(trio.BrokenResourceError):
+                await wire.stream.send_all(begun)
+            self._connections.append(wire)
+
+    async def keep_connecting(self) -> None:
+        """Connect again and again: clients whose connections were closed come back."""
+        while True:
+            await self.connect()
+            await trio.sleep(0.01)
+
+
+async def assert_served_by(harness: NodeHarness, endpoint_name: str, request_id: str) -> None:
+    """A job is sent to this endpoint, and answered."""
+    job_count = len(harness.jobs)
+    wire = await harness.submit_job("once", request_id, 4000)
+    await harness.wait_until(lambda: len(harness.jobs) > job_count)
+    assert harness.jobs[-1][0] == endpoint_name
+    assert await harness.send_callback("done", request_id) == 204
+    assert (await harness.read_response(wire)).body == request_id.encode()
 
 
 @pytest.mark.parametrize(("descriptors", "hanging"), [(64, 0), (96, 0), (160, 0), (64, 60), (160, 160)])
-def test_clients_that_fill_the_descriptors_keep_no_drain_from_being_told(
+def test_a_draining_endpoint_is_noticed_while_clients_fill_the_descriptors(
     descriptors: int, hanging: int, tmp_path: Path
 ) -> None:
-    # Jobs at executors that hang hold a client's place and an executor's each: those can't be closed on.
-    async def story() -> None:
+    # Jobs at executors that hang hold a connection in each direction, and those can't be evicted.
+    async def scenario() -> None:
         async with trio.open_nursery() as nursery:
             harness = NodeHarness(["hang"] * hanging, nursery)
             for name in [f"e{number}" for number in range(16 if hanging else 2)]:
@@ -55,66 +78,60 @@
                     harness.open_clients.append(await harness.submit_job("once", f"h{number}", 5000))
                 if hanging:
                     await harness.wait_until(lambda: len(harness.jobs) >= 8)
-                crowd = [
-                    await idle_client(harness, (b"", b"POST /loo")[n % 2]) for n in range(2 * descriptors)
-                ]
-                crowding = trio.CancelScope()
-
-                async def crowd_on() -> None:
-                    with crowding:
-                        while True:  # who was closed on comes again
-                            crowd.append(await idle_client(harness, b""))
-                            await trio.sleep(0.01)
-
-                nursery.start_soon(crowd_on)
+                clients = IdleClients(harness)
+                for number in range(2 * descriptors):
+                    await clients.connect((b"", b"POST /loo")[number % 2])
+                connecting = trio.CancelScope()
+
+                async def keep_connecting() -> None:
+                    with connecting:
+                        await clients.keep_connecting()
+
+                nursery.start_soon(keep_connecting)
                 await trio.sleep(0.5)
-                assert (await call(node.control, "GET", "/state")).status < 500  # operators are heard
+                assert (await call(node.control, "GET", "/state")).status < 500  # operators are answered
                 discovery.tell("e0", health="leaving")
                 discovery.down = False
-                back = trio.current_time()
+                recovered_at = trio.current_time()
                 await harness.wait_until(lambda: any(health == "leaving" for *_, health in discovery.heard))
-                assert trio.current_time() - back < TOLD + GRACE
-                # And clients are served, by whom it may send to, unless all that they could hold hangs.
-                for ref in () if hanging else ("a1", "a2", "a3"):
-                    jobs = len(harness.jobs)
-                    wire = await harness.submit_job("once", ref, 4000)
-                    await harness.wait_until(lambda jobs=jobs: len(harness.jobs) > jobs)  # type: ignore[misc]
-                    assert harness.jobs[-1][0] == "e1"
-                    assert await harness.send_callback("done", ref) == 204
-                    assert (await harness.read_response(wire)).body == ref.encode()
-                crowding.cancel()
+                assert trio.current_time() - recovered_at < NOTIFICATION_DEADLINE_SECONDS + GRACE_SECONDS
+                # Clients are served, by the other endpoint, unless all connections that they may hold hang.
+                for request_id in () if hanging else ("a1", "a2", "a3"):
+                    await assert_served_by(harness, "e1", request_id)
+                connecting.cancel()
                 assert await node.stop() == 0
             finally:
                 await node.kill()
             nursery.cancel_scope.cancel()
 
-    with_time(story, 60.0)
+    run_within(scenario, 60.0)
 
 
 @pytest.mark.parametrize("descriptors", [64, 80, 128, 200, 1024])
-def test_all_that_may_be_open_at_once_fits_into_the_descriptors(descriptors: int) -> None:
-    async def story(harness: NodeHarness) -> int:
+def test_the_connection_limits_fit_into_the_descriptors(descriptors: int) -> None:
+    async def scenario(harness: NodeHarness) -> int:
         node = harness.node
         return node.server.max_connections + node.pool.max_connections + node.discovery_pool.max_connections
 
-    own = 12 + 12  # operators' calls; standard streams, the loop's own, two that listen, one being accepted
-    assert run_scenario(story, sockets=descriptors) + own <= descriptors
+    # Operators' calls; standard streams, the event loop's own, two that listen, one being accepted.
+    other_descriptors = 12 + 12
+    assert run_scenario(scenario, sockets=descriptors) + other_descriptors <= descriptors
 
 
-def with_time(story: Callable[[], Awaitable[None]], seconds: float) -> None:
-    """Run a story that has to end by then."""
+def run_within(scenario: Callable[[], Awaitable[None]], seconds: float) -> None:
+    """Run a scenario that has to end within these seconds."""
 
     async def run() -> None:
         with trio.fail_after(seconds):
-            await story()
+            await scenario()
 
     trio.run(run)
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("what", ["refuses", "is silent", "answers with no list", "never ends its answer"])
-def test_a_node_is_ready_whatever_discovery_does(mode: str, what: str, tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_node_becomes_ready_whatever_discovery_does(mode: str, what: str, tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with trio.open_nursery() as nursery:
             harness = NodeHarness([], nursery)
             await harness.start_executor("e0")
@@ -142,11 +159,11 @@
                 await node.kill()
             nursery.cancel_scope.cancel()
 
-    with_time(story, 40.0)
+    run_within(scenario, 40.0)
 
 
-def test_nine_in_ten_of_thirty_that_start_at_once_are_ready_within_ten_seconds(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_nine_in_ten_of_thirty_nodes_started_at_once_are_ready_within_ten_seconds(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with trio.open_nursery() as nursery:
             harness = NodeHarness([], nursery)
             await harness.start_executor("e0")
@@ -177,4 +194,4 @@
             assert sorted(took)[26] < 10.0
             nursery.cancel_scope.cancel()
 
-    with_time(story, 60.0)
+    run_within(scenario, 60.0)
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -5,7 +5,6 @@
 import json
 import os
 import signal
-import socket
 import subprocess
 import sys
 from pathlib import Path
@@ -15,36 +14,35 @@
 from burlmoor.testbed.http_wire import Wire
 from tests.support.configuration import write_config
 from tests.support.node_harness import NodeHarness
+from tests.support.polling import poll_until
+from tests.support.service_process import ROOT, find_free_address
 
-ROOT = Path(__file__).parents[2]
 
+async def readiness_status(harness: NodeHarness) -> int:
+    """The status of /health/ready, once the node listens."""
+    wires: list[Wire] = []
 
-def free_address() -> str:
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{sock.getsockname()[1]}"
+    async def connect() -> bool:
+        try:
+            wires.append(await harness.connect_client())
+        except OSError:
+            return False
+        return True
 
-
-async def ready(harness: NodeHarness) -> int:
-    """The status of /health/ready, once somebody listens."""
-    with trio.fail_after(30.0):
-        while True:
-            try:
-                wire: Wire = await harness.connect_client()
-            except OSError:
-                await trio.sleep(0.05)
-                continue
-            await wire.write("GET /health/ready HTTP/1.1", Host="node")
-            return (await harness.read_response(wire)).status
+    await poll_until(connect, interval_seconds=0.05)
+    await wires[0].write("GET /health/ready HTTP/1.1", Host="node")
+    return (await harness.read_response(wires[0])).status
 
 
-def test_the_program_takes_up_a_new_discovery_and_finishes_what_it_took_on_sigterm(tmp_path: Path) -> None:
-    async def story() -> tuple[int, list[str]]:
+def test_a_process_reloads_on_sighup_and_answers_its_open_jobs_before_it_ends_on_sigterm(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> tuple[int, list[str]]:
         async with trio.open_nursery() as nursery:
             harness = NodeHarness([], nursery)
             for name in ("e0", "e1"):
                 await harness.start_executor(name)
-            listen = free_address()
+            listen = find_free_address()
             environment = write_config(
                 tmp_path,
                 listen=listen,
@@ -59,24 +57,27 @@
                 cwd=str(ROOT),
                 stderr=subprocess.PIPE,
             )
+
+            async def is_unready() -> bool:
+                return await readiness_status(harness) != 200
+
             try:
-                assert await ready(harness) == 200
+                assert await readiness_status(harness) == 200
                 wire = await harness.submit_job("once")
                 await harness.wait_until(lambda: harness.jobs)
                 assert await harness.send_callback("done", "served") == 204
                 assert (await harness.read_response(wire)).body == b"served"
                 open_job = await harness.submit_job("once", "b2", 5000)
                 await harness.wait_until(lambda: len(harness.jobs) == 2)
-                asked = len(harness.discovery_paths)
+                call_count = len(harness.discovery_paths)
                 write_config(tmp_path, listen=listen, discovery=await harness.start_discovery())
                 process.send_signal(signal.SIGHUP)
-                await harness.wait_until(lambda: len(harness.discovery_paths) > asked)
+                await harness.wait_until(lambda: len(harness.discovery_paths) > call_count)
                 assert harness.discovery_paths[-1] == "/registry/instances"
                 await harness.publish(4, e0="active", e1="active")
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
-                while await ready(harness) == 200:
-                    await trio.sleep(0.01)
+                await poll_until(is_unready, interval_seconds=0.01)
                 assert await harness.send_callback("done", "to the end") == 204
                 answer = await harness.read_response(open_job)
                 assert (answer.status, answer.body) == (200, b"to the end")
@@ -91,6 +92,6 @@
             nursery.cancel_scope.cancel()
         return status, [json.loads(line)["event"] for line in log.splitlines()]
 
-    status, events = trio.run(story)
+    status, events = trio.run(scenario)
     assert status == 0
     assert sorted(events) == ["reloaded", "reloaded", "started", "stopped", "stopping"]
--- /dev/null
+++ b/tests/lifecycle/test_handover_channel.py
@@ -0,0 +1,72 @@
+"""Peers on a node's handover channel that fail: invalid messages, and predecessors that don't answer."""
+
+from __future__ import annotations
+
+import socket
+from pathlib import Path
+
+import msgspec
+import pytest
+import trio
+
+from burlmoor.lifecycle.handover_channel import connect, listen
+from burlmoor.lifecycle.handover_messages import Hello
+from tests.support.admin_client import call_admin, get_readiness_status, serve_job
+from tests.support.node_harness import NodeHarness, run_scenario
+
+
+@pytest.mark.parametrize(
+    "first_message",
+    [
+        b"",
+        b"\x00garbage",
+        msgspec.msgpack.encode(Hello(version=99)),
+        msgspec.msgpack.encode({"type": "Later"}),
+        b"x" * 200_000,
+    ],
+)
+def test_an_invalid_first_message_ends_the_channel_and_nothing_else(
+    first_message: bytes, tmp_path: Path
+) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        socket_path = tmp_path / "n0.link"
+        await harness.wait_until(socket_path.exists)
+        for _ in range(2):
+            peer = connect(socket_path)
+            assert peer is not None
+            if first_message:
+                peer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
+                peer.send(first_message)
+                await trio.to_thread.run_sync(peer.recv, 100)  # ended by the node
+            peer.close()
+        assert await serve_job(harness, "a1") in ("e0", "e1")
+        assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
+
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+
+        async def run(harness: NodeHarness) -> None:
+            harness.address = listener.getsockname()
+            await scenario(harness)
+
+        run_scenario(run, listener_fd=listener.dup().detach(), state_folder=tmp_path)
+
+
+@pytest.mark.parametrize("predecessor", ["stale", "mute", "gone"])
+def test_a_node_starts_alone_without_a_predecessor_that_answers(predecessor: str, tmp_path: Path) -> None:
+    old = listen(tmp_path / "n0.link")
+    if predecessor == "stale":
+        old.close()
+
+    async def scenario(harness: NodeHarness) -> None:
+        harness.address = listener.getsockname()
+        if predecessor == "gone":
+            peer = await trio.to_thread.run_sync(lambda: old.accept()[0])
+            peer.close()
+        await harness.wait_until(lambda: harness.node.admin.is_serving)
+        assert await get_readiness_status(harness) == 200
+
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        if predecessor != "stale":
+            old.setblocking(True)
+        run_scenario(scenario, listener_fd=listener.dup().detach(), state_folder=tmp_path)
+        old.close()
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -18,58 +18,50 @@
 from burlmoor.log import EventLog
 from burlmoor.testbed.http_wire import Message, Wire
 from tests.support.configuration import SETTINGS_OBJECT
-
-REPLIES: dict[str, tuple[str, dict[str, Any]]] = {
-    "take": ("HTTP/1.1 202 Accepted", {}),
-    "full": ("HTTP/1.1 503 No", {"Not_Started": "1"}),
-    "late": ("HTTP/1.1 504 No", {"Not_Started": "1"}),
-    "503": ("HTTP/1.1 503 No", {}),
-    "504": ("HTTP/1.1 504 No", {}),
-    "500": ("HTTP/1.1 500 No", {}),
-}
+from tests.support.scripted_executor import ScriptedExecutor
 
 
 class NodeHarness:
-    """Owns the peers of one node. Both executors play from one script, an act for each job."""
+    """Owns the scripted peers of one node. Its executors share one script, an act for each job."""
 
     def __init__(self, script: list[str], nursery: trio.Nursery) -> None:
-        self.executor_script, self.nursery = script, nursery
+        self.executor_script = script
+        self.nursery = nursery
         self.node: Node
-        self.address: tuple[str, int]
+        self.address: tuple[str, int]  # where clients come to
+        self.has_node_ended = False  # by itself
+        # Clients, whose connections a scenario holds open without looking at them.
+        self.open_clients: list[Wire] = []
+        # Executors: by name their addresses, and what they have received.
+        self.addresses: dict[str, str] = {}
         self.jobs: list[tuple[str, Message]] = []
         self.cancelled_attempts: list[tuple[str, str]] = []
-        self.has_node_ended = False  # whether the node has ended by itself
-        self.unanswered_connection_count = 0  # connections that the node closed without an answer
+        self.executor_connections: list[Wire] = []
         self.executor_connection_count = 0
-        self.executor_connections: list[Wire] = []  # connections of executors
-        self.addresses: dict[str, str] = {}
-        self.open_watches: list[Wire] = []
-        self.is_discovery_silent = False  # whether watches get no answer even when their wait is over
-        self.closed_discovery_connections: list[
-            Wire
-        ] = []  # calls to discovery whose connection the node has ended
+        self.unanswered_connection_count = 0  # connections that the node closed without a response
+        self.connection_for_second_response: Wire | None = None
+        # Discovery: the paths of its calls, and on which connection each came.
         self.discovery_paths: list[str] = []
-        self.discovery_connections: list[Wire] = []  # whose call each was
-        self.connection_for_second_response: Wire | None = (
-            None  # an executor's connection on which a second answer is to come
-        )
-        self.open_clients: list[
-            Wire
-        ] = []  # clients' connections that a story holds open without looking at them
+        self.discovery_connections: list[Wire] = []
+        self.closed_discovery_connections: list[Wire] = []  # closed by the node
+        self.open_watches: list[Wire] = []
+        self.is_discovery_silent = False  # whether watches get no response even when their wait is over
         self._changed = trio.Event()
 
     def notify(self) -> None:
+        """Let those that wait look again: a peer has seen something."""
         self._changed.set()
         self._changed = trio.Event()
 
     async def wait_until(self, condition: Callable[[], object]) -> None:
-        """Wait for something to have happened."""
+        """Wait until the condition holds, 10 s at most."""
         with trio.fail_after(10.0):
             while not condition():
                 with trio.move_on_after(0.05):
                     await self._changed.wait()
 
     async def listen(self, serve: Callable[[Wire], Any]) -> str:
+        """Serve connections at an address of its own, which is returned."""
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
 
         async def handle(stream: trio.SocketStream) -> None:
@@ -81,51 +73,7 @@
         return f"{host}:{port}"
 
     async def start_executor(self, name: str) -> None:
-        async def serve(wire: Wire) -> None:
-            self.executor_connection_count += 1
-            self.executor_connections.append(wire)
-            while (message := await wire.read()) is not None:
-                if message.start.startswith("DELETE"):
-                    self.cancelled_attempts.append((name, message.start.split()[1]))
-                    await wire.write("HTTP/1.1 204 Gone")
-                elif message.start.startswith("GET"):
-                    await wire.write("HTTP/1.1 200 OK")
-                else:
-                    act = self.executor_script.pop(0) if self.executor_script else "take"
-                    self.jobs.append((name, message))
-                    self.notify()
-                    if (
-                        self.connection_for_second_response is not None
-                    ):  # now that the next job has been written
-                        with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                            await self.connection_for_second_response.write(
-                                "HTTP/1.1 503 No", Not_Started="1"
-                            )
-                        self.connection_for_second_response = None
-                    if act.startswith("bytes:"):  # whatever they are; then silence, or the end
-                        data, _, then = act.removeprefix("bytes:").partition("|")
-                        await wire.stream.send_all(data.encode("latin-1"))
-                        if then == "end":
-                            await wire.stream.aclose()
-                            return
-                        continue
-                    if act == "stray":
-                        self.connection_for_second_response = wire
-                        act = "take"
-                    if act == "reset":
-                        await wire.stream.aclose()
-                        return
-                    if act == "early":  # the result comes before the 202
-                        await self.send_callback("done", "early")
-                        await wire.write("HTTP/1.1 202 Accepted")
-                    elif act != "hang":
-                        start, headers = REPLIES[act]
-                        await wire.write(start, **headers)
-                self.notify()
-            self.unanswered_connection_count += 1
-            self.notify()
-
-        self.addresses[name] = await self.listen(serve)
+        self.addresses[name] = await self.listen(ScriptedExecutor(self, name).serve)
 
     async def start_discovery(self) -> str:
         async def serve(wire: Wire) -> None:
@@ -144,7 +92,7 @@
         return await self.listen(serve)
 
     async def _answer_expired_watch(self, wire: Wire, number: int, path: str) -> None:
-        """Answer a watch when its wait is over, unless a story has answered it."""
+        """Answer a watch when its wait is over, unless the scenario has answered it."""
         _, _, wait = path.partition("&wait_ms=")
         if not wait:
             return
@@ -169,7 +117,7 @@
         return {"seq": seq, "whole": whole, "hosts": hosts}
 
     async def publish(self, seq: int, whole: bool = True, **states: str) -> None:
-        """Answer the watch that is open."""
+        """Answer the open watch with this list."""
         await self.wait_until(lambda: self.open_watches)
         body = json.dumps(self.endpoint_list(seq, whole, **states)).encode()
         await self.open_watches.pop().write("HTTP/1.1 200 OK", body)
@@ -196,10 +144,16 @@
         }
         await wire.write(f"POST /{name}/0f HTTP/1.1", b"work", **head)
 
+    def find_attempts(self, request_id: str) -> list[int]:
+        """Find which of the received jobs, by their order, are attempts of this one."""
+        return [
+            number for number, (_, job) in enumerate(self.jobs) if job.headers["request-id"] == request_id
+        ]
+
     async def send_callback(
         self, state: str, result: str = "", job: int = -1, pause: float = 0.0, **more: Any
     ) -> int:
-        """A call-back for one of the jobs taken so far; the status that the node answers."""
+        """Send a call-back for one of the jobs received so far; the status of the response."""
         name, message = self.jobs[job]
         event = {"id": message.headers["request-id"], "from": name, "state": state, "result": result, **more}
         return await self.send_callback_body(json.dumps(event).encode(), pause)
@@ -208,15 +162,15 @@
         wire = await self.connect_client()
         await trio.sleep(pause)
         await wire.write("POST /v1/job-events HTTP/1.1", body, Host="node", Connection="close")
-        answer = await wire.read()
-        assert answer is not None
-        return answer.status
+        response = await wire.read()
+        assert response is not None
+        return response.status
 
     async def read_response(self, wire: Wire) -> Message:
         with trio.fail_after(10.0):
-            answer = await wire.read()
-        assert answer is not None
-        return answer
+            response = await wire.read()
+        assert response is not None
+        return response
 
 
 @asynccontextmanager
@@ -227,7 +181,7 @@
     given_settings: dict[str, Any] = SETTINGS_OBJECT,
     **more: Any,
 ) -> AsyncIterator[NodeHarness]:
-    """A node that knows two live executors, e0 and e1, playing `script`."""
+    """A node that knows two live executors, e0 and e1, which answer as `script` says."""
 
     class Sink:
         def write(self, line: bytes) -> None:
@@ -243,13 +197,13 @@
         discovery = await harness.start_discovery()
         known = msgspec.convert(harness.endpoint_list(1, e0="active", e1="active"), DiscoveredList)
         more = {"admin": ("127.0.0.1", 0), **more}
-        decisions = parse_settings(given_settings)
-        given = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, decisions, **more)
+        settings = parse_settings(given_settings)
+        config = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, settings, **more)
 
         async def run(task_status: trio.TaskStatus[None]) -> None:
-            # A nursery of its own: a node that stops cancels its nursery, and must not end the story.
+            # A nursery of its own: a node that ends cancels its nursery, and must not end the scenario.
             async with trio.open_nursery() as inner:
-                harness.node = Node(given, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
+                harness.node = Node(config, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
                 harness.address = harness.node.server.address
                 harness.node.start()
                 task_status.started()
@@ -261,12 +215,12 @@
         nursery.cancel_scope.cancel()
 
 
-def run_scenario(story: Callable[[NodeHarness], Awaitable[Any]], *script: str, **given: Any) -> Any:
-    """Play a story against a node; what it returns."""
+def run_scenario(scenario: Callable[[NodeHarness], Awaitable[Any]], *script: str, **given: Any) -> Any:
+    """Run a scenario against a node, 20 s at most; what it returns."""
 
     async def run() -> Any:
         with trio.fail_after(20.0):
             async with open_node_harness(*script, **given) as harness:
-                return await story(harness)
+                return await scenario(harness)
 
     return trio.run(run)
--- /dev/null
+++ b/tests/support/polling.py
@@ -0,0 +1,21 @@
+"""Waiting for what a real process does, which tells the test nothing by itself."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+import trio
+
+POLL_SECONDS = 0.02
+TIMEOUT_SECONDS = 30.0
+
+
+async def poll_until(
+    condition: Callable[[], Awaitable[bool]], interval_seconds: float = POLL_SECONDS
+) -> None:
+    """Ask again and again until the condition holds; `trio.TooSlowError` where it takes over 30 s."""
+    with trio.fail_after(TIMEOUT_SECONDS):
+        while True:
+            if await condition():
+                return
+            await trio.sleep(interval_seconds)
--- /dev/null
+++ b/tests/support/scripted_executor.py
@@ -0,0 +1,91 @@
+"""An executor on a loopback socket that answers each job as a script says."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+from typing import TYPE_CHECKING, Any
+
+import trio
+
+from burlmoor.testbed.http_wire import Message, Wire
+
+if TYPE_CHECKING:
+    from tests.support.node_harness import NodeHarness
+
+RESPONSES: dict[str, tuple[str, dict[str, Any]]] = {
+    "take": ("HTTP/1.1 202 Accepted", {}),
+    "full": ("HTTP/1.1 503 No", {"Not_Started": "1"}),
+    "late": ("HTTP/1.1 504 No", {"Not_Started": "1"}),
+    "503": ("HTTP/1.1 503 No", {}),
+    "504": ("HTTP/1.1 504 No", {}),
+    "500": ("HTTP/1.1 500 No", {}),
+}
+
+
+class ScriptedExecutor:
+    """Serves the connections of one executor; all executors of a harness share its script.
+
+    The script has an act for each job: a key of `RESPONSES`, `hang` (no response), `reset` (close), `early`
+    (the result comes before the 202), `stray` (a second response once the next job has come) or `bytes:DATA`,
+    with `|end` to close after them.
+    """
+
+    def __init__(self, harness: NodeHarness, name: str) -> None:
+        self._harness = harness
+        self._name = name
+
+    async def serve(self, wire: Wire) -> None:
+        """Answer what comes on one connection until either side ends it."""
+        harness = self._harness
+        harness.executor_connection_count += 1
+        harness.executor_connections.append(wire)
+        while (message := await wire.read()) is not None:
+            if message.start.startswith("DELETE"):
+                harness.cancelled_attempts.append((self._name, message.start.split()[1]))
+                await wire.write("HTTP/1.1 204 Gone")
+            elif message.start.startswith("GET"):
+                await wire.write("HTTP/1.1 200 OK")
+            elif not await self._on_job(wire, message):
+                return
+            harness.notify()
+        harness.unanswered_connection_count += 1
+        harness.notify()
+
+    async def _on_job(self, wire: Wire, message: Message) -> bool:
+        """Answer a job as the script says; False where that ended the connection."""
+        harness = self._harness
+        act = harness.executor_script.pop(0) if harness.executor_script else "take"
+        harness.jobs.append((self._name, message))
+        harness.notify()
+        await self._send_second_response()
+        if act.startswith("bytes:"):
+            return await self._send_bytes(wire, act.removeprefix("bytes:"))
+        if act == "reset":
+            await wire.stream.aclose()
+            return False
+        if act == "stray":
+            harness.connection_for_second_response = wire
+            act = "take"
+        if act == "early":
+            await harness.send_callback("done", "early")
+            act = "take"
+        if act != "hang":
+            start, headers = RESPONSES[act]
+            await wire.write(start, **headers)
+        return True
+
+    async def _send_second_response(self) -> None:
+        """Answer the job before a second time, now that the next one has been written."""
+        wire = self._harness.connection_for_second_response
+        if wire is not None:
+            with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
+                await wire.write("HTTP/1.1 503 No", Not_Started="1")
+            self._harness.connection_for_second_response = None
+
+    async def _send_bytes(self, wire: Wire, act: str) -> bool:
+        data, _, then = act.partition("|")
+        await wire.stream.send_all(data.encode("latin-1"))
+        if then == "end":
+            await wire.stream.aclose()
+            return False
+        return True
--- /dev/null
+++ b/tests/support/service_process.py
@@ -0,0 +1,69 @@
+"""Real processes of a node, started as in service."""
+
+from __future__ import annotations
+
+import signal
+import socket
+from pathlib import Path
+
+import msgspec
+import trio
+
+from burlmoor.testbed.http_wire import Message, Wire
+from tests.support.polling import TIMEOUT_SECONDS, poll_until
+
+ROOT = Path(__file__).parents[2]
+
+
+def find_free_address() -> str:
+    """An address of this host at which nothing listens, as `host:port`."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{sock.getsockname()[1]}"
+
+
+class ServiceProcess:
+    """One real process of a node, and its admin address."""
+
+    def __init__(self, process: trio.Process, admin_address: str) -> None:
+        self.process = process
+        self.admin_address = admin_address
+
+    async def call(self, path: str, name: str = "") -> Message:
+        """Make one admin call, once the process listens."""
+        method = "GET" if path == "/ready" else "POST"
+        body = msgspec.json.encode({"name": name}) if name else b""
+        wire = Wire(await self._connect())
+        with trio.fail_after(TIMEOUT_SECONDS):
+            await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
+            response = await wire.read()
+        assert response is not None
+        return response
+
+    async def _connect(self) -> trio.SocketStream:
+        host, _, port = self.admin_address.partition(":")
+        streams: list[trio.SocketStream] = []
+
+        async def connect() -> bool:
+            try:
+                streams.append(await trio.open_tcp_stream(host, int(port)))
+            except OSError:
+                return False
+            return True
+
+        await poll_until(connect)
+        return streams[0]
+
+    async def wait_ready(self) -> None:
+        """Wait until its admin server says that it serves."""
+
+        async def is_ready() -> bool:
+            return (await self.call("/ready")).status == 200
+
+        await poll_until(is_ready)
+
+    async def stop(self) -> None:
+        """End it as the platform does; it has to exit with status 0."""
+        self.process.send_signal(signal.SIGTERM)
+        with trio.fail_after(TIMEOUT_SECONDS):
+            assert await self.process.wait() == 0
