--- /dev/null
+++ b/tests/integration/test_attempts.py
@@ -0,0 +1,191 @@
+"""Attempts over sockets: what an executor answers, and how attempts are retried, cancelled and timed out."""
+
+from __future__ import annotations
+
+from functools import partial
+
+import pytest
+import trio
+
+from burlmoor.testbed.http_wire import Message
+from burlmoor.types.outcome import Outcome
+from burlmoor.upstream.errors import BrokenResponseError, ConnectError
+from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
+from tests.support.node_harness import NodeHarness, run_scenario
+
+
+def is_last_job(harness: NodeHarness, ref: str) -> bool:
+    """Whether the last job that executors have got is this one."""
+    return bool(harness.jobs) and harness.jobs[-1][1].headers["request-id"] == ref
+
+
+@pytest.mark.parametrize(
+    ("name", "act", "status", "attempts"),
+    [
+        ("once", "take", 200, 1),
+        ("once", "early", 200, 1),
+        ("once", "full", 200, 2),
+        ("once", "late", 200, 2),
+        ("once", "503", 502, 1),
+        ("once", "504", 502, 1),
+        ("once", "500", 502, 1),
+        ("once", "reset", 502, 1),
+        ("lookup", "reset", 200, 2),
+        ("lookup", "503", 200, 2),
+    ],
+)
+def test_the_response_of_an_executor_decides_whether_its_job_is_retried(
+    name: str, act: str, status: int, attempts: int
+) -> None:
+    async def scenario(harness: NodeHarness) -> Message:
+        client = await harness.submit_job(name)
+        await harness.wait_until(lambda: len(harness.jobs) == attempts)
+        if status == 200 and act != "early":
+            assert await harness.send_callback("done", "result") in (200, 204)
+        answer = await harness.read_response(client)
+        assert len(harness.jobs) == attempts
+        return answer
+
+    answer = run_scenario(scenario, act)
+    assert answer.status == status
+    if status == 200:
+        assert answer.body == (b"early" if act == "early" else b"result")
+
+
+@pytest.mark.parametrize(
+    ("state", "status", "attempts"), [("failed", 502, 1), ("lost", 502, 1), ("returned", 200, 2)]
+)
+def test_call_backs_end_attempts_as_responses_do(state: str, status: int, attempts: int) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.submit_job("once")
+        await harness.wait_until(lambda: len(harness.jobs) == 1)
+        for _ in range(2):  # each may come twice
+            assert await harness.send_callback("started", job=0) == 204
+            assert await harness.send_callback(state, job=0) == 204
+        if attempts == 2:
+            await harness.wait_until(lambda: len(harness.jobs) == 2)
+            await harness.send_callback("done", "second")
+        assert (await harness.read_response(client)).status == status
+        assert len(harness.jobs) == attempts
+
+    run_scenario(scenario)
+
+
+def test_a_request_is_passed_on_unchanged_and_connections_are_reused() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.connect_client()
+        for ref in ("a1", "a2", "a3", "a4", "a5"):
+            await harness.send_job(client, ref=ref)
+            await harness.wait_until(partial(is_last_job, harness, ref))
+            await harness.send_callback("done", ref)
+            assert (await harness.read_response(client)).body == ref.encode()
+            await trio.sleep(2.0 * REUSE_DELAY_SECONDS)  # a connection is not used again before
+        _, job = harness.jobs[0]
+        assert (job.start, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
+        assert 0 < int(job.headers["request-timeout-ms"]) <= 3000
+        assert harness.executor_connection_count <= 2
+
+    run_scenario(scenario)
+
+
+def test_an_idempotency_key_is_sent_with_each_attempt_of_its_job() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.submit_job("keyed")
+        await harness.wait_until(lambda: len(harness.jobs) == 2)
+        await harness.send_callback("done", "second")
+        assert (await harness.read_response(client)).body == b"second"
+        assert [job.headers["idempotency-key"] for _, job in harness.jobs] == ["key-a1", "key-a1"]
+        client = await harness.submit_job("lookup", "a2")
+        await harness.wait_until(lambda: len(harness.jobs) == 3)
+        assert "idempotency-key" not in harness.jobs[-1][1].headers
+        await harness.send_callback("done")
+        assert (await harness.read_response(client)).status == 200
+
+    run_scenario(scenario, "reset")
+
+
+def test_a_job_whose_connection_was_refused_is_retried() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        addresses = dict(harness.addresses)
+        harness.addresses["e0"] = "127.0.0.1:9"  # where nothing listens
+        await harness.publish(2, e0="active", e1="left")
+        await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
+        client = await harness.submit_job("once")
+        await trio.sleep(0.05)
+        harness.addresses.update(addresses)
+        await harness.publish(3, e0="left", e1="active")
+        await harness.wait_until(lambda: harness.jobs)
+        await harness.send_callback("done")
+        assert (await harness.read_response(client)).status == 200
+
+    run_scenario(scenario)
+
+
+def test_a_job_on_a_silent_connection_is_retried_elsewhere_in_time() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.submit_job(ms=2000)
+        await harness.wait_until(lambda: len(harness.jobs) == 2)
+        # The silent connection is closed, which cancels the attempt that it carried.
+        await harness.wait_until(lambda: harness.unanswered_connection_count)
+        await harness.send_callback("done", "fine")
+        answer = await harness.read_response(client)
+        assert (answer.status, answer.body) == (200, b"fine")
+
+    run_scenario(scenario, "hang")
+
+
+def test_an_attempt_at_a_silent_executor_times_out_by_the_deadline() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.submit_job("once", ms=600)
+        started_at = trio.current_time()
+        assert (await harness.read_response(client)).status == 502
+        assert trio.current_time() - started_at < 5.0
+        await harness.wait_until(lambda: harness.unanswered_connection_count)
+
+    run_scenario(scenario, "hang")
+
+
+@pytest.mark.parametrize("act", ["take", "hang"])
+def test_the_attempt_of_a_client_that_leaves_is_cancelled(act: str) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.submit_job()
+        await harness.wait_until(lambda: harness.jobs)
+        if act == "take":
+            await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+        await client.stream.aclose()
+        await harness.wait_until(
+            lambda: harness.cancelled_attempts if act == "take" else harness.unanswered_connection_count
+        )
+        if act == "take":
+            assert harness.cancelled_attempts == [(harness.jobs[0][0], "/jobs/a1")]
+
+    run_scenario(scenario, act)
+
+
+@pytest.mark.parametrize(
+    ("fault", "is_cancelled"), [("none", True), ("refused", True), ("timed out", False), ("broken", False)]
+)
+def test_an_attempt_is_cancelled_once_its_endpoint_has_confirmed_or_is_gone(
+    fault: str, is_cancelled: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Until then, a retry elsewhere would be a hedged request, also where the settings bar those.
+    async def scenario(harness: NodeHarness) -> None:
+        harness.open_clients.append(await harness.submit_job())
+        await harness.wait_until(lambda: harness.jobs)
+        runner = harness.node.attempts
+        attempt = next(iter(harness.node.engine.jobs)).attempts[0]
+        await harness.wait_until(lambda: not runner.in_flight)
+
+        async def call(*_: object) -> None:
+            if fault == "broken":
+                raise BrokenResponseError("reset")
+            raise ConnectError("127.0.0.1:1", fault, fault == "refused")
+
+        if fault != "none":
+            monkeypatch.setattr(harness.node.pool, "call", call)
+        runner.cancel_attempt(attempt)
+        await harness.wait_until(lambda: not runner.pending_cancels)
+        assert attempt.is_over is is_cancelled
+        assert attempt.outcome is (Outcome.CANCELLED if is_cancelled else None)
+
+    run_scenario(scenario)
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -1,14 +1,16 @@
-"""Deployments over sockets: each two values of any two settings meet in at least one story.
+"""Deployments over sockets: each pair of values of any two settings is tested in at least one scenario.
 
-One node and two scripted executors. An executor's first act is the story's, all later ones take the job and
-finish it. Judged from outside: how often each job went out, and what its client was told.
+One node and two scripted executors. The first response is the scenario's; to all later attempts executors
+answer with 202, and with a call-back that the job is done. Checked from outside: how often each job was sent,
+and which answer its client got.
 """
 
 from __future__ import annotations
 
 import random
 from collections import Counter
-from itertools import combinations
+from functools import partial
+from itertools import combinations, product
 from typing import Any
 
 import pytest
@@ -26,37 +28,48 @@
     "copies": [True, False],
     "tells": [True, False],
     "mode": ["ask", "push"],
-    "told": [True, False],  # whether executors tell of starts, whatever the settings say
+    "told": [True, False],  # whether executors send call-backs of starts, whatever the settings say
 }
-_CANDIDATES = 40
+_CANDIDATES = 40  # for each row
 
 
 def pairwise(table: dict[str, list[Any]], seed: int = 1) -> list[dict[str, Any]]:
-    """Rows in which each two values of any two columns meet: the greedy way, a few dozen tries a row."""
-    rng, rows = random.Random(seed), list[dict[str, Any]]()
-    missing = {(a, x, b, y) for a, b in combinations(sorted(table), 2) for x in table[a] for y in table[b]}
+    """Choose rows that hold each pair of values of any two columns, each the best of some random ones."""
+    rng = random.Random(seed)
+    rows: list[dict[str, Any]] = []
+    columns = list(combinations(sorted(table), 2))
+    missing = {
+        (first, first_value, second, second_value)
+        for first, second in columns
+        for first_value in table[first]
+        for second_value in table[second]
+    }
 
-    def new(row: dict[str, Any]) -> set[tuple[str, Any, str, Any]]:
-        return missing & {(a, row[a], b, row[b]) for a, b in combinations(sorted(table), 2)}
+    def new_pairs(row: dict[str, Any]) -> set[tuple[str, Any, str, Any]]:
+        return missing & {(first, row[first], second, row[second]) for first, second in columns}
 
     while missing:
-        a, x, b, y = min(missing, key=repr)
-        tries = [
-            {**{name: rng.choice(values) for name, values in table.items()}, a: x, b: y}
+        first, first_value, second, second_value = min(missing, key=repr)
+        candidates = [
+            {
+                **{name: rng.choice(values) for name, values in table.items()},
+                first: first_value,
+                second: second_value,
+            }
             for _ in range(_CANDIDATES)
         ]
-        rows.append(max(tries, key=lambda row: len(new(row))))
-        missing -= new(rows[-1])
+        rows.append(max(candidates, key=lambda row: len(new_pairs(row))))
+        missing -= new_pairs(rows[-1])
     return rows
 
 
 ROWS = pairwise(SETTINGS)
 
 
-def settings(row: dict[str, Any]) -> dict[str, Any]:
+def settings_object(row: dict[str, Any]) -> dict[str, Any]:
     classes = [
-        {**each, "HardLimit": 1500.0, "DedupScope": row["scope"]}
-        for each in SETTINGS_OBJECT["RequestClasses"]
+        {**job_class, "HardLimit": 1500.0, "DedupScope": row["scope"]}
+        for job_class in SETTINGS_OBJECT["RequestClasses"]
     ]
     limits = {"SendCap": row["cap"], "Cancel": row["cancel"], "SecondCopies": row["copies"]}
     return {
@@ -68,48 +81,46 @@
     }
 
 
+async def finish_jobs(harness: NodeHarness, row: dict[str, Any], finished: list[int]) -> None:
+    """Send the call-backs of all attempts, but of the first one unless the executor has accepted it."""
+    while True:
+        await harness.wait_until(lambda: len(harness.jobs) > len(finished))
+        number = len(finished)
+        finished.append(number)
+        if number == 0 and row["act"] != "take":
+            continue
+        if row["told"]:
+            await harness.send_callback("started", job=number)
+        await harness.send_callback("done", f"by {number}", job=number)
+
+
+async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> tuple[Message, int]:
+    """Submit one job; its client's answer, and how many attempts were sent."""
+    client = await harness.submit_job(row["kind"], "a1", ms=1500)
+    finished: list[int] = []
+    harness.nursery.start_soon(finish_jobs, harness, row, finished)
+    answer = await harness.read_response(client)
+    await harness.wait_until(lambda: len(harness.jobs) <= len(finished))
+    return answer, Counter(message.headers["request-id"] for _, message in harness.jobs)["a1"]
+
+
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: "-".join(str(value) for value in row.values()))
-def test_each_job_has_one_answer_and_goes_out_as_its_class_allows(row: dict[str, Any]) -> None:
-    async def story(made: NodeHarness) -> Message:
-        wire = await made.submit_job(row["kind"], "a1", ms=1500)
-        finished: list[int] = []
-
-        async def executors() -> None:
-            while True:
-                await made.wait_until(lambda: len(made.jobs) > len(finished))
-                number = len(finished)
-                finished.append(number)
-                if number == 0 and row["act"] != "take":
-                    continue
-                if row["told"]:
-                    await made.send_callback("started", job=number)
-                await made.send_callback("done", f"by {number}", job=number)
-
-        made.nursery.start_soon(executors)
-        answer = await made.read_response(wire)
-        await made.wait_until(lambda: len(made.jobs) <= len(finished))
-        return answer
-
-    jobs: list[tuple[str, Message]] = []
-
-    async def told(made: NodeHarness) -> Message:
-        answer = await story(made)
-        jobs.extend(made.jobs)
-        return answer
-
-    answer = run_scenario(told, row["act"], given_settings=settings(row))
-    sent = Counter(message.headers["request-id"] for _, message in jobs)["a1"]
-    proved = row["act"] in ("full", "late")  # not started: may go out again whatever its class
-    served = {200} if row["act"] == "take" or (proved and row["cap"] > 1) else {200, 429, 502, 503, 504}
-    assert 1 <= sent <= row["cap"]
-    assert answer.status in served
+def test_each_job_gets_one_answer_and_only_the_attempts_that_its_class_allows(row: dict[str, Any]) -> None:
+    answer, attempts = run_scenario(
+        partial(submit_and_finish, row), row["act"], given_settings=settings_object(row)
+    )
+    is_unstarted = row["act"] in ("full", "late")  # proved: a retry is allowed whatever the job's class
+    must_be_served = row["act"] == "take" or (is_unstarted and row["cap"] > 1)
+    assert 1 <= attempts <= row["cap"]
+    assert answer.status in ({200} if must_be_served else {200, 429, 502, 503, 504})
     if row["kind"] == "once" and row["act"] not in ("take", "full", "late"):
-        assert sent == 1
+        assert attempts == 1
         assert answer.status in (502, 504)
     if answer.status == 200:
         assert answer.body == f"by {1 if row['act'] != 'take' else 0}".encode()
 
 
-def test_every_two_values_meet() -> None:
-    for a, b in combinations(SETTINGS, 2):
-        assert {(row[a], row[b]) for row in ROWS} == {(x, y) for x in SETTINGS[a] for y in SETTINGS[b]}
+def test_each_pair_of_values_is_in_a_row() -> None:
+    for first, second in combinations(SETTINGS, 2):
+        pairs = {(row[first], row[second]) for row in ROWS}
+        assert pairs == set(product(SETTINGS[first], SETTINGS[second]))
--- /dev/null
+++ b/tests/integration/test_downstream_connections.py
@@ -0,0 +1,86 @@
+"""Clients' connections over sockets: invalid input and errors end only their own connection."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+
+import pytest
+import trio
+
+from tests.support.node_harness import NodeHarness, run_scenario
+
+LONG_REQUEST = b"POST /lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n"
+
+
+def test_invalid_bytes_end_only_their_own_connection() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        valid = await harness.submit_job()
+        for data in (b"\x00\r\n\r\n", LONG_REQUEST + b"x" * 4_000_000):
+            client = await harness.connect_client()
+            await client.stream.send_all(data)
+            assert (await harness.read_response(client)).status in (400, 413)
+            assert await client.read() is None
+        assert await harness.send_callback_body(b"{") == 400
+        await harness.wait_until(lambda: harness.jobs)
+        await harness.send_callback("done", "fine")
+        assert (await harness.read_response(valid)).body == b"fine"
+
+    run_scenario(scenario)
+
+
+LONG_REQUEST_HEAD = LONG_REQUEST.replace(b"70000", b"60000000")
+
+
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (b"", 0),
+        (b"POST /lookup/0f HTT", 0),
+        (LONG_REQUEST.replace(b"70000", b"9") + b"half", 0),
+        (LONG_REQUEST_HEAD, 413),
+    ],
+)
+def test_invalid_or_incomplete_requests_get_an_error_or_a_close_in_time(sent: bytes, status: int) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.connect_client()
+        started_at = trio.current_time()
+        await client.stream.send_all(sent)
+        if status:
+            # The client reads only once all is written: the response may not be lost in a reset.
+            for _ in range(60):
+                await client.stream.send_all(b"x" * 1_000_000)
+            assert (await harness.read_response(client)).status == status
+        assert await client.read() is None
+        assert trio.current_time() - started_at < (6.0 if status else 3.0)
+
+    run_scenario(scenario)
+
+
+def test_a_health_check_or_an_unknown_path_ends_its_connection() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        for path, status in (("/health/ready", 200), ("/unknown", 404)):
+            client = await harness.connect_client()
+            await client.write(f"GET {path} HTTP/1.1", Host="node")
+            assert (await harness.read_response(client)).status == status
+            assert await client.read() is None
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize(
+    "function", ["callbacks.handle_callback", "server.DownstreamConnection.serve_without_task"]
+)
+def test_an_error_on_one_connection_ends_only_that(function: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        client = await harness.submit_job("once")
+        await harness.wait_until(lambda: harness.jobs)
+        with monkeypatch.context() as patch:
+            patch.setattr(f"burlmoor.downstream.{function}", lambda *_: 1 / 0)
+            broken = await harness.connect_client()
+            with suppress(trio.BrokenResourceError):
+                await broken.write("POST /v1/job-events HTTP/1.1", b"{}", Host="node")
+            assert await broken.read() is None
+        await harness.send_callback("done", "fine")
+        assert (await harness.read_response(client)).body == b"fine"
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/integration/test_endpoint_changes.py
@@ -0,0 +1,131 @@
+"""Changes of the endpoint list, of discovery's address and of the configuration, over sockets."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+import trio
+
+from burlmoor.upstream.connection import PooledConnection
+from tests.support.configuration import write_config
+from tests.support.node_harness import NodeHarness, run_scenario
+
+
+def test_no_job_is_sent_to_a_draining_endpoint() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        await harness.publish(2, False, e0="leaving")
+        await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
+        assert harness.discovery_paths[:2] == [
+            f"/registry/instances?after={seq}&wait_ms=1000" for seq in (1, 2)
+        ]
+        clients = [await harness.submit_job("once", f"a{ref}") for ref in range(3)]
+        await harness.wait_until(lambda: len(harness.jobs) == len(clients))
+        assert {name for name, _ in harness.jobs} == {"e1"}
+
+    run_scenario(scenario)
+
+
+def test_a_rejection_comes_at_once_with_retry_after() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        await harness.publish(2, False, e0="leaving", e1="leaving")
+        await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
+        rejection = await harness.read_response(await harness.submit_job(ms=300))
+        assert rejection.status == 503
+        assert 0.0 < float(rejection.headers["retry-after"]) <= 1.0  # the most that the settings allow
+        assert not harness.jobs
+
+    run_scenario(scenario)
+
+
+def test_a_drain_during_the_connect_fails_the_send_precondition(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        acquire = harness.node.pool.acquire
+        drained: list[str] = []  # addresses
+
+        async def drain_while_connecting(address: str) -> PooledConnection:
+            connection = await acquire(address)
+            if address in harness.addresses.values() and not drained:
+                drained.append(address)
+                name = next(name for name, listed in harness.addresses.items() if listed == address)
+                calls = len(harness.discovery_paths)
+                await harness.publish(2, False, **{name: "leaving"})
+                await harness.wait_until(lambda: len(harness.discovery_paths) > calls)
+            return connection
+
+        monkeypatch.setattr(harness.node.pool, "acquire", drain_while_connecting)
+        client = await harness.submit_job("once")
+        await harness.wait_until(lambda: harness.jobs)
+        assert harness.addresses[harness.jobs[0][0]] != drained[0]
+        await harness.send_callback("done")
+        assert (await harness.read_response(client)).status == 200
+
+    run_scenario(scenario)
+
+
+def test_discovery_is_called_again_after_each_failure() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        await harness.wait_until(lambda: harness.open_watches)
+        await harness.open_watches.pop().stream.aclose()
+        await harness.wait_until(lambda: harness.open_watches)
+        await harness.open_watches.pop().write("HTTP/1.1 503 Busy")
+        await harness.wait_until(lambda: harness.open_watches)
+        await harness.open_watches.pop().write("HTTP/1.1 200 OK", b"[]")
+        await harness.publish(9, e1="active")
+        await harness.wait_until(lambda: harness.node.directory.version == 9)
+        assert harness.node.directory.find_live("e0") is None
+
+    lines: list[str] = []
+    run_scenario(scenario, lines=lines)
+    assert sum("discovery-failed" in line for line in lines) == 3
+
+
+@pytest.mark.parametrize("phase", ["for an answer", "after failures"])
+def test_discovery_at_a_new_address_is_asked_for_the_full_list_at_once(phase: str, tmp_path: Path) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        await harness.publish(5, False, e0="leaving")
+        client = await harness.submit_job()
+        await harness.wait_until(lambda: harness.jobs and harness.open_watches)
+        if phase == "after failures":
+            harness.node.discovery._schedule.failures = 9
+            await harness.open_watches.pop().write("HTTP/1.1 503 Busy")
+            await harness.wait_until(lambda: harness.node.discovery._schedule.failures == 10)
+        old_watches = harness.open_watches
+        harness.discovery_paths = []
+        harness.open_watches = []
+        new_address = await harness.start_discovery()
+        cached = harness.endpoint_list(1, e0="active")  # older than the list that the node has
+        moved = write_config(tmp_path, discovery=new_address, known=cached)
+        for _ in range(2):  # twice changes nothing
+            harness.node.reload({**moved, "RELAY_DISCOVERY": "127.0.0.1:9"})
+        started_at = trio.current_time()
+        await harness.wait_until(lambda: harness.discovery_paths)
+        assert harness.discovery_paths == ["/registry/instances"]
+        assert trio.current_time() - started_at < 0.9  # a backoff after ten failures is a second at least
+        await harness.wait_until(lambda: set(old_watches) <= set(harness.closed_discovery_connections))
+        # Its versions may be lower, but what drains does not come back without a new start.
+        await harness.publish(3, e0="active", e1="active")
+        await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
+        assert harness.discovery_paths[1] == "/registry/instances?after=3&wait_ms=1000"
+        assert harness.node.directory.find_live("e0") is None
+        assert harness.node.directory.find_live("e1") is not None
+        await harness.send_callback("done", "kept")
+        assert (await harness.read_response(client)).body == b"kept"
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("text", ["", "{", '{"settings": {}, "discovery": 7}', "[" * 100_000])
+def test_an_invalid_configuration_leaves_the_old_one(text: str, tmp_path: Path) -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        await harness.wait_until(lambda: harness.discovery_paths)
+        invalid = tmp_path / "bad.json"
+        invalid.write_text(text)
+        harness.node.reload({"RELAY_CONFIG": str(invalid)})
+        await harness.publish(9, e1="active")  # the old watch goes on
+        await harness.wait_until(lambda: harness.node.directory.version == 9)
+
+    lines: list[str] = []
+    run_scenario(scenario, lines=lines)
+    assert [json.loads(line)["event"] for line in lines] == ["started", "reload-failed", "endpoints-draining"]
