--- a/tests/transport/test_ring_buffer.py
+++ b/tests/transport/test_ring_buffer.py
@@ -1,4 +1,4 @@
-"""The ring keeps the order of bytes and its bound, wherever it wraps."""
+"""The ring buffer keeps the order of bytes and its limit, wherever it wraps."""
 
 import random
 
@@ -8,24 +8,25 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_bytes_come_out_as_they_went_in(seed: int) -> None:
-    rng, ring = random.Random(seed), RingBuffer(10_000)
-    put, got = bytearray(), bytearray()
+def test_bytes_are_read_in_the_order_in_which_they_were_written(seed: int) -> None:
+    rng = random.Random(seed)
+    ring = RingBuffer(10_000)
+    written, read = bytearray(), bytearray()
     for _ in range(2000):
         data = rng.randbytes(min(ring.free_space, rng.choice([0, 1, 700, 5000])))
         ring.write(data)
-        put += data
+        written += data
         count = rng.randint(0, len(ring.peek()))
-        got += ring.peek()[:count]
+        read += ring.peek()[:count]
         ring.consume(count)
         if rng.random() < 0.05:
-            got += ring.read_all()
-        assert len(ring) == len(put) - len(got)
-    got += ring.read_all()
-    assert got == put
+            read += ring.read_all()
+        assert len(ring) == len(written) - len(read)
+    read += ring.read_all()
+    assert read == written
 
 
-def test_the_bound_holds() -> None:
+def test_more_than_the_limit_is_neither_written_nor_consumed() -> None:
     ring = RingBuffer(10)
     ring.write(b"12345678")
     with pytest.raises(BufferError):
--- a/tests/upstream/test_http.py
+++ b/tests/upstream/test_http.py
@@ -1,4 +1,4 @@
-"""The target's state machine: whole answers only, and no reuse after a broken one."""
+"""The HTTP state machine of upstream connections: complete responses only, no reuse after a broken one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from burlmoor.upstream.http import HttpClientConnection, Response
 
 
-def asked() -> HttpClientConnection:
+def connection_after_request() -> HttpClientConnection:
     http = HttpClientConnection("127.0.0.1:1", 1000)
     data = http.encode_request(b"POST", b"/lookup/1?x=2", [("Request-Id", "a1")], b"body")
     assert data.startswith(b"POST /lookup/1?x=2 HTTP/1.1\r\n")
@@ -16,17 +16,24 @@
     return http
 
 
-def fed(http: HttpClientConnection, data: bytes, step: int) -> Response | None:
-    reply = None
-    for at in range(0, len(data), step):
-        assert reply is None
-        reply = http.receive(data[at : at + step])
-    return reply
+def receive_in_steps(http: HttpClientConnection, data: bytes, step: int) -> Response | None:
+    response = None
+    for start in range(0, len(data), step):
+        assert response is None
+        response = http.receive(data[start : start + step])
+    return response
+
+
+def receive_to_the_end(http: HttpClientConnection, data: bytes) -> None:
+    """Receive the bytes, then the end of the connection."""
+    if data:
+        http.receive(data)
+    http.receive(b"")
 
 
 @pytest.mark.parametrize("step", [1, 1000])
 @pytest.mark.parametrize(
-    ("data", "status", "body", "again"),
+    ("data", "status", "body", "is_reusable"),
     [
         (b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", 202, b"", True),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 A\r\nContent-Length: 2\r\n\r\nok", 202, b"ok", True),
@@ -34,12 +41,14 @@
         (b"HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n", 500, b"no", True),
     ],
 )  # fmt: skip
-def test_a_whole_answer_is_read(step: int, data: bytes, status: int, body: bytes, again: bool) -> None:
-    http = asked()
-    reply = fed(http, data, step)
-    assert reply is not None
-    assert (reply.status, reply.body) == (status, body)
-    assert http.prepare_next_request() == again
+def test_a_complete_response_is_read(
+    step: int, data: bytes, status: int, body: bytes, is_reusable: bool
+) -> None:
+    http = connection_after_request()
+    response = receive_in_steps(http, data, step)
+    assert response is not None
+    assert (response.status, response.body) == (status, body)
+    assert http.prepare_next_request() == is_reusable
 
 
 @pytest.mark.parametrize(
@@ -52,9 +61,7 @@
         b"HTTP/1.1 200 A\r\nContent-Length: 2000\r\n\r\n" + b"x" * 2000,
     ],
 )
-def test_a_broken_answer_is_told(data: bytes) -> None:
-    http = asked()
+def test_a_broken_response_raises_an_error(data: bytes) -> None:
+    http = connection_after_request()
     with pytest.raises(BrokenResponseError):
-        if data:
-            http.receive(data)
-        http.receive(b"")
+        receive_to_the_end(http, data)
