--- a/burlmoor/cli/drill.py
+++ b/burlmoor/cli/drill.py
@@ -10,7 +10,7 @@
 import trio
 
 from burlmoor.cli.output import exit_with_verdict
-from burlmoor.testbed.drill import Ask, Drill
+from burlmoor.testbed.drill import DrillParameters, Drill
 from burlmoor.testbed.drill_deferred import WAITING
 from burlmoor.testbed.drill_spread import SPREAD
 from burlmoor.testbed.drill_watch import WATCH
@@ -36,14 +36,14 @@
     chosen = DRILLS[name]
     _check_options(name, chosen, mutation, nodes)
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
-        verdict = trio.run(chosen.run, Ask(seconds, seed, mutation, nodes), Path(folder))
+        verdict = trio.run(chosen.run, DrillParameters(seconds, seed, mutation, nodes), Path(folder))
     exit_with_verdict(verdict, sink)
 
 
 def _check_options(name: str, chosen: Drill, mutation: str | None, nodes: int) -> None:
-    if mutation is not None and mutation not in chosen.sabotages:
-        problem = f"invalid value {mutation!r}; allowed: {', '.join(chosen.sabotages)}"
+    if mutation is not None and mutation not in chosen.mutations:
+        problem = f"invalid value {mutation!r}; allowed: {', '.join(chosen.mutations)}"
         raise click.BadParameter(problem, param_hint="--sabotage")
-    if nodes and not chosen.sized:
+    if nodes and not chosen.is_sizable:
         problem = f"the drill {name} has its own number"
         raise click.BadParameter(problem, param_hint="--nodes")
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -15,11 +15,11 @@
 from rich.table import Table
 
 from burlmoor.cli.output import write_json
-from burlmoor.testbed.clients import Clients
-from burlmoor.testbed.event_record import Ledger
-from burlmoor.testbed.load import Generator, Meter, Report, draw
-from burlmoor.testbed.local_cluster import KINDS, Kind, fleet, town
-from burlmoor.testbed.single_node import own_node, roomy
+from burlmoor.testbed.clients import ClientPool
+from burlmoor.testbed.event_record import EventRecord
+from burlmoor.testbed.load import LoadGenerator, ProcessMeter, LoadReport, draw_arrivals
+from burlmoor.testbed.local_cluster import JOB_CLASSES, JobClass, executor_specs, local_cluster
+from burlmoor.testbed.single_node import run_single_node, unbounded_executor_specs
 from burlmoor.transport.address import parse_address
 
 _ERR = Console(stderr=True)
@@ -63,7 +63,7 @@
         report = trio.run(_load_new_installation, rate, seconds, seed, executors, Path(folder))
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
     _ERR.print(
-        f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job and {report.memory / 2**20:.0f} MiB."
+        f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job and {report.memory_bytes / 2**20:.0f} MiB."
     )
     _finish(report, sink)
 
@@ -96,7 +96,7 @@
     sink: IO[str] | None,
 ) -> None:
     """Put an open-loop load on one node: latency from the intended start, outcomes, the node's CPU a job."""
-    kinds = tuple(kind._replace(work=run_ms) for kind in KINDS)
+    kinds = tuple(kind._replace(work=run_ms) for kind in JOB_CLASSES)
     if to is not None:
         address = _parse_node_address(to)
         report = trio.run(_load_node, address, pid, rate, seconds, seed, kinds)
@@ -104,9 +104,9 @@
         with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
             report = trio.run(_load_own_node, rate, seconds, seed, executors, kinds, Path(folder))
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s"))
-    _ERR.print(f"generator behind by {report.behind_ms:.1f} ms at most")
+    _ERR.print(f"generator behind by {report.max_lag_ms:.1f} ms at most")
     if report.cpu_ms:
-        _ERR.print(f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {report.memory / 2**20:.0f} MiB")
+        _ERR.print(f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {report.memory_bytes / 2**20:.0f} MiB")
     _finish(report, sink)
 
 
@@ -119,26 +119,26 @@
 
 async def _load_new_installation(
     rate: float, seconds: float, seed: int, executors: int, folder: Path
-) -> Report:
+) -> LoadReport:
     """Start an installation and load its node."""
-    arrivals = draw(rate, seconds, KINDS, seed)
+    arrivals = draw_arrivals(rate, seconds, JOB_CLASSES, seed)
     with _progress_bar() as progress:
         task = progress.add_task("starting", total=len(arrivals))
-        async with town(folder, fleet(executors)) as made:
+        async with local_cluster(folder, executor_specs(executors)) as made:
             progress.update(task, description="jobs answered")
-            meter = Meter(made.nodes[0].pid)
-            generator = Generator(made.clients, "try")
+            meter = ProcessMeter(made.nodes[0].pid)
+            generator = LoadGenerator(made.clients, "try")
             report = await generator.run(arrivals, lambda count: progress.advance(task, count))
-            meter.read(report)
+            meter.read_into(report)
     return report
 
 
 async def _load_own_node(
-    rate: float, seconds: float, seed: int, executors: int, kinds: tuple[Kind, ...], folder: Path
-) -> Report:
+    rate: float, seconds: float, seed: int, executors: int, kinds: tuple[JobClass, ...], folder: Path
+) -> LoadReport:
     """Start a node with enough executors and load it."""
-    async with own_node(roomy(executors), kinds, folder) as node:
-        return await _load_node(node.listen, node.pid, rate, seconds, seed, kinds)
+    async with run_single_node(unbounded_executor_specs(executors), kinds, folder) as node:
+        return await _load_node(node.address, node.pid, rate, seconds, seed, kinds)
 
 
 async def _load_node(
@@ -147,18 +147,18 @@
     rate: float,
     seconds: float,
     seed: int,
-    kinds: tuple[Kind, ...],
-) -> Report:
+    kinds: tuple[JobClass, ...],
+) -> LoadReport:
     """Load the node at the address; with its process id, its CPU and memory are measured."""
-    arrivals = draw(rate, seconds, kinds, seed)
+    arrivals = draw_arrivals(rate, seconds, kinds, seed)
     with _progress_bar() as progress:
         task = progress.add_task(f"{rate:g} jobs/s", total=len(arrivals))
-        clients = Clients(address, Ledger())
-        meter = Meter(pid) if pid is not None else None
-        generator = Generator([clients], f"load{seed}")
+        clients = ClientPool(address, EventRecord())
+        meter = ProcessMeter(pid) if pid is not None else None
+        generator = LoadGenerator([clients], f"load{seed}")
         report = await generator.run(arrivals, lambda count: progress.advance(task, count))
         if meter is not None:
-            meter.read(report)
+            meter.read_into(report)
         clients.close()
     return report
 
@@ -170,25 +170,25 @@
     )
 
 
-def format_report(report: Report, title: str) -> Table:
+def format_report(report: LoadReport, title: str) -> Table:
     """Return a table of outcomes and latencies by class."""
     table = Table(title=title)
     for heading in ("class", "asked", *_OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "max ms"):
         is_class = heading == "class"
         table.add_column(heading, justify="left" if is_class else "right", no_wrap=is_class)
     for name, tally in [*sorted(report.by_class.items()), ("all", report.total)]:
-        counts = [tally.asked, *(tally.outcomes[outcome] for outcome in _OUTCOMES)]
-        latencies = [f"{tally.at(percentile):.0f}" for percentile in _PERCENTILES]
+        counts = [tally.total, *(tally.outcomes[outcome] for outcome in _OUTCOMES)]
+        latencies = [f"{tally.latency_percentile_ms(percentile):.0f}" for percentile in _PERCENTILES]
         table.add_row(name, *map(str, counts), *latencies)
     return table
 
 
-def _cpu_ms_per_job(report: Report) -> float:
-    return report.cpu_ms / max(1, report.total.asked)
+def _cpu_ms_per_job(report: LoadReport) -> float:
+    return report.cpu_ms / max(1, report.total.total)
 
 
-def _finish(report: Report, sink: IO[str] | None) -> None:
+def _finish(report: LoadReport, sink: IO[str] | None) -> None:
     """Write the figures where they are asked for; exit with status 1 if a job got no answer."""
-    write_json(report.figures(), sink)
+    write_json(report.to_json_object(), sink)
     if report.total.outcomes[_NO_ANSWER]:
         sys.exit(1)
--- a/burlmoor/cli/output.py
+++ b/burlmoor/cli/output.py
@@ -21,13 +21,13 @@
 def print_verdict(verdict: Verdict) -> None:
     """Print a verdict as a table on standard error."""
     table = Table(
-        title=f"drill {verdict.drill}, seed {verdict.seed}: {'held' if verdict.held else 'NOT HELD'}"
+        title=f"drill {verdict.drill}, seed {verdict.seed}: {'held' if verdict.holds else 'NOT HELD'}"
     )
     for heading in ("claim", "value", "bound", ""):
         table.add_column(heading, justify="left" if heading == "claim" else "right")
     for name, claim in verdict.claims.items():
-        bound = f"{'≥' if claim.least else '≤'} {claim.bound:g}"
-        table.add_row(name, f"{claim.value:.4g}", bound, "held" if claim.held else "NOT HELD")
+        bound = f"{'≥' if claim.is_lower_bound else '≤'} {claim.bound:g}"
+        table.add_row(name, f"{claim.value:.4g}", bound, "held" if claim.holds else "NOT HELD")
     for name, value in verdict.figures.items():
         table.add_row(name, f"{value:.4g}", "", "", style="dim")
     Console(stderr=True).print(table)
@@ -36,5 +36,5 @@
 def exit_with_verdict(verdict: Verdict, sink: IO[str] | None) -> NoReturn:
     """Print a verdict, write it where it is asked for, and exit: status 1 where a claim did not hold."""
     print_verdict(verdict)
-    write_json(verdict.written(), sink)
-    sys.exit(0 if verdict.held else 1)
+    write_json(verdict.to_json_object(), sink)
+    sys.exit(0 if verdict.holds else 1)
--- a/burlmoor/testbed/http_wire.py
+++ b/burlmoor/testbed/http_wire.py
@@ -13,36 +13,36 @@
 _LINGER_NONE = struct.pack("ii", 1, 0)
 
 
-class Message(NamedTuple):
+class HttpMessage(NamedTuple):
     """One HTTP message, read whole."""
 
-    start: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
     @property
     def status(self) -> int:
         """The status of an answer."""
-        return int(self.start.split(" ", 2)[1])
+        return int(self.start_line.split(" ", 2)[1])
 
     @property
     def method(self) -> str:
         """The method of a request."""
-        return self.start.split(" ", 1)[0]
+        return self.start_line.split(" ", 1)[0]
 
     @property
     def path(self) -> str:
         """The target of a request, its query included."""
-        return self.start.split(" ", 2)[1]
+        return self.start_line.split(" ", 2)[1]
 
 
-class Wire:
+class HttpStream:
     """Owns what was read of one connection and not used yet."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        self.stream, self._buffer = stream, b""
+        self.socket_stream, self._buffer = stream, b""
 
-    async def read(self) -> Message | None:
+    async def read(self) -> HttpMessage | None:
         """The next message; None where the connection ends before it is whole."""
         while b"\r\n\r\n" not in self._buffer:
             if not await self._more():
@@ -55,11 +55,11 @@
             if not await self._more():
                 return None
         body, self._buffer = self._buffer[:size], self._buffer[size:]
-        return Message(start, headers, body)
+        return HttpMessage(start, headers, body)
 
     async def _more(self) -> bool:
         try:
-            data = await self.stream.receive_some(65536)
+            data = await self.socket_stream.receive_some(65536)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return False
         self._buffer += data
@@ -69,18 +69,18 @@
         """Write a message; `_` in a header's name stands for `-`."""
         fields = {"Content-Length": str(len(body)), **{k.replace("_", "-"): v for k, v in headers.items()}}
         head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-        await self.stream.send_all(f"{start}\r\n{head}\r\n".encode() + body)
+        await self.socket_stream.send_all(f"{start}\r\n{head}\r\n".encode() + body)
 
     def reset(self) -> None:
         """End the connection as a machine does whose process has died."""
-        sock = self.stream.socket
+        sock = self.socket_stream.socket
         with suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NONE)
         trio.lowlevel.notify_closing(sock)
         sock.close()
 
 
-async def connect(address: tuple[str, int], source: str = "") -> Wire:
+async def connect(address: tuple[str, int], source: str = "") -> HttpStream:
     """A connection to a loopback address, from `source` if that is named; OSError where it is refused."""
     sock = trio.socket.socket()
     try:
@@ -91,15 +91,15 @@
     except BaseException:
         sock.close()
         raise
-    return Wire(trio.SocketStream(sock))
+    return HttpStream(trio.SocketStream(sock))
 
 
-class Server:
+class HttpServer:
     """Owns one listening socket on loopback and the connections accepted on it."""
 
-    def __init__(self, serve: Callable[[Wire], Awaitable[object]], nursery: trio.Nursery) -> None:
+    def __init__(self, serve: Callable[[HttpStream], Awaitable[object]], nursery: trio.Nursery) -> None:
         self._serve, self._nursery = serve, nursery
-        self._wires: set[Wire] = set()
+        self._wires: set[HttpStream] = set()
         self._listener: trio.SocketListener | None = None
         self.address = ("127.0.0.1", 0)
 
@@ -124,9 +124,9 @@
             except OSError:
                 await trio.sleep(0.02)
                 continue
-            self._nursery.start_soon(self._run, Wire(stream))
+            self._nursery.start_soon(self._run, HttpStream(stream))
 
-    async def _run(self, wire: Wire) -> None:
+    async def _run(self, wire: HttpStream) -> None:
         self._wires.add(wire)
         try:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
@@ -134,9 +134,9 @@
         finally:
             self._wires.discard(wire)
             with suppress(trio.BrokenResourceError, OSError):
-                wire.stream.socket.close()
+                wire.socket_stream.socket.close()
 
-    def die(self) -> None:
+    def abort(self) -> None:
         """End as a process that was killed: connections are reset, new ones refused."""
         self.close()
         for wire in list(self._wires):
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -10,7 +10,7 @@
 import trio
 
 from burlmoor.config.options import DeferredOptions, Options
-from burlmoor.testbed.node_process import call
+from burlmoor.testbed.node_process import send_http_request
 from tests.support import node_harness
 from tests.support.configuration import write_config
 from tests.support.deferral_over_sockets import (
@@ -49,7 +49,7 @@
         await harness.send_callback("done", "at once")
         assert (await harness.read_response(wire)).body == b"at once"
         assert harness.node.admin_server is not None
-        assert (await call(harness.node.admin_server.address, "GET", "/waiting")).status == 404
+        assert (await send_http_request(harness.node.admin_server.address, "GET", "/waiting")).status == 404
 
     node_harness.run_scenario(scenario)
 
@@ -62,7 +62,7 @@
         await wait_until_deferred(harness, 2)
         await wait_until_sent(harness, "p")
         if how == "leaves":
-            await parent.stream.aclose()
+            await parent.socket_stream.aclose()
         else:
             await harness.send_callback(how)
         for wire in (child, grandchild):
@@ -125,7 +125,7 @@
         child = await submit_deferred(harness, "c", "p")
         await wait_until_deferred(harness, 1)
         assert (await harness.read_response(await submit_deferred(harness, "c", "p"))).status == 400
-        await child.stream.aclose()
+        await child.socket_stream.aclose()
         await wait_until_deferred(harness, 0)
         await wait_until_sent(harness, "p")
         await harness.send_callback("done")
@@ -229,28 +229,28 @@
 
 
 def test_a_node_with_deferred_jobs_answers_them_on_sigterm(tmp_path: Path) -> None:
-    from burlmoor.testbed.local_cluster import KINDS, asked, fleet, town  # noqa: PLC0415
+    from burlmoor.testbed.local_cluster import JOB_CLASSES, new_request, executor_specs, local_cluster  # noqa: PLC0415
 
     async def run() -> None:
         with trio.fail_after(60.0):
             async with (
-                town(tmp_path, fleet(2), options="[waiting]\n") as cluster,
+                local_cluster(tmp_path, executor_specs(2), options="[waiting]\n") as cluster,
                 trio.open_nursery() as nursery,
             ):
-                clients, confirm = cluster.clients[0], KINDS[2]
-                parent = asked("p", confirm, 4300.0)
-                child = asked("c", confirm, 10.0, patience=30_000.0, after=("p",))
-                cluster.executors["s-000"].slow(1.6)  # the parent runs for 3.4 s
+                clients, confirm = cluster.clients[0], JOB_CLASSES[2]
+                parent = new_request("p", confirm, 4300.0)
+                child = new_request("c", confirm, 10.0, patience=30_000.0, after=("p",))
+                cluster.executors["s-000"].set_slowdown(1.6)  # the parent runs for 3.4 s
                 for each in (parent, child):
-                    nursery.start_soon(clients.ask, each)
-                while not cluster.ledger.runs():
+                    nursery.start_soon(clients.send, each)
+                while not cluster.event_record.started_attempts_by_id():
                     await trio.sleep(0.02)
-                cluster.nodes[0].tell(signal.SIGTERM)
+                cluster.nodes[0].send_signal(signal.SIGTERM)
                 assert cluster.nodes[0].process is not None
                 assert await cluster.nodes[0].process.wait() == 0
-                while not (parent.answers and child.answers):
+                while not (parent.answer_count and child.answer_count):
                     await trio.sleep(0.02)
                 assert child.status == 503
-                assert set(cluster.ledger.runs()) == {"p"}
+                assert set(cluster.event_record.started_attempts_by_id()) == {"p"}
 
     trio.run(run)
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -46,7 +46,7 @@
             6.0, float(harness.discovery_paths[-1].partition("wait_ms=")[2]) / 1000.0 + 2.0
         )
         if fault == "reset":
-            await watch.stream.aclose()
+            await watch.socket_stream.aclose()
         elif fault == "down":
             await watch.write("HTTP/1.1 503 Busy")
             for _ in range(2):
--- a/tests/downstream/test_other_process.py
+++ b/tests/downstream/test_other_process.py
@@ -23,7 +23,7 @@
         successor = RecordingProcess()
         wire = await harness.submit_job("once", "a1")
         half = await harness.connect_client()
-        await half.stream.send_all(b"POST /once")
+        await half.socket_stream.send_all(b"POST /once")
         await harness.wait_until(lambda: harness.jobs and len(harness.node.server.connections) == 2)
         harness.node.server.attach_successor(successor)
         harness.node.server.pass_idle_to_successor()
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from burlmoor.testbed.http_wire import Message
+from burlmoor.testbed.http_wire import HttpMessage
 from burlmoor.types.outcome import Outcome
 from burlmoor.upstream.errors import BrokenResponseError, ConnectError
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
@@ -37,7 +37,7 @@
 def test_the_response_of_an_executor_decides_whether_its_job_is_retried(
     name: str, act: str, status: int, attempts: int
 ) -> None:
-    async def scenario(harness: NodeHarness) -> Message:
+    async def scenario(harness: NodeHarness) -> HttpMessage:
         client = await harness.submit_job(name)
         await harness.wait_until(lambda: len(harness.jobs) == attempts)
         if status == 200 and act != "early":
@@ -81,7 +81,7 @@
             assert (await harness.read_response(client)).body == ref.encode()
             await trio.sleep(2.0 * REUSE_DELAY_SECONDS)  # a connection is not used again before
         _, job = harness.jobs[0]
-        assert (job.start, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
+        assert (job.start_line, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
         assert 0 < int(job.headers["request-timeout-ms"]) <= 3000
         assert harness.executor_connection_count <= 2
 
@@ -152,7 +152,7 @@
         await harness.wait_until(lambda: harness.jobs)
         if act == "take":
             await harness.wait_until(lambda: not harness.node.attempts.in_flight)
-        await client.stream.aclose()
+        await client.socket_stream.aclose()
         await harness.wait_until(
             lambda: harness.cancelled_attempts if act == "take" else harness.unanswered_connection_count
         )
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -42,7 +42,7 @@
         wire = await harness.submit_job()
         await harness.wait_until(lambda: delayed.waiting_count)
         if how == "closes":
-            await wire.stream.aclose()
+            await wire.socket_stream.aclose()
         else:  # as a dying process does
             wire.reset()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
@@ -62,8 +62,8 @@
         wire = await harness.submit_job(ms=9000)
         await harness.wait_until(lambda: harness.jobs)
         began = trio.current_time()
-        await wire.stream.send_all(b"x" * byte_count)
-        await wire.stream.aclose()
+        await wire.socket_stream.send_all(b"x" * byte_count)
+        await wire.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         assert trio.current_time() - began < 2.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
@@ -82,7 +82,7 @@
             nonlocal written_count
             try:
                 for _ in range(200):
-                    await wire.stream.send_all(b"x" * 100_000)
+                    await wire.socket_stream.send_all(b"x" * 100_000)
                     written_count += 1
                     harness.notify()
             except trio.BrokenResourceError:
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -83,7 +83,7 @@
     async def scenario(harness: NodeHarness) -> None:
         slow = [await harness.connect_client() for _ in range(44)]
         for client in slow:
-            await client.stream.send_all(b"POST /lookup/")
+            await client.socket_stream.send_all(b"POST /lookup/")
         active = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs)
         assert await harness.send_callback("done", "fine") == 204
@@ -99,7 +99,7 @@
     async def scenario(harness: NodeHarness) -> None:
         stalled = [await harness.connect_client() for _ in range(40)]
         for client in stalled:
-            await client.stream.send_all(b"POST /lookup/")
+            await client.socket_stream.send_all(b"POST /lookup/")
         slow = await harness.connect_client()
         request = (
             b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a1\r\n"
@@ -107,11 +107,11 @@
         )
         step = len(request) // 20 + 1
         for start in range(0, len(request), step):
-            await slow.stream.send_all(request[start : start + step])
+            await slow.socket_stream.send_all(request[start : start + step])
             await trio.sleep(0.11)
             stalled += [await harness.connect_client() for _ in range(8)]
             for client in stalled[-4:]:
-                await client.stream.send_all(b"POST /lookup/")
+                await client.socket_stream.send_all(b"POST /lookup/")
         await harness.wait_until(lambda: harness.jobs)
         assert await harness.send_callback("done", "fine") == 204
         assert (await harness.read_response(slow)).body == b"fine"
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from burlmoor.testbed.http_wire import Message
+from burlmoor.testbed.http_wire import HttpMessage
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
 
@@ -94,7 +94,7 @@
         await harness.send_callback("done", f"by {number}", job=number)
 
 
-async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> tuple[Message, int]:
+async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> tuple[HttpMessage, int]:
     """Submit one job; its client's answer, and how many attempts were sent."""
     client = await harness.submit_job(row["kind"], "a1", ms=1500)
     finished: list[int] = []
--- a/tests/integration/test_downstream_connections.py
+++ b/tests/integration/test_downstream_connections.py
@@ -17,7 +17,7 @@
         valid = await harness.submit_job()
         for data in (b"\x00\r\n\r\n", LONG_REQUEST + b"x" * 4_000_000):
             client = await harness.connect_client()
-            await client.stream.send_all(data)
+            await client.socket_stream.send_all(data)
             assert (await harness.read_response(client)).status in (400, 413)
             assert await client.read() is None
         assert await harness.send_callback_body(b"{") == 400
@@ -44,11 +44,11 @@
     async def scenario(harness: NodeHarness) -> None:
         client = await harness.connect_client()
         started_at = trio.current_time()
-        await client.stream.send_all(sent)
+        await client.socket_stream.send_all(sent)
         if status:
             # The client reads only once all is written: the response may not be lost in a reset.
             for _ in range(60):
-                await client.stream.send_all(b"x" * 1_000_000)
+                await client.socket_stream.send_all(b"x" * 1_000_000)
             assert (await harness.read_response(client)).status == status
         assert await client.read() is None
         assert trio.current_time() - started_at < (6.0 if status else 3.0)
--- a/tests/integration/test_endpoint_changes.py
+++ b/tests/integration/test_endpoint_changes.py
@@ -67,7 +67,7 @@
 def test_discovery_is_called_again_after_each_failure() -> None:
     async def scenario(harness: NodeHarness) -> None:
         await harness.wait_until(lambda: harness.open_watches)
-        await harness.open_watches.pop().stream.aclose()
+        await harness.open_watches.pop().socket_stream.aclose()
         await harness.wait_until(lambda: harness.open_watches)
         await harness.open_watches.pop().write("HTTP/1.1 503 Busy")
         await harness.wait_until(lambda: harness.open_watches)
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -127,7 +127,7 @@
         monkeypatch.setattr("burlmoor.upstream.pool.connect", connect_later)
         wire = await harness.submit_job()
         await established.wait()
-        await wire.stream.aclose()
+        await wire.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         released.set()
         await harness.wait_until(
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -11,9 +11,9 @@
 import pytest
 import trio
 
-from burlmoor.testbed.discovery import Discovery
-from burlmoor.testbed.http_wire import Wire
-from burlmoor.testbed.node_process import Node, call
+from burlmoor.testbed.discovery import DiscoveryService
+from burlmoor.testbed.http_wire import HttpStream
+from burlmoor.testbed.node_process import NodeProcess, send_http_request
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
 
@@ -26,14 +26,14 @@
 
     def __init__(self, harness: NodeHarness) -> None:
         self._harness = harness
-        self._connections: list[Wire] = []  # held open
+        self._connections: list[HttpStream] = []  # held open
 
     async def connect(self, begun: bytes = b"") -> None:
         """Connect one more client, which writes these bytes."""
         with suppress(OSError):
             wire = await self._harness.connect_client()
             with suppress(trio.BrokenResourceError):
-                await wire.stream.send_all(begun)
+                await wire.socket_stream.send_all(begun)
             self._connections.append(wire)
 
     async def keep_connecting(self) -> None:
@@ -63,17 +63,17 @@
             harness = NodeHarness(["hang"] * hanging, nursery)
             for name in [f"e{number}" for number in range(16 if hanging else 2)]:
                 await harness.start_executor(name)
-            discovery = Discovery(nursery)
-            address = await discovery.listen("n0", harness.addresses)
+            discovery = DiscoveryService(nursery)
+            address = await discovery.listen_for_node("n0", harness.addresses)
             for name in harness.addresses:
-                discovery.tell(name)
-            node = Node("n0", tmp_path)
-            harness.address = node.listen
+                discovery.set_entry(name)
+            node = NodeProcess("n0", tmp_path)
+            harness.address = node.address
             limited = f'ulimit -n {descriptors}; exec "$0" -m burlmoor'
             node.command = ["/bin/sh", "-c", limited, sys.executable]
             discovery.down = True
             try:
-                await node.start(nursery, SETTINGS_OBJECT, address, discovery.whole("n0"))
+                await node.start(nursery, SETTINGS_OBJECT, address, discovery.full_list("n0"))
                 for number in range(hanging):
                     harness.open_clients.append(await harness.submit_job("once", f"h{number}", 5000))
                 if hanging:
@@ -89,11 +89,11 @@
 
                 nursery.start_soon(keep_connecting)
                 await trio.sleep(0.5)
-                assert (await call(node.control, "GET", "/state")).status < 500  # operators are answered
-                discovery.tell("e0", health="leaving")
+                assert (await send_http_request(node.admin_address, "GET", "/state")).status < 500  # operators are answered
+                discovery.set_entry("e0", health="leaving")
                 discovery.down = False
                 recovered_at = trio.current_time()
-                await harness.wait_until(lambda: any(health == "leaving" for *_, health in discovery.heard))
+                await harness.wait_until(lambda: any(health == "leaving" for *_, health in discovery.notifications))
                 assert trio.current_time() - recovered_at < NOTIFICATION_DEADLINE_SECONDS + GRACE_SECONDS
                 # Clients are served, by the other endpoint, unless all connections that they may hold hang.
                 for request_id in () if hanging else ("a1", "a2", "a3"):
@@ -136,21 +136,21 @@
             harness = NodeHarness([], nursery)
             await harness.start_executor("e0")
 
-            async def serve(wire: Wire) -> None:
+            async def serve(wire: HttpStream) -> None:
                 while await wire.read() is not None:
                     if what == "answers with no list":
                         await wire.write("HTTP/1.1 200 OK", b'{"seq": "x"}')
                     elif what == "never ends its answer":
-                        await wire.stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
+                        await wire.socket_stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
 
             address = "127.0.0.1:9" if what == "refuses" else await harness.listen(serve)
-            node = Node("n0", tmp_path)
+            node = NodeProcess("n0", tmp_path)
             began = time.monotonic()
             try:
                 settings = {**SETTINGS_OBJECT, "RegistryMode": mode}
                 await node.start(nursery, settings, address, harness.endpoint_list(1, e0="active"))
                 assert time.monotonic() - began < 10.0
-                harness.address = node.listen
+                harness.address = node.address
                 wire = await harness.submit_job("once")
                 await harness.wait_until(lambda: harness.jobs)
                 await harness.send_callback("done", "served")
@@ -167,23 +167,23 @@
         async with trio.open_nursery() as nursery:
             harness = NodeHarness([], nursery)
             await harness.start_executor("e0")
-            discovery = Discovery(nursery)
+            discovery = DiscoveryService(nursery)
             took: list[float] = []
-            nodes = [Node(f"n{number}", tmp_path / f"n{number}") for number in range(30)]
+            nodes = [NodeProcess(f"n{number}", tmp_path / f"n{number}") for number in range(30)]
             for number, node in enumerate(nodes):
                 # Each at an address of its own: of 60 ports of one that were free, some are soon another's.
                 here = f"127.0.9.{number + 1}"
-                node.listen, node.control = (here, node.listen[1]), (here, node.control[1])
+                node.address, node.admin_address = (here, node.address[1]), (here, node.admin_address[1])
 
-            async def start(node: Node) -> None:
-                address = await discovery.listen(node.name, harness.addresses)
+            async def start(node: NodeProcess) -> None:
+                address = await discovery.listen_for_node(node.name, harness.addresses)
                 began = trio.current_time()
                 await node.start(
-                    nursery, {**SETTINGS_OBJECT, "Balancers": 30}, address, discovery.whole(node.name)
+                    nursery, {**SETTINGS_OBJECT, "Balancers": 30}, address, discovery.full_list(node.name)
                 )
                 took.append(trio.current_time() - began)
 
-            discovery.tell("e0")
+            discovery.set_entry("e0")
             try:
                 async with trio.open_nursery() as starting:
                     for node in nodes:
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import Wire
+from burlmoor.testbed.http_wire import HttpStream
 from tests.support.configuration import write_config
 from tests.support.node_harness import NodeHarness
 from tests.support.polling import poll_until
@@ -20,7 +20,7 @@
 
 async def readiness_status(harness: NodeHarness) -> int:
     """The status of /health/ready, once the node listens."""
-    wires: list[Wire] = []
+    wires: list[HttpStream] = []
 
     async def connect() -> bool:
         try:
--- a/tests/integration/test_upstream_connections.py
+++ b/tests/integration/test_upstream_connections.py
@@ -23,7 +23,7 @@
             await harness.send_callback("done", "fine")
             assert (await harness.read_response(client)).status == 200
             for connection in harness.executor_connections:
-                await connection.stream.aclose()
+                await connection.socket_stream.aclose()
 
     run_scenario(scenario)
 
@@ -58,8 +58,8 @@
         client = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs and not harness.node.attempts.in_flight)
         for connection in harness.executor_connections:
-            await connection.stream.aclose()
-        await client.stream.aclose()
+            await connection.socket_stream.aclose()
+        await client.socket_stream.aclose()
         await harness.wait_until(lambda: harness.cancelled_attempts)
 
     run_scenario(scenario)
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -24,7 +24,7 @@
             under_way = await harness.submit_job("once", "a2", 5000)
             await harness.wait_until(lambda: len(harness.jobs) == 2)
             half = await harness.connect_client()
-            await half.stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
+            await half.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
             silent = await harness.connect_client()
             assert (await old.call("/executors/disable", "e0")).status == 200
 
@@ -45,7 +45,7 @@
             taken = await harness.submit_job("once", "a4")
             await harness.wait_until(lambda: len(harness.jobs) == 3)
             old.process.send_signal(signal.SIGTERM)
-            await half.stream.send_all(b"Request-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
+            await half.socket_stream.send_all(b"Request-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
             await harness.wait_until(lambda: len(harness.jobs) == 4)
             assert {name for name, _ in harness.jobs[2:]} == {"e1"}
             for job in (2, 3):
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -9,8 +9,8 @@
 import trio
 
 from burlmoor.config.options import DeferredOptions, Options
-from burlmoor.testbed.http_wire import Wire
-from burlmoor.testbed.node_process import call
+from burlmoor.testbed.http_wire import HttpStream
+from burlmoor.testbed.node_process import send_http_request
 from tests.support import node_harness
 from tests.support.node_harness import NodeHarness
 
@@ -24,8 +24,8 @@
 
 
 async def submit_deferred(
-    harness: NodeHarness, request_id: str, *after: str, wire: Wire | None = None, **head: str
-) -> Wire:
+    harness: NodeHarness, request_id: str, *after: str, wire: HttpStream | None = None, **head: str
+) -> HttpStream:
     """Submit a job that is to run after others."""
     wire = wire or await harness.connect_client()
     harness.open_clients.append(wire)
@@ -51,7 +51,7 @@
 async def fetch_status(harness: NodeHarness) -> dict[str, Any]:
     """The admin server's status of the deferred jobs."""
     assert harness.node.admin_server is not None
-    answer = await call(harness.node.admin_server.address, "GET", "/waiting")
+    answer = await send_http_request(harness.node.admin_server.address, "GET", "/waiting")
     assert answer.status == 200
     status: dict[str, Any] = json.loads(answer.body)
     return status
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -16,7 +16,7 @@
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.lifecycle.node import Node
 from burlmoor.log import EventLog
-from burlmoor.testbed.http_wire import Message, Wire
+from burlmoor.testbed.http_wire import HttpMessage, HttpStream
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.scripted_executor import ScriptedExecutor
 
@@ -31,20 +31,20 @@
         self.address: tuple[str, int]  # where clients come to
         self.has_node_ended = False  # by itself
         # Clients, whose connections a scenario holds open without looking at them.
-        self.open_clients: list[Wire] = []
+        self.open_clients: list[HttpStream] = []
         # Executors: by name their addresses, and what they have received.
         self.addresses: dict[str, str] = {}
-        self.jobs: list[tuple[str, Message]] = []
+        self.jobs: list[tuple[str, HttpMessage]] = []
         self.cancelled_attempts: list[tuple[str, str]] = []
-        self.executor_connections: list[Wire] = []
+        self.executor_connections: list[HttpStream] = []
         self.executor_connection_count = 0
         self.unanswered_connection_count = 0  # connections that the node closed without a response
-        self.connection_for_second_response: Wire | None = None
+        self.connection_for_second_response: HttpStream | None = None
         # Discovery: the paths of its calls, and on which connection each came.
         self.discovery_paths: list[str] = []
-        self.discovery_connections: list[Wire] = []
-        self.closed_discovery_connections: list[Wire] = []  # closed by the node
-        self.open_watches: list[Wire] = []
+        self.discovery_connections: list[HttpStream] = []
+        self.closed_discovery_connections: list[HttpStream] = []  # closed by the node
+        self.open_watches: list[HttpStream] = []
         self.is_discovery_silent = False  # whether watches get no response even when their wait is over
         self._changed = trio.Event()
 
@@ -60,13 +60,13 @@
                 with trio.move_on_after(0.05):
                     await self._changed.wait()
 
-    async def listen(self, serve: Callable[[Wire], Any]) -> str:
+    async def listen(self, serve: Callable[[HttpStream], Any]) -> str:
         """Serve connections at an address of its own, which is returned."""
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
 
         async def handle(stream: trio.SocketStream) -> None:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await serve(Wire(stream))
+                await serve(HttpStream(stream))
 
         self.nursery.start_soon(trio.serve_listeners, handle, [listener])
         host, port = listener.socket.getsockname()
@@ -76,9 +76,9 @@
         self.addresses[name] = await self.listen(ScriptedExecutor(self, name).serve)
 
     async def start_discovery(self) -> str:
-        async def serve(wire: Wire) -> None:
+        async def serve(wire: HttpStream) -> None:
             while (message := await wire.read()) is not None:
-                path = message.start.split()[1]
+                path = message.start_line.split()[1]
                 self.discovery_paths.append(path)
                 self.discovery_connections.append(wire)
                 self.open_watches.append(wire)
@@ -91,7 +91,7 @@
 
         return await self.listen(serve)
 
-    async def _answer_expired_watch(self, wire: Wire, number: int, path: str) -> None:
+    async def _answer_expired_watch(self, wire: HttpStream, number: int, path: str) -> None:
         """Answer a watch when its wait is over, unless the scenario has answered it."""
         _, _, wait = path.partition("&wait_ms=")
         if not wait:
@@ -122,19 +122,19 @@
         body = json.dumps(self.endpoint_list(seq, whole, **states)).encode()
         await self.open_watches.pop().write("HTTP/1.1 200 OK", body)
 
-    async def connect_client(self, receive_buffer: int = 0) -> Wire:
+    async def connect_client(self, receive_buffer: int = 0) -> HttpStream:
         sock = trio.socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         await sock.connect(self.address)
-        return Wire(trio.SocketStream(sock))
+        return HttpStream(trio.SocketStream(sock))
 
-    async def submit_job(self, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> Wire:
+    async def submit_job(self, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> HttpStream:
         wire = await self.connect_client()
         await self.send_job(wire, name, ref, ms)
         return wire
 
-    async def send_job(self, wire: Wire, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> None:
+    async def send_job(self, wire: HttpStream, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> None:
         head: dict[str, Any] = {
             "Host": "svc",
             "Request_Id": ref,
@@ -166,7 +166,7 @@
         assert response is not None
         return response.status
 
-    async def read_response(self, wire: Wire) -> Message:
+    async def read_response(self, wire: HttpStream) -> HttpMessage:
         with trio.fail_after(10.0):
             response = await wire.read()
         assert response is not None
--- a/tests/support/scripted_executor.py
+++ b/tests/support/scripted_executor.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import Message, Wire
+from burlmoor.testbed.http_wire import HttpMessage, HttpStream
 
 if TYPE_CHECKING:
     from tests.support.node_harness import NodeHarness
@@ -34,16 +34,16 @@
         self._harness = harness
         self._name = name
 
-    async def serve(self, wire: Wire) -> None:
+    async def serve(self, wire: HttpStream) -> None:
         """Answer what comes on one connection until either side ends it."""
         harness = self._harness
         harness.executor_connection_count += 1
         harness.executor_connections.append(wire)
         while (message := await wire.read()) is not None:
-            if message.start.startswith("DELETE"):
-                harness.cancelled_attempts.append((self._name, message.start.split()[1]))
+            if message.start_line.startswith("DELETE"):
+                harness.cancelled_attempts.append((self._name, message.start_line.split()[1]))
                 await wire.write("HTTP/1.1 204 Gone")
-            elif message.start.startswith("GET"):
+            elif message.start_line.startswith("GET"):
                 await wire.write("HTTP/1.1 200 OK")
             elif not await self._on_job(wire, message):
                 return
@@ -51,7 +51,7 @@
         harness.unanswered_connection_count += 1
         harness.notify()
 
-    async def _on_job(self, wire: Wire, message: Message) -> bool:
+    async def _on_job(self, wire: HttpStream, message: HttpMessage) -> bool:
         """Answer a job as the script says; False where that ended the connection."""
         harness = self._harness
         act = harness.executor_script.pop(0) if harness.executor_script else "take"
@@ -61,7 +61,7 @@
         if act.startswith("bytes:"):
             return await self._send_bytes(wire, act.removeprefix("bytes:"))
         if act == "reset":
-            await wire.stream.aclose()
+            await wire.socket_stream.aclose()
             return False
         if act == "stray":
             harness.connection_for_second_response = wire
@@ -82,10 +82,10 @@
                 await wire.write("HTTP/1.1 503 No", Not_Started="1")
             self._harness.connection_for_second_response = None
 
-    async def _send_bytes(self, wire: Wire, act: str) -> bool:
+    async def _send_bytes(self, wire: HttpStream, act: str) -> bool:
         data, _, then = act.partition("|")
-        await wire.stream.send_all(data.encode("latin-1"))
+        await wire.socket_stream.send_all(data.encode("latin-1"))
         if then == "end":
-            await wire.stream.aclose()
+            await wire.socket_stream.aclose()
             return False
         return True
--- a/tests/support/service_process.py
+++ b/tests/support/service_process.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from burlmoor.testbed.http_wire import Message, Wire
+from burlmoor.testbed.http_wire import HttpMessage, HttpStream
 from tests.support.polling import TIMEOUT_SECONDS, poll_until
 
 ROOT = Path(__file__).parents[2]
@@ -29,11 +29,11 @@
         self.process = process
         self.admin_address = admin_address
 
-    async def call(self, path: str, name: str = "") -> Message:
+    async def call(self, path: str, name: str = "") -> HttpMessage:
         """Make one admin call, once the process listens."""
         method = "GET" if path == "/ready" else "POST"
         body = msgspec.json.encode({"name": name}) if name else b""
-        wire = Wire(await self._connect())
+        wire = HttpStream(await self._connect())
         with trio.fail_after(TIMEOUT_SECONDS):
             await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
             response = await wire.read()
