--- a/benchmarks/limit.py
+++ b/benchmarks/limit.py
@@ -16,11 +16,11 @@
 
 import trio
 
-from burlmoor.testbed.clients import Clients
-from burlmoor.testbed.event_record import Ledger
-from burlmoor.testbed.load import Generator, Meter, draw
-from burlmoor.testbed.local_cluster import KINDS
-from burlmoor.testbed.single_node import own_node, roomy
+from burlmoor.testbed.clients import ClientPool
+from burlmoor.testbed.event_record import EventRecord
+from burlmoor.testbed.job_classes import JOB_CLASSES
+from burlmoor.testbed.load import LoadGenerator, ProcessMeter, draw_arrivals
+from burlmoor.testbed.single_node import run_single_node, unbounded_executor_specs
 
 _EXECUTORS, _RUN_MS = 14, 50.0
 _RATES = ("40", "100", "200", "400", "500", "600", "700", "800", "1000", "1200")
@@ -28,23 +28,23 @@
 
 
 async def _one(rate: float, seconds: float, sampled: bool, folder: Path) -> dict[str, Any]:
-    kinds = tuple(kind._replace(work=_RUN_MS) for kind in KINDS)
+    kinds = tuple(kind._replace(mean_work_ms=_RUN_MS) for kind in JOB_CLASSES)
     profile = folder / "profile.json"
     command = [sys.executable, "-m", "benchmarks.sampled", str(profile)] if sampled else None
-    async with own_node(roomy(_EXECUTORS), kinds, folder, command) as node:
-        clients = Clients(node.listen, Ledger())
-        meter = Meter(node.pid)
-        report = await Generator([clients]).run(draw(rate, seconds, kinds, 1))
-        meter.read(report)
+    async with run_single_node(unbounded_executor_specs(_EXECUTORS), kinds, folder, command) as node:
+        clients = ClientPool(node.address, EventRecord())
+        meter = ProcessMeter(node.pid)
+        report = await LoadGenerator([clients]).run(draw_arrivals(rate, seconds, kinds, 1))
+        meter.read_into(report)
         clients.close()
     whole = report.total
     row: dict[str, Any] = {
         "offered_per_s": rate,
         "served_per_s": round(whole.outcomes["served"] / seconds, 1),
         **{name: whole.outcomes[name] for name in ("refused", "failed", "no answer")},
-        "p50_ms": whole.at(50.0), "p99_ms": whole.at(99.0),
-        "cpu_ms_a_job": round(report.cpu_ms / max(1, whole.asked), 3),
-        "generator_behind_ms": round(report.behind_ms, 1),
+        "p50_ms": whole.latency_percentile_ms(50.0), "p99_ms": whole.latency_percentile_ms(99.0),
+        "cpu_ms_a_job": round(report.cpu_ms / max(1, whole.total), 3),
+        "generator_behind_ms": round(report.max_lag_ms, 1),
     }  # fmt: skip
     if sampled:
         told = json.loads(profile.read_text())
--- a/benchmarks/long_list.py
+++ b/benchmarks/long_list.py
@@ -14,25 +14,27 @@
 import psutil
 import trio
 
-from burlmoor.testbed.discovery import Discovery
-from burlmoor.testbed.local_cluster import KINDS, settings
-from burlmoor.testbed.node_process import Node
+from burlmoor.testbed.discovery import DiscoveryService
+from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
+from burlmoor.testbed.node_process import NodeProcess
 
 _QUIET, _CHANGES = 10.0, 50
 
 
 async def _one(folder: Path, executors: int, nodes: int) -> dict[str, float]:
     async with trio.open_nursery() as nursery:
-        discovery, names = Discovery(nursery), [f"executor-{n:06d}" for n in range(executors)]
+        discovery, names = DiscoveryService(nursery), [f"executor-{n:06d}" for n in range(executors)]
         dials = {name: f"127.1.{n // 250}.{n % 250 + 1}:8081" for n, name in enumerate(names)}
-        at = await discovery.listen("n0", dials)
+        at = await discovery.listen_for_node("n0", dials)
         for name in names:
-            discovery.tell(name)
-        node = Node("n0", folder)
+            discovery.set_entry(name)
+        node = NodeProcess("n0", folder)
         peers = {f"n{n}": f"127.2.{n // 250}.{n % 250 + 1}:9000" for n in range(nodes)}
-        node.more = {"peers": peers, "peer_listen": "127.0.0.1:9000", "limits": {"sockets": 1024}}
+        node.extra_config = {"peers": peers, "peer_listen": "127.0.0.1:9000", "limits": {"sockets": 1024}}
         began = time.monotonic()
-        await node.start(nursery, {**settings(KINDS, nodes), "Me": 0}, at, discovery.whole("n0"))
+        await node.start(
+            nursery, {**platform_settings(JOB_CLASSES, nodes), "Me": 0}, at, discovery.full_list("n0")
+        )
         ready = time.monotonic() - began
         process = psutil.Process(node.pid)
 
@@ -47,7 +49,7 @@
         found["quiet_cpu_ms_a_s"] = (cpu() - before) / _QUIET
         before, since = cpu(), time.monotonic()
         for number in range(_CHANGES):
-            discovery.tell(names[number % executors], health="leaving" if number % 2 else "active")
+            discovery.set_entry(names[number % executors], health="leaving" if number % 2 else "active")
             await trio.sleep(0.05)
         found["change_cpu_ms"] = (cpu() - before) / _CHANGES
         found["changes_s"] = time.monotonic() - since
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -14,11 +14,11 @@
 import psutil
 import trio
 
-from burlmoor.testbed.local_cluster import fleet, town
+from burlmoor.testbed.local_cluster import executor_specs, local_cluster
 
 
 async def _one(folder: Path, options: str | None) -> tuple[float, float]:
-    async with town(folder, fleet(2), options=options) as made:
+    async with local_cluster(folder, executor_specs(2), options=options) as made:
         pid = made.nodes[0].pid
         times = psutil.Process(pid).cpu_times()
         status = Path(f"/proc/{pid}/status").read_text()
--- a/burlmoor/cli/drill.py
+++ b/burlmoor/cli/drill.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from burlmoor.testbed.drill import Ask, Drill, Verdict
+from burlmoor.testbed.drill import Drill, DrillParameters, Verdict
 from burlmoor.testbed.drill_deferred import WAITING
 from burlmoor.testbed.drill_spread import SPREAD
 from burlmoor.testbed.drill_watch import WATCH
@@ -24,13 +24,13 @@
 def told(verdict: Verdict) -> None:
     """Print a verdict as a table."""
     table = Table(
-        title=f"drill {verdict.drill}, seed {verdict.seed}: {'held' if verdict.held else 'NOT HELD'}"
+        title=f"drill {verdict.drill}, seed {verdict.seed}: {'held' if verdict.holds else 'NOT HELD'}"
     )
     for head in ("claim", "value", "bound", ""):
         table.add_column(head, justify="left" if head == "claim" else "right")
     for name, claim in verdict.claims.items():
-        bound = f"{'≥' if claim.least else '≤'} {claim.bound:g}"
-        table.add_row(name, f"{claim.value:.4g}", bound, "held" if claim.held else "NOT HELD")
+        bound = f"{'≥' if claim.is_lower_bound else '≤'} {claim.bound:g}"
+        table.add_row(name, f"{claim.value:.4g}", bound, "held" if claim.holds else "NOT HELD")
     for name, value in verdict.figures.items():
         table.add_row(name, f"{value:.4g}", "", "", style="dim")
     Console(stderr=True).print(table)
@@ -52,14 +52,14 @@
 ) -> None:
     """A subsystem under its failures on loopback, and the verdict: status 1 where a claim did not hold."""
     chosen = DRILLS[name]
-    if sabotage is not None and sabotage not in chosen.sabotages:
-        known = ", ".join(chosen.sabotages)
+    if sabotage is not None and sabotage not in chosen.mutations:
+        known = ", ".join(chosen.mutations)
         raise click.BadParameter(f"{sabotage!r} is none of: {known}", param_hint="--sabotage")
-    if nodes and not chosen.sized:
+    if nodes and not chosen.is_sizable:
         raise click.BadParameter(f"the drill {name} has its own number", param_hint="--nodes")
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
-        verdict = trio.run(chosen.run, Ask(seconds, seed, sabotage, nodes), Path(folder))
+        verdict = trio.run(chosen.run, DrillParameters(seconds, seed, sabotage, nodes), Path(folder))
     told(verdict)
     if sink is not None:
-        sink.write(json.dumps(verdict.written(), indent=2) + "\n")
-    sys.exit(0 if verdict.held else 1)
+        sink.write(json.dumps(verdict.to_json_object(), indent=2) + "\n")
+    sys.exit(0 if verdict.holds else 1)
--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -95,8 +95,8 @@
     console.print(f"nodes ready after {record.started:.1f} s; {record.cpus:.1f} cores used", style="dim")
     told(verdict)
     if sink is not None:
-        sink.write(json.dumps(verdict.written(), indent=2) + "\n")
-    sys.exit(0 if verdict.held else 1)
+        sink.write(json.dumps(verdict.to_json_object(), indent=2) + "\n")
+    sys.exit(0 if verdict.holds else 1)
 
 
 @fleet.command()
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -15,17 +15,18 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from burlmoor.testbed.clients import Clients
-from burlmoor.testbed.event_record import Ledger
-from burlmoor.testbed.load import Generator, Meter, Report, draw
-from burlmoor.testbed.local_cluster import KINDS, Kind, fleet, town
-from burlmoor.testbed.single_node import own_node, roomy
+from burlmoor.testbed.clients import ClientPool
+from burlmoor.testbed.event_record import EventRecord
+from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
+from burlmoor.testbed.load import LoadGenerator, LoadReport, ProcessMeter, draw_arrivals
+from burlmoor.testbed.local_cluster import executor_specs, local_cluster
+from burlmoor.testbed.single_node import run_single_node, unbounded_executor_specs
 from burlmoor.transport.stream import parse_address
 
 _ERR = Console(stderr=True)
 
 
-def written(report: Report, title: str) -> Table:
+def written(report: LoadReport, title: str) -> Table:
     """A table of outcomes and latencies by class."""
     table = Table(title=title)
     counted = ("served", "refused", "failed", "no answer")
@@ -33,8 +34,8 @@
     for head in heads:
         table.add_column(head, justify="left" if head == "class" else "right", no_wrap=head == "class")
     for name, tally in [*sorted(report.by_class.items()), ("all", report.total)]:
-        counts = [tally.asked, *(tally.outcomes[each] for each in counted)]
-        times = [f"{tally.at(each):.0f}" for each in (50.0, 90.0, 99.0, 100.0)]
+        counts = [tally.total, *(tally.outcomes[each] for each in counted)]
+        times = [f"{tally.latency_percentile_ms(each):.0f}" for each in (50.0, 90.0, 99.0, 100.0)]
         table.add_row(name, *map(str, counts), *times)
     return table
 
@@ -52,16 +53,16 @@
         sink.write(json.dumps(figures, indent=2) + "\n")
 
 
-async def _tried(rate: float, seconds: float, seed: int, executors: int, folder: Path) -> Report:
-    arrivals = draw(rate, seconds, KINDS, seed)
+async def _tried(rate: float, seconds: float, seed: int, executors: int, folder: Path) -> LoadReport:
+    arrivals = draw_arrivals(rate, seconds, JOB_CLASSES, seed)
     with bar() as progress:
         task = progress.add_task("starting", total=len(arrivals))
-        async with town(folder, fleet(executors)) as made:
+        async with local_cluster(folder, executor_specs(executors)) as made:
             progress.update(task, description="jobs answered")
-            meter = Meter(made.nodes[0].pid)
-            generator = Generator(made.clients, "try")
+            meter = ProcessMeter(made.nodes[0].pid)
+            generator = LoadGenerator(made.clients, "try")
             report = await generator.run(arrivals, lambda n: progress.advance(task, n))
-            meter.read(report)
+            meter.read_into(report)
     return report
 
 
@@ -92,31 +93,35 @@
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         report = trio.run(_tried, rate, seconds, seed, executors, Path(folder))
     _ERR.print(written(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
-    cpu = report.cpu_ms / max(1, report.total.asked)
-    _ERR.print(f"The node used {cpu:.2f} ms of CPU a job and {report.memory / 2**20:.0f} MiB.")
-    told(report.figures(), sink)
+    cpu = report.cpu_ms / max(1, report.total.total)
+    _ERR.print(f"The node used {cpu:.2f} ms of CPU a job and {report.memory_bytes / 2**20:.0f} MiB.")
+    told(report.to_json_object(), sink)
     if report.total.outcomes["no answer"]:
         sys.exit(1)
 
 
 async def _loaded(to: tuple[str, int], pid: int | None, rate: float, seconds: float, seed: int,
-                  kinds: tuple[Kind, ...]) -> Report:  # fmt: skip
-    arrivals = draw(rate, seconds, kinds, seed)
+                  kinds: tuple[JobClass, ...]) -> LoadReport:  # fmt: skip
+    arrivals = draw_arrivals(rate, seconds, kinds, seed)
     with bar() as progress:
         task = progress.add_task(f"{rate:g} jobs/s", total=len(arrivals))
-        clients = Clients(to, Ledger())
-        meter = Meter(pid) if pid is not None else None
-        report = await Generator([clients], f"load{seed}").run(arrivals, lambda n: progress.advance(task, n))
+        clients = ClientPool(to, EventRecord())
+        meter = ProcessMeter(pid) if pid is not None else None
+        report = await LoadGenerator([clients], f"load{seed}").run(
+            arrivals, lambda n: progress.advance(task, n)
+        )
         if meter is not None:
-            meter.read(report)
+            meter.read_into(report)
         clients.close()
     return report
 
 
-async def _own(rate: float, seconds: float, seed: int, executors: int, run_ms: float, folder: Path) -> Report:
-    kinds = tuple(kind._replace(work=run_ms) for kind in KINDS)
-    async with own_node(roomy(executors), kinds, folder) as node:
-        return await _loaded(node.listen, node.pid, rate, seconds, seed, kinds)
+async def _own(
+    rate: float, seconds: float, seed: int, executors: int, run_ms: float, folder: Path
+) -> LoadReport:
+    kinds = tuple(kind._replace(mean_work_ms=run_ms) for kind in JOB_CLASSES)
+    async with run_single_node(unbounded_executor_specs(executors), kinds, folder) as node:
+        return await _loaded(node.address, node.pid, rate, seconds, seed, kinds)
 
 
 @click.command()
@@ -142,16 +147,16 @@
             where = parse_address(to)
         except ValueError as error:
             raise click.BadParameter(str(error), param_hint="--to") from error
-        kinds = tuple(kind._replace(work=run_ms) for kind in KINDS)
+        kinds = tuple(kind._replace(mean_work_ms=run_ms) for kind in JOB_CLASSES)
         report = trio.run(_loaded, where, pid, rate, seconds, seed, kinds)
     else:
         with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
             report = trio.run(_own, rate, seconds, seed, executors, run_ms, Path(folder))
     _ERR.print(written(report, f"{rate:g} jobs/s for {seconds:g} s"))
-    _ERR.print(f"generator behind by {report.behind_ms:.1f} ms at most")
+    _ERR.print(f"generator behind by {report.max_lag_ms:.1f} ms at most")
     if report.cpu_ms:
-        _ERR.print(f"node: {report.cpu_ms / max(1, report.total.asked):.3f} ms of CPU a job, "
-                   f"{report.memory / 2**20:.0f} MiB")  # fmt: skip
-    told(report.figures(), sink)
+        _ERR.print(f"node: {report.cpu_ms / max(1, report.total.total):.3f} ms of CPU a job, "
+                   f"{report.memory_bytes / 2**20:.0f} MiB")  # fmt: skip
+    told(report.to_json_object(), sink)
     if report.total.outcomes["no answer"]:
         sys.exit(1)
--- a/burlmoor/simulation/audit.py
+++ b/burlmoor/simulation/audit.py
@@ -7,7 +7,7 @@
 
 from burlmoor.engine.answers import Rejected, Served
 from burlmoor.simulation.cluster import DROPPED, ClientRecord, ExecutorRecord, SimulatedCluster
-from burlmoor.testbed.executor_model import most_calls
+from burlmoor.testbed.executor_model import max_calls_by_chance
 from burlmoor.types.endpoint_list import EndpointState
 from burlmoor.types.settings import DeduplicationScope, Idempotency, JobClass, Limits
 
@@ -114,7 +114,7 @@
     sent: dict[tuple[str, float], list[ExecutorRecord]] = defaultdict(list)
     for attempt in world.attempts:
         at = known.get((attempt.node, attempt.executor, attempt.start), math.inf)
-        if attempt.start > 0.0 and at <= attempt.sent < attempt.start + spec.cold_ms:
+        if attempt.start > 0.0 and at <= attempt.sent < attempt.start + spec.slow_start_ms:
             sent[attempt.executor, attempt.start].append(attempt)
     broken = []
     mean = sum(row.work for row in world.asked.values()) / max(1, len(world.asked))
@@ -122,8 +122,13 @@
         for first, attempt in enumerate(attempts):
             end = attempt.sent + rules.overload_window_ms
             load = sum(each.cost for each in attempts[first:] if each.sent <= end)
-            bears = rules.overload_multiple * spec.able * spec.warmth(end - start) * rules.overload_window_ms
-            if load > min(CHANCE * bears, mean * most_calls(bears / mean)):
+            bears = (
+                rules.overload_multiple
+                * spec.capacity
+                * spec.slow_start_factor(end - start)
+                * rules.overload_window_ms
+            )
+            if load > min(CHANCE * bears, mean * max_calls_by_chance(bears / mean)):
                 broken.append(f"{name}: {load:.0f} ms of work in a window where it bears {bears:.0f}")
                 break
     return broken
--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -18,7 +18,7 @@
 from burlmoor.engine.answers import FinalAnswer
 from burlmoor.engine.engine import Engine
 from burlmoor.engine.job import Attempt, Job
-from burlmoor.testbed.executor_model import Machine, Note, Spec
+from burlmoor.testbed.executor_model import ExecutorModel, ExecutorSpec, JobProgress
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
 from burlmoor.types.events import JobRequest
 from burlmoor.types.outcome import Outcome
@@ -27,7 +27,14 @@
 DROPPED = b"dropped"  # stands for the answer to a repeat that executors knew by its key
 
 
-SPEC = Spec(cores=4.0, slots=4, queue=12, cold_share=0.2, cold_ms=4000.0, progress_ms=500.0)
+SPEC = ExecutorSpec(
+    cores=4.0,
+    slots=4,
+    queue_capacity=12,
+    initial_capacity_fraction=0.2,
+    slow_start_ms=4000.0,
+    progress_interval_ms=500.0,
+)
 
 
 @dataclass(frozen=True)
@@ -37,7 +44,7 @@
     settings: Settings
     zones: tuple[str, ...] = ("a",)
     executors: int = 6
-    spec: Spec = SPEC
+    spec: ExecutorSpec = SPEC
     net: float = 2.0  # one way
     list_delay: tuple[float, float] = (50.0, 400.0)  # until a change is told, drawn for each node
     cancels: str = "none"  # what giving up frees: `none` or `waiting`, what has not begun
@@ -83,7 +90,7 @@
 @dataclass(slots=True)
 class _Stand:
     entry: EndpointEntry
-    machine: Machine
+    machine: ExecutorModel
     up: bool = True
     due: float = math.inf
     holds: dict[str, tuple[ExecutorRecord, Attempt]] = field(default_factory=dict)
@@ -154,7 +161,7 @@
         stand = self.stands[name]
         cores = self.town.spec.cores
         weight = {"none": 1.0, "nominal": cores}.get(
-            self.town.weights, cores / (1.0 + stand.machine.held / cores)
+            self.town.weights, cores / (1.0 + stand.machine.job_count / cores)
         )
         return stand.entry._replace(weight=weight)
 
@@ -173,7 +180,7 @@
     def _start(self, name: str, zone: str, started: float) -> None:
         number = len(self.stands) if name not in self.stands else self.stands[name].entry.cell
         entry = EndpointEntry(name, zone=zone, cell=number // 3, kind=f"kind{number % 2}", started_at=started)
-        self.stands[name] = _Stand(entry, Machine(self.town.spec, self.now, cold=started > 0.0))
+        self.stands[name] = _Stand(entry, ExecutorModel(self.town.spec, self.now, cold=started > 0.0))
 
     def drain(self, name: str, for_: float) -> None:
         """An executor wants nothing new, finishes what it has, and is gone after a while."""
@@ -182,7 +189,7 @@
             return
         stand.entry = stand.entry._replace(state=EndpointState.DRAINING)
         self.change(name)
-        for job in stand.machine.hand_back(self.now):
+        for job in stand.machine.take_queued(self.now):
             self._end(stand, job, Outcome.OVERLOADED)
         self.at(self.now + for_, lambda: self.kill(name))
 
@@ -230,7 +237,7 @@
             self.tell(forward, attempt, Outcome.SERVED, DROPPED)
             return
         draining = stand.entry.state is not EndpointState.LIVE
-        if draining or not stand.machine.offer(self.now, row.id, row.work):
+        if draining or not stand.machine.admit(self.now, row.id, row.work):
             self.tell(forward, attempt, Outcome.OVERLOADED)
             return
         stand.holds[row.id] = attempt, forward
@@ -260,7 +267,7 @@
         """A node waits for this forward no longer."""
         stand = self.stands[forward.endpoint]
         if forward.job.id in stand.holds and self.town.cancels != "none":
-            if stand.machine.drop(self.now, forward.job.id):
+            if stand.machine.drop_queued(self.now, forward.job.id):
                 del stand.holds[forward.job.id]
             self.look(stand)
 
@@ -268,7 +275,7 @@
         """Carry out what has happened at an executor, and plan the next look."""
         for note in stand.machine.step(self.now):
             self._note(stand, note)
-        due = stand.machine.due()
+        due = stand.machine.next_due_ms()
         if due < stand.due or stand.due <= self.now:
             stand.due = due
             if due < math.inf:
@@ -279,7 +286,7 @@
             stand.due = math.inf
             self.look(stand)
 
-    def _note(self, stand: _Stand, note: Note) -> None:
+    def _note(self, stand: _Stand, note: JobProgress) -> None:
         attempt, forward = stand.holds.get(note.job, (None, None))
         if attempt is None or forward is None:
             return
@@ -290,7 +297,7 @@
             if self.town.settings.reports_start:
                 self._tell_node(attempt, lambda core: core.on_attempt_started(forward))
         elif self.town.settings.progress_interval_ms > 0.0:
-            self._tell_node(attempt, lambda core: core.on_attempt_progressed(forward, note.share))
+            self._tell_node(attempt, lambda core: core.on_attempt_progressed(forward, note.done_fraction))
 
     def _end(self, stand: _Stand, job: str, outcome: Outcome) -> None:
         held = stand.holds.pop(job, None)
--- a/burlmoor/testbed/__main__.py
+++ b/burlmoor/testbed/__main__.py
@@ -13,23 +13,23 @@
 import msgspec
 import trio
 
-from burlmoor.testbed.event_record import Anybody, Ledger
+from burlmoor.testbed.event_record import AnyRequestId, EventRecord
 from burlmoor.testbed.executor import Executor
-from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.executor_model import ExecutorSpec
 
 
 class Plan(msgspec.Struct):
     """The executors, and the node that they call back."""
 
-    executors: dict[str, Spec]
+    executors: dict[str, ExecutorSpec]
     relay: tuple[str, int]
 
 
 async def _serve(plan: Plan) -> None:
     async with trio.open_nursery() as nursery:
-        ledger = Ledger(asked=Anybody())
+        ledger = EventRecord(requests=AnyRequestId())
         executors = [Executor(name, spec, ledger, nursery) for name, spec in plan.executors.items()]
-        dials = {each.name: await each.listen("n0", plan.relay) for each in executors}
+        dials = {each.name: await each.listen_for_node("n0", plan.relay) for each in executors}
         print(json.dumps(dials), flush=True)
         await trio.to_thread.run_sync(sys.stdin.read, abandon_on_cancel=True)
         nursery.cancel_scope.cancel()
--- a/burlmoor/testbed/discovery.py
+++ b/burlmoor/testbed/discovery.py
@@ -10,17 +10,17 @@
 
 import trio
 
-from burlmoor.testbed.executor import now
-from burlmoor.testbed.http_wire import Server, Wire
+from burlmoor.testbed.clock import now_ms
+from burlmoor.testbed.http_stream import HttpServer, HttpStream
 
 # ms until what a silent watch misses counts as told: after it fell silent, after its call's wait is over.
-TOLD_AFTER_SILENCE, TOLD_AFTER_WAIT = 6000.0, 2000.0
+NOTIFIED_AFTER_STALL_MS, NOTIFIED_AFTER_WAIT_MS = 6000.0, 2000.0
 # ms until a change counts as told where a call failed, was refused or was given up: after it was here, and
 # this service within reach.
-TOLD_AFTER_FAILURE = 6000.0
+NOTIFIED_AFTER_FAILURE_MS = 6000.0
 
 
-class Discovery:
+class DiscoveryService:
     """Owns the list, and who watches it."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -29,16 +29,18 @@
         self._dials: dict[str, dict[str, str]] = {}
         self._news = trio.Event()
         self._down, self._back = False, -math.inf  # whether every call is refused, and when that ended last
-        self.late: dict[str, float] = {}  # nodes that hear of everything so many ms late
+        self.delay_ms_by_node: dict[str, float] = {}  # nodes that hear of everything so many ms late
         # When, which node, of whom, their health: written to it, or missed by a silent watch and told anyway.
-        self.heard: list[tuple[float, str, str, str]] = []
-        self._watches: dict[str, dict[Wire, tuple[int, float]]] = {}  # by node: the version, the wait's end
-        self._mute: set[Wire] = set()  # on these nothing is answered any more
+        self.notifications: list[tuple[float, str, str, str]] = []
+        self._watches: dict[
+            str, dict[HttpStream, tuple[int, float]]
+        ] = {}  # by node: the version, the wait's end
+        self._mute: set[HttpStream] = set()  # on these nothing is answered any more
         self._failed: set[str] = set()  # nodes whose last call was refused, reset or given up
         self._health: dict[tuple[str, str], str] = {}  # what each node has heard last, of whom
 
     @property
-    def seq(self) -> int:
+    def version(self) -> int:
         """The version of the list: each change is one."""
         return len(self._history)
 
@@ -49,49 +51,49 @@
 
     @down.setter
     def down(self, down: bool) -> None:
-        self._back = now() if self._down and not down else self._back
+        self._back = now_ms() if self._down and not down else self._back
         self._down = down
 
-    def starts(self, node: str) -> None:
+    def on_node_started(self, node: str) -> None:
         """The node's process is a new one, whose calls have not failed."""
         self._failed.discard(node)
 
     def _note(self, node: str, host: str, health: str) -> None:
-        self.heard.append((now(), node, host, health))
+        self.notifications.append((now_ms(), node, host, health))
         self._health[node, host] = health
 
     def _shown(self, node: str) -> int:
         """The version that this node is told."""
-        late = self.late.get(node, 0.0)
-        return self.seq if not late else bisect(self._history, now() - late, key=lambda each: each[0])
+        late = self.delay_ms_by_node.get(node, 0.0)
+        return self.version if not late else bisect(self._history, now_ms() - late, key=lambda each: each[0])
 
-    async def listen(self, node: str, dials: dict[str, str]) -> str:
+    async def listen_for_node(self, node: str, dials: dict[str, str]) -> str:
         """An address for one node, which reaches executors at `dials`."""
         self._dials[node] = dials
 
-        async def serve(wire: Wire) -> None:
+        async def serve(wire: HttpStream) -> None:
             await self._serve(node, wire)
 
-        return await Server(serve, self._nursery).open()
+        return await HttpServer(serve, self._nursery).open()
 
-    def tell(self, host: str, **entry: Any) -> None:
+    def set_entry(self, host: str, **entry: Any) -> None:
         """Set an executor's entry, or part of it; watches hear of it."""
         usual = {"host": host, "site": "a", "class": "m", "block": 1, "health": "active", "share": 1.0,
                  "born_ms": 0}  # fmt: skip
         before: dict[str, Any] = next((each for _, name, each in reversed(self._history) if name == host), {})
-        self._history.append((now(), host, {**usual, **before, **entry}))
-        self._nursery.start_soon(self._failed_to_hear, self.seq)
+        self._history.append((now_ms(), host, {**usual, **before, **entry}))
+        self._nursery.start_soon(self._failed_to_hear, self.version)
         self._news.set()
         self._news = trio.Event()
 
-    def silence(self, node: str) -> None:
+    def stall_watches(self, node: str) -> None:
         """The node's watch is lost without a sign; what it misses counts as told some seconds later."""
         for wire, (after, over) in self._watches.get(node, {}).items():
             self._mute.add(wire)
-            at = max(now() + TOLD_AFTER_SILENCE, over + TOLD_AFTER_WAIT)
+            at = max(now_ms() + NOTIFIED_AFTER_STALL_MS, over + NOTIFIED_AFTER_WAIT_MS)
             self._nursery.start_soon(self._missed, node, after, at)
 
-    def break_off(self, node: str) -> None:
+    def reset_watches(self, node: str) -> None:
         """The node's watch is reset."""
         for wire in list(self._watches.get(node, {})):
             self._failed.add(node)
@@ -100,7 +102,7 @@
     async def _failed_to_hear(self, version: int) -> None:
         """Note the change as told to whoever's last call failed, and who has not heard of it."""
         changed, host, entry = self._history[version - 1]
-        while self.down or (left := max(changed, self._back) + TOLD_AFTER_FAILURE - now()) > 0.0:
+        while self.down or (left := max(changed, self._back) + NOTIFIED_AFTER_FAILURE_MS - now_ms()) > 0.0:
             await trio.sleep((50.0 if self.down else left) / 1000.0)
         if any(later == host for _, later, _ in self._history[version:]):
             return
@@ -110,12 +112,12 @@
                 self._note(node, host, entry["health"])
 
     async def _missed(self, node: str, after: int, at: float) -> None:
-        await trio.sleep(max(0.0, at - now()) / 1000.0)
+        await trio.sleep(max(0.0, at - now_ms()) / 1000.0)
         for host, entry in {host: entry for _, host, entry in self._history[after:]}.items():
             if self._health.get((node, host)) != entry["health"]:
                 self._note(node, host, entry["health"])
 
-    def whole(self, node: str) -> dict[str, Any]:
+    def full_list(self, node: str) -> dict[str, Any]:
         """The list as that node is told it."""
         shown = self._shown(node)
         hosts = {host: entry for _, host, entry in self._history[:shown]}
@@ -125,7 +127,7 @@
     def _for(self, node: str, entry: dict[str, Any]) -> dict[str, Any]:
         return {**entry, "dial": self._dials[node].get(entry["host"], "")}
 
-    async def _serve(self, node: str, wire: Wire) -> None:
+    async def _serve(self, node: str, wire: HttpStream) -> None:
         while (message := await wire.read()) is not None:
             asked = urlsplit(message.path)
             query = parse_qs(asked.query)
@@ -135,15 +137,15 @@
                 await wire.write("HTTP/1.1 503 No" if self.down else "HTTP/1.1 404 No")
                 continue
             if "after" not in query:
-                told = self.whole(node)
+                told = self.full_list(node)
             else:
                 after, wait = int(query["after"][0]), float(query["wait_ms"][0])
                 watches = self._watches.setdefault(node, {})
-                watches[wire] = (after, now() + wait)
+                watches[wire] = (after, now_ms() + wait)
                 try:
                     with trio.move_on_after(wait / 1000.0):
                         while self._shown(node) <= after:
-                            with trio.move_on_after(0.05 if self.seq > after else math.inf):
+                            with trio.move_on_after(0.05 if self.version > after else math.inf):
                                 await self._news.wait()
                 finally:
                     del watches[wire]
--- a/burlmoor/testbed/drill.py
+++ b/burlmoor/testbed/drill.py
@@ -14,12 +14,12 @@
 
     value: float
     bound: float
-    least: bool = False
+    is_lower_bound: bool = False
 
     @property
-    def held(self) -> bool:
+    def holds(self) -> bool:
         """Whether it is so."""
-        return self.value >= self.bound if self.least else self.value <= self.bound
+        return self.value >= self.bound if self.is_lower_bound else self.value <= self.bound
 
 
 class Verdict(msgspec.Struct):
@@ -32,36 +32,36 @@
     figures: dict[str, float] = {}
 
     @property
-    def held(self) -> bool:
+    def holds(self) -> bool:
         """Whether every claim is so."""
-        return all(claim.held for claim in self.claims.values())
+        return all(claim.holds for claim in self.claims.values())
 
-    def written(self) -> dict[str, Any]:
+    def to_json_object(self) -> dict[str, Any]:
         """The verdict as one JSON object."""
         return {
             "drill": self.drill, "seed": self.seed, "seconds": self.seconds,
             "claims": {
-                name: {"value": round(each.value, 4), "bound": each.bound, "held": each.held}
+                name: {"value": round(each.value, 4), "bound": each.bound, "held": each.holds}
                 for name, each in self.claims.items()
             },
             "figures": {name: round(each, 4) for name, each in self.figures.items()},
-            "held": self.held,
+            "held": self.holds,
         }  # fmt: skip
 
 
-class Ask(NamedTuple):
+class DrillParameters(NamedTuple):
     """What a drill is asked to be; `nodes` 0: as many as it has by itself."""
 
     seconds: float
     seed: int
-    sabotage: str | None = None
+    mutation: str | None = None
     nodes: int = 0
 
 
 class Drill(NamedTuple):
     """A drill by name: what it does, and the faults of the node with which it must fail."""
 
-    about: str
-    run: Callable[[Ask, Path], Awaitable[Verdict]]
-    sabotages: Mapping[str, str]
-    sized: bool = False  # whether the number of nodes may be chosen
+    summary: str
+    run: Callable[[DrillParameters, Path], Awaitable[Verdict]]
+    mutations: Mapping[str, str]
+    is_sizable: bool = False  # whether the number of nodes may be chosen
--- a/burlmoor/testbed/drill_deferred.py
+++ b/burlmoor/testbed/drill_deferred.py
@@ -17,15 +17,16 @@
 import numpy as np
 import trio
 
-from burlmoor.testbed.drill import Ask, Claim, Drill, Verdict
-from burlmoor.testbed.event_record import Asked, Ledger
-from burlmoor.testbed.executor import now
-from burlmoor.testbed.executor_model import Spec
-from burlmoor.testbed.local_cluster import KINDS, Kind, Town, capacity, town, unix
+from burlmoor.testbed.clock import now_ms, unix_now_ms
+from burlmoor.testbed.drill import Claim, Drill, DrillParameters, Verdict
+from burlmoor.testbed.event_record import EventRecord, RequestRecord
+from burlmoor.testbed.executor_model import ExecutorSpec
+from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
+from burlmoor.testbed.local_cluster import LocalCluster, local_cluster, total_capacity
 from burlmoor.testbed.mutations import OF_WAITING, told
 
-_SEARCH, _DETAILS, _CONFIRM = KINDS
-_ONCE = {kind.name for kind in KINDS if kind.once}
+_SEARCH, _DETAILS, _CONFIRM = JOB_CLASSES
+_ONCE = {kind.name for kind in JOB_CLASSES if kind.is_non_idempotent}
 _WORK = 200.0  # ms, the mean of plain jobs
 _LOADS = (0.8, 1.3)  # of what the executors bear, by halves of the drill
 _EXECUTORS, _CORES = 6, 2.0
@@ -43,7 +44,7 @@
 
     at: float
     ref: str
-    kind: Kind
+    kind: JobClass
     work: float
     after: tuple[str, ...] = ()
     not_before: float = 0.0
@@ -77,12 +78,14 @@
         self.jobs.sort(key=lambda job: job.at)
 
     def _plain(self) -> None:
-        bears = capacity({str(n): Spec(cores=_CORES) for n in range(_EXECUTORS)}) * 1000.0 / _WORK
+        bears = (
+            total_capacity({str(n): ExecutorSpec(cores=_CORES) for n in range(_EXECUTORS)}) * 1000.0 / _WORK
+        )
         half = self.seconds / 2.0
         for part, load in enumerate(_LOADS):
             count = self._rng.poisson(load * bears * half)
             for at in self._rng.uniform(part * half, (part + 1) * half, count):
-                kind = KINDS[int(self._rng.choice(3, p=(0.7, 0.2, 0.1)))]
+                kind = JOB_CLASSES[int(self._rng.choice(3, p=(0.7, 0.2, 0.1)))]
                 work = float(self._rng.lognormal(math.log(_WORK) - 0.125, 0.5))
                 self.jobs.append(
                     _Planned(float(at), self._ref("p"), kind, work, node=int(self._rng.integers(2)))
@@ -93,7 +96,7 @@
         return f"{sort}-{self.seed}-{self._number}"
 
     def _add(self, at: float, node: int, sort: str, work: float, *after: str, **more: object) -> _Planned:
-        kind = KINDS[int(self._rng.choice(3, p=(0.5, 0.3, 0.2)))]
+        kind = JOB_CLASSES[int(self._rng.choice(3, p=(0.5, 0.3, 0.2)))]
         patience = 1000.0 * min(40.0, self.seconds - at + _TAIL)
         made = _Planned(at, self._ref(sort), kind, work, after, patience=patience, node=node, waits=True)
         for name, value in more.items():
@@ -145,18 +148,18 @@
 class _Run:
     """Owns one drill under way."""
 
-    def __init__(self, made: Town, plan: _Plan) -> None:
+    def __init__(self, made: LocalCluster, plan: _Plan) -> None:
         self._town, self._plan = made, plan
         self._away: set[int] = set()  # nodes that clients stay away from
         self.statuses: list[int] = []
 
     async def play(self) -> None:
         """Send every job at its time, with the failures, and wait until all are answered."""
-        self._began, self._unix = now(), unix()
+        self._began, self._unix = now_ms(), unix_now_ms()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._fail)
             for job in self._plan.jobs:
-                wait = job.at - (now() - self._began) / 1000.0
+                wait = job.at - (now_ms() - self._began) / 1000.0
                 if wait > 0.001:
                     await trio.sleep(wait)
                 nursery.start_soon(self._send, job)
@@ -164,21 +167,23 @@
     async def _send(self, job: _Planned) -> None:
         # Whole families go to one node, as their clients would keep to it; its restart sends them elsewhere.
         node = job.node if job.node not in self._away else 1 - job.node
-        patience = job.patience or job.kind.patience
-        asked = Asked(job.ref, job.kind.name, now(), patience, job.work, job.after, node=node)
+        patience = job.patience or job.kind.timeout_ms
+        asked = RequestRecord(job.ref, job.kind.name, now_ms(), patience, job.work, job.after, node=node)
         if job.not_before:
-            asked.not_before = self._unix + 1000.0 * job.not_before
+            asked.not_before_unix_ms = self._unix + 1000.0 * job.not_before
         if job.leaves:
-            asked.left = asked.sent + 1000.0 * job.leaves
-        await self._town.clients[node].ask(asked, fails=job.fails)
-        if asked.left is not None and asked.answers and asked.answered is not None:
-            asked.left = None if asked.answered < asked.left else asked.left
+            asked.disconnected_ms = asked.sent_ms + 1000.0 * job.leaves
+        await self._town.clients[node].send(asked, fails=job.fails)
+        if asked.disconnected_ms is not None and asked.answer_count and asked.answered_ms is not None:
+            asked.disconnected_ms = (
+                None if asked.answered_ms < asked.disconnected_ms else asked.disconnected_ms
+            )
 
     async def _fail(self) -> None:
         seconds, names = self._plan.seconds, list(self._town.executors)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._at, 0.2 * seconds, self._town.kill, names[0], 1.0, 3.0)
-            nursery.start_soon(self._at, 0.45 * seconds, self._town.drain, names[1], 1.0)
+            nursery.start_soon(self._at, 0.2 * seconds, self._town.kill_executor, names[0], 1.0, 3.0)
+            nursery.start_soon(self._at, 0.45 * seconds, self._town.drain_executor, names[1], 1.0)
             nursery.start_soon(self._at, 0.6 * seconds, self._restart)
 
     async def _at(self, seconds: float, act, *given) -> None:  # type: ignore[no-untyped-def]
@@ -187,110 +192,117 @@
 
     async def _restart(self) -> None:
         node = self._town.nodes[1]
-        node.tell(signal.SIGTERM)
+        node.send_signal(signal.SIGTERM)
         # What waits is refused there from 2 s on, by the node's own page: that says nothing of its pace.
-        closing = now() + 1000.0 * _CLOSES
+        closing = now_ms() + 1000.0 * _CLOSES
         await trio.sleep(0.3)
         self._away.add(1)
         assert node.process is not None
         with trio.move_on_after(8.0):
             self.statuses.append(await node.process.wait())
-        self._town.ledger.closings.append((1, closing, now()))
+        self._town.event_record.closing_periods.append((1, closing, now_ms()))
         await self._town.start_node(node)
         self._away.discard(1)
 
 
-def _ends(ledger: Ledger) -> dict[str, float]:
+def _ends(ledger: EventRecord) -> dict[str, float]:
     """When each job was over for its client."""
     ends: dict[str, float] = {}
-    for ref, each in ledger.asked.items():
-        over = each.answered if each.answered is not None else each.left
+    for ref, each in ledger.requests.items():
+        over = each.answered_ms if each.answered_ms is not None else each.disconnected_ms
         if over is not None:
             ends[ref] = over
     return ends
 
 
-def judge(ledger: Ledger, seed: int, seconds: float, statuses: list[int]) -> Verdict:
+def judge(ledger: EventRecord, seed: int, seconds: float, statuses: list[int]) -> Verdict:
     """The verdict on what the far sides saw."""
     verdict = Verdict("waiting", seed, seconds)
     ends = _ends(ledger)
-    done = {row.id: row.ended for row in ledger.ran if row.end == "done" and row.ended is not None}
+    done = {
+        row.id: row.ended_ms for row in ledger.attempts if row.outcome == "done" and row.ended_ms is not None
+    }
     came_at: dict[str, float] = {}
-    for row in ledger.ran:
-        came_at[row.id] = min(row.came, came_at.get(row.id, math.inf))
-    before, after_failure, early, lags, released = 0, 0, 0, list[float](), list[Asked]()
-    for each in ledger.asked.values():
+    for row in ledger.attempts:
+        came_at[row.id] = min(row.received_ms, came_at.get(row.id, math.inf))
+    before, after_failure, early, lags, released = 0, 0, 0, list[float](), list[RequestRecord]()
+    for each in ledger.requests.values():
         came = came_at.get(each.id)
-        for name in each.after:
+        for name in each.run_after:
             if came is not None:
                 before += name not in done or done[name] > came
                 after_failure += name not in done
-            parent = ledger.asked.get(name)
+            parent = ledger.requests.get(name)
             over = ends.get(name)
-            if parent is not None and not parent.served and over is not None and each.answered is not None:
-                lags.append(each.answered - max(over, each.sent))
-        if each.not_before:
-            early += came is not None and came + ledger.to_unix < each.not_before - 1.0
+            if (
+                parent is not None
+                and not parent.is_served
+                and over is not None
+                and each.answered_ms is not None
+            ):
+                lags.append(each.answered_ms - max(over, each.sent_ms))
+        if each.not_before_unix_ms:
+            early += came is not None and came + ledger.unix_offset_ms < each.not_before_unix_ms - 1.0
         if _released_at(each, ledger) is not None:
             released.append(each)
     claims = verdict.claims
-    claims["unanswered"] = Claim(len(ledger.unanswered()), 0)
-    claims["late"] = Claim(len(ledger.late(_SLACK)), 0)
-    twice = sum(each.answers > 1 for each in ledger.asked.values())
-    claims["answered twice"] = Claim(twice + len(ledger.misplaced()), 0)
-    claims["ran twice"] = Claim(len(ledger.twice(_ONCE)), 0)
-    claims["invented"] = Claim(len(ledger.invented()), 0)
+    claims["unanswered"] = Claim(len(ledger.find_unanswered()), 0)
+    claims["late"] = Claim(len(ledger.find_late(_SLACK)), 0)
+    twice = sum(each.answer_count > 1 for each in ledger.requests.values())
+    claims["answered twice"] = Claim(twice + len(ledger.find_misplaced()), 0)
+    claims["ran twice"] = Claim(len(ledger.find_repeated(_ONCE)), 0)
+    claims["invented"] = Claim(len(ledger.find_fabricated()), 0)
     claims["ran before what it names"] = Claim(before, 0)
     claims["ran though its parent was not done"] = Claim(after_failure, 0)
     claims["ran before its time"] = Claim(early, 0)
     claims["parent's end to child's end, p99 ms"] = Claim(_percentile(lags, 99.0), 50.0)
-    claims["worst-served tenth against plain"] = Claim(_share(released, ledger), 0.9, least=True)
+    claims["worst-served tenth against plain"] = Claim(_share(released, ledger), 0.9, is_lower_bound=True)
     claims["bad exits"] = Claim(sum(status != 0 for status in statuses) + (not statuses), 0)
-    waited = [each for each in ledger.asked.values() if each.after or each.not_before]
+    waited = [each for each in ledger.requests.values() if each.run_after or each.not_before_unix_ms]
     verdict.figures = {
-        "jobs": len(ledger.asked), "waited": len(waited), "released": len(released),
+        "jobs": len(ledger.requests), "waited": len(waited), "released": len(released),
         "ended with a parent": len(lags), "served of released": _served(released),
-        "served of plain": _served([each for each in ledger.asked.values() if each.id.startswith("p-")]),
+        "served of plain": _served([each for each in ledger.requests.values() if each.id.startswith("p-")]),
         "parent's end to child's end, p50 ms": _percentile(lags, 50.0),
         "parent's end to child's end, max ms": max(lags, default=0.0),
-        "strange requests": len(ledger.strange),
+        "strange requests": len(ledger.protocol_violations),
     }  # fmt: skip
     return verdict
 
 
-def _served(rows: list[Asked]) -> float:
-    return sum(each.served for each in rows) / max(1, len(rows))
+def _served(rows: list[RequestRecord]) -> float:
+    return sum(each.is_served for each in rows) / max(1, len(rows))
 
 
 def _percentile(values: list[float], share: float) -> float:
     return float(np.percentile(values, share)) if values else math.inf
 
 
-def _released_at(each: Asked, ledger: Ledger) -> float | None:
+def _released_at(each: RequestRecord, ledger: EventRecord) -> float | None:
     """When a job that waited was free to run, if it ever was, and its client and node were still there."""
-    if not (each.after or each.not_before) or ledger.closed_on(each):
+    if not (each.run_after or each.not_before_unix_ms) or ledger.is_rejected_by_closing_node(each):
         return None
-    parents = [ledger.asked.get(name) for name in each.after]
-    times = [parent.answered for parent in parents if parent is not None and parent.served]
-    if len(times) < len(parents) or (each.left is not None and not each.answers):
+    parents = [ledger.requests.get(name) for name in each.run_after]
+    times = [parent.answered_ms for parent in parents if parent is not None and parent.is_served]
+    if len(times) < len(parents) or (each.disconnected_ms is not None and not each.answer_count):
         return None
-    times.append(each.not_before - ledger.to_unix if each.not_before else 0.0)
-    free = max([each.sent, *(at for at in times if at is not None)])
-    return None if each.answered is not None and each.answered < free else free
+    times.append(each.not_before_unix_ms - ledger.unix_offset_ms if each.not_before_unix_ms else 0.0)
+    free = max([each.sent_ms, *(at for at in times if at is not None)])
+    return None if each.answered_ms is not None and each.answered_ms < free else free
 
 
-def _share(released: list[Asked], ledger: Ledger) -> float:
+def _share(released: list[RequestRecord], ledger: EventRecord) -> float:
     """What the worst-served tenth of released jobs gets of what plain jobs of their class and time get."""
-    groups: dict[tuple[str, int], list[Asked]] = defaultdict(list)
-    plain: dict[tuple[str, int], list[Asked]] = defaultdict(list)
-    began = min((each.sent for each in ledger.asked.values()), default=0.0)
+    groups: dict[tuple[str, int], list[RequestRecord]] = defaultdict(list)
+    plain: dict[tuple[str, int], list[RequestRecord]] = defaultdict(list)
+    began = min((each.sent_ms for each in ledger.requests.values()), default=0.0)
     for each in released:
         at = _released_at(each, ledger)
         assert at is not None
         groups[each.job_class, int((at - began) // _WINDOW)].append(each)
-    for each in ledger.asked.values():
+    for each in ledger.requests.values():
         if each.id.startswith("p-"):
-            plain[each.job_class, int((each.sent - began) // _WINDOW)].append(each)
+            plain[each.job_class, int((each.sent_ms - began) // _WINDOW)].append(each)
     rows = [
         (_served(rows) / _served(plain[key]), _served(plain[key]), rows)
         for key, rows in groups.items()
@@ -302,23 +314,23 @@
         if seen >= most:
             break
         seen += len(members)
-        got += sum(each.served for each in members)
+        got += sum(each.is_served for each in members)
         due += usual * len(members)
     return got / due if due else math.nan
 
 
-async def _run(ask: Ask, folder: Path) -> Verdict:
-    specs = {f"s-{n}": Spec(cores=_CORES, slots=3, queue=12) for n in range(_EXECUTORS)}
+async def _run(ask: DrillParameters, folder: Path) -> Verdict:
+    specs = {f"s-{n}": ExecutorSpec(cores=_CORES, slots=3, queue_capacity=12) for n in range(_EXECUTORS)}
     plan = _Plan(ask.seconds, ask.seed)
-    async with town(folder, specs, nodes=2, options=_OPTIONS, start=False) as made:
-        if ask.sabotage is not None:
+    async with local_cluster(folder, specs, nodes=2, options=_OPTIONS, start=False) as made:
+        if ask.mutation is not None:
             for node in made.nodes:
-                node.command = [sys.executable, "-m", "burlmoor.testbed.mutations", ask.sabotage]
+                node.command = [sys.executable, "-m", "burlmoor.testbed.mutations", ask.mutation]
         await made.start()
-        made.ledger.to_unix = unix() - now()
+        made.event_record.unix_offset_ms = unix_now_ms() - now_ms()
         run = _Run(made, plan)
         await run.play()
-    return judge(made.ledger, ask.seed, ask.seconds, run.statuses)
+    return judge(made.event_record, ask.seed, ask.seconds, run.statuses)
 
 
 WAITING = Drill(
--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -10,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from burlmoor.testbed.drill import Ask, Drill, Verdict
+from burlmoor.testbed.drill import Drill, DrillParameters, Verdict
 from burlmoor.testbed.fleet.faults import Schedule, Trouble
 from burlmoor.testbed.fleet.record import Plan
 from burlmoor.testbed.fleet.run import Fleet, Parts
@@ -42,11 +42,11 @@
     )
 
 
-async def _run(ask: Ask, folder: Path) -> Verdict:
+async def _run(ask: DrillParameters, folder: Path) -> Verdict:
     nodes = ask.nodes or NODES
     plan = Plan(
         nodes, max(_LEAST, round(_EXECUTORS * nodes)), ask.seconds, ask.seed,
-        min(_MOST, max(40.0, _A_NODE * nodes)), _LOAD, sabotage=ask.sabotage,
+        min(_MOST, max(40.0, _A_NODE * nodes)), _LOAD, sabotage=ask.mutation,
         schedule=troubles(ask.seconds, ask.seed, nodes),
     )  # fmt: skip
     parts = Parts.round(nodes)
@@ -62,5 +62,5 @@
     "Load spread evenly by many nodes that each see little of it, under failures.",
     _run,
     told(OF_SPREAD),
-    sized=True,
+    is_sizable=True,
 )
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -11,7 +11,7 @@
 import sys
 from pathlib import Path
 
-from burlmoor.testbed.drill import Ask, Claim, Drill, Verdict
+from burlmoor.testbed.drill import Claim, Drill, DrillParameters, Verdict
 from burlmoor.testbed.fleet.audit import audit
 from burlmoor.testbed.fleet.faults import Schedule, Trouble
 from burlmoor.testbed.fleet.record import Plan, Record
@@ -47,30 +47,30 @@
     )
 
 
-def judge(record: Record, ask: Ask) -> Verdict:
+def judge(record: Record, ask: DrillParameters) -> Verdict:
     """The verdict on a run."""
     judged = audit(record)
     for line in judged.broken[:20]:
         print(f"burlmoor: {line}", file=sys.stderr)
     lost = set(judged.lost)
     asked = [job for job in record.asked if job.id not in lost]
-    served = sum(job.served for job in asked) / max(1, len(asked))
+    served = sum(job.is_served for job in asked) / max(1, len(asked))
     told_of = {(who, host) for _, who, host, health in record.heard if health == "leaving"}
     claims = {
         "rules broken": Claim(float(len(judged.broken)), 0.0),
-        "served": Claim(served, _SERVED, least=True),
-        "drains told, a node": Claim(len(told_of) / record.plan.nodes, 1.0, least=True),
+        "served": Claim(served, _SERVED, is_lower_bound=True),
+        "drains told, a node": Claim(len(told_of) / record.plan.nodes, 1.0, is_lower_bound=True),
     }
     figures = {"jobs": float(len(record.asked)), "start s": record.started}
     figures |= {f"excused: {why}": float(count) for why, count in sorted(judged.excused.items())}
     return Verdict("watch", ask.seed, ask.seconds, claims, figures)
 
 
-async def _run(ask: Ask, folder: Path) -> Verdict:
+async def _run(ask: DrillParameters, folder: Path) -> Verdict:
     nodes = ask.nodes or NODES
     executors = max(_LEAST, round(_EXECUTORS * nodes))
     rate = min(_MOST_RATE, max(_LEAST_RATE, _A_NODE * nodes))
-    plan = Plan(nodes, executors, ask.seconds, ask.seed, rate, _LOAD, sabotage=ask.sabotage)
+    plan = Plan(nodes, executors, ask.seconds, ask.seed, rate, _LOAD, sabotage=ask.mutation)
     fleet = Fleet(plan, folder, lambda line: print(line, file=sys.stderr))
     names = fleet.record.names()
     leaving = tuple(names[part::4] for part in range(3))
@@ -83,5 +83,5 @@
     "The watch on discovery falls silent, is reset, is down, while executors are announced as leaving.",
     _run,
     told(OF_WATCH),
-    sized=True,
+    is_sizable=True,
 )
--- a/burlmoor/testbed/executor_model.py
+++ b/burlmoor/testbed/executor_model.py
@@ -15,40 +15,44 @@
 import msgspec
 
 
-def most_calls(budget: float) -> float:
+def max_calls_by_chance(budget: float) -> float:
     """The most calls of mean work that luck accounts for where a cold executor's budget is so many."""
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
-class Spec(msgspec.Struct, frozen=True):
+class ExecutorSpec(msgspec.Struct, frozen=True):
     """What a machine is."""
 
     cores: float = 4.0
     slots: int = 6
     speed: float = 1.0
-    queue: int = 24  # jobs that may wait there
-    cold_share: float = 0.15  # of its capacity when it starts
-    cold_ms: float = 10_000.0  # until it is warm; it warms evenly
-    progress_ms: float = 2000.0  # between notes on a running job; 0: none
+    queue_capacity: int = msgspec.field(name="queue", default=24)  # jobs
+    initial_capacity_fraction: float = msgspec.field(name="cold_share", default=0.15)
+    slow_start_ms: float = msgspec.field(name="cold_ms", default=10_000.0)  # capacity grows linearly
+    progress_interval_ms: float = msgspec.field(name="progress_ms", default=2000.0)  # 0: no progress events
 
     @property
-    def able(self) -> float:
+    def capacity(self) -> float:
         """Work done a ms when warm and busy."""
         return self.cores * self.speed
 
-    def warmth(self, age: float) -> float:
+    def slow_start_factor(self, age: float) -> float:
         """The share of its capacity that it has so many ms after it started."""
-        if self.cold_ms <= 0.0:
+        if self.slow_start_ms <= 0.0:
             return 1.0
-        return min(1.0, self.cold_share + (1.0 - self.cold_share) * age / self.cold_ms)
+        return min(
+            1.0,
+            self.initial_capacity_fraction
+            + (1.0 - self.initial_capacity_fraction) * age / self.slow_start_ms,
+        )
 
 
-class Note(NamedTuple):
+class JobProgress(NamedTuple):
     """What a machine tells of a job: `started`, `running` with the share done, `done`."""
 
     job: str
     state: str
-    share: float = 0.0
+    done_fraction: float = 0.0
 
 
 @dataclass(slots=True)
@@ -60,10 +64,10 @@
     began: float = field(default=math.inf)
 
 
-class Machine:
+class ExecutorModel:
     """Owns the jobs that one executor has taken."""
 
-    def __init__(self, spec: Spec, now: float, cold: bool = False) -> None:
+    def __init__(self, spec: ExecutorSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
         self._born = now if cold else -math.inf
         self._now = now
@@ -73,24 +77,24 @@
         self._still = False
 
     @property
-    def held(self) -> int:
+    def job_count(self) -> int:
         """Jobs that run or wait."""
         return len(self._running) + len(self._queue)
 
-    def has(self, job: str) -> bool:
+    def has_job(self, job: str) -> bool:
         """Whether the job runs or waits here."""
         return job in self._running or job in self._queue
 
-    def warmth(self, now: float) -> float:
+    def slow_start_factor(self, now: float) -> float:
         """The share of its capacity that it has by now."""
-        return self.spec.warmth(now - self._born)
+        return self.spec.slow_start_factor(now - self._born)
 
     def _pace(self) -> float:
         """Work done a ms for each job that runs."""
         if self._still:
             return 0.0
         used = sum(held.slots for held in self._running.values())
-        cores = self.spec.cores * self.warmth(self._now)
+        cores = self.spec.cores * self.slow_start_factor(self._now)
         return self.spec.speed / self._slow * min(1.0, cores / used) if used else 0.0
 
     def _advance(self, now: float) -> None:
@@ -100,46 +104,46 @@
             held.left -= done
         self._now = now
 
-    def offer(self, now: float, job: str, work: float, slots: int = 1) -> bool:
+    def admit(self, now: float, job: str, work: float, slots: int = 1) -> bool:
         """Take a job, or turn it away unstarted where the queue is full or it can never fit."""
         self._advance(now)
-        if slots > self.spec.slots or len(self._queue) >= self.spec.queue or self.has(job):
+        if slots > self.spec.slots or len(self._queue) >= self.spec.queue_capacity or self.has_job(job):
             return False
         self._queue[job] = _Held(work, slots, work)
         return True
 
-    def drop(self, now: float, job: str) -> bool:
+    def drop_queued(self, now: float, job: str) -> bool:
         """Forget a job that waits; what runs goes on. Whether it waited."""
         self._advance(now)
         return self._queue.pop(job, None) is not None
 
-    def hand_back(self, now: float) -> list[str]:
+    def take_queued(self, now: float) -> list[str]:
         """Let go of all that waits."""
         self._advance(now)
         given, self._queue = list(self._queue), OrderedDict()
         return given
 
-    def slow_down(self, now: float, factor: float) -> None:
+    def set_slowdown(self, now: float, factor: float) -> None:
         """Run this many times slower than its speed from now on."""
         self._advance(now)
         self._slow = factor
 
-    def stand_still(self, now: float, still: bool) -> None:
+    def set_stalled(self, now: float, still: bool) -> None:
         """Do nothing, or go on."""
         self._advance(now)
         self._still = still
 
-    def step(self, now: float) -> list[Note]:
+    def step(self, now: float) -> list[JobProgress]:
         """What has happened by now, in order."""
         self._advance(now)
         notes = []
         for job, held in list(self._running.items()):
             if held.left <= 1e-6:
                 del self._running[job]
-                notes.append(Note(job, "done"))
+                notes.append(JobProgress(job, "done"))
             elif now >= held.note_at and not self._still:
-                held.note_at = now + self.spec.progress_ms
-                notes.append(Note(job, "running", 1.0 - held.left / held.work))
+                held.note_at = now + self.spec.progress_interval_ms
+                notes.append(JobProgress(job, "running", 1.0 - held.left / held.work))
         used = sum(held.slots for held in self._running.values())
         while self._queue and not self._still:
             job, held = next(iter(self._queue.items()))
@@ -149,16 +153,18 @@
             self._running[job] = held
             used += held.slots
             held.began = now
-            held.note_at = now + self.spec.progress_ms if self.spec.progress_ms else math.inf
-            notes.append(Note(job, "started"))
+            held.note_at = (
+                now + self.spec.progress_interval_ms if self.spec.progress_interval_ms else math.inf
+            )
+            notes.append(JobProgress(job, "started"))
         return notes
 
-    def due(self) -> float:
+    def next_due_ms(self) -> float:
         """When `step` has something to tell next, as things stand."""
         pace = self._pace()
         if pace <= 0.0:
             return math.inf
         ends = min((held.left / pace for held in self._running.values()), default=math.inf)
         notes = min((held.note_at for held in self._running.values()), default=math.inf)
-        warming = self._now + 50.0 if self.warmth(self._now) < 1.0 and self._running else math.inf
+        warming = self._now + 50.0 if self.slow_start_factor(self._now) < 1.0 and self._running else math.inf
         return min(self._now + max(0.0, ends), notes, warming)
--- a/burlmoor/testbed/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from burlmoor.testbed.event_record import Asked, Ran
-from burlmoor.testbed.executor_model import most_calls
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.executor_model import max_calls_by_chance
 from burlmoor.testbed.fleet.faults import effects
 from burlmoor.testbed.fleet.record import Record, Span
-from burlmoor.testbed.local_cluster import KINDS, settings
+from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
 
 DRAIN = 250.0  # ms from when a node was told until nothing new comes
 FLIGHT = 150.0  # ms that a forward may be on its way on a loaded machine
@@ -65,48 +65,50 @@
 
 def _answers(record: Record, found: Audit) -> None:
     killed, stopped, away = (_at_node(record, what) for what in (("kill",), ("stop",), ("term",)))
-    done = {row.id for row in record.ran if row.end == "done"}
+    done = {row.id for row in record.ran if row.outcome == "done"}
     taken = {row.id for row in record.ran}
     for job in record.asked:
-        over = job.sent + job.patience
-        if job.unsent:
+        over = job.sent_ms + job.timeout_ms
+        if job.is_unsent:
             found.excuse("no node took a connection", job.id)
-        elif job.answered is None:
-            if _met(killed[job.node], job.sent, over):
+        elif job.answered_ms is None:
+            if _met(killed[job.node], job.sent_ms, over):
                 found.excuse("its node was killed", job.id)
-            elif _met(stopped[job.node], job.sent, over):
+            elif _met(stopped[job.node], job.sent_ms, over):
                 found.excuse("its node was stopped", job.id)
-            elif job.id not in taken and _met(away[job.node], job.sent, job.sent):
+            elif job.id not in taken and _met(away[job.node], job.sent_ms, job.sent_ms):
                 # Written to a kept connection in the moment in which a node that stops closes it.
                 found.excuse("never taken by a node that stopped", job.id)
             else:
                 found.broken.append(f"{job.id}: no answer from n{job.node:03d}")
-        elif job.answered > over + LATE:
-            if _met(stopped[job.node], job.sent, over, WAKES):
+        elif job.answered_ms > over + LATE:
+            if _met(stopped[job.node], job.sent_ms, over, WAKES):
                 found.excuse("answered late by a stopped node", job.id)
             else:
-                found.broken.append(f"{job.id}: answered {job.answered - over:.0f} ms late")
-        if job.served and (job.id not in done or job.body.partition(b"@")[0] != job.id.encode()):
+                found.broken.append(f"{job.id}: answered {job.answered_ms - over:.0f} ms late")
+        if job.is_served and (job.id not in done or job.body.partition(b"@")[0] != job.id.encode()):
             found.broken.append(f"{job.id}: served with what no executor made")
 
 
 def _repeats(record: Record, found: Audit) -> None:
-    once = {kind.name for kind in KINDS if kind.once}
-    began: dict[str, list[Ran]] = defaultdict(list)
+    once = {kind.name for kind in JOB_CLASSES if kind.is_non_idempotent}
+    began: dict[str, list[AttemptRecord]] = defaultdict(list)
     for row in record.ran:
-        if row.began is not None:
+        if row.started_ms is not None:
             began[row.id].append(row)
     found.broken += [
         f"{ref}: a job that must not run twice began {len(rows)} times"
         for ref, rows in began.items()
         if len(rows) > 1 and rows[0].job_class in once
     ]
-    asked: dict[str, Asked] = {job.id: job for job in record.asked}
+    asked: dict[str, RequestRecord] = {job.id: job for job in record.asked}
     for ref, rows in began.items():
         job = asked.get(ref)
         if job is None:
             found.broken.append(f"{ref}: ran, and no client sent it")
-        elif job.refused and job.job_class in once and rows[0].began <= (job.answered or math.inf):  # type: ignore[operator]
+        elif (
+            job.is_rejected and job.job_class in once and rows[0].started_ms <= (job.answered_ms or math.inf)  # type: ignore[operator]
+        ):
             found.broken.append(f"{ref}: ran, and its client was told that a retry does no harm")
 
 
@@ -119,15 +121,15 @@
     for row in record.ran:
         node = int(row.node)
         told = heard.get((node, row.executor), [])
-        place = bisect.bisect_right(told, row.came, key=lambda each: each[0])
+        place = bisect.bisect_right(told, row.received_ms, key=lambda each: each[0])
         if not place or told[place - 1][1] == "active":
             continue
-        late = row.came - told[place - 1][0]
+        late = row.received_ms - told[place - 1][0]
         if late <= DRAIN + FLIGHT:
             continue
-        if _met(stopped[node], row.came, row.came, WAKES):
+        if _met(stopped[node], row.received_ms, row.received_ms, WAKES):
             found.excuse("its node was stopped")
-        elif _troubled(record, node, row.executor, row.came):
+        elif _troubled(record, node, row.executor, row.received_ms):
             found.excuse("a troubled link held it back")
         else:
             found.broken.append(f"{row.id}: came {late:.0f} ms after n{node:03d} was told of {row.executor}")
@@ -148,24 +150,26 @@
 
 def _cold(record: Record, found: Audit) -> None:
     """What reaches a cold executor within a window stays under what would push it over."""
-    rules = settings(KINDS, record.plan.nodes)["Rules"]
+    rules = platform_settings(JOB_CLASSES, record.plan.nodes)["Rules"]
     window, multiple = rules["OverloadFor"], rules["FallMultiple"]
     births: dict[str, list[float]] = defaultdict(list)
     for span in record.spans:
         if span.what in ("die", "drain"):
             births[span.who].append(span.until)
-    came: dict[str, list[Ran]] = defaultdict(list)
+    came: dict[str, list[AttemptRecord]] = defaultdict(list)
     for row in record.ran:
         came[row.executor].append(row)
-    mean = sum(row.work * row.slots for row in record.ran) / max(1, len(record.ran))
+    mean = sum(row.work_ms * row.slots for row in record.ran) / max(1, len(record.ran))
     for name, times in births.items():
         spec = record.specs[name]
-        rows = sorted(came[name], key=lambda row: row.came)
+        rows = sorted(came[name], key=lambda row: row.received_ms)
         for born in times:
-            cold = [row for row in rows if born <= row.came < born + spec.cold_ms]
+            cold = [row for row in rows if born <= row.received_ms < born + spec.slow_start_ms]
             for number, row in enumerate(cold):
-                budget = multiple * spec.warmth(row.came - born) * spec.able * window
-                work = sum(r.work * r.slots for r in cold[number:] if r.came < row.came + window)
-                if work > min(LUCK * budget, mean * most_calls(budget / mean)):
+                budget = multiple * spec.slow_start_factor(row.received_ms - born) * spec.capacity * window
+                work = sum(
+                    r.work_ms * r.slots for r in cold[number:] if r.received_ms < row.received_ms + window
+                )
+                if work > min(LUCK * budget, mean * max_calls_by_chance(budget / mean)):
                     found.broken.append(f"{name}: cold, got {work / budget:.2f} of its budget in a window")
                     break
--- a/burlmoor/testbed/fleet/baselines.py
+++ b/burlmoor/testbed/fleet/baselines.py
@@ -13,8 +13,8 @@
 from collections import defaultdict
 from collections.abc import Callable, Sequence
 
-from burlmoor.testbed.event_record import Asked, Ran
-from burlmoor.testbed.executor_model import Machine
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.executor_model import ExecutorModel
 from burlmoor.testbed.fleet.load import Job, draw
 from burlmoor.testbed.fleet.record import Record
 
@@ -27,14 +27,14 @@
     def __init__(self, record: Record, choose: Choice, seed: int = 1) -> None:
         self.record, self._choose, self.rng = record, choose, random.Random(seed)
         self.names = record.names()
-        self.machines = [Machine(record.specs[name], 0.0) for name in self.names]
-        self.sizes = [record.specs[name].able for name in self.names]
+        self.machines = [ExecutorModel(record.specs[name], 0.0) for name in self.names]
+        self.sizes = [record.specs[name].capacity for name in self.names]
         self.own: dict[int, list[float]] = defaultdict(lambda: [0.0] * len(self.names))  # a node's jobs out
         self.turn: dict[int, int] = {}
         self.work = [0.0] * len(self.names)  # truly held, core-ms
-        self.rows: list[Ran] = []
-        self.asked: list[Asked] = []
-        self._held: dict[str, tuple[Ran, Asked, int]] = {}
+        self.rows: list[AttemptRecord] = []
+        self.asked: list[RequestRecord] = []
+        self._held: dict[str, tuple[AttemptRecord, RequestRecord, int]] = {}
         self._listed, self._up = set(range(len(self.names))), set(range(len(self.names)))
         self._due = [math.inf] * len(self.names)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -45,7 +45,7 @@
         self._order += 1
         heapq.heappush(self._queue, (when, self._order, what))
 
-    def run(self) -> tuple[list[Asked], list[Ran]]:
+    def run(self) -> tuple[list[RequestRecord], list[AttemptRecord]]:
         """Play all jobs; the rows as clients and executors would have them."""
         self.now = self.record.begin
         for job in draw(self.record.load):
@@ -82,38 +82,40 @@
             self._at(span.until, lambda n=number: self._back(n))  # type: ignore[misc]
 
     def _take(self, job: Job) -> None:
-        asked = Asked(f"j{job.number}", job.kind.name, self.now, job.kind.patience, job.work, slots=job.slots)
+        asked = RequestRecord(
+            f"j{job.number}", job.kind.name, self.now, job.kind.timeout_ms, job.work, slots=job.slots
+        )
         asked.node = job.node
         self.asked.append(asked)
         # A refused job goes to one other executor, as a node's second attempt would.
         for _ in range(2):
             number = self._choose(self, job, sorted(self._listed))
-            row = Ran(
-                asked.id, asked.job_class, self.names[number], self.now, node=str(job.node), work=job.work,
+            row = AttemptRecord(
+                asked.id, asked.job_class, self.names[number], self.now, node=str(job.node), work_ms=job.work,
                 slots=job.slots,
             )  # fmt: skip
             self.rows.append(row)
-            if number in self._up and self.machines[number].offer(self.now, row.id, job.work, job.slots):
+            if number in self._up and self.machines[number].admit(self.now, row.id, job.work, job.slots):
                 self._held[row.id] = row, asked, number
                 self.own[job.node][number] += 1.0
                 self.work[number] += job.work * job.slots
                 self._look(number)
                 return
-            row.end, row.ended = "full", self.now
-        asked.answered, asked.status, asked.answers = self.now, 503, 1
+            row.outcome, row.ended_ms = "full", self.now
+        asked.answered_ms, asked.status, asked.answer_count = self.now, 503, 1
 
     def _look(self, number: int) -> None:
         machine = self.machines[number]
         for note in machine.step(self.now):
             row, asked, _ = self._held[note.job]
             if note.state == "started":
-                row.began = self.now
+                row.started_ms = self.now
             elif note.state == "done":
-                row.ended, row.end = self.now, "done"
-                if self.now <= asked.sent + asked.patience:
-                    asked.answered, asked.status, asked.answers = self.now, 200, 1
+                row.ended_ms, row.outcome = self.now, "done"
+                if self.now <= asked.sent_ms + asked.timeout_ms:
+                    asked.answered_ms, asked.status, asked.answer_count = self.now, 200, 1
                 self._gone(note.job)
-        due = machine.due()
+        due = machine.next_due_ms()
         if due < self._due[number] or self._due[number] <= self.now:
             self._due[number] = due
             if due < math.inf:
@@ -127,7 +129,7 @@
     def _gone(self, ref: str) -> None:
         row, asked, number = self._held.pop(ref)
         self.own[asked.node][number] -= 1.0
-        self.work[number] -= row.work * row.slots
+        self.work[number] -= row.work_ms * row.slots
 
     # --- troubles -------------------------------------------------------------------------------
 
@@ -135,23 +137,23 @@
         self._up.discard(number)
         for ref in [ref for ref, held in self._held.items() if held[2] == number]:
             row, asked, _ = self._held[ref]
-            row.ended, row.end = self.now, "died"
-            asked.answered, asked.status, asked.answers = self.now, 502, 1
+            row.ended_ms, row.outcome = self.now, "died"
+            asked.answered_ms, asked.status, asked.answer_count = self.now, 502, 1
             self._gone(ref)
-        self.machines[number] = Machine(self.record.specs[self.names[number]], self.now, cold=True)
+        self.machines[number] = ExecutorModel(self.record.specs[self.names[number]], self.now, cold=True)
         self._due[number] = math.inf
 
     def _back(self, number: int) -> None:
-        self.machines[number] = Machine(self.record.specs[self.names[number]], self.now, cold=True)
+        self.machines[number] = ExecutorModel(self.record.specs[self.names[number]], self.now, cold=True)
         self._up.add(number)
         self._listed.add(number)
 
     def _ail(self, number: int, what: str, on: bool) -> None:
         if what == "slow":
-            self.machines[number].slow_down(self.now, max(1.0, self._slower) if on else 1.0)
+            self.machines[number].set_slowdown(self.now, max(1.0, self._slower) if on else 1.0)
         else:
             # One that fails every job at once counts as standing still: it serves nobody.
-            self.machines[number].stand_still(self.now, on)
+            self.machines[number].set_stalled(self.now, on)
         self._look(number)
 
 
@@ -185,6 +187,6 @@
 }
 
 
-def play(record: Record, way: str) -> tuple[list[Asked], list[Ran]]:
+def play(record: Record, way: str) -> tuple[list[RequestRecord], list[AttemptRecord]]:
     """The jobs of a run, spread in one of the ways."""
     return Play(record, WAYS[way], record.plan.seed).run()
--- a/burlmoor/testbed/fleet/clients.py
+++ b/burlmoor/testbed/fleet/clients.py
@@ -15,9 +15,9 @@
 import msgspec
 import trio
 
-from burlmoor.testbed.clients import Clients
-from burlmoor.testbed.event_record import Asked, Ledger
-from burlmoor.testbed.executor import now
+from burlmoor.testbed.clients import ClientPool
+from burlmoor.testbed.clock import now_ms
+from burlmoor.testbed.event_record import EventRecord, RequestRecord
 from burlmoor.testbed.fleet.addresses import Ports
 from burlmoor.testbed.fleet.addresses import node as node_at
 from burlmoor.testbed.fleet.load import Job, Load, draw
@@ -41,9 +41,9 @@
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
-        self.ledger = Ledger()
+        self.ledger = EventRecord()
         self._rng = random.Random(plan.load.seed * 1000 + plan.part)
-        self._clients: dict[int, Clients] = {}
+        self._clients: dict[int, ClientPool] = {}
         self.behind = 0.0  # ms by which a job was sent late, at most
 
     async def run(self) -> None:
@@ -53,27 +53,29 @@
                 if job.node % self._plan.parts != self._plan.part:
                     continue
                 due = self._plan.begin + job.at * 1000.0
-                if due - now() > 0.5:
-                    await trio.sleep((due - now()) / 1000.0)
-                self.behind = max(self.behind, now() - due)
+                if due - now_ms() > 0.5:
+                    await trio.sleep((due - now_ms()) / 1000.0)
+                self.behind = max(self.behind, now_ms() - due)
                 nursery.start_soon(self._one, job, due)
 
     async def _one(self, job: Job, due: float) -> None:
-        asked = Asked(f"j{job.number}", job.kind.name, due, job.kind.patience, job.work, slots=job.slots)
+        asked = RequestRecord(
+            f"j{job.number}", job.kind.name, due, job.kind.timeout_ms, job.work, slots=job.slots
+        )
         asked.node = job.node
         for moves in range(self._plan.moves + 1):
-            asked.moves = moves
-            await self._at(asked.node).ask(asked, slots=job.slots, key=job.key)
-            if not asked.unsent or now() > due + job.kind.patience:
+            asked.node_changes = moves
+            await self._at(asked.node).send(asked, slots=job.slots, key=job.key)
+            if not asked.is_unsent or now_ms() > due + job.kind.timeout_ms:
                 return
             # The front knows that nobody is there, and tries the next that comes to its mind.
-            asked.node, asked.unsent = self._rng.randrange(self._plan.load.nodes), False
-        asked.unsent = True
+            asked.node, asked.is_unsent = self._rng.randrange(self._plan.load.nodes), False
+        asked.is_unsent = True
 
-    def _at(self, node: int) -> Clients:
+    def _at(self, node: int) -> ClientPool:
         if node not in self._clients:
             address = (node_at(node), self._plan.ports.clients)
-            self._clients[node] = Clients(address, self.ledger, resends=False)
+            self._clients[node] = ClientPool(address, self.ledger, may_resend=False)
         return self._clients[node]
 
 
@@ -89,7 +91,7 @@
         nursery.start_soon(watch)
         front = Front(plan)
         await front.run()
-        rows = list(front.ledger.asked.values())
+        rows = list(front.ledger.requests.values())
         Path(plan.ledger).write_bytes(msgspec.json.encode({"asked": rows, "behind": front.behind}))
         print("{}", flush=True)
         nursery.cancel_scope.cancel()
--- a/burlmoor/testbed/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -13,9 +13,9 @@
 import msgspec
 import trio
 
-from burlmoor.testbed.event_record import Anybody, Ledger
+from burlmoor.testbed.event_record import AnyRequestId, EventRecord
 from burlmoor.testbed.executor import Executor
-from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.addresses import Ports, ends
 from burlmoor.testbed.fleet.addresses import executor as executor_at
 from burlmoor.testbed.fleet.notifications import lines, play
@@ -25,7 +25,7 @@
     """The executors of this process, by number and name."""
 
     ports: Ports
-    specs: dict[str, Spec]
+    specs: dict[str, ExecutorSpec]
     numbers: dict[str, int]
     ledger: str  # where it is written in the end
 
@@ -39,18 +39,18 @@
 
 
 async def _obey(order: Order, each: Executor) -> None:
-    if order.do == "die" and each.alive:
-        each.die()
-    elif order.do == "back" and not each.alive:
-        await each.come_back()
+    if order.do == "die" and each.is_alive:
+        each.kill()
+    elif order.do == "back" and not each.is_alive:
+        await each.restart()
     elif order.do == "hand_back":
-        await each.hand_back()
+        await each.return_queued_jobs()
     elif order.do == "still":
-        each.stall(order.size > 0.0)
+        each.set_stalled(order.size > 0.0)
     elif order.do == "slow":
-        each.slow(max(1.0, order.size))
+        each.set_slowdown(max(1.0, order.size))
     elif order.do == "fail":
-        each.failing = order.size > 0.0
+        each.is_failing = order.size > 0.0
 
 
 async def serve(plan: Plan) -> None:
@@ -60,15 +60,15 @@
         return str(ends(source)[0]), (source, plan.ports.backwards)
 
     async with trio.open_nursery() as nursery:
-        ledger = Ledger(asked=Anybody())
+        ledger = EventRecord(requests=AnyRequestId())
         executors = {name: Executor(name, spec, ledger, nursery) for name, spec in plan.specs.items()}
         for name, each in executors.items():
-            await each.listen_to_all((executor_at(plan.numbers[name]), plan.ports.jobs), caller)
+            await each.listen_for_all_nodes((executor_at(plan.numbers[name]), plan.ports.jobs), caller)
         print("{}", flush=True)
         async for line in lines():
             order = msgspec.json.decode(line, type=Order)
             if order.do == "end":
-                Path(plan.ledger).write_bytes(msgspec.json.encode(ledger.ran))
+                Path(plan.ledger).write_bytes(msgspec.json.encode(ledger.attempts))
                 print("{}", flush=True)
                 break
             await _obey(order, executors[order.name])
--- a/burlmoor/testbed/fleet/load.py
+++ b/burlmoor/testbed/fleet/load.py
@@ -7,7 +7,7 @@
 import msgspec
 import numpy as np
 
-from burlmoor.testbed.local_cluster import KINDS, Kind
+from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
 
 _SIGMA = 0.5  # of the logarithm of a job's work
 _WIDTHS, _WIDTH_SHARES = (1, 2, 4), (0.8, 0.15, 0.05)
@@ -18,7 +18,7 @@
 
     number: int
     at: float
-    kind: Kind
+    kind: JobClass
     work: float
     slots: int
     key: str
@@ -52,16 +52,16 @@
     rng = np.random.default_rng([load.seed, 2])
     count = int(rng.poisson(load.rate * load.seconds))
     at = np.sort(rng.uniform(0.0, load.seconds, count))
-    kinds = np.array([kind.share for kind in KINDS])
-    chosen = rng.choice(len(KINDS), size=count, p=kinds / kinds.sum())
+    kinds = np.array([kind.share for kind in JOB_CLASSES])
+    chosen = rng.choice(len(JOB_CLASSES), size=count, p=kinds / kinds.sum())
     spread = load.scale * rng.lognormal(-0.5 * _SIGMA**2, _SIGMA, count)
     widths = rng.choice(_WIDTHS, size=count, p=_WIDTH_SHARES)
     keys = np.minimum(rng.zipf(1.5, count), load.keys) if load.keys else np.arange(1, count + 1)
     keys[rng.uniform(size=count) < load.hot] = 0
     nodes = rng.choice(load.nodes, size=count, p=shares(load))
     return [
-        Job(n, float(at[n]), KINDS[chosen[n]], float(KINDS[chosen[n]].work * spread[n]), int(widths[n]),
-            f"k{keys[n]}", int(nodes[n]))
+        Job(n, float(at[n]), JOB_CLASSES[chosen[n]], float(JOB_CLASSES[chosen[n]].mean_work_ms * spread[n]),
+            int(widths[n]), f"k{keys[n]}", int(nodes[n]))
         for n in range(count)
     ]  # fmt: skip
 
@@ -69,4 +69,8 @@
 def mean_cost() -> float:
     """Core-ms on a core of speed 1 that a job takes on average, at scale 1."""
     width = sum(w * s for w, s in zip(_WIDTHS, _WIDTH_SHARES, strict=True))
-    return width * sum(kind.share * kind.work for kind in KINDS) / sum(kind.share for kind in KINDS)
+    return (
+        width
+        * sum(kind.share * kind.mean_work_ms for kind in JOB_CLASSES)
+        / sum(kind.share for kind in JOB_CLASSES)
+    )
--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -18,10 +18,10 @@
 import msgspec
 import numpy as np
 
-from burlmoor.testbed.event_record import Asked, Ran
-from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.record import Record, Span
-from burlmoor.testbed.local_cluster import KINDS
+from burlmoor.testbed.job_classes import JOB_CLASSES
 
 SLICE = 100.0  # ms
 HERD = 50.0  # ms
@@ -51,11 +51,16 @@
     """Owns the slices of a run: by slice and executor what is held and what can be done."""
 
     def __init__(
-        self, specs: Sequence[Spec], names: Sequence[str], begin: float, seconds: float, spans: Sequence[Span]
+        self,
+        specs: Sequence[ExecutorSpec],
+        names: Sequence[str],
+        begin: float,
+        seconds: float,
+        spans: Sequence[Span],
     ) -> None:
         self.begin, self.count = begin, int(seconds * 1000.0 / SLICE)
         self.names = {name: number for number, name in enumerate(names)}
-        self.able = np.array([spec.able for spec in specs])
+        self.able = np.array([spec.capacity for spec in specs])
         self.up = np.ones((self.count, len(specs)), dtype=bool)
         for span in spans:
             if span.what in _AWAY and span.who in self.names:
@@ -67,21 +72,21 @@
             return self.count
         return int(min(max(0.0, (at - self.begin) // SLICE), self.count))
 
-    def held(self, rows: Sequence[Ran], jobs: bool = False) -> np.ndarray:
+    def held(self, rows: Sequence[AttemptRecord], jobs: bool = False) -> np.ndarray:
         """Work in hand (core-ms at speed 1), or the number of jobs, by slice and executor."""
         found = np.zeros((self.count + 1, len(self.able)))
         for row in rows:
-            if row.end == "full":
+            if row.outcome == "full":
                 continue
-            size = 1.0 if jobs else row.work * row.slots
+            size = 1.0 if jobs else row.work_ms * row.slots
             number = self.names[row.executor]
-            until = row.ended if row.ended is not None else math.inf
-            found[self.slot(row.came), number] += size
+            until = row.ended_ms if row.ended_ms is not None else math.inf
+            found[self.slot(row.received_ms), number] += size
             found[self.slot(until), number] -= size
         return np.cumsum(found, axis=0)[:-1]
 
 
-def variation(grid: Grid, rows: Sequence[Ran]) -> tuple[np.ndarray, np.ndarray]:
+def variation(grid: Grid, rows: Sequence[AttemptRecord]) -> tuple[np.ndarray, np.ndarray]:
     """By slice: the coefficient of variation of work held over capacity, and its greatest over its mean."""
     load = np.where(grid.up, grid.held(rows) / grid.able, np.nan)
     with np.errstate(all="ignore"):
@@ -91,9 +96,9 @@
     return np.nan_to_num(cv), np.nan_to_num(most)
 
 
-def herds(grid: Grid, rows: Sequence[Ran]) -> tuple[float, float]:
+def herds(grid: Grid, rows: Sequence[AttemptRecord]) -> tuple[float, float]:
     """Herd at p99.9 of all windows in which an executor got work, and the greatest of all."""
-    came = sorted((row.came, grid.names[row.executor]) for row in rows)
+    came = sorted((row.received_ms, grid.names[row.executor]) for row in rows)
     windows = [int((at - grid.begin) // HERD) for at, _ in came]
 
     def counts(executors: Sequence[int]) -> np.ndarray:
@@ -121,26 +126,26 @@
     return dealt
 
 
-def wanting(grid: Grid, asked: Sequence[Asked], rows: Sequence[Ran]) -> np.ndarray:
+def wanting(grid: Grid, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> np.ndarray:
     """By slice: whether any job waited to begin, or was refused."""
     began: dict[str, float] = {}
     for row in rows:
-        if row.began is not None:
-            began[row.id] = min(row.began, began.get(row.id, math.inf))
+        if row.started_ms is not None:
+            began[row.id] = min(row.started_ms, began.get(row.id, math.inf))
     found = np.zeros(grid.count + 1)
     for job in asked:
-        over = job.answered if job.answered is not None else job.sent + job.patience
+        over = job.answered_ms if job.answered_ms is not None else job.sent_ms + job.timeout_ms
         until = min(began.get(job.id, math.inf), over)
-        if until > job.sent + _WAITS:
-            found[grid.slot(job.sent + _WAITS)] += 1.0
+        if until > job.sent_ms + _WAITS:
+            found[grid.slot(job.sent_ms + _WAITS)] += 1.0
             found[grid.slot(until)] -= 1.0
-        if job.refused:
+        if job.is_rejected:
             found[grid.slot(over)] += 1.0
             found[min(grid.count, grid.slot(over) + 1)] -= 1.0
     return np.asarray(np.cumsum(found)[:-1] > 0.5)
 
 
-def idleness(grid: Grid, asked: Sequence[Asked], rows: Sequence[Ran]) -> float:
+def idleness(grid: Grid, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> float:
     """The share of executors' time without work while somebody wanted some."""
     held = grid.held(rows, jobs=True)
     idle = (held < 0.5) & grid.up & wanting(grid, asked, rows)[:, None]
@@ -185,17 +190,19 @@
     ]
 
 
-def spread(record: Record, asked: Sequence[Asked], rows: Sequence[Ran]) -> Spread:
+def spread(record: Record, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> Spread:
     """All figures for one way in which the jobs of a run were spread."""
     names = record.names()
     grid = Grid([record.specs[n] for n in names], names, record.begin, record.plan.seconds, record.spans)
     cv, most = variation(grid, rows)
     settled = slice(int(SETTLED * 1000.0 / SLICE), None)
     herd, herd_most = herds(grid, rows)
-    aims = {kind.name: (kind.aim, kind.stretch) for kind in KINDS}
-    served = [job for job in asked if job.served]
-    late = [job.latency for job in served]
-    in_time = sum(job.latency <= aims[job.job_class][0] + aims[job.job_class][1] * job.work for job in served)
+    aims = {kind.name: (kind.latency_objective_ms, kind.objective_stretch) for kind in JOB_CLASSES}
+    served = [job for job in asked if job.is_served]
+    late = [job.latency_ms for job in served]
+    in_time = sum(
+        job.latency_ms <= aims[job.job_class][0] + aims[job.job_class][1] * job.work_ms for job in served
+    )
     return Spread(
         herd=herd,
         herd_most=herd_most,
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from burlmoor.testbed.event_record import Asked, Ran
-from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.faults import Schedule
 from burlmoor.testbed.fleet.load import Load
 
@@ -52,7 +52,7 @@
 
     plan: Plan
     load: Load
-    specs: dict[str, Spec]
+    specs: dict[str, ExecutorSpec]
     node_zones: list[str]
     executor_zones: list[str]
     begin: float  # ms on the machine's clock
@@ -63,8 +63,8 @@
     ended: dict[str, int] = {}  # nodes that ended unasked, or with a status other than 0
     behind: float = 0.0
     cpus: float = 0.0  # cores that the whole machine used on average
-    asked: list[Asked] = []
-    ran: list[Ran] = []
+    asked: list[RequestRecord] = []
+    ran: list[AttemptRecord] = []
 
     def node_names(self) -> list[str]:
         """The nodes, in the order of their numbers."""
--- a/burlmoor/testbed/fleet/run.py
+++ b/burlmoor/testbed/fleet/run.py
@@ -14,16 +14,17 @@
 import psutil
 import trio
 
-from burlmoor.testbed.discovery import Discovery
-from burlmoor.testbed.event_record import Asked, Ran
-from burlmoor.testbed.executor import now
+from burlmoor.testbed.clock import now_ms
+from burlmoor.testbed.discovery import DiscoveryService
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.fleet import addresses, clients, executors, tcp_relay
 from burlmoor.testbed.fleet.child_process import Child
 from burlmoor.testbed.fleet.faults import DISCOVERY, EXECUTORS, LINK, NODES, Trouble, chosen, effects
 from burlmoor.testbed.fleet.load import Load, mean_cost
 from burlmoor.testbed.fleet.record import Plan, Record, Span, Used
-from burlmoor.testbed.local_cluster import KINDS, capacity, fleet, settings
-from burlmoor.testbed.node_process import call, inherited
+from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
+from burlmoor.testbed.local_cluster import executor_specs, total_capacity
+from burlmoor.testbed.node_process import inherited_environment, send_http_request
 
 _READY, _PARTY = 90.0, 20.0  # seconds until all nodes, and any other party, must be up
 _LEAD = 1.0  # seconds from when all are ready until the load begins
@@ -54,8 +55,8 @@
         self.plan, self._folder, self._say = plan, folder, say
         folder.mkdir(parents=True, exist_ok=True)
         self.ports = addresses.free_ports()
-        specs = fleet(plan.executors)
-        scale = plan.load * capacity(specs) * 1000.0 / (plan.rate * mean_cost())
+        specs = executor_specs(plan.executors)
+        scale = plan.load * total_capacity(specs) * 1000.0 / (plan.rate * mean_cost())
         load = Load(
             plan.rate, plan.seconds, plan.nodes, plan.seed, scale, plan.skew, plan.loud, plan.hot, plan.keys
         )
@@ -78,7 +79,7 @@
         self._node_cores = frozenset() if shared else frozenset(cores[_FAR:])
         self._far_cores = frozenset() if shared else frozenset(cores[:_FAR])
         self._known: dict[str, object] = {}
-        self._discovery: Discovery
+        self._discovery: DiscoveryService
         self._addresses: list[str] = []
 
     async def run(self, parts: Parts | None = None) -> Record:
@@ -86,7 +87,7 @@
         parts = parts or Parts()
         try:
             async with trio.open_nursery() as nursery:
-                self._discovery = Discovery(nursery)
+                self._discovery = DiscoveryService(nursery)
                 await self._stand_ins(parts)
                 began = time.monotonic()
                 await self._start_nodes(range(self.plan.nodes))
@@ -144,11 +145,11 @@
             dials = {
                 n: f"{addresses.link(number, e)}:{self.ports.forwards}" for n, e in self._numbers.items()
             }
-            self._addresses.append(await self._discovery.listen(name, dials))
+            self._addresses.append(await self._discovery.listen_for_node(name, dials))
         for name, zone in zip(names, record.executor_zones, strict=True):
             # Its size, as the baselines know it, too.
-            self._discovery.tell(name, site=zone, share=record.specs[name].able)
-        self._known = {name: self._discovery.whole(name) for name in self._names}
+            self._discovery.set_entry(name, site=zone, share=record.specs[name].capacity)
+        self._known = {name: self._discovery.full_list(name) for name in self._names}
 
     def _start_node(self, number: int) -> None:
         name, folder = self._names[number], self._folder / self._names[number]
@@ -158,7 +159,7 @@
         given = {
             "name": name, "listen": f"{here}:{ports.clients}", "control": f"{here}:{ports.control}",
             "discovery": self._addresses[number], "seed": f"{self.plan.seed:04x}{number:04x}",
-            "settings": {**settings(KINDS, self.plan.nodes, zone), "Me": number},
+            "settings": {**platform_settings(JOB_CLASSES, self.plan.nodes, zone), "Me": number},
             # A restart goes on from the list as it was when the run began.
             "known": self._known[name], "limits": {"sockets": 1024},
         }  # fmt: skip
@@ -166,8 +167,8 @@
         path.write_text(json.dumps(given))
         sabotage = self.plan.sabotage
         command = ["-m", "burlmoor"] if sabotage is None else ["-m", "burlmoor.testbed.mutations", sabotage]
-        environment = {**inherited(), "RELAY_CONFIG": str(path), "TMPDIR": str(folder)}
-        self._discovery.starts(name)
+        environment = {**inherited_environment(), "RELAY_CONFIG": str(path), "TMPDIR": str(folder)}
+        self._discovery.on_node_started(name)
         self._nodes[number] = Child(command, folder / "log", environment, cores=self._node_cores)
         self._away.discard(number)
 
@@ -185,7 +186,7 @@
         address = (addresses.node(number), self.ports.clients)
         while True:
             with suppress(OSError):
-                if (await call(address, "GET", "/health/ready")).status == 200:
+                if (await send_http_request(address, "GET", "/health/ready")).status == 200:
                     return
             if not self._nodes[number].running and number not in self._away:
                 raise RuntimeError(
@@ -198,7 +199,7 @@
 
     async def _play(self, parts: Parts) -> None:
         record = self.record
-        record.begin = now() + _LEAD * 1000.0
+        record.begin = now_ms() + _LEAD * 1000.0
         for part in range(parts.clients):
             ledger = str(self._folder / f"asked-{part}.json")
             plan = clients.Plan(self.ports, record.load, part, parts.clients, record.begin, ledger)
@@ -214,13 +215,13 @@
                 if (second + 1) % 10 == 0:
                     self._say(f"{second + 1} of {self.plan.seconds:.0f} s")
         record.cpus = psutil.cpu_percent() / 100.0 * (psutil.cpu_count() or 1)
-        patience = max(kind.patience for kind in KINDS) / 1000.0
+        patience = max(kind.timeout_ms for kind in JOB_CLASSES) / 1000.0
         for child in self._parties["clients"]:
             if not await child.said(patience + _AFTER + 10.0):
                 raise self._failed("clients", f"did not finish ({child.status})")
 
     async def _until(self, at: float) -> None:
-        await trio.sleep(max(0.0, (self.record.begin - now()) / 1000.0 + at))
+        await trio.sleep(max(0.0, (self.record.begin - now_ms()) / 1000.0 + at))
 
     async def _cause(self, trouble: Trouble) -> None:
         what = trouble.what
@@ -248,7 +249,7 @@
 
     async def _node_trouble(self, trouble: Trouble, number: int) -> None:
         await self._until(trouble.at)
-        since, child = now(), self._nodes[number]
+        since, child = now_ms(), self._nodes[number]
         span = Span(trouble.what, self._names[number], since, since + trouble.lasts * 1000.0)
         self.record.spans.append(span)
         if trouble.what == "stop":
@@ -268,31 +269,31 @@
             self._start_node(number)
             with trio.move_on_after(_READY):
                 await self._until_ready(number)
-        span.until = now()
+        span.until = now_ms()
 
     async def _executor_trouble(self, trouble: Trouble, number: int) -> None:
         await self._until(trouble.at)
-        name, since, what = self.record.names()[number], now(), trouble.what
+        name, since, what = self.record.names()[number], now_ms(), trouble.what
         span = Span(what, name, since, since + trouble.lasts * 1000.0)
         self.record.spans.append(span)
         if what in ("die", "drain"):
             if what == "drain":
-                self._discovery.tell(name, health="leaving")
+                self._discovery.set_entry(name, health="leaving")
                 await trio.sleep(0.1)
                 self._order("hand_back", name)
                 await self._until(trouble.until)
             self._order("die", name)
             if what == "die":
                 await trio.sleep(trouble.told)
-                self._discovery.tell(name, health="left")
+                self._discovery.set_entry(name, health="left")
                 await self._until(trouble.until)
             self._order("back", name)
-            self._discovery.tell(name, health="active", born_ms=time.time() * 1000.0)
+            self._discovery.set_entry(name, health="active", born_ms=time.time() * 1000.0)
         else:
             self._order(what, name, max(1.0, trouble.size))
             await self._until(trouble.until)
             self._order(what, name, 0.0)
-        span.until = now()
+        span.until = now_ms()
 
     def _order(self, do: str, name: str, size: float = 0.0) -> None:
         order = msgspec.convert({"do": do, "name": name, "size": size}, executors.Order)
@@ -301,16 +302,16 @@
 
     async def _discovery_trouble(self, trouble: Trouble, number: int) -> None:
         await self._until(trouble.at)
-        name, since = self._names[number], now()
+        name, since = self._names[number], now_ms()
         self.record.spans.append(Span(trouble.what, name, since, since + trouble.lasts * 1000.0))
         if trouble.what == "late":
-            self._discovery.late[name] = trouble.size
+            self._discovery.delay_ms_by_node[name] = trouble.size
             await self._until(trouble.until)
-            self._discovery.late.pop(name, None)
+            self._discovery.delay_ms_by_node.pop(name, None)
         elif trouble.what == "silent":
-            self._discovery.silence(name)
+            self._discovery.stall_watches(name)
         elif trouble.what == "broken":
-            self._discovery.break_off(name)
+            self._discovery.reset_watches(name)
         else:
             self._discovery.down = True
             await self._until(trouble.until)
@@ -350,9 +351,9 @@
         async with trio.open_nursery() as nursery:
             for number in self._nodes:
                 nursery.start_soon(self._stopped, number)
-        record.heard = list(self._discovery.heard)
+        record.heard = list(self._discovery.notifications)
         for path in sorted(self._folder.glob("ran-*.json")):
-            record.ran += msgspec.json.decode(path.read_bytes(), type=list[Ran])
+            record.ran += msgspec.json.decode(path.read_bytes(), type=list[AttemptRecord])
             path.unlink()
         for path in sorted(self._folder.glob("asked-*.json")):
             told = msgspec.json.decode(path.read_bytes(), type=_Answers)
@@ -369,5 +370,5 @@
 
 
 class _Answers(msgspec.Struct):
-    asked: list[Asked]
+    asked: list[RequestRecord]
     behind: float
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -22,7 +22,7 @@
 from burlmoor.testbed.fleet.addresses import node as node_at
 from burlmoor.testbed.fleet.faults import Effect
 from burlmoor.testbed.fleet.notifications import lines, play
-from burlmoor.testbed.http_wire import Wire, connect
+from burlmoor.testbed.http_stream import HttpStream, connect
 
 _CHUNK = 65_536
 _AGAIN = 0.2  # seconds after which what was dropped is sent again, as TCP would
@@ -80,14 +80,14 @@
                 (executor_at(executor), self._ports.jobs) if forward else (node_at(node), self._ports.clients)
             )
             # From the link's own address, so that the executor knows who calls.
-            far = (await connect(to, link(node, executor) if forward else "")).stream
+            far = (await connect(to, link(node, executor) if forward else "")).socket_stream
             async with trio.open_nursery() as both:
                 both.start_soon(self._pump, near, far, (node, executor, forward), both.cancel_scope)
                 both.start_soon(self._pump, far, near, (node, executor, not forward), both.cancel_scope)
         except (OSError, ValueError, trio.BrokenResourceError, trio.ClosedResourceError):
-            Wire(near).reset()
+            HttpStream(near).reset()
             if far is not None:
-                Wire(far).reset()
+                HttpStream(far).reset()
         finally:
             for stream in (near, far):
                 if stream is not None:
@@ -110,7 +110,7 @@
             try:
                 data = await source.receive_some(_CHUNK)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                Wire(sink).reset()
+                HttpStream(sink).reset()
                 both.cancel()
                 return
             if self._effects:
@@ -122,7 +122,7 @@
             try:
                 await sink.send_all(data)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                Wire(source).reset()
+                HttpStream(source).reset()
                 both.cancel()
                 return
 
--- a/burlmoor/testbed/fleet/verdict.py
+++ b/burlmoor/testbed/fleet/verdict.py
@@ -39,7 +39,7 @@
         }
         for name, way in honest.items():
             claims[f"served in time, over {name}'s"] = Claim(
-                self.node.in_time / max(way.in_time, 1e-9), 1.0, least=True
+                self.node.in_time / max(way.in_time, 1e-9), 1.0, is_lower_bound=True
             )
         for name, seconds in self.node.heal.items():
             if math.isfinite(bound.heal[name]):  # else the run was too short to see any way heal
--- /dev/null
+++ b/burlmoor/testbed/http_stream.py
@@ -0,0 +1,167 @@
+"""A minimal HTTP/1.1 implementation for stand-ins: complete messages framed by Content-Length."""
+
+from __future__ import annotations
+
+import socket
+import struct
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+from typing import NamedTuple
+
+import trio
+
+_LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: close() sends a reset
+_RECEIVE_BYTES = 65_536
+_BACKLOG = 512
+_ACCEPT_RETRY_SECONDS = 0.02
+
+
+class HttpMessage(NamedTuple):
+    """One complete HTTP message; header names are lower case."""
+
+    start_line: str
+    headers: dict[str, str]
+    body: bytes
+
+    @property
+    def status(self) -> int:
+        """The status code of a response."""
+        return int(self.start_line.split(" ", 2)[1])
+
+    @property
+    def method(self) -> str:
+        """The method of a request."""
+        return self.start_line.split(" ", 1)[0]
+
+    @property
+    def path(self) -> str:
+        """The target of a request, including its query."""
+        return self.start_line.split(" ", 2)[1]
+
+
+class HttpStream:
+    """One connection that carries HTTP messages, and the bytes received but not parsed yet."""
+
+    def __init__(self, socket_stream: trio.SocketStream) -> None:
+        self.socket_stream = socket_stream
+        self._buffer = b""
+
+    async def read(self) -> HttpMessage | None:
+        """Read the next message; None where the connection ends before it is complete."""
+        while b"\r\n\r\n" not in self._buffer:
+            if not await self._receive():
+                return None
+        head, _, self._buffer = self._buffer.partition(b"\r\n\r\n")
+        start_line, *lines = head.decode("latin-1").split("\r\n")
+        fields = (line.partition(":") for line in lines)
+        headers = {name.lower(): value.strip() for name, _, value in fields}
+        size = int(headers.get("content-length", 0))
+        while len(self._buffer) < size:
+            if not await self._receive():
+                return None
+        body = self._buffer[:size]
+        self._buffer = self._buffer[size:]
+        return HttpMessage(start_line, headers, body)
+
+    async def _receive(self) -> bool:
+        """Receive more bytes; false where the connection has ended."""
+        try:
+            data = await self.socket_stream.receive_some(_RECEIVE_BYTES)
+        except (trio.BrokenResourceError, trio.ClosedResourceError):
+            return False
+        self._buffer += data
+        return bool(data)
+
+    async def write(self, start_line: str, body: bytes = b"", **headers: str) -> None:
+        """Write a message; `_` in a header's name stands for `-`."""
+        fields = {"Content-Length": str(len(body))}
+        fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+        head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
+        await self.socket_stream.send_all(f"{start_line}\r\n{head}\r\n".encode() + body)
+
+    def close(self) -> None:
+        """Close the connection."""
+        self.socket_stream.socket.close()
+
+    def reset(self) -> None:
+        """Close the connection with a reset, as the kernel does for a process that was killed."""
+        sock = self.socket_stream.socket
+        with suppress(OSError):
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
+        trio.lowlevel.notify_closing(sock)
+        sock.close()
+
+
+async def connect(address: tuple[str, int], source: str = "") -> HttpStream:
+    """Open a connection to a loopback address, from the address `source` if given.
+
+    Raises OSError where the connection is refused.
+    """
+    sock = trio.socket.socket()
+    try:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        if source:
+            await sock.bind((source, 0))
+        await sock.connect(address)
+    except BaseException:
+        # Also on cancellation: without this the socket would be leaked.
+        sock.close()
+        raise
+    return HttpStream(trio.SocketStream(sock))
+
+
+class HttpServer:
+    """A listening socket on loopback and the connections accepted on it."""
+
+    def __init__(self, serve: Callable[[HttpStream], Awaitable[object]], nursery: trio.Nursery) -> None:
+        self.address = ("127.0.0.1", 0)
+        self._serve = serve
+        self._nursery = nursery
+        self._streams: set[HttpStream] = set()
+        self._listener: trio.SocketListener | None = None
+
+    async def open(self) -> str:
+        """Listen, on the previous address if there was one, and return it as `host:port`."""
+        sock = trio.socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        await sock.bind(self.address)
+        sock.listen(_BACKLOG)
+        host, port = sock.getsockname()
+        self.address = (host, port)
+        self._listener = trio.SocketListener(sock)
+        self._nursery.start_soon(self._accept_connections, self._listener)
+        return f"{host}:{port}"
+
+    async def _accept_connections(self, listener: trio.SocketListener) -> None:
+        while True:
+            try:
+                socket_stream = await listener.accept()
+            except trio.ClosedResourceError:
+                return
+            except OSError:
+                # Out of descriptors, for instance: a later attempt may succeed.
+                await trio.sleep(_ACCEPT_RETRY_SECONDS)
+                continue
+            self._nursery.start_soon(self._serve_connection, HttpStream(socket_stream))
+
+    async def _serve_connection(self, stream: HttpStream) -> None:
+        self._streams.add(stream)
+        try:
+            with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
+                await self._serve(stream)
+        finally:
+            self._streams.discard(stream)
+            with suppress(trio.BrokenResourceError, OSError):
+                stream.close()
+
+    def abort(self) -> None:
+        """Stop as a killed process does: reset all connections and refuse new ones."""
+        self.close()
+        for stream in list(self._streams):
+            stream.reset()
+
+    def close(self) -> None:
+        """Stop listening; open connections continue."""
+        if self._listener is not None:
+            self._listener.socket.close()
+            self._listener = None
--- /dev/null
+++ b/burlmoor/testbed/job_classes.py
@@ -0,0 +1,56 @@
+"""The classes of jobs that stand-in clients send, and the platform settings that declare them to nodes."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any, NamedTuple
+
+
+class JobClass(NamedTuple):
+    """One class of jobs as clients send it."""
+
+    name: str
+    share: float  # of all jobs
+    mean_work_ms: float  # on one core of speed 1
+    timeout_ms: float
+    is_non_idempotent: bool = False
+    priority_weight: float = 2.0
+    latency_objective_ms: float = 300.0
+    objective_stretch: float = 2.0  # added to the objective for each ms of work
+
+
+JOB_CLASSES = (
+    JobClass("slot-search", 0.43, 400.0, 6000.0),
+    JobClass("visit-details", 0.38, 200.0, 5000.0),
+    JobClass(
+        "confirm-booking", 0.19, 200.0, 5000.0,
+        is_non_idempotent=True, priority_weight=10.0, objective_stretch=2.5,
+    ),
+)  # fmt: skip
+
+
+def platform_settings(
+    job_classes: Sequence[JobClass] = JOB_CLASSES, nodes: int = 1, zone: str = "a"
+) -> dict[str, Any]:
+    """Return the settings object that the platform would hand to each node of the testbed."""
+    return {
+        "Balancers": nodes,
+        "RequestClasses": [_class_settings(job_class) for job_class in job_classes],
+        "Specifics": {"ClassStretch": [job_class.objective_stretch for job_class in job_classes],
+                      "TellsStart": True, "Progress": 2000.0},
+        "Limits": {"SendCap": 5, "Cancel": True, "SecondCopies": True, "ConnectTimeout": 250.0,
+                   "Keepalive": 30_000.0, "MaxRetryAfter": 2000.0, "RetryAfter": True},
+        "Rules": {"AnswerSlack": 8.0, "StopSendingWithin": 250.0, "MustAskIn": 10_000.0, "Cold": 10_000.0,
+                  "StartCapacity": 0.15, "FallMultiple": 4.0, "OverloadFor": 1000.0},
+        "RegistryMode": "ask", "Tick": 2.0, "Zone": zone, "WorthBy": "work", "OverShareWorth": 0.1,
+    }  # fmt: skip
+
+
+def _class_settings(job_class: JobClass) -> dict[str, Any]:
+    return {
+        "Name": job_class.name,
+        "Credit": job_class.priority_weight,
+        "Target": job_class.latency_objective_ms,
+        "HardLimit": job_class.timeout_ms,
+        "Idempotency": "once" if job_class.is_non_idempotent else "repeatable",
+    }
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import Message, connect
+from burlmoor.testbed.http_stream import HttpMessage, connect
 
 _READY_WITHIN = 30.0
 
@@ -26,40 +26,40 @@
         return int(sock.getsockname()[1])
 
 
-class Node:
+class NodeProcess:
     """Owns one node's files and its process."""
 
     def __init__(self, name: str, folder: Path) -> None:
         self.name, self._folder = name, folder
         folder.mkdir(parents=True, exist_ok=True)
-        self.listen = ("127.0.0.1", free_port())
-        self.control = ("127.0.0.1", free_port())
+        self.address = ("127.0.0.1", free_port())
+        self.admin_address = ("127.0.0.1", free_port())
         self.process: trio.Process | None = None
         self.log: list[dict[str, Any]] = []
         self.environment: dict[str, str] = {}
         self.command = [sys.executable, "-m", "burlmoor"]
-        self.options: str | None = None
-        self.more: dict[str, Any] = {}  # further fields of the configuration
+        self.options_text: str | None = None
+        self.extra_config: dict[str, Any] = {}  # further fields of the configuration
 
     async def start(
         self, nursery: trio.Nursery, settings: dict[str, Any], discovery: str, known: Any
     ) -> None:
         """Write the files, start the process, and wait until it takes jobs."""
         given = {
-            "name": self.name, "listen": _written(self.listen), "control": _written(self.control),
+            "name": self.name, "listen": _written(self.address), "control": _written(self.admin_address),
             "discovery": discovery, "seed": "5eed", "settings": settings, "known": known,
-            "limits": {"sockets": 4096}, **self.more,
+            "limits": {"sockets": 4096}, **self.extra_config,
         }  # fmt: skip
         path = self._folder / "config.json"
         path.write_text(json.dumps(given))
         environment = {
-            **inherited(),
+            **inherited_environment(),
             **self.environment,
             "RELAY_CONFIG": str(path),
             "TMPDIR": str(self._folder),
         }
-        if self.options is not None:
-            (self._folder / "options.ini").write_text(self.options)
+        if self.options_text is not None:
+            (self._folder / "options.ini").write_text(self.options_text)
             environment["BURLMOOR_OPTIONS"] = str(self._folder / "options.ini")
         self.process = await trio.lowlevel.open_process(
             self.command, env=environment, stderr=subprocess.PIPE, start_new_session=True
@@ -73,7 +73,7 @@
 
     async def _ready(self) -> bool:
         try:
-            return (await call(self.listen, "GET", "/health/ready")).status == 200
+            return (await send_http_request(self.address, "GET", "/health/ready")).status == 200
         except OSError:
             return False
 
@@ -95,29 +95,29 @@
         assert self.process is not None
         return self.process.pid
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send the process a signal, if it still runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     async def stop(self, within: float = 12.0) -> int:
         """SIGTERM, and its exit status; SIGKILL where it does not end in time."""
-        self.tell(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         assert self.process is not None
         with trio.move_on_after(within):
             return await self.process.wait()
-        self.tell(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         return await self.process.wait()
 
     async def kill(self) -> None:
         """End the process whatever it does."""
         if self.process is not None:
-            self.tell(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             with trio.CancelScope(shield=True):
                 await self.process.wait()
 
 
-def inherited() -> dict[str, str]:
+def inherited_environment() -> dict[str, str]:
     """What a node's process takes over of this one's environment: nothing that would set it up."""
     return {key: text for key, text in os.environ.items() if not key.startswith(("RELAY_", "BURLMOOR_"))}
 
@@ -126,7 +126,9 @@
     return f"{address[0]}:{address[1]}"
 
 
-async def call(address: tuple[str, int], method: str, path: str, body: bytes = b"") -> Message:
+async def send_http_request(
+    address: tuple[str, int], method: str, path: str, body: bytes = b""
+) -> HttpMessage:
     """One call on a connection of its own; OSError where no answer comes."""
     wire = await connect(address)
     try:
@@ -138,5 +140,5 @@
     except trio.BrokenResourceError as error:
         raise OSError(str(error)) from error
     finally:
-        wire.stream.socket.close()
+        wire.socket_stream.socket.close()
     raise OSError("no answer")
--- a/burlmoor/testbed/single_node.py
+++ b/burlmoor/testbed/single_node.py
@@ -12,20 +12,24 @@
 import msgspec
 import trio
 
-from burlmoor.testbed.discovery import Discovery
-from burlmoor.testbed.executor_model import Spec
-from burlmoor.testbed.local_cluster import Kind, settings
-from burlmoor.testbed.node_process import Node
+from burlmoor.testbed.discovery import DiscoveryService
+from burlmoor.testbed.executor_model import ExecutorSpec
+from burlmoor.testbed.job_classes import JobClass, platform_settings
+from burlmoor.testbed.node_process import NodeProcess
 
 _SHARDS = 4  # processes of stand-in executors: each bears some 300 jobs a second
 
 
-def roomy(count: int) -> dict[str, Spec]:
+def unbounded_executor_specs(count: int) -> dict[str, ExecutorSpec]:
     """Executors with room for all, so that what is measured is the node."""
-    return {f"s-{n:03d}": Spec(cores=10_000.0, slots=10_000, queue=10_000) for n in range(count)}
+    return {
+        f"s-{n:03d}": ExecutorSpec(cores=10_000.0, slots=10_000, queue_capacity=10_000) for n in range(count)
+    }
 
 
-async def _shard(executors: dict[str, Spec], relay: tuple[str, int]) -> tuple[trio.Process, dict[str, str]]:
+async def _shard(
+    executors: dict[str, ExecutorSpec], relay: tuple[str, int]
+) -> tuple[trio.Process, dict[str, str]]:
     """Executors in a process of their own, and where each listens."""
     process = await trio.lowlevel.open_process(
         [sys.executable, "-m", "burlmoor.testbed"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
@@ -42,25 +46,28 @@
 
 
 @asynccontextmanager
-async def own_node(
-    executors: dict[str, Spec], kinds: tuple[Kind, ...], folder: Path, command: list[str] | None = None
-) -> AsyncIterator[Node]:
+async def run_single_node(
+    executors: dict[str, ExecutorSpec],
+    kinds: tuple[JobClass, ...],
+    folder: Path,
+    command: list[str] | None = None,
+) -> AsyncIterator[NodeProcess]:
     """One node, and executors in a few processes of their own, so that they bear more than the node."""
-    node, names = Node("n0", folder), list(executors)
+    node, names = NodeProcess("n0", folder), list(executors)
     node.command = command or node.command
     processes: list[trio.Process] = []
     try:
         async with trio.open_nursery() as nursery:
             dials: dict[str, str] = {}
             for part in range(min(_SHARDS, len(names))):
-                process, at = await _shard({n: executors[n] for n in names[part::_SHARDS]}, node.listen)
+                process, at = await _shard({n: executors[n] for n in names[part::_SHARDS]}, node.address)
                 processes.append(process)
                 dials |= at
-            discovery = Discovery(nursery)
-            address = await discovery.listen("n0", dials)
+            discovery = DiscoveryService(nursery)
+            address = await discovery.listen_for_node("n0", dials)
             for name in names:
-                discovery.tell(name)
-            await node.start(nursery, settings(kinds), address, discovery.whole("n0"))
+                discovery.set_entry(name)
+            await node.start(nursery, platform_settings(kinds), address, discovery.full_list("n0"))
             yield node
             await node.stop()
             nursery.cancel_scope.cancel()
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -10,7 +10,7 @@
 import trio
 
 from burlmoor.downstream.drain import DrainController, ServiceState
-from burlmoor.testbed.http_wire import Wire
+from burlmoor.testbed.http_stream import HttpStream
 from burlmoor.types.endpoint_list import EndpointState, ListKind
 from burlmoor.types.events import EndpointListUpdate
 from tests.support.admin_client import call_admin, get_readiness_status, serve_job
@@ -86,9 +86,9 @@
 def test_silent_and_incomplete_calls_do_not_delay_others() -> None:
     async def story(made: NodeHarness) -> None:
         assert made.node.admin_server is not None
-        silent = [Wire(await trio.open_tcp_stream(*made.node.admin_server.address)) for _ in range(40)]
+        silent = [HttpStream(await trio.open_tcp_stream(*made.node.admin_server.address)) for _ in range(40)]
         for wire in silent[::2]:
-            await wire.stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
+            await wire.socket_stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
         began = trio.current_time()
         assert (await call_admin(made, "/ready", method="GET"))[0] == 200
         assert trio.current_time() - began < 1.0
@@ -105,7 +105,7 @@
         assert made.node.admin_server is not None
         with monkeypatch.context() as patch:
             patch.setattr(made.node.drain, "begin_drain", lambda: 1 / 0)
-            wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
+            wire = HttpStream(await trio.open_tcp_stream(*made.node.admin_server.address))
             await wire.write("POST /drain HTTP/1.1", Host="node")
             assert await wire.read() is None
         assert (await call_admin(made, "/ready", method="GET"))[0] == 200
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -12,8 +12,8 @@
 import trio
 
 from burlmoor.config.options import DeferredOptions, Options
-from burlmoor.testbed.http_wire import Wire
-from burlmoor.testbed.node_process import call
+from burlmoor.testbed.http_stream import HttpStream
+from burlmoor.testbed.node_process import send_http_request
 from tests.support import node_harness
 from tests.support.configuration import write_config
 from tests.support.node_harness import NodeHarness
@@ -24,7 +24,9 @@
     return node_harness.run_scenario(story, options=options, sockets=sockets)
 
 
-async def ask(made: NodeHarness, ref: str, *after: str, wire: Wire | None = None, **head: str) -> Wire:
+async def ask(
+    made: NodeHarness, ref: str, *after: str, wire: HttpStream | None = None, **head: str
+) -> HttpStream:
     """Submit a job that is to run after others."""
     wire = wire or await made.connect_client()
     made.open_clients.append(wire)
@@ -43,7 +45,7 @@
 
 async def shown(made: NodeHarness) -> dict[str, Any]:
     assert made.node.admin_server is not None
-    answer = await call(made.node.admin_server.address, "GET", "/waiting")
+    answer = await send_http_request(made.node.admin_server.address, "GET", "/waiting")
     assert answer.status == 200
     told: dict[str, Any] = json.loads(answer.body)
     return told
@@ -81,7 +83,7 @@
         await made.send_callback("done", "at once")
         assert (await made.read_response(wire)).body == b"at once"
         assert made.node.admin_server is not None
-        assert (await call(made.node.admin_server.address, "GET", "/waiting")).status == 404
+        assert (await send_http_request(made.node.admin_server.address, "GET", "/waiting")).status == 404
 
     node_harness.run_scenario(story)
 
@@ -94,7 +96,7 @@
         await held(made, 2)
         await sent(made, "p")
         if how == "leaves":
-            await parent.stream.aclose()
+            await parent.socket_stream.aclose()
         else:
             await made.send_callback(how)
         for wire in (child, grandchild):
@@ -157,7 +159,7 @@
         child = await ask(made, "c", "p")
         await held(made, 1)
         assert (await made.read_response(await ask(made, "c", "p"))).status == 400
-        await child.stream.aclose()
+        await child.socket_stream.aclose()
         await held(made, 0)
         await sent(made, "p")
         await made.send_callback("done")
@@ -263,28 +265,29 @@
 
 
 def test_signals_meet_a_node_that_holds_jobs(tmp_path: Path) -> None:
-    from burlmoor.testbed.local_cluster import KINDS, asked, fleet, town  # noqa: PLC0415
+    from burlmoor.testbed.job_classes import JOB_CLASSES  # noqa: PLC0415
+    from burlmoor.testbed.local_cluster import executor_specs, local_cluster, new_request  # noqa: PLC0415
 
     async def run() -> None:
         with trio.fail_after(60.0):
             async with (
-                town(tmp_path, fleet(2), options="[waiting]\n") as made,
+                local_cluster(tmp_path, executor_specs(2), options="[waiting]\n") as made,
                 trio.open_nursery() as nursery,
             ):
-                clients, confirm = made.clients[0], KINDS[2]
-                parent = asked("p", confirm, 4300.0)
-                child = asked("c", confirm, 10.0, patience=30_000.0, after=("p",))
-                made.executors["s-000"].slow(1.6)  # the parent runs for 3.4 s
+                clients, confirm = made.clients[0], JOB_CLASSES[2]
+                parent = new_request("p", confirm, 4300.0)
+                child = new_request("c", confirm, 10.0, timeout_ms=30_000.0, run_after=("p",))
+                made.executors["s-000"].set_slowdown(1.6)  # the parent runs for 3.4 s
                 for each in (parent, child):
-                    nursery.start_soon(clients.ask, each)
-                while not made.ledger.runs():
+                    nursery.start_soon(clients.send, each)
+                while not made.event_record.started_attempts_by_id():
                     await trio.sleep(0.02)
-                made.nodes[0].tell(signal.SIGTERM)
+                made.nodes[0].send_signal(signal.SIGTERM)
                 assert made.nodes[0].process is not None
                 assert await made.nodes[0].process.wait() == 0
-                while not (parent.answers and child.answers):
+                while not (parent.answer_count and child.answer_count):
                     await trio.sleep(0.02)
                 assert child.status == 503
-                assert set(made.ledger.runs()) == {"p"}
+                assert set(made.event_record.started_attempts_by_id()) == {"p"}
 
     trio.run(run)
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -50,7 +50,7 @@
         watch, began = made.open_watches.pop(), trio.current_time()
         within = max(6.0, float(made.discovery_paths[-1].partition("wait_ms=")[2]) / 1000.0 + 2.0)
         if fault == "reset":
-            await watch.stream.aclose()
+            await watch.socket_stream.aclose()
         elif fault == "down":
             await watch.write("HTTP/1.1 503 Busy")
             for _ in range(2):
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -22,10 +22,10 @@
 from burlmoor.membership.member import MemberState, MemberStatus
 from burlmoor.simulator_adapter import Host
 from burlmoor.stats import snapshot
-from burlmoor.testbed.drill import Ask, Verdict
+from burlmoor.testbed.drill import DrillParameters, Verdict
 from burlmoor.testbed.drill_deferred import judge as judge_waiting
 from burlmoor.testbed.drill_watch import judge as judge_watch
-from burlmoor.testbed.event_record import Ledger
+from burlmoor.testbed.event_record import EventRecord
 from burlmoor.testbed.fleet import record as records
 from burlmoor.testbed.fleet.verdict import found
 from tests.stats.test_snapshot import taught
@@ -129,15 +129,19 @@
     run = records.read(DATA / "run")
     judged = found(run)
     fleet = Verdict("fleet", run.plan.seed, run.plan.seconds, judged.claims(), judged.figures())
-    assert json.dumps(fleet.written()) == json.dumps(recorded["fleet"])
-    assert json.dumps(judge_watch(run, Ask(12.0, 4)).written()) == json.dumps(recorded["watch"])
-    ledger = Ledger()
-    ledger.to_unix, ledger.ran = 1.0, list(run.ran)
-    ledger.asked = {job.id: job for job in run.asked}
-    ids = list(ledger.asked)
-    for number, job in enumerate(ledger.asked.values()):
+    assert json.dumps(fleet.to_json_object()) == json.dumps(recorded["fleet"])
+    assert json.dumps(judge_watch(run, DrillParameters(12.0, 4)).to_json_object()) == json.dumps(
+        recorded["watch"]
+    )
+    ledger = EventRecord()
+    ledger.unix_offset_ms, ledger.attempts = 1.0, list(run.ran)
+    ledger.requests = {job.id: job for job in run.asked}
+    ids = list(ledger.requests)
+    for number, job in enumerate(ledger.requests.values()):
         if number % 5 == 4:
-            job.after = (ids[number - 1], ids[number - 2])
+            job.run_after = (ids[number - 1], ids[number - 2])
         if number % 7 == 6:
-            job.not_before = 1.0 + job.sent
-    assert json.dumps(judge_waiting(ledger, 4, 12.0, [0, 1]).written()) == json.dumps(recorded["waiting"])
+            job.not_before_unix_ms = 1.0 + job.sent_ms
+    assert json.dumps(judge_waiting(ledger, 4, 12.0, [0, 1]).to_json_object()) == json.dumps(
+        recorded["waiting"]
+    )
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from burlmoor.testbed.http_wire import Message
+from burlmoor.testbed.http_stream import HttpMessage
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
 
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: "-".join(str(value) for value in row.values()))
 def test_each_job_has_one_answer_and_goes_out_as_its_class_allows(row: dict[str, Any]) -> None:
-    async def story(made: NodeHarness) -> Message:
+    async def story(made: NodeHarness) -> HttpMessage:
         wire = await made.submit_job(row["kind"], "a1", ms=1500)
         finished: list[int] = []
 
@@ -90,9 +90,9 @@
         await made.wait_until(lambda: len(made.jobs) <= len(finished))
         return answer
 
-    jobs: list[tuple[str, Message]] = []
+    jobs: list[tuple[str, HttpMessage]] = []
 
-    async def told(made: NodeHarness) -> Message:
+    async def told(made: NodeHarness) -> HttpMessage:
         answer = await story(made)
         jobs.extend(made.jobs)
         return answer
--- a/tests/integration/test_endings.py
+++ b/tests/integration/test_endings.py
@@ -49,7 +49,7 @@
         wire = await harness.submit_job()
         await harness.wait_until(lambda: held.waiting)
         if how == "closes":
-            await wire.stream.aclose()
+            await wire.socket_stream.aclose()
         else:  # as a dying process does
             wire.reset()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
@@ -70,8 +70,8 @@
         wire = await harness.submit_job(ms=9000)
         await harness.wait_until(lambda: harness.jobs)
         began = trio.current_time()
-        await wire.stream.send_all(b"x" * after)
-        await wire.stream.aclose()
+        await wire.socket_stream.send_all(b"x" * after)
+        await wire.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         assert trio.current_time() - began < 2.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor hears of it
@@ -90,7 +90,7 @@
             nonlocal flood
             try:
                 for _ in range(200):
-                    await wire.stream.send_all(b"x" * 100_000)
+                    await wire.socket_stream.send_all(b"x" * 100_000)
                     flood += 1
                     harness.notify()
             except trio.BrokenResourceError:
@@ -227,7 +227,7 @@
         monkeypatch.setattr("burlmoor.upstream.pool.connect", late)
         wire = await harness.submit_job()
         await up.wait()
-        await wire.stream.aclose()
+        await wire.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         go.set()
         await harness.wait_until(
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -11,21 +11,21 @@
 import pytest
 import trio
 
-from burlmoor.testbed.discovery import Discovery
-from burlmoor.testbed.http_wire import Wire
-from burlmoor.testbed.node_process import Node, call
+from burlmoor.testbed.discovery import DiscoveryService
+from burlmoor.testbed.http_stream import HttpStream
+from burlmoor.testbed.node_process import NodeProcess, send_http_request
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
 
 TOLD, GRACE = 6.0, 0.25
 
 
-async def idle_client(harness: NodeHarness, begun: bytes) -> Wire | None:
+async def idle_client(harness: NodeHarness, begun: bytes) -> HttpStream | None:
     """A client that connects, perhaps begins a request, and then says nothing."""
     with suppress(OSError):
         wire = await harness.connect_client()
         with suppress(trio.BrokenResourceError):
-            await wire.stream.send_all(begun)
+            await wire.socket_stream.send_all(begun)
         return wire
     return None
 
@@ -40,17 +40,17 @@
             harness = NodeHarness(["hang"] * hanging, nursery)
             for name in [f"e{number}" for number in range(16 if hanging else 2)]:
                 await harness.start_executor(name)
-            discovery = Discovery(nursery)
-            address = await discovery.listen("n0", harness.addresses)
+            discovery = DiscoveryService(nursery)
+            address = await discovery.listen_for_node("n0", harness.addresses)
             for name in harness.addresses:
-                discovery.tell(name)
-            node = Node("n0", tmp_path)
-            harness.address = node.listen
+                discovery.set_entry(name)
+            node = NodeProcess("n0", tmp_path)
+            harness.address = node.address
             limited = f'ulimit -n {descriptors}; exec "$0" -m burlmoor'
             node.command = ["/bin/sh", "-c", limited, sys.executable]
             discovery.down = True
             try:
-                await node.start(nursery, SETTINGS_OBJECT, address, discovery.whole("n0"))
+                await node.start(nursery, SETTINGS_OBJECT, address, discovery.full_list("n0"))
                 for number in range(hanging):
                     harness.open_clients.append(await harness.submit_job("once", f"h{number}", 5000))
                 if hanging:
@@ -68,11 +68,14 @@
 
                 nursery.start_soon(crowd_on)
                 await trio.sleep(0.5)
-                assert (await call(node.control, "GET", "/state")).status < 500  # operators are heard
-                discovery.tell("e0", health="leaving")
+                # The admin server still answers.
+                assert (await send_http_request(node.admin_address, "GET", "/state")).status < 500
+                discovery.set_entry("e0", health="leaving")
                 discovery.down = False
                 back = trio.current_time()
-                await harness.wait_until(lambda: any(health == "leaving" for *_, health in discovery.heard))
+                await harness.wait_until(
+                    lambda: any(health == "leaving" for *_, health in discovery.notifications)
+                )
                 assert trio.current_time() - back < TOLD + GRACE
                 # And clients are served, by whom it may send to, unless all that they could hold hangs.
                 for ref in () if hanging else ("a1", "a2", "a3"):
@@ -119,21 +122,21 @@
             harness = NodeHarness([], nursery)
             await harness.start_executor("e0")
 
-            async def serve(wire: Wire) -> None:
+            async def serve(wire: HttpStream) -> None:
                 while await wire.read() is not None:
                     if what == "answers with no list":
                         await wire.write("HTTP/1.1 200 OK", b'{"seq": "x"}')
                     elif what == "never ends its answer":
-                        await wire.stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
+                        await wire.socket_stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
 
             address = "127.0.0.1:9" if what == "refuses" else await harness.listen(serve)
-            node = Node("n0", tmp_path)
+            node = NodeProcess("n0", tmp_path)
             began = time.monotonic()
             try:
                 settings = {**SETTINGS_OBJECT, "RegistryMode": mode}
                 await node.start(nursery, settings, address, harness.endpoint_list(1, e0="active"))
                 assert time.monotonic() - began < 10.0
-                harness.address = node.listen
+                harness.address = node.address
                 wire = await harness.submit_job("once")
                 await harness.wait_until(lambda: harness.jobs)
                 await harness.send_callback("done", "served")
@@ -150,23 +153,23 @@
         async with trio.open_nursery() as nursery:
             harness = NodeHarness([], nursery)
             await harness.start_executor("e0")
-            discovery = Discovery(nursery)
+            discovery = DiscoveryService(nursery)
             took: list[float] = []
-            nodes = [Node(f"n{number}", tmp_path / f"n{number}") for number in range(30)]
+            nodes = [NodeProcess(f"n{number}", tmp_path / f"n{number}") for number in range(30)]
             for number, node in enumerate(nodes):
                 # Each at an address of its own: of 60 ports of one that were free, some are soon another's.
                 here = f"127.0.9.{number + 1}"
-                node.listen, node.control = (here, node.listen[1]), (here, node.control[1])
+                node.address, node.admin_address = (here, node.address[1]), (here, node.admin_address[1])
 
-            async def start(node: Node) -> None:
-                address = await discovery.listen(node.name, harness.addresses)
+            async def start(node: NodeProcess) -> None:
+                address = await discovery.listen_for_node(node.name, harness.addresses)
                 began = trio.current_time()
                 await node.start(
-                    nursery, {**SETTINGS_OBJECT, "Balancers": 30}, address, discovery.whole(node.name)
+                    nursery, {**SETTINGS_OBJECT, "Balancers": 30}, address, discovery.full_list(node.name)
                 )
                 took.append(trio.current_time() - began)
 
-            discovery.tell("e0")
+            discovery.set_entry("e0")
             try:
                 async with trio.open_nursery() as starting:
                     for node in nodes:
--- a/tests/integration/test_node_over_sockets.py
+++ b/tests/integration/test_node_over_sockets.py
@@ -13,7 +13,7 @@
 import trio
 
 from burlmoor.downstream.drain import ServiceState
-from burlmoor.testbed.http_wire import Message
+from burlmoor.testbed.http_stream import HttpMessage
 from burlmoor.types.outcome import Outcome
 from burlmoor.upstream.http import BrokenResponseError
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectError
@@ -39,7 +39,7 @@
 def test_what_an_executor_answers_decides_what_is_sent_again(
     name: str, act: str, status: int, forwards: int
 ) -> None:
-    async def story(made: NodeHarness) -> Message:
+    async def story(made: NodeHarness) -> HttpMessage:
         wire = await made.submit_job(name)
         await made.wait_until(lambda: len(made.jobs) == forwards)
         if status == 200 and act != "early":
@@ -83,7 +83,7 @@
             assert (await made.read_response(wire)).body == ref.encode()
             await trio.sleep(2.0 * REUSE_DELAY_SECONDS)  # a connection is not used again before
         _, job = made.jobs[0]
-        assert (job.start, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
+        assert (job.start_line, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
         assert 0 < int(job.headers["request-timeout-ms"]) <= 3000
         assert made.executor_connection_count <= 2
 
@@ -130,7 +130,7 @@
             await made.send_callback("done", "fine")
             assert (await made.read_response(wire)).status == 200
             for each in made.executor_connections:
-                await each.stream.aclose()
+                await each.socket_stream.aclose()
 
     run_scenario(story)
 
@@ -142,7 +142,7 @@
         await made.wait_until(lambda: made.jobs)
         if act == "take":
             await made.wait_until(lambda: not made.node.attempts.in_flight)
-        await wire.stream.aclose()
+        await wire.socket_stream.aclose()
         await made.wait_until(
             lambda: made.cancelled_attempts if act == "take" else made.unanswered_connection_count
         )
@@ -278,7 +278,7 @@
 def test_discovery_that_breaks_is_asked_again() -> None:
     async def story(made: NodeHarness) -> None:
         await made.wait_until(lambda: made.open_watches)
-        await made.open_watches.pop().stream.aclose()
+        await made.open_watches.pop().socket_stream.aclose()
         await made.wait_until(lambda: made.open_watches)
         await made.open_watches.pop().write("HTTP/1.1 503 Busy")
         await made.wait_until(lambda: made.open_watches)
@@ -348,7 +348,7 @@
         good = await made.submit_job()
         for data in (b"\x00\r\n\r\n", LONG + b"x" * 4_000_000):
             wire = await made.connect_client()
-            await wire.stream.send_all(data)
+            await wire.socket_stream.send_all(data)
             assert (await made.read_response(wire)).status in (400, 413)
             assert await wire.read() is None
         assert await made.send_callback_body(b"{") == 400
@@ -370,11 +370,11 @@
     async def story(made: NodeHarness) -> None:
         wire = await made.connect_client()
         began = trio.current_time()
-        await wire.stream.send_all(said)
+        await wire.socket_stream.send_all(said)
         if status:
             # Its client reads only once all is written: nothing may be lost in a reset.
             for _ in range(60):
-                await wire.stream.send_all(b"x" * 1_000_000)
+                await wire.socket_stream.send_all(b"x" * 1_000_000)
             assert (await made.read_response(wire)).status == status
         assert await wire.read() is None
         assert trio.current_time() - began < (6.0 if status else 3.0)
@@ -511,7 +511,7 @@
     async def story(made: NodeHarness) -> None:
         slow = [await made.connect_client() for _ in range(44)]
         for wire in slow:
-            await wire.stream.send_all(b"POST /lookup/")
+            await wire.socket_stream.send_all(b"POST /lookup/")
         served = await made.submit_job()
         await made.wait_until(lambda: made.jobs)
         assert await made.send_callback("done", "fine") == 204
@@ -527,7 +527,7 @@
     async def story(made: NodeHarness) -> None:
         stalled = [await made.connect_client() for _ in range(40)]
         for wire in stalled:
-            await wire.stream.send_all(b"POST /lookup/")
+            await wire.socket_stream.send_all(b"POST /lookup/")
         slow = await made.connect_client()
         request = (
             b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a1\r\n"
@@ -536,11 +536,11 @@
         step = len(request) // 20 + 1
         crowd = []
         for start in range(0, len(request), step):
-            await slow.stream.send_all(request[start : start + step])
+            await slow.socket_stream.send_all(request[start : start + step])
             await trio.sleep(0.11)
             crowd += [await made.connect_client() for _ in range(8)]
             for wire in crowd[-4:]:
-                await wire.stream.send_all(b"POST /lookup/")
+                await wire.socket_stream.send_all(b"POST /lookup/")
         await made.wait_until(lambda: made.jobs)
         assert await made.send_callback("done", "fine") == 204
         assert (await made.read_response(slow)).body == b"fine"
@@ -558,8 +558,8 @@
         wire = await made.submit_job()
         await made.wait_until(lambda: made.jobs and not made.node.attempts.in_flight)
         for each in made.executor_connections:
-            await each.stream.aclose()
-        await wire.stream.aclose()
+            await each.socket_stream.aclose()
+        await wire.socket_stream.aclose()
         await made.wait_until(lambda: made.cancelled_attempts)
 
     run_scenario(story)
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import Wire
+from burlmoor.testbed.http_stream import HttpStream
 from tests.support.configuration import write_config
 from tests.support.node_harness import NodeHarness
 
@@ -30,7 +30,7 @@
     with trio.fail_after(30.0):
         while True:
             try:
-                wire: Wire = await harness.connect_client()
+                wire: HttpStream = await harness.connect_client()
             except OSError:
                 await trio.sleep(0.05)
                 continue
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -17,7 +17,7 @@
 
 from burlmoor.lifecycle.handover_channel import connect, listen
 from burlmoor.lifecycle.handover_messages import Hello
-from burlmoor.testbed.http_wire import Message, Wire
+from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 from tests.integration.test_program import ROOT, free_address
 from tests.support.admin_client import call_admin, get_readiness_status, serve_job
 from tests.support.configuration import write_config
@@ -30,13 +30,13 @@
     def __init__(self, process: trio.Process, control: str) -> None:
         self.process, self.control = process, control
 
-    async def call(self, path: str, name: str = "") -> Message:
+    async def call(self, path: str, name: str = "") -> HttpMessage:
         method = "GET" if path == "/ready" else "POST"
         host, _, port = self.control.partition(":")
         with trio.fail_after(30.0):
             while True:
                 try:
-                    wire = Wire(await trio.open_tcp_stream(host, int(port)))
+                    wire = HttpStream(await trio.open_tcp_stream(host, int(port)))
                     break
                 except OSError:
                     await trio.sleep(0.02)
@@ -139,7 +139,7 @@
             under_way = await harness.submit_job("once", "a2", 5000)
             await harness.wait_until(lambda: len(harness.jobs) == 2)
             half = await harness.connect_client()
-            await half.stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
+            await half.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
             silent = await harness.connect_client()
             assert (await old.call("/executors/disable", "e0")).status == 200
 
@@ -160,7 +160,7 @@
             taken = await harness.submit_job("once", "a4")
             await harness.wait_until(lambda: len(harness.jobs) == 3)
             old.process.send_signal(signal.SIGTERM)
-            await half.stream.send_all(b"Request-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
+            await half.socket_stream.send_all(b"Request-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
             await harness.wait_until(lambda: len(harness.jobs) == 4)
             assert {name for name, _ in harness.jobs[2:]} == {"e1"}
             for job in (2, 3):
@@ -295,7 +295,7 @@
         successor = OtherProcess()
         wire = await harness.submit_job("once", "a1")
         half = await harness.connect_client()
-        await half.stream.send_all(b"POST /once")
+        await half.socket_stream.send_all(b"POST /once")
         await harness.wait_until(lambda: harness.jobs and len(harness.node.server.connections) == 2)
         harness.node.server.attach_successor(successor)
         harness.node.server.pass_idle_to_successor()
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -11,7 +11,7 @@
 from burlmoor.engine.answers import Served
 from burlmoor.simulation.audit import audit
 from burlmoor.simulation.cluster import ClusterSpec, SimulatedCluster
-from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.types.endpoint_list import ListKind
 from burlmoor.types.settings import (
     DeduplicationScope,
@@ -57,7 +57,14 @@
     SETTINGS,
     zones=("banqiao", "taichung"),
     executors=15,
-    spec=Spec(cores=5.0, slots=5, queue=20, cold_share=0.15, cold_ms=24_000.0, progress_ms=1000.0),
+    spec=ExecutorSpec(
+        cores=5.0,
+        slots=5,
+        queue_capacity=20,
+        initial_capacity_fraction=0.15,
+        slow_start_ms=24_000.0,
+        progress_interval_ms=1000.0,
+    ),
     list_delay=(500.0, 2500.0),
     weights="live",
     lost=0.01,
--- a/tests/simulation/test_slow_start.py
+++ b/tests/simulation/test_slow_start.py
@@ -9,11 +9,18 @@
 from burlmoor.endpoints.endpoint_list import EndpointList
 from burlmoor.simulation.audit import audit
 from burlmoor.simulation.cluster import ClusterSpec, SimulatedCluster
-from burlmoor.testbed.executor_model import Spec, most_calls
+from burlmoor.testbed.executor_model import ExecutorSpec, max_calls_by_chance
 from burlmoor.types.settings import Idempotency, JobClass, Limits, Rules, Settings, Tenant
 
 WORK, CORES, COLD, LENGTH = 250.0, 4.0, 12_000.0, 7000.0
-SPEC = Spec(cores=CORES, slots=4, queue=40, cold_share=0.2, cold_ms=COLD, progress_ms=1000.0)
+SPEC = ExecutorSpec(
+    cores=CORES,
+    slots=4,
+    queue_capacity=40,
+    initial_capacity_fraction=0.2,
+    slow_start_ms=COLD,
+    progress_interval_ms=1000.0,
+)
 
 
 def town(nodes: int, executors: int) -> ClusterSpec:
@@ -88,4 +95,4 @@
 
 
 def test_what_is_put_down_to_chance_is_what_the_operators_say() -> None:
-    assert [most_calls(budget) for budget in (0.0, 4.0, 25.0, 100.0)] == [2.0, 10.0, 37.0, 122.0]
+    assert [max_calls_by_chance(budget) for budget in (0.0, 4.0, 25.0, 100.0)] == [2.0, 10.0, 37.0, 122.0]
--- a/tests/support/admin_client.py
+++ b/tests/support/admin_client.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import Wire
+from burlmoor.testbed.http_stream import HttpStream
 from tests.support.node_harness import NodeHarness
 
 
@@ -16,7 +16,7 @@
 ) -> tuple[int, dict[str, Any]]:
     """Make one admin call; the response's status and JSON body."""
     assert made.node.admin_server is not None
-    wire = Wire(await trio.open_tcp_stream(*made.node.admin_server.address))
+    wire = HttpStream(await trio.open_tcp_stream(*made.node.admin_server.address))
     body = json.dumps({"name": name}).encode() if name else b""
     await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
     answer = await made.read_response(wire)
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -16,7 +16,7 @@
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.lifecycle.node import Node
 from burlmoor.log import EventLog
-from burlmoor.testbed.http_wire import Message, Wire
+from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 from tests.support.configuration import SETTINGS_OBJECT
 
 REPLIES: dict[str, tuple[str, dict[str, Any]]] = {
@@ -36,25 +36,25 @@
         self.executor_script, self.nursery = script, nursery
         self.node: Node
         self.address: tuple[str, int]
-        self.jobs: list[tuple[str, Message]] = []
+        self.jobs: list[tuple[str, HttpMessage]] = []
         self.cancelled_attempts: list[tuple[str, str]] = []
         self.has_node_ended = False  # whether the node has ended by itself
         self.unanswered_connection_count = 0  # connections that the node closed without an answer
         self.executor_connection_count = 0
-        self.executor_connections: list[Wire] = []  # connections of executors
+        self.executor_connections: list[HttpStream] = []  # connections of executors
         self.addresses: dict[str, str] = {}
-        self.open_watches: list[Wire] = []
+        self.open_watches: list[HttpStream] = []
         self.is_discovery_silent = False  # whether watches get no answer even when their wait is over
         self.closed_discovery_connections: list[
-            Wire
+            HttpStream
         ] = []  # calls to discovery whose connection the node has ended
         self.discovery_paths: list[str] = []
-        self.discovery_connections: list[Wire] = []  # whose call each was
-        self.connection_for_second_response: Wire | None = (
+        self.discovery_connections: list[HttpStream] = []  # whose call each was
+        self.connection_for_second_response: HttpStream | None = (
             None  # an executor's connection on which a second answer is to come
         )
         self.open_clients: list[
-            Wire
+            HttpStream
         ] = []  # clients' connections that a story holds open without looking at them
         self._changed = trio.Event()
 
@@ -69,26 +69,26 @@
                 with trio.move_on_after(0.05):
                     await self._changed.wait()
 
-    async def listen(self, serve: Callable[[Wire], Any]) -> str:
+    async def listen(self, serve: Callable[[HttpStream], Any]) -> str:
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
 
         async def handle(stream: trio.SocketStream) -> None:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await serve(Wire(stream))
+                await serve(HttpStream(stream))
 
         self.nursery.start_soon(trio.serve_listeners, handle, [listener])
         host, port = listener.socket.getsockname()
         return f"{host}:{port}"
 
     async def start_executor(self, name: str) -> None:
-        async def serve(wire: Wire) -> None:
+        async def serve(wire: HttpStream) -> None:
             self.executor_connection_count += 1
             self.executor_connections.append(wire)
             while (message := await wire.read()) is not None:
-                if message.start.startswith("DELETE"):
-                    self.cancelled_attempts.append((name, message.start.split()[1]))
+                if message.start_line.startswith("DELETE"):
+                    self.cancelled_attempts.append((name, message.start_line.split()[1]))
                     await wire.write("HTTP/1.1 204 Gone")
-                elif message.start.startswith("GET"):
+                elif message.start_line.startswith("GET"):
                     await wire.write("HTTP/1.1 200 OK")
                 else:
                     act = self.executor_script.pop(0) if self.executor_script else "take"
@@ -104,16 +104,16 @@
                         self.connection_for_second_response = None
                     if act.startswith("bytes:"):  # whatever they are; then silence, or the end
                         data, _, then = act.removeprefix("bytes:").partition("|")
-                        await wire.stream.send_all(data.encode("latin-1"))
+                        await wire.socket_stream.send_all(data.encode("latin-1"))
                         if then == "end":
-                            await wire.stream.aclose()
+                            await wire.socket_stream.aclose()
                             return
                         continue
                     if act == "stray":
                         self.connection_for_second_response = wire
                         act = "take"
                     if act == "reset":
-                        await wire.stream.aclose()
+                        await wire.socket_stream.aclose()
                         return
                     if act == "early":  # the result comes before the 202
                         await self.send_callback("done", "early")
@@ -128,9 +128,9 @@
         self.addresses[name] = await self.listen(serve)
 
     async def start_discovery(self) -> str:
-        async def serve(wire: Wire) -> None:
+        async def serve(wire: HttpStream) -> None:
             while (message := await wire.read()) is not None:
-                path = message.start.split()[1]
+                path = message.start_line.split()[1]
                 self.discovery_paths.append(path)
                 self.discovery_connections.append(wire)
                 self.open_watches.append(wire)
@@ -143,7 +143,7 @@
 
         return await self.listen(serve)
 
-    async def _answer_expired_watch(self, wire: Wire, number: int, path: str) -> None:
+    async def _answer_expired_watch(self, wire: HttpStream, number: int, path: str) -> None:
         """Answer a watch when its wait is over, unless a story has answered it."""
         _, _, wait = path.partition("&wait_ms=")
         if not wait:
@@ -174,19 +174,19 @@
         body = json.dumps(self.endpoint_list(seq, whole, **states)).encode()
         await self.open_watches.pop().write("HTTP/1.1 200 OK", body)
 
-    async def connect_client(self, receive_buffer: int = 0) -> Wire:
+    async def connect_client(self, receive_buffer: int = 0) -> HttpStream:
         sock = trio.socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         await sock.connect(self.address)
-        return Wire(trio.SocketStream(sock))
+        return HttpStream(trio.SocketStream(sock))
 
-    async def submit_job(self, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> Wire:
+    async def submit_job(self, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> HttpStream:
         wire = await self.connect_client()
         await self.send_job(wire, name, ref, ms)
         return wire
 
-    async def send_job(self, wire: Wire, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> None:
+    async def send_job(self, wire: HttpStream, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> None:
         head: dict[str, Any] = {
             "Host": "svc",
             "Request_Id": ref,
@@ -212,7 +212,7 @@
         assert answer is not None
         return answer.status
 
-    async def read_response(self, wire: Wire) -> Message:
+    async def read_response(self, wire: HttpStream) -> HttpMessage:
         with trio.fail_after(10.0):
             answer = await wire.read()
         assert answer is not None
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -10,92 +10,94 @@
 from burlmoor.cli.main import main
 from burlmoor.testbed.drill import Claim, Verdict
 from burlmoor.testbed.drill_deferred import _Plan, judge
-from burlmoor.testbed.event_record import Asked, Ledger, Ran
+from burlmoor.testbed.event_record import AttemptRecord, EventRecord, RequestRecord
 from burlmoor.testbed.mutations import OF_WAITING
 
 
-def good() -> Ledger:
+def good() -> EventRecord:
     """A parent and its child, a herd of one, and enough plain jobs beside released ones to compare."""
-    ledger = Ledger(to_unix=1e6)
+    ledger = EventRecord(unix_offset_ms=1e6)
 
     def ran(ref: str, came: float, name: str = "slot-search", end: str = "done") -> None:
-        ledger.ran.append(Ran(ref, name, "s", came, came + 1.0, came + 10.0, end))
+        ledger.attempts.append(AttemptRecord(ref, name, "s", came, came + 1.0, came + 10.0, end))
 
     def asked(ref: str, sent: float, answered: float, status: int = 200, **more: object) -> None:
-        row = Asked(ref, "slot-search", sent, 5000.0, answered=answered, status=status, answers=1)
+        row = RequestRecord(
+            ref, "slot-search", sent, 5000.0, answered_ms=answered, status=status, answer_count=1
+        )
         for name, value in more.items():
             setattr(row, name, value)
-        ledger.asked[ref] = row
+        ledger.requests[ref] = row
 
     asked("a", 0.0, 20.0)
     ran("a", 5.0)
-    asked("b", 0.0, 60.0, after=("a",))
+    asked("b", 0.0, 60.0, run_after=("a",))
     ran("b", 25.0)
-    asked("t", 0.0, 600.0, not_before=1e6 + 500.0)
+    asked("t", 0.0, 600.0, not_before_unix_ms=1e6 + 500.0)
     ran("t", 501.0)
     asked("f", 0.0, 30.0, 502)
     ran("f", 5.0, end="failed")
-    asked("g", 0.0, 32.0, 424, after=("f",))
+    asked("g", 0.0, 32.0, 424, run_after=("f",))
     for number in range(15):
         asked(f"p-{number}", 10.0, 50.0)
         ran(f"p-{number}", 12.0)
-        asked(f"w-{number}", 0.0, 90.0, after=("a",))
+        asked(f"w-{number}", 0.0, 90.0, run_after=("a",))
         ran(f"w-{number}", 30.0)
     return ledger
 
 
-def verdict(ledger: Ledger) -> dict[str, bool]:
+def verdict(ledger: EventRecord) -> dict[str, bool]:
     found = judge(ledger, 1, 60.0, [0])
-    return {name: claim.held for name, claim in found.claims.items()}
+    return {name: claim.holds for name, claim in found.claims.items()}
 
 
 def test_every_claim_holds_on_a_ledger_without_fault() -> None:
     assert all(verdict(good()).values()), verdict(good())
 
 
-def change(ref: str, **values: object) -> Callable[[Ledger], None]:
-    def act(ledger: Ledger) -> None:
+def change(ref: str, **values: object) -> Callable[[EventRecord], None]:
+    def act(ledger: EventRecord) -> None:
         for name, value in values.items():
-            setattr(ledger.asked[ref], name, value)
+            setattr(ledger.requests[ref], name, value)
 
     return act
 
 
-def row(ref: str, **values: object) -> Callable[[Ledger], None]:
-    def act(ledger: Ledger) -> None:
-        found = next(each for each in ledger.ran if each.id == ref)
+def row(ref: str, **values: object) -> Callable[[EventRecord], None]:
+    def act(ledger: EventRecord) -> None:
+        found = next(each for each in ledger.attempts if each.id == ref)
         for name, value in values.items():
             setattr(found, name, value)
 
     return act
 
 
-def add(*given: object) -> Callable[[Ledger], None]:
-    return lambda ledger: ledger.ran.append(Ran(*given))  # type: ignore[arg-type]
+def add(*given: object) -> Callable[[EventRecord], None]:
+    return lambda ledger: ledger.attempts.append(AttemptRecord(*given))  # type: ignore[arg-type]
 
 
-def refuse_most(ledger: Ledger) -> None:
+def refuse_most(ledger: EventRecord) -> None:
     for number in range(8):
-        ledger.asked[f"w-{number}"].status = 503
+        ledger.requests[f"w-{number}"].status = 503
 
 
 @pytest.mark.parametrize(
     ("fault", "claim"),
     [
-        (change("b", answered=None, answers=0, status=0), "unanswered"),
-        (change("p-3", answered=5061.0), "late"),
-        (change("b", answers=2), "answered twice"),
+        (change("b", answered_ms=None, answer_count=0, status=0), "unanswered"),
+        (change("p-3", answered_ms=5061.0), "late"),
+        (change("b", answer_count=2), "answered twice"),
         (change("b", body=b"a@s"), "answered twice"),
         (add("c", "confirm-booking", "s", 1.0, 2.0), None),
-        (row("p-1", end="died"), "invented"),
-        (row("b", came=8.0), "ran before what it names"),
+        (row("p-1", outcome="died"), "invented"),
+        (row("b", received_ms=8.0), "ran before what it names"),
         (add("g", "slot-search", "s", 40.0, 41.0, 50.0, "done"), "ran though its parent was not done"),
-        (row("t", came=480.0), "ran before its time"),
-        (change("g", answered=200.0), "parent's end to child's end, p99 ms"),
+        (row("t", received_ms=480.0), "ran before its time"),
+        (change("g", answered_ms=200.0), "parent's end to child's end, p99 ms"),
         (refuse_most, "worst-served tenth against plain"),
     ],
 )
-def test_each_claim_fails_where_it_is_broken(fault: Callable[[Ledger], None], claim: str | None) -> None:
+def test_each_claim_fails_where_it_is_broken(fault: Callable[[EventRecord], None], claim: str | None) -> None:
     ledger = good()
     fault(ledger)
     held = verdict(ledger)
@@ -109,7 +111,7 @@
 
 def test_a_restart_that_ends_badly_or_never_came_is_told() -> None:
     for statuses in ([1], [-9], []):
-        assert not judge(good(), 1, 60.0, statuses).claims["bad exits"].held
+        assert not judge(good(), 1, 60.0, statuses).claims["bad exits"].holds
 
 
 def test_a_plan_is_drawn_the_same_each_time_and_holds_every_shape() -> None:
@@ -123,10 +125,10 @@
 
 
 def test_a_verdict_holds_only_where_every_claim_does() -> None:
-    verdict = Verdict("x", 1, 10.0, {"a": Claim(0, 0), "b": Claim(0.95, 0.9, least=True)})
-    assert verdict.written()["held"] is True
-    verdict.claims["b"] = Claim(float("nan"), 0.9, least=True)
-    assert verdict.written()["held"] is False
+    verdict = Verdict("x", 1, 10.0, {"a": Claim(0, 0), "b": Claim(0.95, 0.9, is_lower_bound=True)})
+    assert verdict.to_json_object()["held"] is True
+    verdict.claims["b"] = Claim(float("nan"), 0.9, is_lower_bound=True)
+    assert verdict.to_json_object()["held"] is False
 
 
 def test_a_sabotage_that_is_none_is_bad_usage_and_each_is_told() -> None:
@@ -138,11 +140,11 @@
 def test_what_a_node_refuses_as_it_ends_is_told_from_what_it_released() -> None:
     ledger = good()
     refuse_most(ledger)
-    ledger.closings = [(0, 80.0, 100.0)]
+    ledger.closing_periods = [(0, 80.0, 100.0)]
     assert verdict(ledger)["worst-served tenth against plain"] is False  # all that was released has gone
-    ledger.closings = [(1, 80.0, 100.0)]
+    ledger.closing_periods = [(1, 80.0, 100.0)]
     assert verdict(ledger)["worst-served tenth against plain"] is False
-    assert ledger.closed_on(ledger.asked["w-0"]) is False
-    ledger.closings = [(0, 80.0, 100.0)]
-    assert ledger.closed_on(ledger.asked["w-0"]) is True
-    assert ledger.closed_on(ledger.asked["w-9"]) is False  # served
+    assert ledger.is_rejected_by_closing_node(ledger.requests["w-0"]) is False
+    ledger.closing_periods = [(0, 80.0, 100.0)]
+    assert ledger.is_rejected_by_closing_node(ledger.requests["w-0"]) is True
+    assert ledger.is_rejected_by_closing_node(ledger.requests["w-9"]) is False  # served
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -20,8 +20,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlmoor.testbed.event_record import Asked, Ran
-from burlmoor.testbed.executor_model import Spec
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet import addresses, tcp_relay
 from burlmoor.testbed.fleet.audit import audit
 from burlmoor.testbed.fleet.baselines import WAYS, play
@@ -43,7 +43,7 @@
 from burlmoor.testbed.fleet.metrics import Grid, heals, spread
 from burlmoor.testbed.fleet.record import Plan, Record, Span, read
 from burlmoor.testbed.fleet.run import Fleet, Parts
-from burlmoor.testbed.local_cluster import KINDS as JOBS
+from burlmoor.testbed.job_classes import JOB_CLASSES as JOBS
 
 SEARCH, _, CONFIRM = JOBS
 
@@ -147,7 +147,7 @@
 
 # --- measures and audits on rows that are known -------------------------------------------------------
 
-SPECS = {f"s-{n}": Spec(cores=4.0, slots=6, speed=1.0) for n in range(4)}
+SPECS = {f"s-{n}": ExecutorSpec(cores=4.0, slots=6, speed=1.0) for n in range(4)}
 
 
 def record(*troubles: Trouble, spans: list[Span] | None = None) -> Record:
@@ -156,11 +156,13 @@
     return Record(plan, load, SPECS, ["a"] * 4, ["a"] * 4, begin=1000.0, spans=spans or [])
 
 
-def job(number: int, at: float, executor: int, run: float = 100.0) -> tuple[Asked, Ran]:
+def job(number: int, at: float, executor: int, run: float = 100.0) -> tuple[RequestRecord, AttemptRecord]:
     ref = f"j{number}"
-    asked = Asked(ref, SEARCH.name, at, SEARCH.patience, run, answered=at + run, status=200, answers=1)
+    asked = RequestRecord(
+        ref, SEARCH.name, at, SEARCH.timeout_ms, run, answered_ms=at + run, status=200, answer_count=1
+    )
     asked.body = f"{ref}@s-{executor}".encode()
-    return asked, Ran(ref, SEARCH.name, f"s-{executor}", at, at, at + run, "done", "0", run)
+    return asked, AttemptRecord(ref, SEARCH.name, f"s-{executor}", at, at, at + run, "done", "0", run)
 
 
 def dealt(executors: Callable[[int], int], step: float = 20.0) -> Record:
@@ -185,14 +187,14 @@
     made = dealt(lambda n: 0)
     assert spread(made, made.asked, made.ran).idleness == 0.0
     for asked, ran in zip(made.asked, made.ran, strict=True):
-        ran.began = ran.came + 400.0
-        asked.answered = ran.ended = ran.began + 100.0
+        ran.started_ms = ran.received_ms + 400.0
+        asked.answered_ms = ran.ended_ms = ran.started_ms + 100.0
     assert 0.6 < spread(made, made.asked, made.ran).idleness <= 0.75
 
 
 def test_a_job_that_never_ends_is_held_to_the_last() -> None:
     grid = Grid(list(SPECS.values()), list(SPECS), 0.0, 20.0, [])
-    held = grid.held([Ran("j1", SEARCH.name, "s-0", 5000.0, work=10.0)])
+    held = grid.held([AttemptRecord("j1", SEARCH.name, "s-0", 5000.0, work_ms=10.0)])
     assert held[49].sum() == 0.0
     assert held[50:].sum() == 10.0 * 150
 
@@ -224,11 +226,11 @@
 
 
 def _no_answer(made: Record) -> None:
-    made.asked[5].answered = None
+    made.asked[5].answered_ms = None
 
 
 def _late(made: Record) -> None:
-    made.asked[5].answered = made.asked[5].sent + SEARCH.patience + 900.0
+    made.asked[5].answered_ms = made.asked[5].sent_ms + SEARCH.timeout_ms + 900.0
 
 
 def _invented(made: Record) -> None:
@@ -256,7 +258,7 @@
 def _cold_one_flooded(made: Record) -> None:
     made.spans = [Span("die", "s-1", made.begin, made.begin + 2000.0)]
     for row in made.ran:
-        row.work = 5000.0
+        row.work_ms = 5000.0
 
 
 def _crashed(made: Record) -> None:
@@ -281,7 +283,7 @@
 def test_only_what_the_schedule_caused_is_excused() -> None:
     made = dealt(lambda n: n % 4)
     _no_answer(made)
-    made.spans = [Span("kill", "n000", made.asked[5].sent + 10.0, made.asked[5].sent + 20.0)]
+    made.spans = [Span("kill", "n000", made.asked[5].sent_ms + 10.0, made.asked[5].sent_ms + 20.0)]
     assert audit(made).broken == [] and audit(made).excused == {"its node was killed": 1}
     made.asked[5].node = 1
     assert audit(made).broken
@@ -312,7 +314,7 @@
         Trouble(what="late", at=1.0, lasts=4.0, nodes="50%", size=800.0),
     )
     assert audit(made).broken == []
-    assert sum(each.served for each in made.asked) > 0.5 * len(made.asked) > 50
+    assert sum(each.is_served for each in made.asked) > 0.5 * len(made.asked) > 50
     assert {span.what for span in made.spans} == {"kill", "stop", "die", "cut", "term", "drain", "late"}
     made.write(tmp_path / "kept")
     again = read(tmp_path / "kept")
@@ -326,7 +328,11 @@
 
 def test_a_cut_link_carries_nothing_and_others_go_on(tmp_path: Path) -> None:
     made = run(tmp_path, Trouble(what="cut", at=0.0, lasts=6.0, nodes="*", executors="s-000,s-001"))
-    began = {row.executor for row in made.ran if row.began is not None and row.came < made.begin + 5500.0}
+    began = {
+        row.executor
+        for row in made.ran
+        if row.started_ms is not None and row.received_ms < made.begin + 5500.0
+    }
     assert began and not began & {"s-000", "s-001"}
     assert audit(made).broken == []
 
