--- /dev/null
+++ b/burlmoor/testbed/deferred_schedule.py
@@ -0,0 +1,152 @@
+"""The jobs of the drill of deferred jobs: plain jobs, and families of jobs with run conditions.
+
+Everything is drawn from one seed ahead of time. The order of the draws is part of the schedule: another order
+would give other jobs for the same seed.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+from typing import Any
+
+import numpy as np
+
+from burlmoor.testbed.executor_model import ExecutorSpec
+from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
+
+EXECUTORS = 6
+CORES = 2.0  # of each executor
+PLAIN_PREFIX = "p-"  # of the ids of jobs without run conditions
+_NODES = 2
+_CONFIRM = JOB_CLASSES[2]
+_PLAIN_WORK_MS = 200.0  # on average
+_LOADS = (0.8, 1.3)  # of the executors' capacity, by halves of the drill
+_MAX_TIMEOUT_SECONDS = 40.0
+_TAIL_SECONDS = 20.0  # that deferred jobs may take after the last arrival
+
+
+@dataclass(slots=True)
+class ScheduledJob:
+    """One job to send; seconds count from the begin of the drill."""
+
+    at_seconds: float
+    id: str
+    job_class: JobClass
+    work_ms: float
+    run_after: tuple[str, ...] = ()
+    not_before_seconds: float = 0.0
+    timeout_ms: float = 0.0  # 0: that of its class
+    is_failing: bool = False  # whether its executor reports it as failed
+    disconnect_after_seconds: float = 0.0  # 0: its client waits for the answer
+    node: int = 0
+
+
+def draw_schedule(seconds: float, seed: int) -> list[ScheduledJob]:
+    """Draw all jobs of a drill of `seconds`, in the order in which they are sent."""
+    return _ScheduleDrawing(seconds, seed).draw()
+
+
+class _ScheduleDrawing:
+    """The random generator and the jobs drawn so far."""
+
+    def __init__(self, seconds: float, seed: int) -> None:
+        self._seconds = seconds
+        self._seed = seed
+        self._rng = np.random.default_rng(seed)
+        self._last_number = 0
+        self._jobs: list[ScheduledJob] = []
+
+    def draw(self) -> list[ScheduledJob]:
+        self._draw_plain_jobs()
+        for mean_interval, draw_family in (
+            (6.0, self._draw_chain),
+            (2.0, self._draw_fan),
+            (3.0, self._draw_diamond),
+            (10.0, self._draw_burst),
+            (3.0, self._draw_failing_parent),
+            (4.0, self._draw_abandoned_parent),
+            (5.0, self._draw_late_parent),
+        ):
+            at_seconds = float(self._rng.uniform(0.5, mean_interval))
+            while at_seconds < self._seconds - 2.0:
+                draw_family(at_seconds, int(self._rng.integers(_NODES)))
+                at_seconds += float(self._rng.uniform(0.7, 1.3) * mean_interval)
+        self._jobs.sort(key=lambda job: job.at_seconds)
+        return self._jobs
+
+    def _draw_plain_jobs(self) -> None:
+        capacity = sum(ExecutorSpec(cores=CORES).capacity for _ in range(EXECUTORS))
+        jobs_per_second = capacity * 1000.0 / _PLAIN_WORK_MS
+        half_seconds = self._seconds / 2.0
+        for half, load in enumerate(_LOADS):
+            count = self._rng.poisson(load * jobs_per_second * half_seconds)
+            begin, end = half * half_seconds, (half + 1) * half_seconds
+            for at_seconds in self._rng.uniform(begin, end, count):
+                job_class = JOB_CLASSES[int(self._rng.choice(3, p=(0.7, 0.2, 0.1)))]
+                work_ms = float(self._rng.lognormal(math.log(_PLAIN_WORK_MS) - 0.125, 0.5))
+                job = ScheduledJob(float(at_seconds), self._next_id("p"), job_class, work_ms)
+                job.node = int(self._rng.integers(_NODES))
+                self._jobs.append(job)
+
+    def _next_id(self, family: str) -> str:
+        self._last_number += 1
+        return f"{family}-{self._seed}-{self._last_number}"
+
+    def _add(
+        self, at_seconds: float, node: int, family: str, work_ms: float, *run_after: str, **fields: Any
+    ) -> ScheduledJob:
+        """Add a deferred job or a parent of one, of a drawn class unless `fields` name it."""
+        drawn_class = JOB_CLASSES[int(self._rng.choice(3, p=(0.5, 0.3, 0.2)))]
+        timeout_seconds = min(_MAX_TIMEOUT_SECONDS, self._seconds - at_seconds + _TAIL_SECONDS)
+        job = ScheduledJob(
+            at_seconds, self._next_id(family), fields.pop("job_class", drawn_class), work_ms, run_after,
+            timeout_ms=1000.0 * timeout_seconds, node=node, **fields,
+        )  # fmt: skip
+        self._jobs.append(job)
+        return job
+
+    def _draw_chain(self, at_seconds: float, node: int) -> None:
+        length = int(self._rng.choice((20, 60, 200)))
+        last = self._add(at_seconds, node, "chain", 15.0)
+        for _ in range(length - 1):
+            # Some jobs are sent before the one that they are to run after.
+            delay_seconds = float(self._rng.uniform(0.0, 0.3))
+            last = self._add(at_seconds + delay_seconds, node, "chain", 15.0, last.id)
+
+    def _draw_fan(self, at_seconds: float, node: int) -> None:
+        parent = self._add(at_seconds, node, "fan", 100.0)
+        for _ in range(10):
+            self._add(at_seconds, node, "fan", 60.0, parent.id)
+
+    def _draw_diamond(self, at_seconds: float, node: int) -> None:
+        top = self._add(at_seconds, node, "diamond", 80.0)
+        sides = [self._add(at_seconds, node, "diamond", 80.0, top.id).id for _ in range(4)]
+        self._add(at_seconds, node, "diamond", 80.0, *sides)
+
+    def _draw_burst(self, at_seconds: float, node: int) -> None:
+        """Draw many jobs with the same earliest time: a thundering herd on release."""
+        for _ in range(60):
+            self._add(at_seconds, node, "burst", 60.0, not_before_seconds=at_seconds + 3.0)
+
+    def _draw_failing_parent(self, at_seconds: float, node: int) -> None:
+        parent = self._add(at_seconds, node, "failing", 150.0, is_failing=True, job_class=_CONFIRM)
+        last = parent
+        for _ in range(10):
+            last = self._add(at_seconds, node, "failing", 20.0, last.id)
+            self._add(at_seconds, node, "failing", 20.0, parent.id)
+
+    def _draw_abandoned_parent(self, at_seconds: float, node: int) -> None:
+        """Draw a parent, and one of its children, whose clients disconnect."""
+        family = "abandoned"
+        parent = self._add(at_seconds, node, family, 2500.0, disconnect_after_seconds=0.5, job_class=_CONFIRM)
+        for _ in range(5):
+            self._add(at_seconds, node, family, 20.0, parent.id)
+        child = self._add(at_seconds, node, family, 20.0, parent.id, disconnect_after_seconds=0.3)
+        self._add(at_seconds, node, family, 20.0, child.id)
+
+    def _draw_late_parent(self, at_seconds: float, node: int) -> None:
+        """Draw a parent that is sent after its child, and a child of a parent that is never sent."""
+        parent = self._add(at_seconds + 0.8, node, "late", 50.0)
+        self._add(at_seconds, node, "late", 50.0, parent.id)
+        self._add(at_seconds, node, "late", 50.0, "nobody")
--- a/burlmoor/testbed/event_record.py
+++ b/burlmoor/testbed/event_record.py
@@ -1,8 +1,10 @@
-"""What the far sides saw: clients' jobs and answers, executors' runs. Verdicts compare these alone."""
+"""What clients and executors observed in one run; verdicts rest on these records alone."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from http import HTTPStatus
+from typing import NamedTuple
 
 import msgspec
 
@@ -35,20 +37,21 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether the client has a result."""
-        return self.status == 200
+        """Whether the client received a result."""
+        return self.status == HTTPStatus.OK
 
     @property
     def is_rejected(self) -> bool:
-        """Whether the client was told that a retry does no harm."""
-        return self.status in (429, 503)
+        """Whether the answer says that the job did not run, so that a retry is safe."""
+        return self.status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
     @property
     def latency_ms(self) -> float:
-        """From the moment it was to be sent until its answer's last byte."""
-        return (
-            self.answered_ms if self.answered_ms is not None else self.sent_ms + self.timeout_ms
-        ) - self.sent_ms
+        """Time from the intended sending until the answer is complete, or until the timeout."""
+        answered_ms = self.answered_ms
+        if answered_ms is None:
+            answered_ms = self.sent_ms + self.timeout_ms
+        return answered_ms - self.sent_ms
 
 
 class AttemptRecord(msgspec.Struct):
@@ -67,74 +70,86 @@
     slots: int = 1
 
 
+class ClosingPeriod(NamedTuple):
+    """A period in which a stopping node rejected the jobs that waited there."""
+
+    node: int
+    since_ms: float
+    until_ms: float
+
+
 @dataclass(slots=True)
 class EventRecord:
-    """Owns what the far sides saw of one run."""
+    """All that clients and executors observed in one run, and the checks that need nothing else."""
 
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     attempts: list[AttemptRecord] = field(default_factory=list)
-    # When a node that stops refused what waited there: which node, from when until when.
-    closing_periods: list[tuple[int, float, float]] = field(default_factory=list)
-    unix_offset_ms: float = 0.0  # what takes the rig's clock to Unix time
-    protocol_violations: list[str] = field(
-        default_factory=list
-    )  # what no party that keeps to the protocol does
+    closing_periods: list[ClosingPeriod] = field(default_factory=list)
+    unix_offset_ms: float = 0.0  # Unix time minus the testbed's clock
+    protocol_violations: list[str] = field(default_factory=list)  # a line each
 
     def started_attempts_by_id(self) -> dict[str, list[AttemptRecord]]:
-        """The attempts of each id that began."""
+        """Return the attempts that an executor started, by the request's id."""
         found: dict[str, list[AttemptRecord]] = {}
-        for each in self.attempts:
-            if each.started_ms is not None:
-                found.setdefault(each.id, []).append(each)
+        for attempt in self.attempts:
+            if attempt.started_ms is not None:
+                found.setdefault(attempt.id, []).append(attempt)
         return found
 
-    def find_repeated(self, once: set[str]) -> list[str]:
-        """Ids of classes that must not run twice and began twice."""
+    def find_repeated(self, non_idempotent_classes: set[str]) -> list[str]:
+        """Return the ids of non-idempotent jobs that were started more than once."""
         return [
-            ref
-            for ref, rows in self.started_attempts_by_id().items()
-            if len(rows) > 1 and rows[0].job_class in once
+            request_id
+            for request_id, attempts in self.started_attempts_by_id().items()
+            if len(attempts) > 1 and attempts[0].job_class in non_idempotent_classes
         ]
 
     def find_unanswered(self) -> list[RequestRecord]:
-        """Whose client stayed and never heard."""
+        """Return the requests whose client stayed connected and received no answer."""
         return [
-            each
-            for each in self.requests.values()
-            if each.answered_ms is None and each.disconnected_ms is None
+            request
+            for request in self.requests.values()
+            if request.answered_ms is None and request.disconnected_ms is None
         ]
 
-    def find_late(self, slack: float) -> list[RequestRecord]:
-        """Whose answer came more than `slack` ms after its client's time was over."""
+    def find_late(self, tolerance_ms: float) -> list[RequestRecord]:
+        """Return the requests that were answered more than `tolerance_ms` after their timeout."""
         return [
-            each
-            for each in self.requests.values()
-            if each.answered_ms is not None and each.latency_ms > each.timeout_ms + slack
+            request
+            for request in self.requests.values()
+            if request.answered_ms is not None and request.latency_ms > request.timeout_ms + tolerance_ms
         ]
 
     def find_misplaced(self) -> list[str]:
-        """Served answers that carry another job's result: a second answer shows as the next request's."""
+        """Return the ids of requests that were served another job's result.
+
+        A second answer to one request shows as the answer to the next one on that connection.
+        """
         return [
-            each.id
-            for each in self.requests.values()
-            if each.is_served and each.body and each.body.partition(b"@")[0] != each.id.encode()
+            request.id
+            for request in self.requests.values()
+            if request.is_served and request.body and request.body.partition(b"@")[0] != request.id.encode()
         ]
 
-    def is_rejected_by_closing_node(self, asked: RequestRecord) -> bool:
-        """Whether a job was refused by a node that was about to end."""
-        return asked.is_rejected and any(
-            node == asked.node and since <= (asked.answered_ms or 0.0) <= until
-            for node, since, until in self.closing_periods
+    def is_rejected_by_closing_node(self, request: RequestRecord) -> bool:
+        """Whether the request was rejected by a node that was about to end."""
+        return request.is_rejected and any(
+            period.node == request.node and period.since_ms <= (request.answered_ms or 0.0) <= period.until_ms
+            for period in self.closing_periods
         )
 
     def find_fabricated(self) -> list[str]:
-        """Served answers that no executor gave."""
-        done = {each.id for each in self.attempts if each.outcome == "done"}
-        return [each.id for each in self.requests.values() if each.is_served and each.id not in done]
+        """Return the ids of requests that were served although no executor completed them."""
+        completed = {attempt.id for attempt in self.attempts if attempt.outcome == "done"}
+        return [
+            request.id
+            for request in self.requests.values()
+            if request.is_served and request.id not in completed
+        ]
 
 
 class AnyRequestId(dict[str, RequestRecord]):
-    """For executors whose clients are in another process: any id may be one of theirs."""
+    """Requests of an event record whose clients are in another process: any id may be one of theirs."""
 
     def __contains__(self, key: object) -> bool:
         return bool(key)
--- a/burlmoor/testbed/executor_model.py
+++ b/burlmoor/testbed/executor_model.py
@@ -1,27 +1,33 @@
-"""An executor's machine without sockets: cores shared by what runs, slots, a bounded queue, cold starts.
+"""A model of an executor without sockets: processor sharing, job slots, a bounded queue, slow start.
 
-Times are ms on any clock that only goes forward; work is ms on one core of speed 1. A job holds `slots` slots
-while it runs. Up to `cores` slots run at full pace each; beyond that all share the cores evenly (processor
-sharing), so nothing here sleeps and the end of each job is known ahead until the next change.
+Times are ms on any monotonic clock; work is ms on one core of speed 1. A running job occupies a number of
+slots. Up to `cores` slots run at full speed each; beyond that all slots share the cores evenly, so that the
+end of each job is known in advance until the next change and nothing here has to sleep.
 """
 
 from __future__ import annotations
 
 import math
 from collections import OrderedDict
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import NamedTuple
 
 import msgspec
 
+_DONE_WORK_MS = 1e-6  # work left that counts as none, since floats accumulate errors
+_SLOW_START_STEP_MS = 50.0  # while capacity grows, completion times are recomputed this often
+
 
 def max_calls_by_chance(budget: float) -> float:
-    """The most calls of mean work that luck accounts for where a cold executor's budget is so many."""
+    """Return the most calls of mean work that chance explains where `budget` such calls are allowed.
+
+    The budget is that of an executor in slow start; two standard deviations of a Poisson count are added.
+    """
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
 class ExecutorSpec(msgspec.Struct, frozen=True):
-    """What a machine is."""
+    """The size and speed of an executor; the encoded names are those of recorded runs."""
 
     cores: float = 4.0
     slots: int = 6
@@ -33,22 +39,19 @@
 
     @property
     def capacity(self) -> float:
-        """Work done a ms when warm and busy."""
+        """Work done in a ms after slow start, with enough jobs."""
         return self.cores * self.speed
 
-    def slow_start_factor(self, age: float) -> float:
-        """The share of its capacity that it has so many ms after it started."""
+    def slow_start_factor(self, age_ms: float) -> float:
+        """Return the fraction of its capacity that an executor has at an age."""
         if self.slow_start_ms <= 0.0:
             return 1.0
-        return min(
-            1.0,
-            self.initial_capacity_fraction
-            + (1.0 - self.initial_capacity_fraction) * age / self.slow_start_ms,
-        )
+        initial = self.initial_capacity_fraction
+        return min(1.0, initial + (1.0 - initial) * age_ms / self.slow_start_ms)
 
 
 class JobProgress(NamedTuple):
-    """What a machine tells of a job: `started`, `running` with the share done, `done`."""
+    """An event in a job's life: `started`, `running` with the fraction done so far, or `done`."""
 
     job: str
     state: str
@@ -56,115 +59,122 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    work: float
+class _Job:
+    work_ms: float
     slots: int
-    left: float
-    note_at: float = math.inf
-    began: float = field(default=math.inf)
+    remaining_ms: float
+    next_progress_ms: float = math.inf
 
 
 class ExecutorModel:
-    """Owns the jobs that one executor has taken."""
+    """The jobs that one executor has admitted, and how far each has got."""
 
     def __init__(self, spec: ExecutorSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
-        self._born = now if cold else -math.inf
+        self._started_ms = now if cold else -math.inf
         self._now = now
-        self._running: dict[str, _Held] = {}
-        self._queue: OrderedDict[str, _Held] = OrderedDict()
-        self._slow = 1.0
-        self._still = False
+        self._running: dict[str, _Job] = {}
+        self._queue: OrderedDict[str, _Job] = OrderedDict()
+        self._slowdown = 1.0
+        self._is_stalled = False
 
     @property
     def job_count(self) -> int:
-        """Jobs that run or wait."""
+        """The number of jobs that run or are queued."""
         return len(self._running) + len(self._queue)
 
     def has_job(self, job: str) -> bool:
-        """Whether the job runs or waits here."""
+        """Whether the job runs or is queued here."""
         return job in self._running or job in self._queue
 
     def slow_start_factor(self, now: float) -> float:
-        """The share of its capacity that it has by now."""
-        return self.spec.slow_start_factor(now - self._born)
+        """Return the fraction of its capacity that the executor has at `now`."""
+        return self.spec.slow_start_factor(now - self._started_ms)
 
-    def _pace(self) -> float:
-        """Work done a ms for each job that runs."""
-        if self._still:
+    def _speed_per_slot(self) -> float:
+        """Return the work done in a ms for each running job."""
+        if self._is_stalled:
             return 0.0
-        used = sum(held.slots for held in self._running.values())
+        used_slots = sum(job.slots for job in self._running.values())
         cores = self.spec.cores * self.slow_start_factor(self._now)
-        return self.spec.speed / self._slow * min(1.0, cores / used) if used else 0.0
+        return self.spec.speed / self._slowdown * min(1.0, cores / used_slots) if used_slots else 0.0
 
     def _advance(self, now: float) -> None:
-        """Book the work done since the last look. Warmth counts as it was then: looks are frequent."""
-        done = (now - self._now) * self._pace()
-        for held in self._running.values():
-            held.left -= done
+        """Subtract the work done since the last call, at the speed of that time: calls are frequent."""
+        done_ms = (now - self._now) * self._speed_per_slot()
+        for job in self._running.values():
+            job.remaining_ms -= done_ms
         self._now = now
 
     def admit(self, now: float, job: str, work: float, slots: int = 1) -> bool:
-        """Take a job, or turn it away unstarted where the queue is full or it can never fit."""
+        """Queue a job; false where it can never fit, the queue is full or the job is here already."""
         self._advance(now)
         if slots > self.spec.slots or len(self._queue) >= self.spec.queue_capacity or self.has_job(job):
             return False
-        self._queue[job] = _Held(work, slots, work)
+        self._queue[job] = _Job(work, slots, work)
         return True
 
     def drop_queued(self, now: float, job: str) -> bool:
-        """Forget a job that waits; what runs goes on. Whether it waited."""
+        """Remove a job from the queue; false where it runs or is not here."""
         self._advance(now)
         return self._queue.pop(job, None) is not None
 
     def take_queued(self, now: float) -> list[str]:
-        """Let go of all that waits."""
+        """Remove all jobs from the queue and return them in order."""
         self._advance(now)
-        given, self._queue = list(self._queue), OrderedDict()
-        return given
+        queued = list(self._queue)
+        self._queue = OrderedDict()
+        return queued
 
     def set_slowdown(self, now: float, factor: float) -> None:
-        """Run this many times slower than its speed from now on."""
+        """Run `factor` times slower than the spec's speed from now on."""
         self._advance(now)
-        self._slow = factor
+        self._slowdown = factor
 
     def set_stalled(self, now: float, still: bool) -> None:
-        """Do nothing, or go on."""
+        """Stop all work, or resume it."""
         self._advance(now)
-        self._still = still
+        self._is_stalled = still
 
     def step(self, now: float) -> list[JobProgress]:
-        """What has happened by now, in order."""
+        """Advance to `now` and return what has happened, in order."""
         self._advance(now)
-        notes = []
-        for job, held in list(self._running.items()):
-            if held.left <= 1e-6:
-                del self._running[job]
-                notes.append(JobProgress(job, "done"))
-            elif now >= held.note_at and not self._still:
-                held.note_at = now + self.spec.progress_interval_ms
-                notes.append(JobProgress(job, "running", 1.0 - held.left / held.work))
-        used = sum(held.slots for held in self._running.values())
-        while self._queue and not self._still:
-            job, held = next(iter(self._queue.items()))
-            if used + held.slots > self.spec.slots:
-                break  # in order: the head waits until it fits
-            del self._queue[job]
-            self._running[job] = held
-            used += held.slots
-            held.began = now
-            held.note_at = (
-                now + self.spec.progress_interval_ms if self.spec.progress_interval_ms else math.inf
-            )
-            notes.append(JobProgress(job, "started"))
-        return notes
+        return [*self._report_running(now), *self._start_queued(now)]
+
+    def _report_running(self, now: float) -> list[JobProgress]:
+        events = []
+        for name, job in list(self._running.items()):
+            if job.remaining_ms <= _DONE_WORK_MS:
+                del self._running[name]
+                events.append(JobProgress(name, "done"))
+            elif now >= job.next_progress_ms and not self._is_stalled:
+                job.next_progress_ms = now + self.spec.progress_interval_ms
+                events.append(JobProgress(name, "running", 1.0 - job.remaining_ms / job.work_ms))
+        return events
+
+    def _start_queued(self, now: float) -> list[JobProgress]:
+        events = []
+        interval_ms = self.spec.progress_interval_ms
+        used_slots = sum(job.slots for job in self._running.values())
+        while self._queue and not self._is_stalled:
+            name, job = next(iter(self._queue.items()))
+            if used_slots + job.slots > self.spec.slots:
+                break  # first in, first out: the head of the queue waits until it fits
+            del self._queue[name]
+            self._running[name] = job
+            used_slots += job.slots
+            job.next_progress_ms = now + interval_ms if interval_ms else math.inf
+            events.append(JobProgress(name, "started"))
+        return events
 
     def next_due_ms(self) -> float:
-        """When `step` has something to tell next, as things stand."""
-        pace = self._pace()
-        if pace <= 0.0:
+        """Return when `step` has something to report next if nothing changes; infinite where never."""
+        speed = self._speed_per_slot()
+        if speed <= 0.0:
             return math.inf
-        ends = min((held.left / pace for held in self._running.values()), default=math.inf)
-        notes = min((held.note_at for held in self._running.values()), default=math.inf)
-        warming = self._now + 50.0 if self.slow_start_factor(self._now) < 1.0 and self._running else math.inf
-        return min(self._now + max(0.0, ends), notes, warming)
+        jobs = self._running.values()
+        run_ms = min((job.remaining_ms / speed for job in jobs), default=math.inf)
+        progress_due = min((job.next_progress_ms for job in jobs), default=math.inf)
+        is_in_slow_start = self.slow_start_factor(self._now) < 1.0
+        recompute_due = self._now + _SLOW_START_STEP_MS if is_in_slow_start and self._running else math.inf
+        return min(self._now + max(0.0, run_ms), progress_due, recompute_due)
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -22,8 +22,8 @@
 from burlmoor.membership.member import MemberState, MemberStatus
 from burlmoor.simulator_adapter import Host
 from burlmoor.stats import snapshot
+from burlmoor.testbed.deferred_verdict import judge as judge_waiting
 from burlmoor.testbed.drill import DrillParameters, Verdict
-from burlmoor.testbed.drill_deferred import judge as judge_waiting
 from burlmoor.testbed.drill_watch import judge as judge_watch
 from burlmoor.testbed.event_record import EventRecord
 from burlmoor.testbed.fleet import record as records
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -1,4 +1,4 @@
-"""The drill of waiting jobs: each claim fails on a ledger that breaks it, and holds on one that does not."""
+"""The drill of deferred jobs: each claim holds on a sound record and fails on one that violates it."""
 
 from __future__ import annotations
 
@@ -8,120 +8,137 @@
 from click.testing import CliRunner
 
 from burlmoor.cli.main import main
+from burlmoor.testbed.deferred_schedule import draw_schedule
+from burlmoor.testbed.deferred_verdict import judge
 from burlmoor.testbed.drill import Claim, Verdict
-from burlmoor.testbed.drill_deferred import _Plan, judge
-from burlmoor.testbed.event_record import AttemptRecord, EventRecord, RequestRecord
+from burlmoor.testbed.event_record import AttemptRecord, ClosingPeriod, EventRecord, RequestRecord
 from burlmoor.testbed.mutations import OF_WAITING
 
-
-def good() -> EventRecord:
-    """A parent and its child, a herd of one, and enough plain jobs beside released ones to compare."""
-    ledger = EventRecord(unix_offset_ms=1e6)
-
-    def ran(ref: str, came: float, name: str = "slot-search", end: str = "done") -> None:
-        ledger.attempts.append(AttemptRecord(ref, name, "s", came, came + 1.0, came + 10.0, end))
-
-    def asked(ref: str, sent: float, answered: float, status: int = 200, **more: object) -> None:
-        row = RequestRecord(
-            ref, "slot-search", sent, 5000.0, answered_ms=answered, status=status, answer_count=1
-        )
-        for name, value in more.items():
-            setattr(row, name, value)
-        ledger.requests[ref] = row
-
-    asked("a", 0.0, 20.0)
-    ran("a", 5.0)
-    asked("b", 0.0, 60.0, run_after=("a",))
-    ran("b", 25.0)
-    asked("t", 0.0, 600.0, not_before_unix_ms=1e6 + 500.0)
-    ran("t", 501.0)
-    asked("f", 0.0, 30.0, 502)
-    ran("f", 5.0, end="failed")
-    asked("g", 0.0, 32.0, 424, run_after=("f",))
+Fault = Callable[[EventRecord], None]
+RATIO_CLAIM = "worst-served tenth against plain"
+
+
+def make_sound_record() -> EventRecord:
+    """A parent and its child, a timed job, a failed parent, and enough plain jobs beside released ones."""
+    record = EventRecord(unix_offset_ms=1e6)
+
+    def add_attempt(request_id: str, received_ms: float, outcome: str = "done") -> None:
+        started_ms, ended_ms = received_ms + 1.0, received_ms + 10.0
+        attempt = AttemptRecord(request_id, "slot-search", "s", received_ms, started_ms, ended_ms, outcome)
+        record.attempts.append(attempt)
+
+    def add_request(
+        request_id: str,
+        sent_ms: float,
+        answered_ms: float,
+        status: int = 200,
+        run_after: tuple[str, ...] = (),
+        not_before_unix_ms: float = 0.0,
+    ) -> None:
+        record.requests[request_id] = RequestRecord(
+            request_id, "slot-search", sent_ms, 5000.0, run_after=run_after, answered_ms=answered_ms,
+            status=status, answer_count=1, not_before_unix_ms=not_before_unix_ms,
+        )  # fmt: skip
+
+    add_request("a", 0.0, 20.0)
+    add_attempt("a", 5.0)
+    add_request("b", 0.0, 60.0, run_after=("a",))
+    add_attempt("b", 25.0)
+    add_request("t", 0.0, 600.0, not_before_unix_ms=1e6 + 500.0)
+    add_attempt("t", 501.0)
+    add_request("f", 0.0, 30.0, 502)
+    add_attempt("f", 5.0, outcome="failed")
+    add_request("g", 0.0, 32.0, 424, run_after=("f",))
     for number in range(15):
-        asked(f"p-{number}", 10.0, 50.0)
-        ran(f"p-{number}", 12.0)
-        asked(f"w-{number}", 0.0, 90.0, run_after=("a",))
-        ran(f"w-{number}", 30.0)
-    return ledger
-
-
-def verdict(ledger: EventRecord) -> dict[str, bool]:
-    found = judge(ledger, 1, 60.0, [0])
-    return {name: claim.holds for name, claim in found.claims.items()}
+        add_request(f"p-{number}", 10.0, 50.0)
+        add_attempt(f"p-{number}", 12.0)
+        add_request(f"w-{number}", 0.0, 90.0, run_after=("a",))
+        add_attempt(f"w-{number}", 30.0)
+    return record
 
 
-def test_every_claim_holds_on_a_ledger_without_fault() -> None:
-    assert all(verdict(good()).values()), verdict(good())
+def judge_claims(record: EventRecord) -> dict[str, bool]:
+    """Whether each claim holds."""
+    verdict = judge(record, 1, 60.0, [0])
+    return {name: claim.holds for name, claim in verdict.claims.items()}
 
 
-def change(ref: str, **values: object) -> Callable[[EventRecord], None]:
-    def act(ledger: EventRecord) -> None:
+def change_request(request_id: str, **values: object) -> Fault:
+    def change(record: EventRecord) -> None:
         for name, value in values.items():
-            setattr(ledger.requests[ref], name, value)
+            setattr(record.requests[request_id], name, value)
 
-    return act
+    return change
 
 
-def row(ref: str, **values: object) -> Callable[[EventRecord], None]:
-    def act(ledger: EventRecord) -> None:
-        found = next(each for each in ledger.attempts if each.id == ref)
+def change_attempt(request_id: str, **values: object) -> Fault:
+    def change(record: EventRecord) -> None:
+        attempt = next(each for each in record.attempts if each.id == request_id)
         for name, value in values.items():
-            setattr(found, name, value)
+            setattr(attempt, name, value)
 
-    return act
+    return change
 
 
-def add(*given: object) -> Callable[[EventRecord], None]:
-    return lambda ledger: ledger.attempts.append(AttemptRecord(*given))  # type: ignore[arg-type]
+def add_attempt(*values: object) -> Fault:
+    return lambda record: record.attempts.append(AttemptRecord(*values))  # type: ignore[arg-type]
 
 
-def refuse_most(ledger: EventRecord) -> None:
+def reject_most_released_jobs(record: EventRecord) -> None:
     for number in range(8):
-        ledger.requests[f"w-{number}"].status = 503
+        record.requests[f"w-{number}"].status = 503
+
+
+def test_every_claim_holds_on_a_sound_record() -> None:
+    claims = judge_claims(make_sound_record())
+    assert all(claims.values()), claims
 
 
 @pytest.mark.parametrize(
     ("fault", "claim"),
     [
-        (change("b", answered_ms=None, answer_count=0, status=0), "unanswered"),
-        (change("p-3", answered_ms=5061.0), "late"),
-        (change("b", answer_count=2), "answered twice"),
-        (change("b", body=b"a@s"), "answered twice"),
-        (add("c", "confirm-booking", "s", 1.0, 2.0), None),
-        (row("p-1", outcome="died"), "invented"),
-        (row("b", received_ms=8.0), "ran before what it names"),
-        (add("g", "slot-search", "s", 40.0, 41.0, 50.0, "done"), "ran though its parent was not done"),
-        (row("t", received_ms=480.0), "ran before its time"),
-        (change("g", answered_ms=200.0), "parent's end to child's end, p99 ms"),
-        (refuse_most, "worst-served tenth against plain"),
+        (change_request("b", answered_ms=None, answer_count=0, status=0), "unanswered"),
+        (change_request("p-3", answered_ms=5061.0), "late"),
+        (change_request("b", answer_count=2), "answered twice"),
+        (change_request("b", body=b"a@s"), "answered twice"),
+        (add_attempt("c", "confirm-booking", "s", 1.0, 2.0), None),
+        (change_attempt("p-1", outcome="died"), "invented"),
+        (change_attempt("b", received_ms=8.0), "ran before what it names"),
+        (
+            add_attempt("g", "slot-search", "s", 40.0, 41.0, 50.0, "done"),
+            "ran though its parent was not done",
+        ),
+        (change_attempt("t", received_ms=480.0), "ran before its time"),
+        (change_request("g", answered_ms=200.0), "parent's end to child's end, p99 ms"),
+        (reject_most_released_jobs, RATIO_CLAIM),
     ],
 )
-def test_each_claim_fails_where_it_is_broken(fault: Callable[[EventRecord], None], claim: str | None) -> None:
-    ledger = good()
-    fault(ledger)
-    held = verdict(ledger)
+def test_each_claim_fails_on_a_record_that_violates_it(fault: Fault, claim: str | None) -> None:
+    record = make_sound_record()
+    fault(record)
+    claims = judge_claims(record)
     if claim is None:
-        assert held["ran twice"]
-        add("c", "confirm-booking", "t", 1.0, 2.0)(ledger)
-        assert not verdict(ledger)["ran twice"]
+        assert claims["ran twice"]
+        add_attempt("c", "confirm-booking", "t", 1.0, 2.0)(record)
+        assert not judge_claims(record)["ran twice"]
     else:
-        assert not held[claim]
+        assert not claims[claim]
 
 
-def test_a_restart_that_ends_badly_or_never_came_is_told() -> None:
+def test_a_restart_with_a_bad_exit_status_or_without_one_violates_a_claim() -> None:
     for statuses in ([1], [-9], []):
-        assert not judge(good(), 1, 60.0, statuses).claims["bad exits"].holds
+        assert not judge(make_sound_record(), 1, 60.0, statuses).claims["bad exits"].holds
 
 
-def test_a_plan_is_drawn_the_same_each_time_and_holds_every_shape() -> None:
-    first, again = _Plan(30.0, 5), _Plan(30.0, 5)
-    assert first.jobs == again.jobs != _Plan(30.0, 6).jobs
-    sorts = {job.ref.split("-")[0] for job in first.jobs}
-    assert sorts == {"p", "chain", "fan", "diamond", "herd", "doomed", "left", "late"}
-    refs = [job.ref for job in first.jobs]
-    assert len(set(refs)) == len(refs)
-    assert any(job.fails for job in first.jobs) and any(job.leaves for job in first.jobs)
+def test_a_schedule_depends_on_its_seed_alone_and_has_every_family() -> None:
+    first = draw_schedule(30.0, 5)
+    assert first == draw_schedule(30.0, 5)
+    assert first != draw_schedule(30.0, 6)
+    families = {job.id.split("-")[0] for job in first}
+    assert families == {"p", "chain", "fan", "diamond", "burst", "failing", "abandoned", "late"}
+    assert len({job.id for job in first}) == len(first)
+    assert any(job.is_failing for job in first)
+    assert any(job.disconnect_after_seconds for job in first)
 
 
 def test_a_verdict_holds_only_where_every_claim_does() -> None:
@@ -131,20 +148,20 @@
     assert verdict.to_json_object()["held"] is False
 
 
-def test_a_sabotage_that_is_none_is_bad_usage_and_each_is_told() -> None:
-    done = CliRunner().invoke(main, ["drill", "waiting", "--sabotage", "nothing"])
-    assert done.exit_code == 2
-    assert all(name in done.output for name in OF_WAITING)
+def test_an_unknown_mutation_is_a_usage_error_that_lists_the_known_ones() -> None:
+    result = CliRunner().invoke(main, ["drill", "waiting", "--sabotage", "nothing"])
+    assert result.exit_code == 2
+    assert all(name in result.output for name in OF_WAITING)
 
 
-def test_what_a_node_refuses_as_it_ends_is_told_from_what_it_released() -> None:
-    ledger = good()
-    refuse_most(ledger)
-    ledger.closing_periods = [(0, 80.0, 100.0)]
-    assert verdict(ledger)["worst-served tenth against plain"] is False  # all that was released has gone
-    ledger.closing_periods = [(1, 80.0, 100.0)]
-    assert verdict(ledger)["worst-served tenth against plain"] is False
-    assert ledger.is_rejected_by_closing_node(ledger.requests["w-0"]) is False
-    ledger.closing_periods = [(0, 80.0, 100.0)]
-    assert ledger.is_rejected_by_closing_node(ledger.requests["w-0"]) is True
-    assert ledger.is_rejected_by_closing_node(ledger.requests["w-9"]) is False  # served
+def test_rejections_by_a_closing_node_do_not_count_as_released_jobs() -> None:
+    record = make_sound_record()
+    reject_most_released_jobs(record)
+    record.closing_periods = [ClosingPeriod(0, 80.0, 100.0)]
+    assert judge_claims(record)[RATIO_CLAIM] is False  # too few released jobs are left to compare
+    record.closing_periods = [ClosingPeriod(1, 80.0, 100.0)]
+    assert judge_claims(record)[RATIO_CLAIM] is False
+    assert record.is_rejected_by_closing_node(record.requests["w-0"]) is False
+    record.closing_periods = [ClosingPeriod(0, 80.0, 100.0)]
+    assert record.is_rejected_by_closing_node(record.requests["w-0"]) is True
+    assert record.is_rejected_by_closing_node(record.requests["w-9"]) is False  # served
