--- a/burlmoor/testbed/clients.py
+++ b/burlmoor/testbed/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients of one node: connections that are kept, one request on each at a time, answers counted."""
+"""Stand-in clients of one node: persistent connections, one request at a time on each."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import os
 import socket
 from contextlib import suppress
+from typing import NamedTuple
 
 import trio
 
@@ -13,107 +14,146 @@
 from burlmoor.testbed.event_record import EventRecord, RequestRecord
 from burlmoor.testbed.http_stream import HttpMessage, HttpStream, connect
 
-_KEPT = 5.0  # seconds that a connection may lie idle and still be used by clients that do not send again
-_SLACK = 1.0  # seconds beyond its own time for which a client still listens, so that lateness is seen
+_MAX_IDLE_SECONDS = 5.0  # after which clients that don't resend no longer use a connection
+_LATE_SECONDS = 1.0  # for which a client listens beyond its timeout, so that a late answer is observed
+
+
+class _IdleConnection(NamedTuple):
+    stream: HttpStream
+    since_ms: float
+
+
+class _Outgoing(NamedTuple):
+    """A request as it is written to a connection."""
+
+    start_line: str
+    headers: dict[str, str]
+    body: bytes
 
 
 class ClientPool:
-    """Owns the connections to one node, the freshest idle one last.
+    """The clients of one node and their idle connections, the most recently used last.
 
-    `resends`: whether a job goes out once more where a kept connection ends without an answer. Where nodes
-    are killed that may run it twice.
+    `may_resend`: whether a request is sent once more where a connection ends without an answer. A node may
+    close an idle connection just as a request arrives; but a job of a killed node may then run twice.
     """
 
-    def __init__(self, address: tuple[str, int], ledger: EventRecord, may_resend: bool = True) -> None:
-        self.address, self._ledger, self._resends = address, ledger, may_resend
-        self._idle: list[tuple[HttpStream, float]] = []
+    def __init__(self, address: tuple[str, int], event_record: EventRecord, may_resend: bool = True) -> None:
+        self.address = address
+        self._event_record = event_record
+        self._may_resend = may_resend
+        self._idle: list[_IdleConnection] = []
 
     async def send(
         self, request: RequestRecord, slots: int = 1, key: str = "k", fails: bool = False, tenant: str = ""
     ) -> RequestRecord:
-        """Submit one job and wait for its answer; the ledger's row, filled in."""
-        self._ledger.requests[request.id] = request
-        head: dict[str, str] = {
-            "Host": "svc", "Request_Id": request.id, "Request_Timeout_Ms": str(int(request.timeout_ms)),
-            "Work_Hint": str(int(request.work_ms * 1000.0)), "Request_Info": f"slots={slots}",
-        }  # fmt: skip
-        if tenant:
-            head["Tenant"] = tenant
-        if request.run_after:
-            head["Run_After"] = ", ".join(request.run_after)
-        if request.not_before_unix_ms:
-            head["Not_Before"] = str(int(request.not_before_unix_ms))
+        """Send one request, wait for its answer, and return its record, completed."""
+        self._event_record.requests[request.id] = request
+        headers = _make_headers(request, slots, tenant)
         body = json.dumps({"work": request.work_ms, "slots": slots, "fails": fails}).encode()
-        until = request.sent_ms + request.timeout_ms
-        wire: HttpStream | None = None
+        outgoing = _Outgoing(f"POST /{request.job_class}/{key} HTTP/1.1", headers, body)
+        timeout_at_ms = request.sent_ms + request.timeout_ms
         with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            try:
-                with trio.move_on_after((until - now_ms()) / 1000.0 + _SLACK):
-                    answer = None
-                    for fresh in (False, True):
-                        wire = self._kept() if not fresh else None
-                        wire = wire or await self._connect(request, fresh)
-                        answer = await self._exchange(wire, request, key, head, body)
-                        if answer is not None or fresh or not self._resends:
-                            break
-                        # A node may close a kept connection just as a request crosses: sent once more.
-                        wire.socket_stream.socket.close()
-                    if answer is not None:
-                        self._note(request, answer)
-                        if answer.headers.get("connection") != "close":
-                            self._idle.append((wire, now_ms()))  # type: ignore[arg-type]
-                            wire = None
-            finally:
-                if wire is not None:
-                    wire.socket_stream.socket.close()
+            with trio.move_on_after((timeout_at_ms - now_ms()) / 1000.0 + _LATE_SECONDS):
+                await self._send(request, outgoing)
         return request
 
-    def _kept(self) -> HttpStream | None:
-        """The freshest connection that lies idle."""
-        if not self._idle:
-            return None
-        wire, since = self._idle.pop()
-        if self._resends or (now_ms() - since < _KEPT * 1000.0 and not _ended(wire)):
-            return wire
-        wire.socket_stream.socket.close()
-        return self._kept()
-
-    async def _connect(self, asked: RequestRecord, written: bool) -> HttpStream:
+    async def _send(self, request: RequestRecord, outgoing: _Outgoing) -> None:
+        stream = self._take_idle() or await self._connect(request, was_written=False)
+        if await self._exchange(stream, request, outgoing) or not self._may_resend:
+            return
+        stream = await self._connect(request, was_written=True)
+        await self._exchange(stream, request, outgoing)
+
+    def _take_idle(self) -> HttpStream | None:
+        """Return the most recently used idle connection that is usable."""
+        while self._idle:
+            stream, since_ms = self._idle.pop()
+            is_fresh = now_ms() - since_ms < _MAX_IDLE_SECONDS * 1000.0
+            if self._may_resend or (is_fresh and not _is_closed_by_peer(stream)):
+                return stream
+            stream.close()
+        return None
+
+    async def _connect(self, request: RequestRecord, was_written: bool) -> HttpStream:
         try:
             return await connect(self.address)
         except OSError:
-            asked.is_unsent = not written
+            request.is_unsent = not was_written
             raise
 
-    async def _exchange(
-        self, wire: HttpStream, asked: RequestRecord, key: str, head: dict[str, str], body: bytes
+    async def _exchange(self, stream: HttpStream, request: RequestRecord, outgoing: _Outgoing) -> bool:
+        """Send a request on a connection and record the answer; false where there is none.
+
+        The connection goes back to the idle ones, or is closed, also on cancellation.
+        """
+        is_reusable = False
+        try:
+            answer = await self._receive_answer(stream, request, outgoing)
+            if answer is not None:
+                _record_answer(request, answer)
+                is_reusable = answer.headers.get("connection") != "close"
+        finally:
+            if is_reusable:
+                self._idle.append(_IdleConnection(stream, now_ms()))
+            else:
+                stream.close()
+        return answer is not None
+
+    async def _receive_answer(
+        self, stream: HttpStream, request: RequestRecord, outgoing: _Outgoing
     ) -> HttpMessage | None:
+        """Write the request and read the answer; None where the connection ends first.
+
+        Raises trio.ClosedResourceError where the client is to disconnect before the answer.
+        """
         try:
-            await wire.write(f"POST /{asked.job_class}/{key} HTTP/1.1", body, **head)
-            if asked.disconnected_ms is None:
-                return await wire.read()
-            with trio.move_on_after(max(0.0, (asked.disconnected_ms - now_ms()) / 1000.0)):
-                return await wire.read()
+            await stream.write(outgoing.start_line, outgoing.body, **outgoing.headers)
+            if request.disconnected_ms is None:
+                return await stream.read()
+            with trio.move_on_after(max(0.0, (request.disconnected_ms - now_ms()) / 1000.0)):
+                return await stream.read()
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             return None
-        raise trio.ClosedResourceError  # this client goes away
-
-    def _note(self, asked: RequestRecord, answer: HttpMessage) -> None:
-        asked.answered_ms, asked.status, asked.body = now_ms(), answer.status, answer.body
-        asked.answer_count += 1
-        with suppress(ValueError):
-            asked.retry_after_ms = float(answer.headers.get("retry-after", "0")) * 1000.0
+        raise trio.ClosedResourceError
 
     def close(self) -> None:
-        """End what lies idle."""
-        for wire, _ in self._idle:
-            wire.socket_stream.socket.close()
+        """Close the idle connections."""
+        for connection in self._idle:
+            connection.stream.close()
         self._idle.clear()
 
 
-def _ended(wire: HttpStream) -> bool:
-    """Whether the other side has closed a connection that lies idle."""
-    with socket.socket(fileno=os.dup(wire.socket_stream.socket.fileno())) as sock:
+def _make_headers(request: RequestRecord, slots: int, tenant: str) -> dict[str, str]:
+    """Return the headers of a request, with `_` for `-`."""
+    headers = {
+        "Host": "svc",
+        "Request_Id": request.id,
+        "Request_Timeout_Ms": str(int(request.timeout_ms)),
+        "Work_Hint": str(int(request.work_ms * 1000.0)),
+        "Request_Info": f"slots={slots}",
+    }
+    if tenant:
+        headers["Tenant"] = tenant
+    if request.run_after:
+        headers["Run_After"] = ", ".join(request.run_after)
+    if request.not_before_unix_ms:
+        headers["Not_Before"] = str(int(request.not_before_unix_ms))
+    return headers
+
+
+def _record_answer(request: RequestRecord, answer: HttpMessage) -> None:
+    request.answered_ms = now_ms()
+    request.status = answer.status
+    request.body = answer.body
+    request.answer_count += 1
+    with suppress(ValueError):
+        request.retry_after_ms = float(answer.headers.get("retry-after", "0")) * 1000.0
+
+
+def _is_closed_by_peer(stream: HttpStream) -> bool:
+    """Whether the peer has closed a connection on which nothing is expected."""
+    with socket.socket(fileno=os.dup(stream.socket_stream.socket.fileno())) as sock:
         try:
             return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
--- a/burlmoor/testbed/discovery.py
+++ b/burlmoor/testbed/discovery.py
@@ -1,11 +1,14 @@
-"""A stand-in discovery service: one list with versions, told whole or by a watch; each node has its dials."""
+"""A stand-in discovery service: one versioned endpoint list, served in full or by long-polling watches.
+
+Each node has an address of its own here, and is given addresses of its own for the executors.
+"""
 
 from __future__ import annotations
 
 import json
 import math
 from bisect import bisect
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import trio
@@ -13,152 +16,218 @@
 from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.http_stream import HttpServer, HttpStream
 
-# ms until what a silent watch misses counts as told: after it fell silent, after its call's wait is over.
-NOTIFIED_AFTER_STALL_MS, NOTIFIED_AFTER_WAIT_MS = 6000.0, 2000.0
-# ms until a change counts as told where a call failed, was refused or was given up: after it was here, and
-# this service within reach.
+# A node whose watch is stalled counts as notified of a change so many ms after the stall began, or after the
+# watch's wait would have ended, whichever is later.
+NOTIFIED_AFTER_STALL_MS = 6000.0
+NOTIFIED_AFTER_WAIT_MS = 2000.0
+# A node whose last call failed, was rejected or was canceled counts as notified so long after the change, or
+# after this service could be reached again, whichever is later.
 NOTIFIED_AFTER_FAILURE_MS = 6000.0
+_OUTAGE_POLL_MS = 50.0
+_DELAY_POLL_SECONDS = 0.05
+_PATH = "/registry/instances"
+
+_Entry = dict[str, Any]
+_DEFAULT_ENTRY: _Entry = {
+    "site": "a", "class": "m", "block": 1, "health": "active", "share": 1.0, "born_ms": 0,
+}  # fmt: skip
+
+
+class Notification(NamedTuple):
+    """When a node was notified of an endpoint's health, or counts as notified."""
+
+    at_ms: float
+    node: str
+    endpoint: str
+    health: str
+
+
+class _Change(NamedTuple):
+    """One version of the list: the entry that is valid from then on."""
+
+    at_ms: float
+    endpoint: str
+    entry: _Entry
+
+
+class _Watch(NamedTuple):
+    """A watch that waits: the version that the node has, and when its wait ends."""
+
+    version: int
+    ends_ms: float
 
 
 class DiscoveryService:
-    """Owns the list, and who watches it."""
+    """The endpoint list with its history, and the nodes that watch it.
+
+    `delay_ms_by_node` holds the nodes that get every change late. `notifications` is the record of what nodes
+    were notified of, including what a stalled or failed watch has missed and they count as notified of.
+    """
 
     def __init__(self, nursery: trio.Nursery) -> None:
+        self.delay_ms_by_node: dict[str, float] = {}
+        self.notifications: list[Notification] = []
         self._nursery = nursery
-        self._history: list[tuple[float, str, dict[str, Any]]] = []  # when, who, and what is so since
-        self._dials: dict[str, dict[str, str]] = {}
-        self._news = trio.Event()
-        self._down, self._back = False, -math.inf  # whether every call is refused, and when that ended last
-        self.delay_ms_by_node: dict[str, float] = {}  # nodes that hear of everything so many ms late
-        # When, which node, of whom, their health: written to it, or missed by a silent watch and told anyway.
-        self.notifications: list[tuple[float, str, str, str]] = []
-        self._watches: dict[
-            str, dict[HttpStream, tuple[int, float]]
-        ] = {}  # by node: the version, the wait's end
-        self._mute: set[HttpStream] = set()  # on these nothing is answered any more
-        self._failed: set[str] = set()  # nodes whose last call was refused, reset or given up
-        self._health: dict[tuple[str, str], str] = {}  # what each node has heard last, of whom
+        self._history: list[_Change] = []
+        self._addresses: dict[str, dict[str, str]] = {}  # by node and endpoint
+        self._changed = trio.Event()
+        self._down = False
+        self._recovered_ms = -math.inf
+        self._watches: dict[str, dict[HttpStream, _Watch]] = {}  # by node
+        self._stalled: set[HttpStream] = set()  # connections on which nothing is answered any more
+        self._failed_nodes: set[str] = set()  # whose last call was rejected, reset or canceled
+        self._notified_health: dict[tuple[str, str], str] = {}  # by node and endpoint
 
     @property
     def version(self) -> int:
-        """The version of the list: each change is one."""
+        """The version of the list; each change adds one."""
         return len(self._history)
 
     @property
     def down(self) -> bool:
-        """Whether every call is refused."""
+        """Whether every call is rejected."""
         return self._down
 
     @down.setter
-    def down(self, down: bool) -> None:
-        self._back = now_ms() if self._down and not down else self._back
-        self._down = down
+    def down(self, is_down: bool) -> None:
+        """Start or end an outage."""
+        if self._down and not is_down:
+            self._recovered_ms = now_ms()
+        self._down = is_down
 
     def on_node_started(self, node: str) -> None:
-        """The node's process is a new one, whose calls have not failed."""
-        self._failed.discard(node)
+        """Forget the failed calls of the node's previous process."""
+        self._failed_nodes.discard(node)
 
-    def _note(self, node: str, host: str, health: str) -> None:
-        self.notifications.append((now_ms(), node, host, health))
-        self._health[node, host] = health
+    async def listen_for_node(self, node: str, endpoint_addresses: dict[str, str]) -> str:
+        """Open an address for one node, which reaches endpoints at `endpoint_addresses`, and return it."""
+        self._addresses[node] = endpoint_addresses
 
-    def _shown(self, node: str) -> int:
-        """The version that this node is told."""
-        late = self.delay_ms_by_node.get(node, 0.0)
-        return self.version if not late else bisect(self._history, now_ms() - late, key=lambda each: each[0])
+        async def serve(stream: HttpStream) -> None:
+            await self._serve(node, stream)
 
-    async def listen_for_node(self, node: str, dials: dict[str, str]) -> str:
-        """An address for one node, which reaches executors at `dials`."""
-        self._dials[node] = dials
+        return await HttpServer(serve, self._nursery).open()
 
-        async def serve(wire: HttpStream) -> None:
-            await self._serve(node, wire)
+    def set_entry(self, endpoint: str, **fields: Any) -> None:
+        """Add an endpoint or change fields of its entry, and notify the watches."""
+        previous: _Entry = next(
+            (change.entry for change in reversed(self._history) if change.endpoint == endpoint), {}
+        )
+        entry = {"host": endpoint, **_DEFAULT_ENTRY, **previous, **fields}
+        self._history.append(_Change(now_ms(), endpoint, entry))
+        self._nursery.start_soon(self._notify_failed_nodes, self.version)
+        self._changed.set()
+        self._changed = trio.Event()
 
-        return await HttpServer(serve, self._nursery).open()
+    def full_list(self, node: str) -> dict[str, Any]:
+        """Return the complete list as the node is given it."""
+        version = self._visible_version(node)
+        entries = {change.endpoint: change.entry for change in self._history[:version]}
+        listed = [entry for entry in entries.values() if entry["health"] != "left"]
+        return {"seq": version, "whole": True, "hosts": [self._with_address(node, entry) for entry in listed]}
 
-    def set_entry(self, host: str, **entry: Any) -> None:
-        """Set an executor's entry, or part of it; watches hear of it."""
-        usual = {"host": host, "site": "a", "class": "m", "block": 1, "health": "active", "share": 1.0,
-                 "born_ms": 0}  # fmt: skip
-        before: dict[str, Any] = next((each for _, name, each in reversed(self._history) if name == host), {})
-        self._history.append((now_ms(), host, {**usual, **before, **entry}))
-        self._nursery.start_soon(self._failed_to_hear, self.version)
-        self._news.set()
-        self._news = trio.Event()
+    # --- failures -------------------------------------------------------------------------------
 
     def stall_watches(self, node: str) -> None:
-        """The node's watch is lost without a sign; what it misses counts as told some seconds later."""
-        for wire, (after, over) in self._watches.get(node, {}).items():
-            self._mute.add(wire)
-            at = max(now_ms() + NOTIFIED_AFTER_STALL_MS, over + NOTIFIED_AFTER_WAIT_MS)
-            self._nursery.start_soon(self._missed, node, after, at)
+        """Stop answering the node's watches, with connections left open."""
+        for stream, watch in self._watches.get(node, {}).items():
+            self._stalled.add(stream)
+            notified_ms = max(now_ms() + NOTIFIED_AFTER_STALL_MS, watch.ends_ms + NOTIFIED_AFTER_WAIT_MS)
+            self._nursery.start_soon(self._notify_stalled_node, node, watch.version, notified_ms)
 
     def reset_watches(self, node: str) -> None:
-        """The node's watch is reset."""
-        for wire in list(self._watches.get(node, {})):
-            self._failed.add(node)
-            wire.reset()
-
-    async def _failed_to_hear(self, version: int) -> None:
-        """Note the change as told to whoever's last call failed, and who has not heard of it."""
-        changed, host, entry = self._history[version - 1]
-        while self.down or (left := max(changed, self._back) + NOTIFIED_AFTER_FAILURE_MS - now_ms()) > 0.0:
-            await trio.sleep((50.0 if self.down else left) / 1000.0)
-        if any(later == host for _, later, _ in self._history[version:]):
+        """Reset the connections of the node's watches."""
+        for stream in list(self._watches.get(node, {})):
+            self._failed_nodes.add(node)
+            stream.reset()
+
+    async def _notify_failed_nodes(self, version: int) -> None:
+        """Record a change as notified to the nodes whose last call failed and that have missed it."""
+        changed_ms, endpoint, entry = self._history[version - 1]
+        while True:
+            due_ms = max(changed_ms, self._recovered_ms) + NOTIFIED_AFTER_FAILURE_MS
+            wait_ms = _OUTAGE_POLL_MS if self._down else due_ms - now_ms()
+            if wait_ms <= 0.0:
+                break
+            await trio.sleep(wait_ms / 1000.0)
+        if any(later.endpoint == endpoint for later in self._history[version:]):
             return
-        for node in self._failed:
-            # A new process holds what it was given until it is told otherwise.
-            if self._health.get((node, host), "active") != entry["health"]:
-                self._note(node, host, entry["health"])
-
-    async def _missed(self, node: str, after: int, at: float) -> None:
-        await trio.sleep(max(0.0, at - now_ms()) / 1000.0)
-        for host, entry in {host: entry for _, host, entry in self._history[after:]}.items():
-            if self._health.get((node, host)) != entry["health"]:
-                self._note(node, host, entry["health"])
-
-    def full_list(self, node: str) -> dict[str, Any]:
-        """The list as that node is told it."""
-        shown = self._shown(node)
-        hosts = {host: entry for _, host, entry in self._history[:shown]}
-        listed = [each for each in hosts.values() if each["health"] != "left"]
-        return {"seq": shown, "whole": True, "hosts": [self._for(node, each) for each in listed]}
-
-    def _for(self, node: str, entry: dict[str, Any]) -> dict[str, Any]:
-        return {**entry, "dial": self._dials[node].get(entry["host"], "")}
-
-    async def _serve(self, node: str, wire: HttpStream) -> None:
-        while (message := await wire.read()) is not None:
-            asked = urlsplit(message.path)
-            query = parse_qs(asked.query)
-            if self.down:
-                self._failed.add(node)
-            if self.down or asked.path != "/registry/instances":
-                await wire.write("HTTP/1.1 503 No" if self.down else "HTTP/1.1 404 No")
+        for node in self._failed_nodes:
+            # A new process has the list that it was started with, where every endpoint is active.
+            if self._notified_health.get((node, endpoint), "active") != entry["health"]:
+                self._record_notification(node, endpoint, entry["health"])
+
+    async def _notify_stalled_node(self, node: str, version: int, notified_ms: float) -> None:
+        """Record the changes after `version` as notified to a node at a time."""
+        await trio.sleep(max(0.0, notified_ms - now_ms()) / 1000.0)
+        missed = {change.endpoint: change.entry for change in self._history[version:]}
+        for endpoint, entry in missed.items():
+            if self._notified_health.get((node, endpoint)) != entry["health"]:
+                self._record_notification(node, endpoint, entry["health"])
+
+    def _record_notification(self, node: str, endpoint: str, health: str) -> None:
+        self.notifications.append(Notification(now_ms(), node, endpoint, health))
+        self._notified_health[node, endpoint] = health
+
+    # --- serving --------------------------------------------------------------------------------
+
+    def _visible_version(self, node: str) -> int:
+        """Return the version that the node may see by now."""
+        delay_ms = self.delay_ms_by_node.get(node, 0.0)
+        if not delay_ms:
+            return self.version
+        return bisect(self._history, now_ms() - delay_ms, key=lambda change: change.at_ms)
+
+    def _with_address(self, node: str, entry: _Entry) -> _Entry:
+        return {**entry, "dial": self._addresses[node].get(entry["host"], "")}
+
+    async def _serve(self, node: str, stream: HttpStream) -> None:
+        while (message := await stream.read()) is not None:
+            url = urlsplit(message.path)
+            if self._down:
+                self._failed_nodes.add(node)
+                await stream.write("HTTP/1.1 503 No")
+                continue
+            if url.path != _PATH:
+                await stream.write("HTTP/1.1 404 No")
                 continue
+            query = parse_qs(url.query)
             if "after" not in query:
-                told = self.full_list(node)
+                answer = self.full_list(node)
             else:
-                after, wait = int(query["after"][0]), float(query["wait_ms"][0])
-                watches = self._watches.setdefault(node, {})
-                watches[wire] = (after, now_ms() + wait)
-                try:
-                    with trio.move_on_after(wait / 1000.0):
-                        while self._shown(node) <= after:
-                            with trio.move_on_after(0.05 if self.version > after else math.inf):
-                                await self._news.wait()
-                finally:
-                    del watches[wire]
-                if wire in self._mute:
-                    self._mute.discard(wire)
-                    await wire.read()  # until the node has given it up
-                    self._failed.add(node)
+                version = int(query["after"][0])
+                await self._wait_for_change(node, stream, version, float(query["wait_ms"][0]))
+                if stream in self._stalled:
+                    await self._wait_for_disconnect(node, stream)
                     return
-                shown = self._shown(node)
-                fresh = {host: entry for _, host, entry in self._history[after:shown]}
-                hosts = [self._for(node, each) for each in fresh.values()]
-                told = {"seq": max(after, shown), "whole": False, "hosts": hosts}
-            self._failed.discard(node)
-            for each in told["hosts"]:
-                self._note(node, each["host"], each["health"])
-            await wire.write("HTTP/1.1 200 OK", json.dumps(told).encode())
+                answer = self._changes_after(node, version)
+            self._failed_nodes.discard(node)
+            for entry in answer["hosts"]:
+                self._record_notification(node, entry["host"], entry["health"])
+            await stream.write("HTTP/1.1 200 OK", json.dumps(answer).encode())
+
+    async def _wait_for_change(self, node: str, stream: HttpStream, version: int, wait_ms: float) -> None:
+        """Wait until the node may see a newer version, or its wait is over."""
+        watches = self._watches.setdefault(node, {})
+        watches[stream] = _Watch(version, now_ms() + wait_ms)
+        try:
+            with trio.move_on_after(wait_ms / 1000.0):
+                while self._visible_version(node) <= version:
+                    # A delayed node sees a change at some later time, of which no event tells.
+                    is_delayed = self.version > version
+                    with trio.move_on_after(_DELAY_POLL_SECONDS if is_delayed else math.inf):
+                        await self._changed.wait()
+        finally:
+            del watches[stream]
+
+    async def _wait_for_disconnect(self, node: str, stream: HttpStream) -> None:
+        """Leave a stalled watch unanswered until the node cancels it."""
+        self._stalled.discard(stream)
+        await stream.read()
+        self._failed_nodes.add(node)
+
+    def _changes_after(self, node: str, version: int) -> dict[str, Any]:
+        visible = self._visible_version(node)
+        entries = {change.endpoint: change.entry for change in self._history[version:visible]}
+        hosts = [self._with_address(node, entry) for entry in entries.values()]
+        return {"seq": max(version, visible), "whole": False, "hosts": hosts}
--- a/burlmoor/testbed/executor.py
+++ b/burlmoor/testbed/executor.py
@@ -1,222 +1,235 @@
-"""A stand-in executor: a machine behind HTTP, its call-backs, its failures, and its ledger."""
+"""A stand-in executor: the executor model behind HTTP, with its call-backs and its failures."""
 
 from __future__ import annotations
 
 import json
-import time
 from collections.abc import Callable
-from contextlib import suppress
+from typing import Any, NamedTuple
 
 import trio
 
-from burlmoor.testbed.clock import now_ms
+from burlmoor.testbed.clock import now_ms, unix_now_ms
 from burlmoor.testbed.event_record import AttemptRecord, EventRecord
+from burlmoor.testbed.executor_callbacks import CallbackSender
 from burlmoor.testbed.executor_model import ExecutorModel, ExecutorSpec, JobProgress
-from burlmoor.testbed.http_stream import HttpMessage, HttpServer, HttpStream, connect
+from burlmoor.testbed.http_stream import HttpMessage, HttpServer, HttpStream
 
-_REPEATS, _REPEAT_AFTER = 10, 0.2
-_ANSWERED_WITHIN = 1.0  # seconds that a call-back waits for its answer
+_MIN_WAIT_SECONDS = 0.0005
+_WILL_FAIL = "to fail"  # the outcome of an attempt that runs and whose job is to be reported as failed
+
+
+class _HeldJob(NamedTuple):
+    """A job that runs or is queued here, and the node that sent it."""
+
+    attempt: AttemptRecord
+    node: str
 
 
 class Executor:
-    """Owns one executor: its process, which may die and come back, and the machine that it runs on."""
+    """One executor: its process, which may be killed and restarted, and the model of its hardware.
+
+    `planned_faults` are those of the next requests, one each: `full`, `error`, `reset`, `hang`, or empty.
+    """
 
     def __init__(
-        self, name: str, spec: ExecutorSpec, ledger: EventRecord, nursery: trio.Nursery, zone: str = "a"
+        self,
+        name: str,
+        spec: ExecutorSpec,
+        event_record: EventRecord,
+        nursery: trio.Nursery,
+        zone: str = "a",
     ) -> None:
-        self.name, self.spec, self.zone = name, spec, zone
-        self._ledger, self._nursery = ledger, nursery
+        self.name = name
+        self.spec = spec
+        self.zone = zone
         self.model = ExecutorModel(spec, now_ms())
-        self._servers: dict[str, HttpServer] = {}
-        self._relays: dict[str, tuple[str, int]] = {}
-        self._of: dict[
-            str, tuple[AttemptRecord, str]
-        ] = {}  # what it holds: its row, and the node that sent it
-        self._woken = trio.Event()
-        self._go = trio.Event()
-        self._go.set()
-        self.planned_faults: list[str] = []  # what the next requests meet: full, error, reset, hang
+        self.planned_faults: list[str] = []
         self.is_failing = False  # whether every job fails at once
-        self.started_unix_ms = 0.0
         self.is_alive = True
-        nursery.start_soon(self._work)
-
-    async def listen_for_node(self, node: str, relay: tuple[str, int]) -> str:
-        """An address for one node, whose call-backs go to `relay`."""
-        self._relays[node] = relay
-
-        async def serve(wire: HttpStream) -> None:
-            await self._serve(node, wire)
-
-        server = self._servers[node] = HttpServer(serve, self._nursery)
+        self.started_unix_ms = 0.0  # 0: long ago
+        self._event_record = event_record
+        self._nursery = nursery
+        self._servers: dict[str, HttpServer] = {}
+        self._held_jobs: dict[str, _HeldJob] = {}
+        self._model_changed = trio.Event()
+        self._resumed = trio.Event()
+        self._resumed.set()
+        self._callbacks = CallbackSender(nursery, self._wait_until_resumed)
+        nursery.start_soon(self._run_model)
+
+    async def listen_for_node(self, node: str, callback_address: tuple[str, int]) -> str:
+        """Open an address for one node, which takes call-backs at `callback_address`, and return it."""
+        self._callbacks.set_address(node, callback_address)
+
+        async def serve(stream: HttpStream) -> None:
+            await self._serve(node, stream)
+
+        server = HttpServer(serve, self._nursery)
+        self._servers[node] = server
         return await server.open()
 
     async def listen_for_all_nodes(
-        self, address: tuple[str, int], caller: Callable[[str], tuple[str, tuple[str, int]]]
+        self, address: tuple[str, int], identify_node: Callable[[str], tuple[str, tuple[str, int]]]
     ) -> None:
-        """One address for all nodes; `caller` tells from a connection's source who it is, and their relay."""
+        """Open one address for all nodes.
 
-        async def serve(wire: HttpStream) -> None:
-            node, relay = caller(wire.socket_stream.socket.getpeername()[0])
-            self._relays[node] = relay
-            await self._serve(node, wire)
+        `identify_node` maps the source address of a connection to the node and its address for call-backs.
+        """
 
-        server = self._servers[""] = HttpServer(serve, self._nursery)
+        async def serve(stream: HttpStream) -> None:
+            node, callback_address = identify_node(stream.socket_stream.socket.getpeername()[0])
+            self._callbacks.set_address(node, callback_address)
+            await self._serve(node, stream)
+
+        server = HttpServer(serve, self._nursery)
         server.address = address
+        self._servers[""] = server
         await server.open()
 
     # --- failures -------------------------------------------------------------------------------
 
     def kill(self) -> None:
-        """The process is killed: what it held is lost and nobody is told."""
+        """Kill the process: its jobs are lost and no node is notified."""
         self.is_alive = False
         for server in self._servers.values():
             server.abort()
-        for row, _ in self._of.values():
-            row.outcome = row.outcome or "died"
-            row.ended_ms = now_ms()
-        self._of.clear()
+        for held in self._held_jobs.values():
+            held.attempt.outcome = held.attempt.outcome or "died"
+            held.attempt.ended_ms = now_ms()
+        self._held_jobs.clear()
         self.model = ExecutorModel(self.spec, now_ms(), cold=True)
 
     async def restart(self) -> None:
-        """A new process starts, cold, at the same addresses."""
+        """Start a new process at the same addresses, in slow start."""
         self.model = ExecutorModel(self.spec, now_ms(), cold=True)
-        self.started_unix_ms = time.time() * 1000.0
+        self.started_unix_ms = unix_now_ms()
         self.is_alive = True
         for server in self._servers.values():
             await server.open()
 
-    def set_stalled(self, still: bool) -> None:
-        """Stand still, with connections open and nothing said; or go on."""
-        self.model.set_stalled(now_ms(), still)
-        if still:
-            self._go = trio.Event()
+    def set_stalled(self, is_stalled: bool) -> None:
+        """Stop all work and all answers, with connections left open; or resume."""
+        self.model.set_stalled(now_ms(), is_stalled)
+        if is_stalled:
+            self._resumed = trio.Event()
         else:
-            self._go.set()
-        self._woken.set()
+            self._resumed.set()
+        self._model_changed.set()
 
     def set_slowdown(self, factor: float) -> None:
-        """Run so many times slower."""
+        """Run `factor` times slower."""
         self.model.set_slowdown(now_ms(), factor)
-        self._woken.set()
+        self._model_changed.set()
 
     async def return_queued_jobs(self) -> None:
-        """Return what waits unstarted, as one that drains may."""
+        """Return the jobs that have not started, as an executor that drains may."""
         for job in self.model.take_queued(now_ms()):
-            self._end(job, "handed back", "returned")
+            self._end_job(job, "handed back", "returned")
+
+    async def _wait_until_resumed(self) -> None:
+        await self._resumed.wait()
 
-    # --- what nodes ask -------------------------------------------------------------------------
+    # --- requests of nodes ----------------------------------------------------------------------
 
-    async def _serve(self, node: str, wire: HttpStream) -> None:
-        while (message := await wire.read()) is not None:
-            await self._go.wait()
+    async def _serve(self, node: str, stream: HttpStream) -> None:
+        while (message := await stream.read()) is not None:
+            await self._resumed.wait()
             if message.method == "DELETE":
-                self._give_up(message.path.rsplit("/", 1)[-1])
-                await wire.write("HTTP/1.1 204 No Content")
+                self._cancel(message.path.rsplit("/", 1)[-1])
+                await stream.write("HTTP/1.1 204 No Content")
             elif message.method == "GET":
-                await wire.write("HTTP/1.1 200 OK")
-            elif not await self._asked(node, wire, message):
+                await stream.write("HTTP/1.1 200 OK")
+            elif not await self._serve_job(node, stream, message):
                 return
 
-    async def _asked(self, node: str, wire: HttpStream, message: HttpMessage) -> bool:
-        """One job comes in; whether the connection goes on."""
-        ref = message.headers.get("request-id", "")
-        if ref not in self._ledger.requests:
-            self._ledger.protocol_violations.append(f"{self.name}: id {ref!r} that no client sent")
-            await wire.write("HTTP/1.1 400 Bad" if ref else "HTTP/1.1 404 No id")
+    async def _serve_job(self, node: str, stream: HttpStream, message: HttpMessage) -> bool:
+        """Answer the request for one job; false where the connection is not used any more."""
+        request_id = message.headers.get("request-id", "")
+        if request_id not in self._event_record.requests:
+            violation = f"{self.name}: id {request_id!r} that no client sent"
+            self._event_record.protocol_violations.append(violation)
+            await stream.write("HTTP/1.1 400 Bad" if request_id else "HTTP/1.1 404 No id")
             return True
-        given = json.loads(message.body)
-        slots = int(given.get("slots", 1))
-        row = AttemptRecord(
-            ref,
-            message.path.split("/")[1],
-            self.name,
-            now_ms(),
-            node=node,
-            work_ms=given["work"],
-            slots=slots,
-        )
-        self._ledger.attempts.append(row)
-        act = self.planned_faults.pop(0) if self.planned_faults else "error" if self.is_failing else ""
-        if act == "reset":
-            row.started_ms = now_ms()  # it may have run
-            wire.reset()
-            return False
-        if act == "hang":
-            await trio.sleep_forever()
-        if act == "error":
-            row.started_ms = row.ended_ms = now_ms()
-            row.outcome = "error"
-            await wire.write("HTTP/1.1 500 Failed")
-            return True
-        taken = act != "full" and self.model.admit(now_ms(), ref, given["work"], slots)
-        if not taken:
-            row.outcome, row.ended_ms = "full", now_ms()
-            await wire.write("HTTP/1.1 503 Full", Not_Started="1")
+        parameters = json.loads(message.body)
+        attempt = AttemptRecord(
+            request_id, message.path.split("/")[1], self.name, now_ms(), node=node,
+            work_ms=parameters["work"], slots=int(parameters.get("slots", 1)),
+        )  # fmt: skip
+        self._event_record.attempts.append(attempt)
+        fault = self._take_fault()
+        if fault in ("reset", "hang", "error"):
+            return await self._cause_fault(fault, attempt, stream)
+        if fault == "full" or not self._admit(attempt, node, parameters):
+            attempt.outcome = "full"
+            attempt.ended_ms = now_ms()
+            await stream.write("HTTP/1.1 503 Full", Not_Started="1")
             return True
-        self._of[ref] = (row, node)
-        self._woken.set()
-        if given.get("fails"):
-            row.outcome = "to fail"
-        await wire.write("HTTP/1.1 202 Accepted")
+        await stream.write("HTTP/1.1 202 Accepted")
+        return True
+
+    def _take_fault(self) -> str:
+        if self.planned_faults:
+            return self.planned_faults.pop(0)
+        return "error" if self.is_failing else ""
+
+    async def _cause_fault(self, fault: str, attempt: AttemptRecord, stream: HttpStream) -> bool:
+        """Answer with a fault; false where the connection is not used any more."""
+        if fault == "hang":
+            await trio.sleep_forever()
+        attempt.started_ms = now_ms()
+        if fault == "reset":
+            # It may have run: without this, a second attempt would not count as a repetition.
+            stream.reset()
+            return False
+        attempt.ended_ms = attempt.started_ms
+        attempt.outcome = "error"
+        await stream.write("HTTP/1.1 500 Failed")
+        return True
+
+    def _admit(self, attempt: AttemptRecord, node: str, parameters: dict[str, Any]) -> bool:
+        if not self.model.admit(now_ms(), attempt.id, attempt.work_ms, attempt.slots):
+            return False
+        self._held_jobs[attempt.id] = _HeldJob(attempt, node)
+        self._model_changed.set()
+        if parameters.get("fails"):
+            attempt.outcome = _WILL_FAIL
         return True
 
-    def _give_up(self, ref: str) -> None:
-        if self.model.drop_queued(now_ms(), ref):
-            row, _ = self._of.pop(ref)
-            row.outcome, row.ended_ms = "given up", now_ms()
+    def _cancel(self, job: str) -> None:
+        if self.model.drop_queued(now_ms(), job):
+            attempt = self._held_jobs.pop(job).attempt
+            attempt.outcome = "given up"
+            attempt.ended_ms = now_ms()
 
     # --- work and call-backs --------------------------------------------------------------------
 
-    async def _work(self) -> None:
+    async def _run_model(self) -> None:
         while True:
-            self._woken = trio.Event()
-            for note in self.model.step(now_ms()):
-                self._tell(note)
-            wait = (self.model.next_due_ms() - now_ms()) / 1000.0
-            with trio.move_on_after(max(0.0005, wait)):
-                await self._woken.wait()
-
-    def _tell(self, note: JobProgress) -> None:
-        held = self._of.get(note.job)
+            self._model_changed = trio.Event()
+            for progress in self.model.step(now_ms()):
+                self._on_progress(progress)
+            wait_seconds = (self.model.next_due_ms() - now_ms()) / 1000.0
+            with trio.move_on_after(max(_MIN_WAIT_SECONDS, wait_seconds)):
+                await self._model_changed.wait()
+
+    def _on_progress(self, progress: JobProgress) -> None:
+        held = self._held_jobs.get(progress.job)
         if held is None:
             return
-        row, node = held
-        if note.state == "done":
-            fails = row.outcome == "to fail"
-            self._end(note.job, "failed" if fails else "done", "failed" if fails else "done")
+        if progress.state == "done":
+            outcome = "failed" if held.attempt.outcome == _WILL_FAIL else "done"
+            self._end_job(progress.job, outcome, outcome)
             return
-        if note.state == "started":
-            row.started_ms = now_ms()
-        self._call(
-            node, {"id": note.job, "from": self.name, "state": note.state, "share": note.done_fraction}
-        )
-
-    def _end(self, job: str, end: str, state: str) -> None:
-        row, node = self._of.pop(job)
-        row.outcome, row.ended_ms = end, now_ms()
-        event: dict[str, object] = {"id": job, "from": self.name, "state": state}
-        self._call(node, {**event, "result": f"{job}@{self.name}"} if state == "done" else event)
-
-    def _call(self, node: str, event: dict[str, object]) -> None:
-        self._nursery.start_soon(self._call_back, node, json.dumps(event).encode())
-
-    async def _call_back(self, node: str, body: bytes) -> None:
-        """Repeat until answered, ten times at most."""
-        for _ in range(_REPEATS):
-            await self._go.wait()
-            wire = None
-            try:
-                with trio.fail_after(_ANSWERED_WITHIN):
-                    wire = await connect(self._relays[node])
-                    await wire.write("POST /v1/job-events HTTP/1.1", body, Host="node", Connection="close")
-                    answer = await wire.read()
-                if answer is not None and answer.status in (200, 204):
-                    return
-            except (OSError, trio.TooSlowError, trio.BrokenResourceError):
-                pass
-            finally:
-                if wire is not None:
-                    with suppress(OSError):
-                        wire.socket_stream.socket.close()
-            await trio.sleep(_REPEAT_AFTER)
+        if progress.state == "started":
+            held.attempt.started_ms = now_ms()
+        event = {"id": progress.job, "from": self.name, "state": progress.state}
+        self._callbacks.send(held.node, {**event, "share": progress.done_fraction})
+
+    def _end_job(self, job: str, outcome: str, state: str) -> None:
+        held = self._held_jobs.pop(job)
+        held.attempt.outcome = outcome
+        held.attempt.ended_ms = now_ms()
+        event = {"id": job, "from": self.name, "state": state}
+        if state == "done":
+            event["result"] = f"{job}@{self.name}"
+        self._callbacks.send(held.node, event)
--- /dev/null
+++ b/burlmoor/testbed/executor_callbacks.py
@@ -0,0 +1,57 @@
+"""The call-backs by which a stand-in executor notifies nodes of what happens to their jobs."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Awaitable, Callable, Mapping
+from contextlib import suppress
+from http import HTTPStatus
+
+import trio
+
+from burlmoor.testbed.http_stream import connect
+
+_ATTEMPTS = 10
+_RETRY_SECONDS = 0.2
+_TIMEOUT_SECONDS = 1.0  # for one attempt
+
+
+class CallbackSender:
+    """Sends call-backs in the background and repeats each until the node has acknowledged it.
+
+    `wait_until_resumed` blocks while the executor is stalled.
+    """
+
+    def __init__(self, nursery: trio.Nursery, wait_until_resumed: Callable[[], Awaitable[None]]) -> None:
+        self._nursery = nursery
+        self._wait_until_resumed = wait_until_resumed
+        self._addresses: dict[str, tuple[str, int]] = {}
+
+    def set_address(self, node: str, address: tuple[str, int]) -> None:
+        """Set where a node takes call-backs."""
+        self._addresses[node] = address
+
+    def send(self, node: str, event: Mapping[str, object]) -> None:
+        """Notify a node, with up to ten attempts."""
+        self._nursery.start_soon(self._send, node, json.dumps(event).encode())
+
+    async def _send(self, node: str, body: bytes) -> None:
+        for _ in range(_ATTEMPTS):
+            await self._wait_until_resumed()
+            with suppress(OSError, trio.TooSlowError, trio.BrokenResourceError):
+                with trio.fail_after(_TIMEOUT_SECONDS):
+                    status = await self._post(node, body)
+                if status in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
+                    return
+            await trio.sleep(_RETRY_SECONDS)
+
+    async def _post(self, node: str, body: bytes) -> int | None:
+        """Post an event; the status of the answer, or None where the connection ended without one."""
+        stream = await connect(self._addresses[node])
+        try:
+            await stream.write("POST /v1/job-events HTTP/1.1", body, Host="node", Connection="close")
+            answer = await stream.read()
+        finally:
+            with suppress(OSError):
+                stream.close()
+        return None if answer is None else answer.status
--- a/burlmoor/testbed/executor_model.py
+++ b/burlmoor/testbed/executor_model.py
@@ -131,10 +131,10 @@
         self._advance(now)
         self._slowdown = factor
 
-    def set_stalled(self, now: float, still: bool) -> None:
+    def set_stalled(self, now: float, is_stalled: bool) -> None:
         """Stop all work, or resume it."""
         self._advance(now)
-        self._is_stalled = still
+        self._is_stalled = is_stalled
 
     def step(self, now: float) -> list[JobProgress]:
         """Advance to `now` and return what has happened, in order."""
