--- a/benchmarks/limit.py
+++ b/benchmarks/limit.py
@@ -18,8 +18,8 @@
 
 from burlmoor.testbed.clients import ClientPool
 from burlmoor.testbed.event_record import EventRecord
+from burlmoor.testbed.job_classes import JOB_CLASSES
 from burlmoor.testbed.load import LoadGenerator, ProcessMeter, draw_arrivals
-from burlmoor.testbed.local_cluster import JOB_CLASSES
 from burlmoor.testbed.single_node import run_single_node, unbounded_executor_specs
 
 _EXECUTORS, _RUN_MS = 14, 50.0
@@ -28,7 +28,7 @@
 
 
 async def _one(rate: float, seconds: float, sampled: bool, folder: Path) -> dict[str, Any]:
-    kinds = tuple(kind._replace(work=_RUN_MS) for kind in JOB_CLASSES)
+    kinds = tuple(kind._replace(mean_work_ms=_RUN_MS) for kind in JOB_CLASSES)
     profile = folder / "profile.json"
     command = [sys.executable, "-m", "benchmarks.sampled", str(profile)] if sampled else None
     async with run_single_node(unbounded_executor_specs(_EXECUTORS), kinds, folder, command) as node:
--- a/benchmarks/long_list.py
+++ b/benchmarks/long_list.py
@@ -15,7 +15,7 @@
 import trio
 
 from burlmoor.testbed.discovery import DiscoveryService
-from burlmoor.testbed.local_cluster import JOB_CLASSES, platform_settings
+from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
 from burlmoor.testbed.node_process import NodeProcess
 
 _QUIET, _CHANGES = 10.0, 50
@@ -32,7 +32,9 @@
         peers = {f"n{n}": f"127.2.{n // 250}.{n % 250 + 1}:9000" for n in range(nodes)}
         node.extra_config = {"peers": peers, "peer_listen": "127.0.0.1:9000", "limits": {"sockets": 1024}}
         began = time.monotonic()
-        await node.start(nursery, {**platform_settings(JOB_CLASSES, nodes), "Me": 0}, at, discovery.full_list("n0"))
+        await node.start(
+            nursery, {**platform_settings(JOB_CLASSES, nodes), "Me": 0}, at, discovery.full_list("n0")
+        )
         ready = time.monotonic() - began
         process = psutil.Process(node.pid)
 
--- a/burlmoor/cli/drill.py
+++ b/burlmoor/cli/drill.py
@@ -10,7 +10,7 @@
 import trio
 
 from burlmoor.cli.output import exit_with_verdict
-from burlmoor.testbed.drill import DrillParameters, Drill
+from burlmoor.testbed.drill import Drill, DrillParameters
 from burlmoor.testbed.drill_deferred import WAITING
 from burlmoor.testbed.drill_spread import SPREAD
 from burlmoor.testbed.drill_watch import WATCH
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -17,8 +17,9 @@
 from burlmoor.cli.output import write_json
 from burlmoor.testbed.clients import ClientPool
 from burlmoor.testbed.event_record import EventRecord
-from burlmoor.testbed.load import LoadGenerator, ProcessMeter, LoadReport, draw_arrivals
-from burlmoor.testbed.local_cluster import JOB_CLASSES, JobClass, executor_specs, local_cluster
+from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
+from burlmoor.testbed.load import LoadGenerator, LoadReport, ProcessMeter, draw_arrivals
+from burlmoor.testbed.local_cluster import executor_specs, local_cluster
 from burlmoor.testbed.single_node import run_single_node, unbounded_executor_specs
 from burlmoor.transport.address import parse_address
 
@@ -106,7 +107,9 @@
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s"))
     _ERR.print(f"generator behind by {report.max_lag_ms:.1f} ms at most")
     if report.cpu_ms:
-        _ERR.print(f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {report.memory_bytes / 2**20:.0f} MiB")
+        _ERR.print(
+            f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {report.memory_bytes / 2**20:.0f} MiB"
+        )
     _finish(report, sink)
 
 
--- a/burlmoor/simulation/audit.py
+++ b/burlmoor/simulation/audit.py
@@ -122,7 +122,12 @@
         for first, attempt in enumerate(attempts):
             end = attempt.sent + rules.overload_window_ms
             load = sum(each.cost for each in attempts[first:] if each.sent <= end)
-            bears = rules.overload_multiple * spec.capacity * spec.slow_start_factor(end - start) * rules.overload_window_ms
+            bears = (
+                rules.overload_multiple
+                * spec.capacity
+                * spec.slow_start_factor(end - start)
+                * rules.overload_window_ms
+            )
             if load > min(CHANCE * bears, mean * max_calls_by_chance(bears / mean)):
                 broken.append(f"{name}: {load:.0f} ms of work in a window where it bears {bears:.0f}")
                 break
--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -18,7 +18,7 @@
 from burlmoor.engine.answers import FinalAnswer
 from burlmoor.engine.engine import Engine
 from burlmoor.engine.job import Attempt, Job
-from burlmoor.testbed.executor_model import ExecutorModel, JobProgress, ExecutorSpec
+from burlmoor.testbed.executor_model import ExecutorModel, ExecutorSpec, JobProgress
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
 from burlmoor.types.events import JobRequest
 from burlmoor.types.outcome import Outcome
@@ -27,7 +27,14 @@
 DROPPED = b"dropped"  # stands for the answer to a repeat that executors knew by its key
 
 
-SPEC = ExecutorSpec(cores=4.0, slots=4, queue_capacity=12, initial_capacity_fraction=0.2, slow_start_ms=4000.0, progress_interval_ms=500.0)
+SPEC = ExecutorSpec(
+    cores=4.0,
+    slots=4,
+    queue_capacity=12,
+    initial_capacity_fraction=0.2,
+    slow_start_ms=4000.0,
+    progress_interval_ms=500.0,
+)
 
 
 @dataclass(frozen=True)
--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -10,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from burlmoor.testbed.drill import DrillParameters, Drill, Verdict
+from burlmoor.testbed.drill import Drill, DrillParameters, Verdict
 from burlmoor.testbed.fleet.faults import Schedule, Trouble
 from burlmoor.testbed.fleet.record import Plan
 from burlmoor.testbed.fleet.run import Fleet, Parts
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -11,7 +11,7 @@
 import sys
 from pathlib import Path
 
-from burlmoor.testbed.drill import DrillParameters, Claim, Drill, Verdict
+from burlmoor.testbed.drill import Claim, Drill, DrillParameters, Verdict
 from burlmoor.testbed.fleet.audit import audit
 from burlmoor.testbed.fleet.faults import Schedule, Trouble
 from burlmoor.testbed.fleet.record import Plan, Record
--- a/burlmoor/testbed/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from burlmoor.testbed.event_record import Asked, AttemptRecord
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import max_calls_by_chance
 from burlmoor.testbed.fleet.faults import effects
 from burlmoor.testbed.fleet.record import Record, Span
-from burlmoor.testbed.local_cluster import JOB_CLASSES, platform_settings
+from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
 
 DRAIN = 250.0  # ms from when a node was told until nothing new comes
 FLIGHT = 150.0  # ms that a forward may be on its way on a loaded machine
@@ -101,12 +101,14 @@
         for ref, rows in began.items()
         if len(rows) > 1 and rows[0].job_class in once
     ]
-    asked: dict[str, Asked] = {job.id: job for job in record.asked}
+    asked: dict[str, RequestRecord] = {job.id: job for job in record.asked}
     for ref, rows in began.items():
         job = asked.get(ref)
         if job is None:
             found.broken.append(f"{ref}: ran, and no client sent it")
-        elif job.is_rejected and job.job_class in once and rows[0].started_ms <= (job.answered_ms or math.inf):  # type: ignore[operator]
+        elif (
+            job.is_rejected and job.job_class in once and rows[0].started_ms <= (job.answered_ms or math.inf)  # type: ignore[operator]
+        ):
             found.broken.append(f"{ref}: ran, and its client was told that a retry does no harm")
 
 
@@ -165,7 +167,9 @@
             cold = [row for row in rows if born <= row.received_ms < born + spec.slow_start_ms]
             for number, row in enumerate(cold):
                 budget = multiple * spec.slow_start_factor(row.received_ms - born) * spec.capacity * window
-                work = sum(r.work_ms * r.slots for r in cold[number:] if r.received_ms < row.received_ms + window)
+                work = sum(
+                    r.work_ms * r.slots for r in cold[number:] if r.received_ms < row.received_ms + window
+                )
                 if work > min(LUCK * budget, mean * max_calls_by_chance(budget / mean)):
                     found.broken.append(f"{name}: cold, got {work / budget:.2f} of its budget in a window")
                     break
--- a/burlmoor/testbed/fleet/baselines.py
+++ b/burlmoor/testbed/fleet/baselines.py
@@ -13,7 +13,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Sequence
 
-from burlmoor.testbed.event_record import Asked, AttemptRecord
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorModel
 from burlmoor.testbed.fleet.load import Job, draw
 from burlmoor.testbed.fleet.record import Record
@@ -33,8 +33,8 @@
         self.turn: dict[int, int] = {}
         self.work = [0.0] * len(self.names)  # truly held, core-ms
         self.rows: list[AttemptRecord] = []
-        self.asked: list[Asked] = []
-        self._held: dict[str, tuple[AttemptRecord, Asked, int]] = {}
+        self.asked: list[RequestRecord] = []
+        self._held: dict[str, tuple[AttemptRecord, RequestRecord, int]] = {}
         self._listed, self._up = set(range(len(self.names))), set(range(len(self.names)))
         self._due = [math.inf] * len(self.names)
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -45,7 +45,7 @@
         self._order += 1
         heapq.heappush(self._queue, (when, self._order, what))
 
-    def run(self) -> tuple[list[Asked], list[AttemptRecord]]:
+    def run(self) -> tuple[list[RequestRecord], list[AttemptRecord]]:
         """Play all jobs; the rows as clients and executors would have them."""
         self.now = self.record.begin
         for job in draw(self.record.load):
@@ -82,7 +82,9 @@
             self._at(span.until, lambda n=number: self._back(n))  # type: ignore[misc]
 
     def _take(self, job: Job) -> None:
-        asked = Asked(f"j{job.number}", job.kind.name, self.now, job.kind.timeout_ms, job.work, slots=job.slots)
+        asked = RequestRecord(
+            f"j{job.number}", job.kind.name, self.now, job.kind.timeout_ms, job.work, slots=job.slots
+        )
         asked.node = job.node
         self.asked.append(asked)
         # A refused job goes to one other executor, as a node's second attempt would.
@@ -185,6 +187,6 @@
 }
 
 
-def play(record: Record, way: str) -> tuple[list[Asked], list[AttemptRecord]]:
+def play(record: Record, way: str) -> tuple[list[RequestRecord], list[AttemptRecord]]:
     """The jobs of a run, spread in one of the ways."""
     return Play(record, WAYS[way], record.plan.seed).run()
--- a/burlmoor/testbed/fleet/clients.py
+++ b/burlmoor/testbed/fleet/clients.py
@@ -16,8 +16,8 @@
 import trio
 
 from burlmoor.testbed.clients import ClientPool
-from burlmoor.testbed.event_record import Asked, EventRecord
-from burlmoor.testbed.executor import now_ms
+from burlmoor.testbed.clock import now_ms
+from burlmoor.testbed.event_record import EventRecord, RequestRecord
 from burlmoor.testbed.fleet.addresses import Ports
 from burlmoor.testbed.fleet.addresses import node as node_at
 from burlmoor.testbed.fleet.load import Job, Load, draw
@@ -59,7 +59,9 @@
                 nursery.start_soon(self._one, job, due)
 
     async def _one(self, job: Job, due: float) -> None:
-        asked = Asked(f"j{job.number}", job.kind.name, due, job.kind.timeout_ms, job.work, slots=job.slots)
+        asked = RequestRecord(
+            f"j{job.number}", job.kind.name, due, job.kind.timeout_ms, job.work, slots=job.slots
+        )
         asked.node = job.node
         for moves in range(self._plan.moves + 1):
             asked.node_changes = moves
--- a/burlmoor/testbed/fleet/load.py
+++ b/burlmoor/testbed/fleet/load.py
@@ -7,7 +7,7 @@
 import msgspec
 import numpy as np
 
-from burlmoor.testbed.local_cluster import JOB_CLASSES, JobClass
+from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
 
 _SIGMA = 0.5  # of the logarithm of a job's work
 _WIDTHS, _WIDTH_SHARES = (1, 2, 4), (0.8, 0.15, 0.05)
@@ -60,8 +60,8 @@
     keys[rng.uniform(size=count) < load.hot] = 0
     nodes = rng.choice(load.nodes, size=count, p=shares(load))
     return [
-        Job(n, float(at[n]), JOB_CLASSES[chosen[n]], float(JOB_CLASSES[chosen[n]].work * spread[n]), int(widths[n]),
-            f"k{keys[n]}", int(nodes[n]))
+        Job(n, float(at[n]), JOB_CLASSES[chosen[n]], float(JOB_CLASSES[chosen[n]].mean_work_ms * spread[n]),
+            int(widths[n]), f"k{keys[n]}", int(nodes[n]))
         for n in range(count)
     ]  # fmt: skip
 
@@ -69,4 +69,8 @@
 def mean_cost() -> float:
     """Core-ms on a core of speed 1 that a job takes on average, at scale 1."""
     width = sum(w * s for w, s in zip(_WIDTHS, _WIDTH_SHARES, strict=True))
-    return width * sum(kind.share * kind.mean_work_ms for kind in JOB_CLASSES) / sum(kind.share for kind in JOB_CLASSES)
+    return (
+        width
+        * sum(kind.share * kind.mean_work_ms for kind in JOB_CLASSES)
+        / sum(kind.share for kind in JOB_CLASSES)
+    )
--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -18,10 +18,10 @@
 import msgspec
 import numpy as np
 
-from burlmoor.testbed.event_record import Asked, AttemptRecord
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.record import Record, Span
-from burlmoor.testbed.local_cluster import JOB_CLASSES
+from burlmoor.testbed.job_classes import JOB_CLASSES
 
 SLICE = 100.0  # ms
 HERD = 50.0  # ms
@@ -51,7 +51,12 @@
     """Owns the slices of a run: by slice and executor what is held and what can be done."""
 
     def __init__(
-        self, specs: Sequence[ExecutorSpec], names: Sequence[str], begin: float, seconds: float, spans: Sequence[Span]
+        self,
+        specs: Sequence[ExecutorSpec],
+        names: Sequence[str],
+        begin: float,
+        seconds: float,
+        spans: Sequence[Span],
     ) -> None:
         self.begin, self.count = begin, int(seconds * 1000.0 / SLICE)
         self.names = {name: number for number, name in enumerate(names)}
@@ -121,7 +126,7 @@
     return dealt
 
 
-def wanting(grid: Grid, asked: Sequence[Asked], rows: Sequence[AttemptRecord]) -> np.ndarray:
+def wanting(grid: Grid, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> np.ndarray:
     """By slice: whether any job waited to begin, or was refused."""
     began: dict[str, float] = {}
     for row in rows:
@@ -140,7 +145,7 @@
     return np.asarray(np.cumsum(found)[:-1] > 0.5)
 
 
-def idleness(grid: Grid, asked: Sequence[Asked], rows: Sequence[AttemptRecord]) -> float:
+def idleness(grid: Grid, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> float:
     """The share of executors' time without work while somebody wanted some."""
     held = grid.held(rows, jobs=True)
     idle = (held < 0.5) & grid.up & wanting(grid, asked, rows)[:, None]
@@ -185,7 +190,7 @@
     ]
 
 
-def spread(record: Record, asked: Sequence[Asked], rows: Sequence[AttemptRecord]) -> Spread:
+def spread(record: Record, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> Spread:
     """All figures for one way in which the jobs of a run were spread."""
     names = record.names()
     grid = Grid([record.specs[n] for n in names], names, record.begin, record.plan.seconds, record.spans)
@@ -195,7 +200,9 @@
     aims = {kind.name: (kind.latency_objective_ms, kind.objective_stretch) for kind in JOB_CLASSES}
     served = [job for job in asked if job.is_served]
     late = [job.latency_ms for job in served]
-    in_time = sum(job.latency_ms <= aims[job.job_class][0] + aims[job.job_class][1] * job.work_ms for job in served)
+    in_time = sum(
+        job.latency_ms <= aims[job.job_class][0] + aims[job.job_class][1] * job.work_ms for job in served
+    )
     return Spread(
         herd=herd,
         herd_most=herd_most,
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from burlmoor.testbed.event_record import Asked, AttemptRecord
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.faults import Schedule
 from burlmoor.testbed.fleet.load import Load
@@ -63,7 +63,7 @@
     ended: dict[str, int] = {}  # nodes that ended unasked, or with a status other than 0
     behind: float = 0.0
     cpus: float = 0.0  # cores that the whole machine used on average
-    asked: list[Asked] = []
+    asked: list[RequestRecord] = []
     ran: list[AttemptRecord] = []
 
     def node_names(self) -> list[str]:
--- a/burlmoor/testbed/fleet/run.py
+++ b/burlmoor/testbed/fleet/run.py
@@ -14,16 +14,17 @@
 import psutil
 import trio
 
+from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.discovery import DiscoveryService
-from burlmoor.testbed.event_record import Asked, AttemptRecord
-from burlmoor.testbed.executor import now_ms
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.fleet import addresses, clients, executors, tcp_relay
 from burlmoor.testbed.fleet.child_process import Child
 from burlmoor.testbed.fleet.faults import DISCOVERY, EXECUTORS, LINK, NODES, Trouble, chosen, effects
 from burlmoor.testbed.fleet.load import Load, mean_cost
 from burlmoor.testbed.fleet.record import Plan, Record, Span, Used
-from burlmoor.testbed.local_cluster import JOB_CLASSES, total_capacity, executor_specs, platform_settings
-from burlmoor.testbed.node_process import send_http_request, inherited_environment
+from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
+from burlmoor.testbed.local_cluster import executor_specs, total_capacity
+from burlmoor.testbed.node_process import inherited_environment, send_http_request
 
 _READY, _PARTY = 90.0, 20.0  # seconds until all nodes, and any other party, must be up
 _LEAD = 1.0  # seconds from when all are ready until the load begins
@@ -369,5 +370,5 @@
 
 
 class _Answers(msgspec.Struct):
-    asked: list[Asked]
+    asked: list[RequestRecord]
     behind: float
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -22,7 +22,7 @@
 from burlmoor.testbed.fleet.addresses import node as node_at
 from burlmoor.testbed.fleet.faults import Effect
 from burlmoor.testbed.fleet.notifications import lines, play
-from burlmoor.testbed.http_wire import HttpStream, connect
+from burlmoor.testbed.http_stream import HttpStream, connect
 
 _CHUNK = 65_536
 _AGAIN = 0.2  # seconds after which what was dropped is sent again, as TCP would
--- a/burlmoor/testbed/load.py
+++ b/burlmoor/testbed/load.py
@@ -14,9 +14,9 @@
 from hdrh.histogram import HdrHistogram
 
 from burlmoor.testbed.clients import ClientPool
-from burlmoor.testbed.event_record import Asked
-from burlmoor.testbed.executor import now_ms
-from burlmoor.testbed.local_cluster import JobClass
+from burlmoor.testbed.clock import now_ms
+from burlmoor.testbed.event_record import RequestRecord
+from burlmoor.testbed.job_classes import JobClass
 
 _LONGEST = 60_000_000  # us that a histogram reaches to
 _SIGMA = 0.5  # of the logarithm of a job's work
@@ -31,7 +31,9 @@
     key: str
 
 
-def draw_arrivals(rate: float, seconds: float, kinds: Sequence[JobClass], seed: int, scale: float = 1.0) -> list[Arrival]:
+def draw_arrivals(
+    rate: float, seconds: float, kinds: Sequence[JobClass], seed: int, scale: float = 1.0
+) -> list[Arrival]:
     """A Poisson stream of jobs: classes by their shares, work lognormal round `scale` times their means."""
     rng = np.random.default_rng(seed)
     count = rng.poisson(rate * seconds)
@@ -41,7 +43,7 @@
     spread = rng.lognormal(-0.5 * _SIGMA**2, _SIGMA, count)
     keys = np.minimum(rng.zipf(1.5, count), 50)
     return [
-        Arrival(float(t), kinds[k], float(scale * kinds[k].work * s), f"k{z}")
+        Arrival(float(t), kinds[k], float(scale * kinds[k].mean_work_ms * s), f"k{z}")
         for t, k, s, z in zip(at, chosen, spread, keys, strict=True)
     ]
 
@@ -53,7 +55,7 @@
     outcomes: Counter[str] = field(default_factory=Counter)
     served_latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, _LONGEST, 3))
 
-    def add(self, asked: Asked) -> None:
+    def add(self, asked: RequestRecord) -> None:
         """Count one answered or abandoned job."""
         if asked.is_served:
             self.outcomes["served"] += 1
@@ -100,16 +102,20 @@
             "generator_behind_ms": round(self.max_lag_ms, 1),
             "node_cpu_ms_per_job": round(self.cpu_ms / max(1, rows["all"].total), 4),
             "node_memory_mib": round(self.memory_bytes / 2**20, 1),
-            "classes": {
-                name: {
-                    "asked": tally.total, **dict(sorted(tally.outcomes.items())),
-                    "served_per_s": round(tally.outcomes["served"] / self.seconds, 1),
-                    "p50_ms": tally.latency_percentile_ms(50.0), "p90_ms": tally.latency_percentile_ms(90.0), "p99_ms": tally.latency_percentile_ms(99.0),
-                    "max_ms": tally.latency_percentile_ms(100.0),
-                }
-                for name, tally in rows.items()
-            },
-        }  # fmt: skip
+            "classes": {name: self._class_figures(tally) for name, tally in rows.items()},
+        }
+
+    def _class_figures(self, tally: OutcomeTally) -> dict[str, Any]:
+        percentile_ms = tally.latency_percentile_ms
+        return {
+            "asked": tally.total,
+            **dict(sorted(tally.outcomes.items())),
+            "served_per_s": round(tally.outcomes["served"] / self.seconds, 1),
+            "p50_ms": percentile_ms(50.0),
+            "p90_ms": percentile_ms(90.0),
+            "p99_ms": percentile_ms(99.0),
+            "max_ms": percentile_ms(100.0),
+        }
 
 
 class LoadGenerator:
@@ -119,7 +125,9 @@
         self._clients, self._prefix = clients, prefix
         self.report = LoadReport(1.0)
 
-    async def run(self, arrivals: Sequence[Arrival], done: Callable[[int], None] = lambda _n: None) -> LoadReport:
+    async def run(
+        self, arrivals: Sequence[Arrival], done: Callable[[int], None] = lambda _n: None
+    ) -> LoadReport:
         """Send every job and wait for all answers; `done` hears of each."""
         began = now_ms()
         async with trio.open_nursery() as nursery:
@@ -140,7 +148,7 @@
     async def _one(self, number: int, arrival: Arrival, due: float, done: Callable[[int], None]) -> None:
         ref = f"{self._prefix}-{number}"
         # Latency counts from when the job was to be sent: a generator that lags hides nothing.
-        asked = Asked(ref, arrival.job_class.name, due, arrival.job_class.timeout_ms, arrival.work_ms)
+        asked = RequestRecord(ref, arrival.job_class.name, due, arrival.job_class.timeout_ms, arrival.work_ms)
         await self._clients[number % len(self._clients)].send(asked, key=arrival.key)
         self.report.by_class.setdefault(arrival.job_class.name, OutcomeTally()).add(asked)
         done(1)
--- a/burlmoor/testbed/local_cluster.py
+++ b/burlmoor/testbed/local_cluster.py
@@ -2,69 +2,34 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 import trio
 
 from burlmoor.testbed.clients import ClientPool
+from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.discovery import DiscoveryService
-from burlmoor.testbed.event_record import Asked, EventRecord
-from burlmoor.testbed.executor import Executor, now_ms
+from burlmoor.testbed.event_record import EventRecord, RequestRecord
+from burlmoor.testbed.executor import Executor
 from burlmoor.testbed.executor_model import ExecutorSpec
+from burlmoor.testbed.job_classes import JobClass, platform_settings
 from burlmoor.testbed.node_process import NodeProcess
 
-
-class JobClass(NamedTuple):
-    """One class of jobs as clients send it; times in ms."""
-
-    name: str
-    share: float  # of all jobs
-    mean_work_ms: float  # on average, on one core of speed 1
-    timeout_ms: float
-    is_non_idempotent: bool = False
-    priority_weight: float = 2.0
-    latency_objective_ms: float = 300.0
-    objective_stretch: float = 2.0
-
-
-JOB_CLASSES = (
-    JobClass("slot-search", 0.43, 400.0, 6000.0),
-    JobClass("visit-details", 0.38, 200.0, 5000.0),
-    JobClass("confirm-booking", 0.19, 200.0, 5000.0, is_non_idempotent=True, priority_weight=10.0, objective_stretch=2.5),
-)
 # (cores, slots, speed of a core) of executors, in turn
 EXECUTOR_SIZES = ((4.0, 6, 2.0), (5.0, 7, 1.2), (5.0, 7, 0.8))
 
 
-def platform_settings(kinds: Sequence[JobClass] = JOB_CLASSES, nodes: int = 1, zone: str = "a") -> dict[str, Any]:
-    """A platform's settings object for an installation of the rig."""
-    return {
-        "Balancers": nodes,
-        "RequestClasses": [
-            {"Name": kind.name, "Credit": kind.priority_weight, "Target": kind.latency_objective_ms, "HardLimit": kind.timeout_ms,
-             "Idempotency": "once" if kind.is_non_idempotent else "repeatable"}
-            for kind in kinds
-        ],
-        "Specifics": {"ClassStretch": [kind.objective_stretch for kind in kinds], "TellsStart": True,
-                      "Progress": 2000.0},
-        "Limits": {"SendCap": 5, "Cancel": True, "SecondCopies": True, "ConnectTimeout": 250.0,
-                   "Keepalive": 30_000.0, "MaxRetryAfter": 2000.0, "RetryAfter": True},
-        "Rules": {"AnswerSlack": 8.0, "StopSendingWithin": 250.0, "MustAskIn": 10_000.0, "Cold": 10_000.0,
-                  "StartCapacity": 0.15, "FallMultiple": 4.0, "OverloadFor": 1000.0},
-        "RegistryMode": "ask", "Tick": 2.0, "Zone": zone, "WorthBy": "work", "OverShareWorth": 0.1,
-    }  # fmt: skip
-
-
 def total_capacity(specs: Mapping[str, ExecutorSpec]) -> float:
     """Work (ms on a core of speed 1) that warm executors do in a ms."""
     return sum(spec.capacity for spec in specs.values())
 
 
-def executor_specs(count: int, sizes: Sequence[tuple[float, int, float]] = EXECUTOR_SIZES, queue: int = 24) -> dict[str, ExecutorSpec]:
+def executor_specs(
+    count: int, sizes: Sequence[tuple[float, int, float]] = EXECUTOR_SIZES, queue: int = 24
+) -> dict[str, ExecutorSpec]:
     """Executors of mixed sizes."""
     return {
         f"s-{number:03d}": ExecutorSpec(cores=cores, slots=slots, speed=speed, queue_capacity=queue)
@@ -75,10 +40,14 @@
 class LocalCluster:
     """Owns all parties of one installation and the ledger of what its far sides saw."""
 
-    def __init__(self, nursery: trio.Nursery, folder: Path, specs: Mapping[str, ExecutorSpec], nodes: int) -> None:
+    def __init__(
+        self, nursery: trio.Nursery, folder: Path, specs: Mapping[str, ExecutorSpec], nodes: int
+    ) -> None:
         self.nursery, self.event_record = nursery, EventRecord()
         self.discovery = DiscoveryService(nursery)
-        self.executors = {name: Executor(name, spec, self.event_record, nursery) for name, spec in specs.items()}
+        self.executors = {
+            name: Executor(name, spec, self.event_record, nursery) for name, spec in specs.items()
+        }
         self.specs = dict(specs)
         self.nodes = [NodeProcess(f"n{number}", folder / f"n{number}") for number in range(nodes)]
         self.clients: list[ClientPool] = []
@@ -88,7 +57,10 @@
     async def start(self) -> None:
         """Open every stand-in, then start the nodes and wait until they take jobs."""
         for node in self.nodes:
-            dials = {name: await each.listen_for_node(node.name, node.address) for name, each in self.executors.items()}
+            dials = {
+                name: await each.listen_for_node(node.name, node.address)
+                for name, each in self.executors.items()
+            }
             self._discovery_at[node.name] = await self.discovery.listen_for_node(node.name, dials)
         for name in self.executors:
             self.discovery.set_entry(name)
@@ -163,11 +135,6 @@
         nursery.cancel_scope.cancel()
 
 
-def new_request(ref: str, kind: JobClass, work: float, **more: Any) -> Asked:
+def new_request(ref: str, kind: JobClass, work: float, **more: Any) -> RequestRecord:
     """A client's row for a job that is sent now."""
-    return Asked(ref, kind.name, now_ms(), more.pop("patience", kind.timeout_ms), work, **more)
-
-
-def unix_now_ms() -> float:
-    """Unix time in ms, as every machine reads it."""
-    return time.time() * 1000.0
+    return RequestRecord(ref, kind.name, now_ms(), more.pop("timeout_ms", kind.timeout_ms), work, **more)
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import HttpMessage, connect
+from burlmoor.testbed.http_stream import HttpMessage, connect
 
 _READY_WITHIN = 30.0
 
@@ -126,7 +126,9 @@
     return f"{address[0]}:{address[1]}"
 
 
-async def send_http_request(address: tuple[str, int], method: str, path: str, body: bytes = b"") -> HttpMessage:
+async def send_http_request(
+    address: tuple[str, int], method: str, path: str, body: bytes = b""
+) -> HttpMessage:
     """One call on a connection of its own; OSError where no answer comes."""
     wire = await connect(address)
     try:
--- a/burlmoor/testbed/single_node.py
+++ b/burlmoor/testbed/single_node.py
@@ -14,7 +14,7 @@
 
 from burlmoor.testbed.discovery import DiscoveryService
 from burlmoor.testbed.executor_model import ExecutorSpec
-from burlmoor.testbed.local_cluster import JobClass, platform_settings
+from burlmoor.testbed.job_classes import JobClass, platform_settings
 from burlmoor.testbed.node_process import NodeProcess
 
 _SHARDS = 4  # processes of stand-in executors: each bears some 300 jobs a second
@@ -22,10 +22,14 @@
 
 def unbounded_executor_specs(count: int) -> dict[str, ExecutorSpec]:
     """Executors with room for all, so that what is measured is the node."""
-    return {f"s-{n:03d}": ExecutorSpec(cores=10_000.0, slots=10_000, queue_capacity=10_000) for n in range(count)}
+    return {
+        f"s-{n:03d}": ExecutorSpec(cores=10_000.0, slots=10_000, queue_capacity=10_000) for n in range(count)
+    }
 
 
-async def _shard(executors: dict[str, ExecutorSpec], relay: tuple[str, int]) -> tuple[trio.Process, dict[str, str]]:
+async def _shard(
+    executors: dict[str, ExecutorSpec], relay: tuple[str, int]
+) -> tuple[trio.Process, dict[str, str]]:
     """Executors in a process of their own, and where each listens."""
     process = await trio.lowlevel.open_process(
         [sys.executable, "-m", "burlmoor.testbed"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
@@ -43,7 +47,10 @@
 
 @asynccontextmanager
 async def run_single_node(
-    executors: dict[str, ExecutorSpec], kinds: tuple[JobClass, ...], folder: Path, command: list[str] | None = None
+    executors: dict[str, ExecutorSpec],
+    kinds: tuple[JobClass, ...],
+    folder: Path,
+    command: list[str] | None = None,
 ) -> AsyncIterator[NodeProcess]:
     """One node, and executors in a few processes of their own, so that they bear more than the node."""
     node, names = NodeProcess("n0", folder), list(executors)
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -229,7 +229,8 @@
 
 
 def test_a_node_with_deferred_jobs_answers_them_on_sigterm(tmp_path: Path) -> None:
-    from burlmoor.testbed.local_cluster import JOB_CLASSES, new_request, executor_specs, local_cluster  # noqa: PLC0415
+    from burlmoor.testbed.job_classes import JOB_CLASSES  # noqa: PLC0415
+    from burlmoor.testbed.local_cluster import executor_specs, local_cluster, new_request  # noqa: PLC0415
 
     async def run() -> None:
         with trio.fail_after(60.0):
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from burlmoor.testbed.http_wire import HttpMessage
+from burlmoor.testbed.http_stream import HttpMessage
 from burlmoor.types.outcome import Outcome
 from burlmoor.upstream.errors import BrokenResponseError, ConnectError
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from burlmoor.testbed.http_wire import HttpMessage
+from burlmoor.testbed.http_stream import HttpMessage
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
 
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -12,7 +12,7 @@
 import trio
 
 from burlmoor.testbed.discovery import DiscoveryService
-from burlmoor.testbed.http_wire import HttpStream
+from burlmoor.testbed.http_stream import HttpStream
 from burlmoor.testbed.node_process import NodeProcess, send_http_request
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.node_harness import NodeHarness, run_scenario
@@ -89,11 +89,15 @@
 
                 nursery.start_soon(keep_connecting)
                 await trio.sleep(0.5)
-                assert (await send_http_request(node.admin_address, "GET", "/state")).status < 500  # operators are answered
+                assert (
+                    await send_http_request(node.admin_address, "GET", "/state")
+                ).status < 500  # operators are answered
                 discovery.set_entry("e0", health="leaving")
                 discovery.down = False
                 recovered_at = trio.current_time()
-                await harness.wait_until(lambda: any(health == "leaving" for *_, health in discovery.notifications))
+                await harness.wait_until(
+                    lambda: any(health == "leaving" for *_, health in discovery.notifications)
+                )
                 assert trio.current_time() - recovered_at < NOTIFICATION_DEADLINE_SECONDS + GRACE_SECONDS
                 # Clients are served, by the other endpoint, unless all connections that they may hold hang.
                 for request_id in () if hanging else ("a1", "a2", "a3"):
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import HttpStream
+from burlmoor.testbed.http_stream import HttpStream
 from tests.support.configuration import write_config
 from tests.support.node_harness import NodeHarness
 from tests.support.polling import poll_until
--- a/tests/simulation/test_slow_start.py
+++ b/tests/simulation/test_slow_start.py
@@ -13,7 +13,14 @@
 from burlmoor.types.settings import Idempotency, JobClass, Limits, Rules, Settings, Tenant
 
 WORK, CORES, COLD, LENGTH = 250.0, 4.0, 12_000.0, 7000.0
-SPEC = ExecutorSpec(cores=CORES, slots=4, queue_capacity=40, initial_capacity_fraction=0.2, slow_start_ms=COLD, progress_interval_ms=1000.0)
+SPEC = ExecutorSpec(
+    cores=CORES,
+    slots=4,
+    queue_capacity=40,
+    initial_capacity_fraction=0.2,
+    slow_start_ms=COLD,
+    progress_interval_ms=1000.0,
+)
 
 
 def town(nodes: int, executors: int) -> ClusterSpec:
--- a/tests/support/admin_client.py
+++ b/tests/support/admin_client.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import HttpStream
+from burlmoor.testbed.http_stream import HttpStream
 from tests.support.node_harness import NodeHarness
 
 
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -9,7 +9,7 @@
 import trio
 
 from burlmoor.config.options import DeferredOptions, Options
-from burlmoor.testbed.http_wire import HttpStream
+from burlmoor.testbed.http_stream import HttpStream
 from burlmoor.testbed.node_process import send_http_request
 from tests.support import node_harness
 from tests.support.node_harness import NodeHarness
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -16,7 +16,7 @@
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.lifecycle.node import Node
 from burlmoor.log import EventLog
-from burlmoor.testbed.http_wire import HttpMessage, HttpStream
+from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 from tests.support.configuration import SETTINGS_OBJECT
 from tests.support.scripted_executor import ScriptedExecutor
 
--- a/tests/support/scripted_executor.py
+++ b/tests/support/scripted_executor.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from burlmoor.testbed.http_wire import HttpMessage, HttpStream
+from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 
 if TYPE_CHECKING:
     from tests.support.node_harness import NodeHarness
--- a/tests/support/service_process.py
+++ b/tests/support/service_process.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from burlmoor.testbed.http_wire import HttpMessage, HttpStream
+from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 from tests.support.polling import TIMEOUT_SECONDS, poll_until
 
 ROOT = Path(__file__).parents[2]
--- a/tests/testbed/test_executor_model.py
+++ b/tests/testbed/test_executor_model.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlmoor.testbed.executor_model import ExecutorModel, JobProgress, ExecutorSpec
+from burlmoor.testbed.executor_model import ExecutorModel, ExecutorSpec, JobProgress
 
 
 def run(machine: ExecutorModel, until: float) -> list[tuple[float, JobProgress]]:
--- a/tests/testbed/test_fleet.py
+++ b/tests/testbed/test_fleet.py
@@ -20,7 +20,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burlmoor.testbed.event_record import Asked, AttemptRecord
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet import addresses, tcp_relay
 from burlmoor.testbed.fleet.audit import audit
@@ -43,7 +43,7 @@
 from burlmoor.testbed.fleet.metrics import Grid, heals, spread
 from burlmoor.testbed.fleet.record import Plan, Record, Span, read
 from burlmoor.testbed.fleet.run import Fleet, Parts
-from burlmoor.testbed.local_cluster import JOB_CLASSES as JOBS
+from burlmoor.testbed.job_classes import JOB_CLASSES as JOBS
 
 SEARCH, _, CONFIRM = JOBS
 
@@ -156,9 +156,11 @@
     return Record(plan, load, SPECS, ["a"] * 4, ["a"] * 4, begin=1000.0, spans=spans or [])
 
 
-def job(number: int, at: float, executor: int, run: float = 100.0) -> tuple[Asked, AttemptRecord]:
+def job(number: int, at: float, executor: int, run: float = 100.0) -> tuple[RequestRecord, AttemptRecord]:
     ref = f"j{number}"
-    asked = Asked(ref, SEARCH.name, at, SEARCH.timeout_ms, run, answered_ms=at + run, status=200, answer_count=1)
+    asked = RequestRecord(
+        ref, SEARCH.name, at, SEARCH.timeout_ms, run, answered_ms=at + run, status=200, answer_count=1
+    )
     asked.body = f"{ref}@s-{executor}".encode()
     return asked, AttemptRecord(ref, SEARCH.name, f"s-{executor}", at, at, at + run, "done", "0", run)
 
@@ -326,7 +328,11 @@
 
 def test_a_cut_link_carries_nothing_and_others_go_on(tmp_path: Path) -> None:
     made = run(tmp_path, Trouble(what="cut", at=0.0, lasts=6.0, nodes="*", executors="s-000,s-001"))
-    began = {row.executor for row in made.ran if row.started_ms is not None and row.received_ms < made.begin + 5500.0}
+    began = {
+        row.executor
+        for row in made.ran
+        if row.started_ms is not None and row.received_ms < made.begin + 5500.0
+    }
     assert began and not began & {"s-000", "s-001"}
     assert audit(made).broken == []
 
--- a/tests/testbed/test_local_cluster.py
+++ b/tests/testbed/test_local_cluster.py
@@ -11,9 +11,10 @@
 from click.testing import CliRunner
 
 from burlmoor.cli.main import main
-from burlmoor.testbed.event_record import Asked, EventRecord, AttemptRecord
+from burlmoor.testbed.event_record import AttemptRecord, EventRecord, RequestRecord
+from burlmoor.testbed.job_classes import JOB_CLASSES
 from burlmoor.testbed.load import LoadGenerator, OutcomeTally, draw_arrivals
-from burlmoor.testbed.local_cluster import JOB_CLASSES, LocalCluster, new_request, executor_specs, local_cluster
+from burlmoor.testbed.local_cluster import LocalCluster, executor_specs, local_cluster, new_request
 
 SEARCH, _, CONFIRM = JOB_CLASSES
 
@@ -38,7 +39,11 @@
 
     ledger = play(tmp_path, story)
     assert not ledger.find_unanswered() and not ledger.find_late(50.0)
-    assert not ledger.find_fabricated() and not ledger.protocol_violations and not ledger.find_repeated({CONFIRM.name})
+    assert (
+        not ledger.find_fabricated()
+        and not ledger.protocol_violations
+        and not ledger.find_repeated({CONFIRM.name})
+    )
 
 
 @pytest.mark.parametrize("act", ["full", "error", "reset", "hang"])
@@ -70,12 +75,16 @@
 
 
 def test_a_ledger_tells_what_is_wrong() -> None:
-    rows = [AttemptRecord("twice", "c", "s", 0.0, 1.0), AttemptRecord("twice", "c", "t", 0.0, 2.0), AttemptRecord("full", "c", "t", 0.0)]
+    rows = [
+        AttemptRecord("twice", "c", "s", 0.0, 1.0),
+        AttemptRecord("twice", "c", "t", 0.0, 2.0),
+        AttemptRecord("full", "c", "t", 0.0),
+    ]
     ledger = EventRecord(requests={
-        "never": Asked("never", "c", 0.0, 100.0),
-        "left": Asked("left", "c", 0.0, 100.0, disconnected_ms=50.0),
-        "late": Asked("late", "c", 0.0, 100.0, answered_ms=200.0, status=503),
-        "made up": Asked("made up", "c", 0.0, 100.0, answered_ms=10.0, status=200),
+        "never": RequestRecord("never", "c", 0.0, 100.0),
+        "left": RequestRecord("left", "c", 0.0, 100.0, disconnected_ms=50.0),
+        "late": RequestRecord("late", "c", 0.0, 100.0, answered_ms=200.0, status=503),
+        "made up": RequestRecord("made up", "c", 0.0, 100.0, answered_ms=10.0, status=200),
     }, attempts=rows)  # fmt: skip
     assert [each.id for each in ledger.find_unanswered()] == ["never"]
     assert [each.id for each in ledger.find_late(50.0)] == ["late"]
@@ -90,7 +99,7 @@
     assert 150 < len(first) < 250
     tally = OutcomeTally()
     for status, answers in ((200, 1), (503, 1), (502, 1), (0, 0)):
-        tally.add(Asked("x", "c", 0.0, 100.0, answered_ms=40.0, status=status, answer_count=answers))
+        tally.add(RequestRecord("x", "c", 0.0, 100.0, answered_ms=40.0, status=status, answer_count=answers))
     assert dict(tally.outcomes) == {"served": 1, "refused": 1, "failed": 1, "no answer": 1}
     assert tally.latency_percentile_ms(50.0) == pytest.approx(40.0, rel=0.01)
 
