--- a/burlmoor/deferred/cycle_search.py
+++ b/burlmoor/deferred/cycle_search.py
@@ -23,10 +23,8 @@
         return True
     if request_id not in dependents:
         return False
-    upward = list(dependencies)
-    downward = list(dependents[request_id])
-    above = set(upward)
-    below = set(downward)
+    upward, downward = list(dependencies), list(dependents[request_id])
+    above, below = set(upward), set(downward)
     while upward and downward:
         ancestor = upward.pop()
         if ancestor in below or ancestor == request_id:
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -60,16 +60,12 @@
         self._policy = Dispatcher(settings, seed)
         self._policy_driver = PolicyDriver(self._policy, self.jobs, log, wake)
         self._deadlines = DeadlineQueue(settings.classes)
+        self._non_idempotent_classes = _non_idempotent_classes(settings)
         self._deferral = DeferralController(
             self.jobs, self._deadlines, self._policy_driver, self, clock, log, wake
         )
         self._attempts: AttemptController
         self._actions: ActionExecutor
-        self._non_idempotent_classes = {
-            job_class.name
-            for job_class in settings.classes
-            if job_class.idempotency is Idempotency.NON_IDEMPOTENT
-        }
         self._stepped_at = -math.inf
 
     def connect(self, upstream: Upstream, discovery: Discovery) -> None:
@@ -93,8 +89,7 @@
 
     def statistics_snapshot(self) -> StatisticsSnapshot:
         """Return the policy's statistics, for another process of this node."""
-        policy = self._policy
-        return take_snapshot(policy.statistics, policy.endpoints.by_name, self.clock())
+        return take_snapshot(self._policy.statistics, self._policy.endpoints.by_name, self.clock())
 
     def restore_statistics(self, statistics: StatisticsSnapshot) -> None:
         """Go on from the statistics of the process before this one."""
@@ -238,3 +233,11 @@
             self._log("answered-at-stop" if now >= self.answer_by else "answered-at-deadline", id=job.id)
             self.answer_job(job, Failed() if job.may_have_run() else Rejected())
             self._report_closed(job)
+
+
+def _non_idempotent_classes(settings: Settings) -> frozenset[str]:
+    return frozenset(
+        job_class.name
+        for job_class in settings.classes
+        if job_class.idempotency is Idempotency.NON_IDEMPOTENT
+    )
