--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -88,7 +88,7 @@
     from burlmoor.policy.dispatch_rounds import ROUND_TICKS, DispatchRounds  # noqa: PLC0415
     from burlmoor.stats.job import ScheduledJob  # noqa: PLC0415
 
-    def strike(now: float) -> float:
+    def next_common_moment(now: float) -> float:
         # By the machine's clock, which is all nodes' own: each process counts from elsewhere.
         return now + 250.0 - time.monotonic() * 1000.0 % 250.0
 
@@ -97,19 +97,19 @@
     def enqueue(self: DispatchRounds, job: ScheduledJob, now: float, ticks: float = ROUND_TICKS) -> None:
         job.is_queued = True
         self.queue[job.id] = job
-        self.next_round_at = min(self.next_round_at, strike(now))
+        self.next_round_at = min(self.next_round_at, next_common_moment(now))
 
     def run_in_step(self: DispatchRounds, now: float) -> None:
         run(self, now)
         if self.queue:
-            self.next_round_at = strike(now)
+            self.next_round_at = next_common_moment(now)
 
     DispatchRounds.enqueue = enqueue  # type: ignore[method-assign]
     DispatchRounds.run = run_in_step  # type: ignore[method-assign]
 
 
 def _one_order() -> None:
-    """All nodes look at executors in the same order, and take the first that seems to have room."""
+    """All nodes look at endpoints in the same order, and take the first that seems to have capacity."""
     from burlmoor.endpoints.affinity import AffinityOrders  # noqa: PLC0415
     from burlmoor.endpoints.candidates import Candidates  # noqa: PLC0415
 
@@ -122,16 +122,18 @@
 
 
 def _no_ageing() -> None:
-    """What was learnt is never forgotten."""
+    """Statistics never decay."""
     from burlmoor.stats.decayed_mean import DecayedMean  # noqa: PLC0415
 
     add, read = DecayedMean.add, DecayedMean.read
 
-    def kept(self: DecayedMean, now: float, value: float, _half: float, weight: float = 1.0) -> None:
+    def add_without_decay(
+        self: DecayedMean, now: float, value: float, _half_life: float, weight: float = 1.0
+    ) -> None:
         add(self, now, value, 1e15, weight)
 
-    DecayedMean.add = kept  # type: ignore[assignment, method-assign]
-    DecayedMean.read = lambda self, now, _half, *rest: read(self, now, 1e15, *rest)  # type: ignore[method-assign]
+    DecayedMean.add = add_without_decay  # type: ignore[assignment, method-assign]
+    DecayedMean.read = lambda self, now, _half_life, *rest: read(self, now, 1e15, *rest)  # type: ignore[method-assign]
 
 
 def _late_watch() -> None:
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_many_dispatchers_send_as_before(seed: int) -> None:
     fleet = Fleet(settings(node_count=5), entries(6), seed)
-    fleet.load(
+    fleet.generate_load(
         60.0,
         5000.0,
         lambda rng: (
@@ -85,7 +85,7 @@
             f"k{rng.randrange(6)}",
         ),
     )
-    fleet.stands["a3"].bad = True
+    fleet.endpoints["a3"].is_faulty = True
     fleet.run(8000.0)
-    digest = hashlib.sha256(repr((fleet.sends, sorted(fleet.done.items()))).encode())
+    digest = hashlib.sha256(repr((fleet.sends, sorted(fleet.final_answers.items()))).encode())
     assert digest.hexdigest() == DIGESTS["dispatch"][str(seed)]
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -28,7 +28,7 @@
 from burlmoor.testbed.event_record import EventRecord
 from burlmoor.testbed.fleet import record as records
 from burlmoor.testbed.fleet.verdict import found
-from tests.stats.test_snapshot import taken, taught
+from tests.stats.test_snapshot import driver_with_statistics, take
 
 DATA = Path(__file__).parent / "data"
 STATISTICS = (DATA / "statistics.msgpack").read_bytes()
@@ -76,8 +76,8 @@
 
 
 def test_the_same_conversation_gives_the_same_statistics_snapshot() -> None:
-    talk = taught()
-    assert msgspec.msgpack.encode(taken(talk)) == STATISTICS
+    driver = driver_with_statistics()
+    assert msgspec.msgpack.encode(take(driver)) == STATISTICS
 
 
 def test_the_overrides_file_keeps_its_encoding() -> None:
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,4 +1,4 @@
-"""What many nodes do together to executors that they share."""
+"""What many nodes do together to endpoints that they share."""
 
 from __future__ import annotations
 
@@ -18,52 +18,52 @@
     return Fleet(settings(node_count=40), entries(count), slots=slots)
 
 
-def test_a_key_that_many_ask_for_is_not_refused_beside_free_executors() -> None:
-    # 30 % of the work of a fleet that is half full: eighteen executors' worth, where a key had four homes.
+def test_jobs_with_a_hot_key_are_not_rejected_while_endpoints_are_free() -> None:
+    # 30 % of the work of a half-full fleet: as much as eighteen endpoints do, where a key had four of them.
     fleet = wide()
 
     def job(rng: random.Random) -> tuple[str, float, str]:
         return "lookup", 250.0, "hot" if rng.random() < 0.3 else f"{rng.randrange(400):04x}"
 
-    fleet.load(480.0, 9000.0, job)
+    fleet.generate_load(480.0, 9000.0, job)
     fleet.run(12_000.0)
-    assert fleet.share_of("served", "hot") > 0.95
+    assert fleet.share_answered("served", "hot") > 0.95
     given = Counter(name for at, name, _ in fleet.sends if at > 4000.0)
     assert max(given.values()) < 4 * sum(given.values()) / len(fleet.listed)
 
 
-def test_a_wait_at_executors_that_nodes_seldom_ask_buys_no_second_copies() -> None:
-    # With 40 nodes hardly any has heard from a given executor lately: that is no sign that it is mute.
+def test_waits_at_endpoints_that_nodes_seldom_use_are_not_hedged() -> None:
+    # With 40 nodes hardly any has heard from a given endpoint lately: that is no sign that it hangs.
     fleet = wide()
-    fleet.load(800.0, 8000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
+    fleet.generate_load(800.0, 8000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(12_000.0)
     assert len(fleet.sends) < 1.07 * len(fleet.jobs)
 
 
-def test_replaced_executors_are_used_and_within_their_budget() -> None:
-    # Six in ten are new and cold, and all nodes hear of it at once.
+def test_replaced_endpoints_are_used_and_within_their_slow_start_budget() -> None:
+    # Six in ten are new and warming up, and all nodes get the list at once.
     tenants = (Tenant("all", 1.0, 800.0),)
     fleet = Fleet(settings(node_count=40, tenants=tenants), entries(30), slots=8)
-    fleet.load(850.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
+    fleet.generate_load(850.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(4000.0)
     started = fleet.now
     replaced = [
         each._replace(endpoint=f"new{n}", started_at=started) if n % 5 < 3 else each
         for n, each in enumerate(fleet.listed)
     ]
-    fleet.list_to(range(40), ListKind.SNAPSHOT, replaced)
+    fleet.send_list(range(40), ListKind.SNAPSHOT, replaced)
     fleet.run(9000.0)
-    cold: defaultdict[tuple[str, int], float] = defaultdict(float)
+    warming: defaultdict[tuple[str, int], float] = defaultdict(float)
     for at, name, work in fleet.sends:
         if name.startswith("new"):
-            cold[name, int((at - started) // RULES.overload_window_ms)] += work
+            warming[name, int((at - started) // RULES.overload_window_ms)] += work
     shares = []
-    for (_, window), work in cold.items():
-        warmth = (
+    for (_, window), work in warming.items():
+        capacity_fraction = (
             RULES.initial_capacity
             + (1.0 - RULES.initial_capacity) * (window + 0.5) * RULES.overload_window_ms / RULES.slow_start_ms
         )
-        shares.append(work / (warmth * 8.0 * RULES.overload_window_ms))
+        shares.append(work / (capacity_fraction * 8.0 * RULES.overload_window_ms))
     assert max(shares) < RULES.overload_multiple
     assert sum(shares) / (18 * 2) > 0.5  # of what they can do, over the first two whole windows
 
@@ -71,8 +71,8 @@
 FALL = Rules(20.0, 500.0, 0.2, 10_000.0, 4.0, 1000.0, 10_000.0)
 
 
-def cold_fleet(hot: bool = False, herd: bool = False, in_step: bool = False) -> Fleet:
-    """200 nodes, all started a moment ago, with more work than ten warm and five cold executors can do."""
+def warming_fleet(hot_key: bool = False, loses_warm: bool = False, in_step: bool = False) -> Fleet:
+    """200 nodes, just started, with more work than ten warm and five warming endpoints can do."""
     listed = [*entries(10, weight=1.0), *entries(5, "b", weight=1.0, started_at=900.0)]
     tenants = (Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work a ms at each, in jobs of 200 ms
     fleet = Fleet(settings(node_count=200, tenants=tenants, rules=FALL), listed, slots=1000)
@@ -81,69 +81,73 @@
             # All at one moment, or each node at its own.
             when = at + (0.0 if in_step else fleet.rng.uniform(0.0, 200.0))
 
-            def ask(node: int = node) -> None:
-                key = "hot" if hot else f"{fleet.rng.randrange(40):04x}"
-                fleet.ask("lookup", fleet.rng.expovariate(1 / 200.0), key, node=node)
+            def request(node: int = node) -> None:
+                key = "hot" if hot_key else f"{fleet.rng.randrange(40):04x}"
+                fleet.request("lookup", fleet.rng.expovariate(1 / 200.0), key, node=node)
 
-            fleet.at(when, ask)
-    if herd:
+            fleet.schedule(when, request)
+    if loses_warm:
         gone = [each._replace(state=EndpointState.GONE) for each in listed[:10]]
-        fleet.at(2000.0, lambda: fleet.list_to(range(200), ListKind.DELTA, gone))
+        fleet.schedule(2000.0, lambda: fleet.send_list(range(200), ListKind.DELTA, gone))
     fleet.run(4000.0)
     return fleet
 
 
-@pytest.mark.parametrize("case", [{}, {"in_step": True}, {"hot": True, "herd": True}, {"herd": True}])
-def test_two_hundred_nodes_keep_within_a_cold_executors_budget_in_every_window(case: dict[str, bool]) -> None:
-    fleet = cold_fleet(**case)
+@pytest.mark.parametrize(
+    "case", [{}, {"in_step": True}, {"hot_key": True, "loses_warm": True}, {"loses_warm": True}]
+)
+def test_two_hundred_nodes_keep_within_a_slow_start_budget_in_every_window(case: dict[str, bool]) -> None:
+    fleet = warming_fleet(**case)
     got = Counter[str]()
     for name in ("b0", "b1", "b2", "b3", "b4"):
         sent = [(at, work) for at, each, work in fleet.sends if each == name]
         got[name] = len(sent)
         for start, _ in sent:
-            warmth = (
+            capacity_fraction = (
                 FALL.initial_capacity + (1.0 - FALL.initial_capacity) * (start - 900.0) / FALL.slow_start_ms
             )
-            whole = FALL.overload_multiple * warmth * 4.0 * FALL.overload_window_ms
+            whole = FALL.overload_multiple * capacity_fraction * 4.0 * FALL.overload_window_ms
             assert sum(work for at, work in sent if start <= at < start + FALL.overload_window_ms) <= whole
     assert min(got.values()) > 0
 
 
-def test_an_executor_that_fails_at_once_draws_few_jobs_of_all_nodes_together() -> None:
+def test_an_endpoint_that_fails_at_once_draws_few_jobs_of_all_nodes_together() -> None:
     fleet = wide()
-    fleet.stands["a7"].bad = True
-    fleet.load(600.0, 9000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
+    fleet.endpoints["a7"].is_faulty = True
+    fleet.generate_load(600.0, 9000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
     fleet.run(10_000.0)
     drawn = sum(name == "a7" for _, name, _ in fleet.sends)
     assert drawn < 5 * len(fleet.nodes)
-    assert fleet.share_of("served") > 0.95
+    assert fleet.share_answered("served") > 0.95
 
 
-def test_a_zone_that_vanishes_draws_little_and_is_used_with_care_when_it_is_back_cold() -> None:
+def test_a_zone_that_vanishes_draws_few_jobs_and_warms_up_when_it_is_back() -> None:
     listed = [*entries(40), *entries(20, zone="b")]
     fleet = Fleet(settings(node_count=40), listed)
-    fleet.load(500.0, 16_000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
+    fleet.generate_load(500.0, 16_000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
     fleet.run(4000.0)
-    for each in fleet.stands.values():
-        each.silent = each.entry.zone == "b"
+    for each in fleet.endpoints.values():
+        each.is_silent = each.entry.zone == "b"
     fleet.run(9000.0)
     lost = [name for at, name, _ in fleet.sends if at > 7000.0 and name.startswith("b")]
-    assert len(lost) < 0.15 * 500.0 * 2.0  # a third of the executors, and two seconds
+    assert len(lost) < 0.15 * 500.0 * 2.0  # a third of the endpoints, and two seconds
     back = [each._replace(started_at=fleet.now) for each in listed if each.zone == "b"]
-    fleet.list_to(range(40), ListKind.DELTA, back)
+    fleet.send_list(range(40), ListKind.DELTA, back)
     fleet.run(11_000.0)
-    warmth = RULES.initial_capacity + (1.0 - RULES.initial_capacity) * 1000.0 / RULES.slow_start_ms
+    capacity_fraction = RULES.initial_capacity + (1.0 - RULES.initial_capacity) * 1000.0 / RULES.slow_start_ms
     got = Counter[str]()
     for at, name, work in fleet.sends:
         got[name] += int(work) if at > 9000.0 and name.startswith("b") else 0
-    assert 0 < max(got.values()) < RULES.overload_multiple * warmth * 4.0 * RULES.overload_window_ms
+    assert (
+        0 < max(got.values()) < RULES.overload_multiple * capacity_fraction * 4.0 * RULES.overload_window_ms
+    )
 
 
 def test_a_full_fleet_is_sent_what_it_can_do_in_time_and_little_else() -> None:
     # Each of 40 nodes holds a handful of jobs, whether the fleet is idle or full.
     fleet = wide()
-    fleet.load(1150.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
+    fleet.generate_load(1150.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(12_000.0)
-    served = fleet.share_of("served") * len(fleet.jobs)
+    served = fleet.share_answered("served") * len(fleet.jobs)
     assert served > 0.7 * len(fleet.jobs)
     assert served > 0.75 * len(fleet.sends)
--- a/tests/stats/test_snapshot.py
+++ b/tests/stats/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What a module has learnt goes over to the next process of the node."""
+"""Statistics are handed over to the next process of the node."""
 
 from __future__ import annotations
 
@@ -7,57 +7,65 @@
 from burlmoor.stats.snapshot import StatisticsSnapshot, restore_snapshot, take_snapshot
 from burlmoor.types.events import AttemptStarted
 from burlmoor.types.outcome import Outcome
-from tests.support.dispatcher_driver import Talk, entries
+from tests.support.dispatcher_driver import DispatcherDriver, entries
 
 
-def taught() -> Talk:
-    talk = Talk(listed=entries(4))
-    for ref in range(40):
-        send = talk.placed(ref, "lookup" if ref % 3 else "keyed", affinity_key=f"k{ref % 5}", tenant="t")
-        talk.tell(AttemptStarted(send.id, 0, send.endpoint))
-        talk.run(70.0 * (1 + ref % 4))
-        talk.end(send, Outcome.SERVED if ref % 7 else Outcome.ERROR)
-    return talk
+def driver_with_statistics() -> DispatcherDriver:
+    driver = DispatcherDriver(listed=entries(4))
+    for job_id in range(40):
+        send = driver.request_and_place(
+            job_id, "lookup" if job_id % 3 else "keyed", affinity_key=f"k{job_id % 5}", tenant="t"
+        )
+        driver.handle(AttemptStarted(send.id, 0, send.endpoint))
+        driver.run(70.0 * (1 + job_id % 4))
+        driver.end_attempt(send, Outcome.SERVED if job_id % 7 else Outcome.ERROR)
+    return driver
 
 
-def taken(talk: Talk) -> StatisticsSnapshot:
-    return take_snapshot(talk.node.statistics, talk.node.endpoints.by_name, talk.now)
+def take(driver: DispatcherDriver) -> StatisticsSnapshot:
+    return take_snapshot(driver.dispatcher.statistics, driver.dispatcher.endpoints.by_name, driver.now)
 
 
-def restore(talk: Talk, given: StatisticsSnapshot) -> None:
-    restore_snapshot(talk.node.statistics, talk.node.endpoints.by_name, given, talk.now)
+def restore(driver: DispatcherDriver, given: StatisticsSnapshot) -> None:
+    restore_snapshot(driver.dispatcher.statistics, driver.dispatcher.endpoints.by_name, given, driver.now)
 
 
-def test_what_was_learnt_is_the_same_in_a_process_with_another_clock() -> None:
-    old = taught()
-    data = msgspec.msgpack.encode(taken(old))
-    new = Talk(listed=entries(4), now=90_000.0, seed=2)
+def test_a_snapshot_restores_the_same_statistics_under_another_clock() -> None:
+    old = driver_with_statistics()
+    data = msgspec.msgpack.encode(take(old))
+    new = DispatcherDriver(listed=entries(4), now=90_000.0, seed=2)
     restore(new, msgspec.msgpack.decode(data, type=StatisticsSnapshot))
-    for name, worker in old.node.endpoints.by_name.items():
-        other = new.node.endpoints.by_name[name]
-        assert (worker.capacity, worker.consecutive_faults, list(worker.cached_keys)) == (
+    for name, endpoint in old.dispatcher.endpoints.by_name.items():
+        other = new.dispatcher.endpoints.by_name[name]
+        assert (endpoint.capacity, endpoint.consecutive_faults, list(endpoint.cached_keys)) == (
             other.capacity,
             other.consecutive_faults,
             list(other.cached_keys),
         )
-        for band in worker.slowness_by_work_class:
-            kinds = [talk.node.statistics.endpoints.slowness_of_kind("std", talk.now) for talk in (old, new)]
+        for band in endpoint.slowness_by_work_class:
+            kinds = [
+                driver.dispatcher.statistics.endpoints.slowness_of_kind("std", driver.now)
+                for driver in (old, new)
+            ]
             slow = [
-                talk.node.statistics.endpoints.slowness(
-                    talk.node.endpoints.by_name[name], band, kind, talk.now
+                driver.dispatcher.statistics.endpoints.slowness(
+                    driver.dispatcher.endpoints.by_name[name], band, kind, driver.now
                 )
-                for talk, kind in zip((old, new), kinds, strict=True)
+                for driver, kind in zip((old, new), kinds, strict=True)
             ]
             assert abs(slow[0] - slow[1]) < 1e-9
-    assert new.node.statistics.endpoints.fastest_start_ms == old.node.statistics.endpoints.fastest_start_ms
+    assert (
+        new.dispatcher.statistics.endpoints.fastest_start_ms
+        == old.dispatcher.statistics.endpoints.fastest_start_ms
+    )
     # Jobs stay where they are: nothing is held here, and what comes is placed as usual.
-    assert new.node.endpoints.slots_in_flight == 0.0
-    assert not new.node.context.jobs.by_id
-    assert new.placed(1).endpoint in new.node.endpoints.by_name
+    assert new.dispatcher.endpoints.slots_in_flight == 0.0
+    assert not new.dispatcher.context.jobs.by_id
+    assert new.request_and_place(1).endpoint in new.dispatcher.endpoints.by_name
 
 
-def test_executors_that_are_not_listed_are_left_out() -> None:
-    old = taught()
-    new = Talk(listed=entries(2))
-    restore(new, taken(old))
-    assert set(new.node.endpoints.by_name) == {"a0", "a1"}
+def test_endpoints_that_are_not_listed_are_not_restored() -> None:
+    old = driver_with_statistics()
+    new = DispatcherDriver(listed=entries(2))
+    restore(new, take(old))
+    assert set(new.dispatcher.endpoints.by_name) == {"a0", "a1"}
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -1,4 +1,4 @@
-"""A scripted conversation with one dispatcher."""
+"""Scripted event sequences for one dispatcher."""
 
 from __future__ import annotations
 
@@ -58,8 +58,8 @@
     return [EndpointEntry(f"{zone}{i}", **{**base, **changes}) for i in range(count)]
 
 
-class Talk:
-    """Drives a dispatcher event by event and keeps all that it answers."""
+class DispatcherDriver:
+    """Drives a dispatcher event by event and keeps all actions that it returns."""
 
     def __init__(
         self,
@@ -68,50 +68,52 @@
         now: float = 1000.0,
         seed: int = 1,
     ) -> None:
-        self.given = given or settings()
-        self.node = Dispatcher(self.given, seed)
+        self.settings = given or settings()
+        self.dispatcher = Dispatcher(self.settings, seed)
         self.now = now
-        self.timers: list[float] = []
-        self.said: list[Action] = []
-        self.tell(EndpointListUpdate(ListKind.CACHED, list(entries(4) if listed is None else listed)))
-
-    def tell(self, *events: Event) -> list[Action]:
-        actions = self.node.handle(self.now, list(events))
-        self.timers += [self.now + action.delay_ms for action in actions if isinstance(action, SetTimer)]
-        self.said += actions
+        self.timers_at: list[float] = []
+        self.actions: list[Action] = []
+        self.handle(EndpointListUpdate(ListKind.CACHED, list(entries(4) if listed is None else listed)))
+
+    def handle(self, *events: Event) -> list[Action]:
+        actions = self.dispatcher.handle(self.now, list(events))
+        self.timers_at += [self.now + action.delay_ms for action in actions if isinstance(action, SetTimer)]
+        self.actions += actions
         return actions
 
     def run(self, duration: float) -> list[Action]:
-        """Let time pass: fire the timers as they come due."""
+        """Let time pass, firing the timers as they come due; return the actions."""
         end = self.now + duration
         actions: list[Action] = []
         for _ in range(100_000):
-            due = min((at for at in self.timers if at <= end), default=None)
+            due = min((at for at in self.timers_at if at <= end), default=None)
             if due is None:
                 self.now = end
                 return actions
-            self.timers.remove(due)
+            self.timers_at.remove(due)
             self.now = max(self.now, due)
-            actions += self.tell(TimerFired(0))
+            actions += self.handle(TimerFired(0))
         raise AssertionError("the dispatcher keeps setting timers without end")
 
-    def ask(self, ref: int, job_class: str = "lookup", **changes: Any) -> list[Action]:
+    def request(self, job_id: int, job_class: str = "lookup", **changes: Any) -> list[Action]:
         base: dict[str, Any] = {"timeout_ms": 5000.0, "work_ms": 300.0}
-        return self.tell(JobRequest(ref, job_class, **{**base, **changes}))
+        return self.handle(JobRequest(job_id, job_class, **{**base, **changes}))
 
-    def placed(self, ref: int, job_class: str = "lookup", **changes: Any) -> StartAttempt:
-        """Ask, let a round pass, and return the send."""
-        self.ask(ref, job_class, **changes)
+    def request_and_place(self, job_id: int, job_class: str = "lookup", **changes: Any) -> StartAttempt:
+        """Request a job, let a round pass, and return its latest attempt."""
+        self.request(job_id, job_class, **changes)
         self.run(60.0)
-        return self.all(StartAttempt, ref)[-1]
+        return self.actions_of(StartAttempt, job_id)[-1]
 
-    def end(
+    def end_attempt(
         self, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool | None = None
     ) -> list[Action]:
         over = outcome is Outcome.SERVED if closed is None else closed
-        return self.tell(AttemptEnded(send.id, attempt, send.endpoint, outcome, 10.0, over))
+        return self.handle(AttemptEnded(send.id, attempt, send.endpoint, outcome, 10.0, over))
 
-    def all(self, kind: type[A], ref: int | None = None) -> list[A]:
+    def actions_of(self, kind: type[A], job_id: int | None = None) -> list[A]:
         return [
-            a for a in self.said if isinstance(a, kind) and (ref is None or getattr(a, "id", None) == ref)
+            a
+            for a in self.actions
+            if isinstance(a, kind) and (job_id is None or getattr(a, "id", None) == job_id)
         ]
--- a/tests/support/dispatcher_fleet.py
+++ b/tests/support/dispatcher_fleet.py
@@ -1,4 +1,4 @@
-"""Many dispatchers that share stand-in executors, on a fake clock: what is harmless at one is summed here."""
+"""Many dispatchers that share simulated endpoints, on a fake clock: what is harmless at one adds up here."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 from burlmoor.types.outcome import Outcome
 from burlmoor.types.settings import Settings
 
-NET = 2.0  # ms that news takes between a node and an executor
+NETWORK_DELAY_MS = 2.0  # one way, between a node and an endpoint
 
 
 @dataclass
-class StandIn:
-    """An executor: so many jobs run at once, the others wait in order."""
+class SimulatedEndpoint:
+    """An endpoint: so many jobs run at once, the others are queued in order."""
 
     entry: EndpointEntry
-    free: int = 4  # slots
-    silent: bool = False  # it vanished: it tells nothing
-    bad: bool = False  # it answers each job with an error at once
+    free_slots: int = 4
+    is_silent: bool = False  # it vanished: it reports nothing
+    is_faulty: bool = False  # it ends each job with an error at once
     queue: deque[tuple[int, int, int]] = field(default_factory=deque)  # node, job, attempt
 
 
 @dataclass
 class Fleet:
-    """Nodes, executors and a clock; jobs are given with `ask`."""
+    """Nodes, endpoints and a clock; jobs come by `request` and `generate_load`."""
 
-    given: Settings
+    settings: Settings
     listed: Sequence[EndpointEntry]
     seed: int = 1
     slots: int = 4
@@ -49,112 +49,126 @@
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        count, given = self.given.node_count, self.given
+        count, given = self.settings.node_count, self.settings
         self.nodes = [Dispatcher(replace(given, node_index=n), self.seed * 1000 + n) for n in range(count)]
-        self.stands: dict[str, StandIn] = {}
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = self.ids = 0
-        self.jobs: dict[int, tuple[float, float, str]] = {}  # asked at, work, key
-        self.tries: Counter[tuple[int, int]] = Counter()
-        self.out: set[tuple[int, int, int]] = set()
-        self.done: dict[int, str] = {}
+        self.endpoints: dict[str, SimulatedEndpoint] = {}
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self.schedule_count = self.last_job_id = 0
+        self.jobs: dict[int, tuple[float, float, str]] = {}  # requested at, work, key
+        self.attempt_counts: Counter[tuple[int, int]] = Counter()
+        self.pending_attempts: set[tuple[int, int, int]] = set()
+        self.final_answers: dict[int, str] = {}
         self.sends: list[tuple[float, str, float]] = []  # when, to whom, work
-        self.list_to(range(len(self.nodes)), ListKind.CACHED, self.listed)
+        self.send_list(range(len(self.nodes)), ListKind.CACHED, self.listed)
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        """Have something happen then."""
-        self.order += 1
-        heapq.heappush(self.due, (when, self.order, what))
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
+        """Schedule an action for a moment."""
+        self.schedule_count += 1
+        heapq.heappush(self.scheduled, (when, self.schedule_count, action))
 
-    def list_to(self, nodes: Iterable[int], form: ListKind, entries: Sequence[EndpointEntry]) -> None:
-        """Tell some nodes a list; executors that are new stand ready."""
+    def send_list(self, nodes: Iterable[int], kind: ListKind, entries: Sequence[EndpointEntry]) -> None:
+        """Send a list to some nodes; endpoints that are new in it are ready at once."""
         for each in entries:
-            known = self.stands.get(each.endpoint)
+            known = self.endpoints.get(each.endpoint)
             if known is None or known.entry.started_at != each.started_at:
-                self.stands[each.endpoint] = StandIn(each, self.slots)
+                self.endpoints[each.endpoint] = SimulatedEndpoint(each, self.slots)
         for node in nodes:
-            self.tell(node, EndpointListUpdate(form, list(entries)))
-
-    def ask(
-        self, job_class: str, work: float, key: str = "", patience: float = 5000.0, node: int | None = None
+            self.handle(node, EndpointListUpdate(kind, list(entries)))
+
+    def request(
+        self,
+        job_class: str,
+        work_ms: float,
+        key: str = "",
+        timeout_ms: float = 5000.0,
+        node: int | None = None,
     ) -> None:
-        """A client's job, at any node or at a given one."""
-        self.ids += 1
-        self.jobs[self.ids] = (self.now, work, key)
+        """Send a client's job to a random node, or to the one given."""
+        self.last_job_id += 1
+        self.jobs[self.last_job_id] = (self.now, work_ms, key)
         node = self.rng.randrange(len(self.nodes)) if node is None else node
-        self.tell(node, JobRequest(self.ids, job_class, patience, work, affinity_key=key))
+        self.handle(node, JobRequest(self.last_job_id, job_class, timeout_ms, work_ms, affinity_key=key))
 
-    def load(
-        self, rate: float, until: float, make: Callable[[random.Random], tuple[str, float, str]]
+    def generate_load(
+        self,
+        jobs_per_second: float,
+        until: float,
+        make_job: Callable[[random.Random], tuple[str, float, str]],
     ) -> None:
-        """Ask at so many a second until then; `make` draws class, work and key."""
+        """Send jobs at this mean rate until then; `make_job` draws class, work and key."""
 
-        def once() -> None:
-            self.ask(*make(self.rng))
+        def send_one() -> None:
+            self.request(*make_job(self.rng))
             if self.now < until:
-                self.at(self.now + self.rng.expovariate(rate / 1000.0), once)
+                self.schedule(self.now + self.rng.expovariate(jobs_per_second / 1000.0), send_one)
 
-        self.at(self.now, once)
+        self.schedule(self.now, send_one)
 
     def run(self, until: float) -> None:
-        """Let what is due happen."""
-        while self.due and self.due[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.due)
-            what()
+        """Run what is scheduled up to a moment."""
+        while self.scheduled and self.scheduled[0][0] <= until:
+            self.now, _, action = heapq.heappop(self.scheduled)
+            action()
         self.now = until
 
-    def tell(self, node: int, event: Event) -> None:
-        """Tell one node, and carry out what it decides."""
+    def handle(self, node: int, event: Event) -> None:
+        """Hand an event to one node, and carry out the actions it returns."""
         for action in self.nodes[node].handle(self.now, [event]):
             match action:
                 case StartAttempt():
-                    self._send(node, action)
+                    self._start_attempt(node, action)
                 case SetTimer():
-                    self.at(self.now + max(action.delay_ms, 1.0), lambda: self.tell(node, TimerFired(0)))
+                    self.schedule(
+                        self.now + max(action.delay_ms, 1.0), lambda: self.handle(node, TimerFired(0))
+                    )
                 case CancelAttempt():
-                    self._end(node, action.id, action.attempt, Outcome.CANCELLED)
+                    self._end_attempt(node, action.id, action.attempt, Outcome.CANCELLED)
                 case RejectJob() | FailJob():
-                    self.done.setdefault(action.id, "refused")
-
-    def _send(self, node: int, send: StartAttempt) -> None:
-        number, stand = self.tries[node, send.id], self.stands[send.endpoint]
-        self.tries[node, send.id] += 1
-        self.out.add((node, send.id, number))
-        self.sends.append((self.now, send.endpoint, self.jobs[send.id][1]))
-        if stand.bad:
-            self._end(node, send.id, number, Outcome.ERROR, send.endpoint)
-        elif not stand.silent:
-            stand.queue.append((node, send.id, number))
-            self.at(self.now + NET, lambda: self._next(stand))
-
-    def _next(self, stand: StandIn) -> None:
-        while stand.queue and stand.free > 0 and not stand.silent:
-            node, job, number = stand.queue.popleft()
-            if (node, job, number) not in self.out:
+                    self.final_answers.setdefault(action.id, "refused")  # the word in the golden record
+
+    def _start_attempt(self, node: int, action: StartAttempt) -> None:
+        number, endpoint = self.attempt_counts[node, action.id], self.endpoints[action.endpoint]
+        self.attempt_counts[node, action.id] += 1
+        self.pending_attempts.add((node, action.id, number))
+        self.sends.append((self.now, action.endpoint, self.jobs[action.id][1]))
+        if endpoint.is_faulty:
+            self._end_attempt(node, action.id, number, Outcome.ERROR, action.endpoint)
+        elif not endpoint.is_silent:
+            endpoint.queue.append((node, action.id, number))
+            self.schedule(self.now + NETWORK_DELAY_MS, lambda: self._start_queued(endpoint))
+
+    def _start_queued(self, endpoint: SimulatedEndpoint) -> None:
+        while endpoint.queue and endpoint.free_slots > 0 and not endpoint.is_silent:
+            node, job, number = endpoint.queue.popleft()
+            if (node, job, number) not in self.pending_attempts:
                 continue
-            stand.free -= 1
-            name = stand.entry.endpoint
-            self.tell(node, AttemptStarted(job, number, name))
-            self.at(self.now + self.jobs[job][1], partial(self._ran, stand, node, job, number))
-
-    def _ran(self, stand: StandIn, node: int, job: int, number: int) -> None:
-        stand.free += 1
-        if not stand.silent:
-            self._end(node, job, number, Outcome.SERVED, stand.entry.endpoint)
-        self._next(stand)
-
-    def _end(self, node: int, job: int, number: int, outcome: Outcome, name: str = "") -> None:
-        if (node, job, number) not in self.out:
+            endpoint.free_slots -= 1
+            name = endpoint.entry.endpoint
+            self.handle(node, AttemptStarted(job, number, name))
+            self.schedule(
+                self.now + self.jobs[job][1], partial(self._finish_run, endpoint, node, job, number)
+            )
+
+    def _finish_run(self, endpoint: SimulatedEndpoint, node: int, job: int, number: int) -> None:
+        endpoint.free_slots += 1
+        if not endpoint.is_silent:
+            self._end_attempt(node, job, number, Outcome.SERVED, endpoint.entry.endpoint)
+        self._start_queued(endpoint)
+
+    def _end_attempt(self, node: int, job: int, number: int, outcome: Outcome, endpoint: str = "") -> None:
+        if (node, job, number) not in self.pending_attempts:
             return
-        self.out.discard((node, job, number))
+        self.pending_attempts.discard((node, job, number))
         served = outcome is Outcome.SERVED
-        over = served or job in self.done
+        over = served or job in self.final_answers
         if served:
-            self.done.setdefault(job, "served")
-        at, elapsed = self.now + NET, self.now - self.jobs[job][0]
-        self.at(at, lambda: self.tell(node, AttemptEnded(job, number, name, outcome, elapsed, over)))
-
-    def share_of(self, end: str, key: str | None = None) -> float:
-        """The part of all jobs, or of a key's, that ended so."""
-        asked = [job for job, (_, _, each) in self.jobs.items() if key in (None, each)]
-        return sum(self.done.get(job) == end for job in asked) / len(asked)
+            self.final_answers.setdefault(job, "served")
+        at, elapsed = self.now + NETWORK_DELAY_MS, self.now - self.jobs[job][0]
+        self.schedule(
+            at, lambda: self.handle(node, AttemptEnded(job, number, endpoint, outcome, elapsed, over))
+        )
+
+    def share_answered(self, answer: str, key: str | None = None) -> float:
+        """Return the share of all jobs, or of a key's, that got this answer."""
+        jobs = [job for job, (_, _, each) in self.jobs.items() if key in (None, each)]
+        return sum(self.final_answers.get(job) == answer for job in jobs) / len(jobs)
