--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -64,7 +64,8 @@
         report = trio.run(_load_new_installation, rate, seconds, seed, executors, Path(folder))
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
     _ERR.print(
-        f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job and {report.memory_bytes / 2**20:.0f} MiB."
+        f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job "
+        f"and {report.memory_bytes / 2**20:.0f} MiB."
     )
     _finish(report, sink)
 
@@ -97,7 +98,7 @@
     sink: IO[str] | None,
 ) -> None:
     """Put an open-loop load on one node: latency from the intended start, outcomes, the node's CPU a job."""
-    kinds = tuple(kind._replace(work=run_ms) for kind in JOB_CLASSES)
+    kinds = tuple(kind._replace(mean_work_ms=run_ms) for kind in JOB_CLASSES)
     if to is not None:
         address = _parse_node_address(to)
         report = trio.run(_load_node, address, pid, rate, seconds, seed, kinds)
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -185,7 +185,7 @@
             monkeypatch.setattr(harness.node.pool, "call", call)
         runner.cancel_attempt(attempt)
         await harness.wait_until(lambda: not runner.pending_cancels)
-        assert attempt.is_over is is_cancelled
+        assert attempt.has_ended is is_cancelled
         assert attempt.outcome is (Outcome.CANCELLED if is_cancelled else None)
 
     run_scenario(scenario)
