--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -16,9 +16,10 @@
 from burlmoor.cli.main import complain
 from burlmoor.testbed.drill import Verdict
 from burlmoor.testbed.fleet import record as records
-from burlmoor.testbed.fleet.faults import draw, read
+from burlmoor.testbed.fleet.random_schedule import draw_schedule
 from burlmoor.testbed.fleet.run import Fleet
-from burlmoor.testbed.fleet.verdict import found
+from burlmoor.testbed.fleet.schedule_file import parse_schedule
+from burlmoor.testbed.fleet.verdict import assess_run
 
 
 @click.group()
@@ -26,10 +27,10 @@
     """Many node processes on loopback, stand-ins round them, and faults between them."""
 
 
-def _verdict(record: records.Record) -> Verdict:
-    judged = found(record)
+def _verdict(record: records.RunRecord) -> Verdict:
+    judged = assess_run(record)
     verdict = Verdict("fleet", record.plan.seed, record.plan.seconds, judged.claims(), judged.figures())
-    for line in judged.audit.broken[:20]:
+    for line in judged.audit.violations[:20]:
         print(f"burlmoor: {line}", file=sys.stderr)
     return verdict
 
@@ -69,11 +70,15 @@
 ) -> None:
     """Play a SCHEDULE of troubles (INI), and say what was found: status 1 where a claim did not hold."""
     try:
-        wanted = read(schedule.read_text()) if schedule is not None else draw(seed, seconds, troubles)
+        wanted = (
+            parse_schedule(schedule.read_text())
+            if schedule is not None
+            else draw_schedule(seed, seconds, troubles)
+        )
     except (ValueError, UnicodeDecodeError) as error:
         complain([f"{schedule}: {error}"])
         return
-    plan = records.Plan(
+    plan = records.RunPlan(
         nodes,
         executors,
         seconds,
@@ -81,9 +86,9 @@
         rate,
         load,
         zones,
-        loud=loud,
-        keys=keys,
-        hot=hot,
+        first_node_factor=loud,
+        key_count=keys,
+        hot_key_share=hot,
         schedule=wanted,
     )
     console = Console(stderr=True)
@@ -92,7 +97,9 @@
         record = trio.run(played.run)
         record.write(keep or Path(folder))
     verdict = _verdict(record)
-    console.print(f"nodes ready after {record.started:.1f} s; {record.cpus:.1f} cores used", style="dim")
+    console.print(
+        f"nodes ready after {record.startup_seconds:.1f} s; {record.cores_used:.1f} cores used", style="dim"
+    )
     told(verdict)
     if sink is not None:
         sink.write(json.dumps(verdict.to_json_object(), indent=2) + "\n")
@@ -104,10 +111,10 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="The picture; RUN/report.png.")
 def report(run: Path, out: Path | None) -> None:
     """Draw the record that a RUN has kept, and tell its figures again."""
-    from burlmoor.testbed.fleet.report import draw as draw_report  # noqa: PLC0415
+    from burlmoor.testbed.fleet.report import draw_report  # noqa: PLC0415
 
     try:
-        record = records.read(run)
+        record = records.read_record(run)
     except ValueError as error:
         complain([str(error)])
         return
