--- a/burlmoor/__init__.py
+++ b/burlmoor/__init__.py
@@ -1,4 +1,4 @@
-"""burlmoor: the decisions of a dispatcher that pushes jobs to workers."""
+"""burlmoor: a load balancer that sends jobs to executors. Exports the policy, `Dispatcher`."""
 
 from burlmoor.policy.dispatcher import Dispatcher
 
--- a/burlmoor/policy/attempts.py
+++ b/burlmoor/policy/attempts.py
@@ -9,8 +9,8 @@
 from burlmoor.stats.job import ScheduledAttempt, ScheduledJob
 
 MAX_SILENT_INTERVALS = 1.5  # an attempt silent for this many progress intervals is taken to hang
-MAX_REDISTRIBUTIONS = 3.0  # redistributions of jobs that have not started: tokens of the bucket,
-REDISTRIBUTIONS_PER_SEND = 0.03  # and how fast it fills
+# The token bucket for redistributing jobs that have not started: its size, and tokens added by each send.
+MAX_REDISTRIBUTION_TOKENS, TOKENS_PER_SEND = 3.0, 0.03
 
 
 class AttemptSender:
@@ -22,7 +22,7 @@
         self._measured = context.statistics.endpoints
         interval_ms = context.settings.progress_interval_ms
         self.max_silence_ms = MAX_SILENT_INTERVALS * interval_ms if interval_ms > 0 else math.inf
-        self.redistribution_tokens = MAX_REDISTRIBUTIONS
+        self.redistribution_tokens = MAX_REDISTRIBUTION_TOKENS
 
     def send(self, job: ScheduledJob, selection: Selection, now: float) -> None:
         """Send the job to the endpoint selected."""
@@ -42,8 +42,8 @@
             attempt.started_at = now
         self._context.safety.send(job, attempt)
         self._context.endpoints.acquire(endpoint, job, now)
-        tokens = self.redistribution_tokens + REDISTRIBUTIONS_PER_SEND
-        self.redistribution_tokens = min(MAX_REDISTRIBUTIONS, tokens)
+        tokens = self.redistribution_tokens + TOKENS_PER_SEND
+        self.redistribution_tokens = min(MAX_REDISTRIBUTION_TOKENS, tokens)
         self.schedule_next_check(job, now)
 
     def schedule_next_check(self, job: ScheduledJob, now: float) -> None:
--- a/burlmoor/policy/dispatch_rounds.py
+++ b/burlmoor/policy/dispatch_rounds.py
@@ -60,7 +60,7 @@
             saturation=self._endpoints.saturation(),
             is_mostly_urgent=2 * sum(job.is_urgent for job in queue) > len(queue),
         )
-        self._selector.start_round()
+        self._selector.start_round(now)
         self._place_all(queue, state, now)
         if self.queue:
             self.next_round_at = self._jittered(now, ROUND_TICKS)
--- a/burlmoor/policy/endpoint_scoring.py
+++ b/burlmoor/policy/endpoint_scoring.py
@@ -9,7 +9,7 @@
 from burlmoor.stats.endpoint_statistics import EVIDENCE_HALF_LIFE_MS
 from burlmoor.stats.job import ScheduledJob
 
-ESTIMATE_MARGIN = 1.16  # what an expected time is multiplied by
+ESTIMATE_MARGIN = 1.16  # what an expected time is multiplied by before it is compared with what remains
 MIN_ON_TIME_PROBABILITY = 0.2  # an endpoint where it is less is not used
 MIN_RELATIVE_PROBABILITY = 0.5  # nor one where it is less than this part of the fastest kind's
 SATURATED_RATE_SHARE = 0.6  # of what an endpoint's time earns a job has to promise, on a saturated fleet
@@ -40,7 +40,7 @@
 
 
 class EndpointScorer:
-    """Scores endpoints for one job in one round."""
+    """Scores endpoints for one job in one round; what is the same for all of them is worked out once."""
 
     def __init__(self, context: PolicyContext, job: ScheduledJob, state: RoundState, now: float) -> None:
         statistics = context.statistics
--- a/burlmoor/policy/endpoint_selection.py
+++ b/burlmoor/policy/endpoint_selection.py
@@ -6,6 +6,7 @@
 from burlmoor.policy.context import PolicyContext
 from burlmoor.policy.endpoint_eligibility import EndpointEligibility
 from burlmoor.policy.endpoint_scoring import EndpointScorer, RoundState, Selection
+from burlmoor.stats.endpoint import Endpoint
 from burlmoor.stats.job import ScheduledJob
 
 
@@ -15,10 +16,12 @@
     def __init__(self, context: PolicyContext) -> None:
         self._context = context
         self._eligibility = EndpointEligibility(context)
+        self._assigned: list[Endpoint] = []  # warming endpoints that this node looks at for each job
 
-    def start_round(self) -> None:
+    def start_round(self, now: float) -> None:
         """Take in what has changed since the round before."""
         self._eligibility.start_round()
+        self._assigned = self._context.endpoints.slow_start.assigned_endpoints(now)
 
     def select(self, job: ScheduledJob, state: RoundState, now: float) -> Selection | None:
         """Return the best endpoint for a job; None where it has to wait."""
@@ -26,11 +29,10 @@
         kind = job.job_class.required_kind
         affinity = endpoints.affinity.select(endpoints.candidates(kind).affinity, job.key, job.key_share, now)
         scorer = EndpointScorer(self._context, job, state, now)
-        assigned = endpoints.slow_start.assigned_endpoints(now)
-        drawn = [*(affinity.usable or endpoints.draw(kind)), *assigned]
+        drawn = [*(affinity.usable or endpoints.draw(kind)), *self._assigned]
         best: Selection | None = None
         for looked_at, endpoint in enumerate(self._eligibility.eligible(job, drawn, now)):
-            is_optional = looked_at >= LOCAL_SAMPLE and endpoint not in assigned
+            is_optional = looked_at >= LOCAL_SAMPLE and endpoint not in self._assigned
             if affinity.usable and is_optional and best is not None:
                 continue
             is_key_cached = (
--- a/burlmoor/policy/load_shedding.py
+++ b/burlmoor/policy/load_shedding.py
@@ -14,12 +14,11 @@
 
     def __init__(self, context: PolicyContext) -> None:
         self._context = context
-        self._jobs = context.jobs
 
     def shed(
         self, queue: list[ScheduledJob], slowness: float, round_ms: float, now: float
     ) -> list[ScheduledJob]:
-        """Reject what cannot be useful any more and what is too much; return the rest of the queue.
+        """Reject what cannot be in time any more, and what is too much for the fleet; return the rest.
 
         The queue is in order of priority; `slowness` is the fleet's time per unit of work.
         """
@@ -42,7 +41,7 @@
             is_excess = is_overload and job.rounds_waited > 0 and not job.attempts
             (excess if is_excess else kept).append(job)
         for job in reversed(excess):
-            self._jobs.abandon(job)
+            self._context.jobs.abandon(job)
         if excess:
             self._context.warn("overload: refusing the least worth", now)
         return kept
@@ -50,4 +49,4 @@
     def _drop_from_queue(self, job: ScheduledJob) -> None:
         job.is_queued = False
         if not job.pending_attempts():
-            self._jobs.abandon(job)
+            self._context.jobs.abandon(job)
--- a/burlmoor/policy/open_jobs.py
+++ b/burlmoor/policy/open_jobs.py
@@ -25,7 +25,10 @@
         return job, job.attempts[number]
 
     def abandon(self, job: ScheduledJob) -> None:
-        """Reject the job, or fail it where that is not safe, with a Retry-After spread at random."""
+        """Reject the job, or fail it where that is not safe, with a Retry-After spread at random.
+
+        Every rejection comes from here. Callers: `LoadShedder` and `RetryPolicy`, which say why.
+        """
         self._safety.finish(job, self._rng.uniform(0.5, 1.0) * self._max_retry_after_ms)
         self.forget_if_over(job)
 
--- a/burlmoor/policy/safety.py
+++ b/burlmoor/policy/safety.py
@@ -1,4 +1,8 @@
-"""The retry-safety rules, which every send, final answer and cancel has to keep."""
+"""The retry-safety rules, which every send, final answer and cancel has to keep.
+
+Rule 1: a request gets exactly one final answer, before its deadline. Rule 2: no job that may have run is run
+again, nor its client told that a retry is harmless, unless its class allows a repeat.
+"""
 
 from __future__ import annotations
 
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -5,6 +5,8 @@
 from collections.abc import Iterable
 from typing import Any, TypeVar
 
+import pytest
+
 from burlmoor.policy.dispatcher import Dispatcher
 from burlmoor.types.actions import Action, SetTimer, StartAttempt
 from burlmoor.types.endpoint_list import EndpointEntry, ListKind
@@ -93,7 +95,7 @@
             self.timers_at.remove(due)
             self.now = max(self.now, due)
             actions += self.handle(TimerFired(0))
-        raise AssertionError("the dispatcher keeps setting timers without end")
+        pytest.fail("the dispatcher keeps setting timers without end")
 
     def request(self, job_id: int, job_class: str = "lookup", **changes: Any) -> list[Action]:
         base: dict[str, Any] = {"timeout_ms": 5000.0, "work_ms": 300.0}
