--- a/burlmoor/discovery/schedule.py
+++ b/burlmoor/discovery/schedule.py
@@ -138,13 +138,13 @@
             return
         self.failures += 1
         self._is_recovering = True
-        timed_out = result is CallResult.TIMED_OUT
-        allowance = _NOTIFICATION_SECONDS if timed_out else self._failure_allowance
+        is_timeout = result is CallResult.TIMED_OUT
+        allowance = _NOTIFICATION_SECONDS if is_timeout else self._failure_allowance
         self._notification_deadline = min(self._notification_deadline, self._last_start + allowance)
         if self._has_agent:
-            self._next_start = now + (0.0 if timed_out else _AGENT_RETRY_SECONDS)
+            self._next_start = now + (0.0 if is_timeout else _AGENT_RETRY_SECONDS)
         else:
-            self._next_start = now + self._retry_delay(timed_out, allowance, now)
+            self._next_start = now + self._retry_delay(is_timeout, allowance, now)
 
     def _on_answer(self, now: float) -> None:
         self.failures = 0
@@ -155,9 +155,9 @@
         # A full list that was wanted only after this call had started is still to come.
         self._is_full_list_wanted = self._is_full_list_wanted and not self._was_full_list_requested
 
-    def _retry_delay(self, timed_out: bool, allowance: float, now: float) -> float:
+    def _retry_delay(self, is_timeout: bool, allowance: float, now: float) -> float:
         """Draw the backoff with jitter before the next call, so that it still meets its deadline."""
-        if timed_out:
+        if is_timeout:
             # Silence is no sign that discovery is overloaded, so a small fleet calls again at once.
             backoff = least = 0.0
         else:
--- a/burlmoor/endpoints/directory.py
+++ b/burlmoor/endpoints/directory.py
@@ -98,10 +98,10 @@
         entries = [] if cached is None else self._merge(cached)
         self._observer.on_endpoint_list(ListKind.CACHED, self._policy_entries(entries))
 
-    def restore(self, handed_over: DiscoveredList | None) -> None:
+    def restore(self, from_predecessor: DiscoveredList | None) -> None:
         """Take in the list of the process before this one, which is newer than the cached one."""
-        if handed_over is not None:
-            entries = self._merge(handed_over)
+        if from_predecessor is not None:
+            entries = self._merge(from_predecessor)
             self._observer.on_endpoint_list(ListKind.SNAPSHOT, self._policy_entries(entries))
 
     def apply_response(self, body: bytes) -> None:
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -15,7 +15,12 @@
 from burlmoor.log import EventLogger
 from burlmoor.types.outcome import Outcome
 from burlmoor.upstream.connection import PooledConnection
-from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
+from burlmoor.upstream.errors import (
+    BrokenResponseError,
+    ConnectError,
+    RequestNotSentError,
+    ResponseTimeoutError,
+)
 from burlmoor.upstream.health_check import HealthChecker
 from burlmoor.upstream.http import Response
 from burlmoor.upstream.outcome import STATUS_ACCEPTED, outcome_of
@@ -92,7 +97,7 @@
     # --- what the engine requires -----------------------------------------------------------------
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Start the attempt; the engine is told how it ends, unless the endpoint accepts the job."""
+        """Start the attempt; the engine learns how it ends, unless the endpoint accepts the job."""
         self._in_flight[attempt] = in_flight = _InFlight(trio.CancelScope())
         self._nursery.start_soon(self._run, attempt, in_flight)
 
@@ -107,7 +112,7 @@
             self._nursery.start_soon(self._send_cancel, attempt)
 
     def check_health(self, endpoint: str) -> None:
-        """Start a health check of an endpoint; the engine is told its outcome."""
+        """Start a health check of an endpoint; the engine learns the outcome."""
         self._nursery.start_soon(self._health_checker.check, endpoint)
 
     # --- one attempt ------------------------------------------------------------------------------
@@ -148,13 +153,13 @@
         return None if in_flight.is_accepted else outcome_of(response)
 
     async def _read_response(self, attempt: Attempt, connection: PooledConnection) -> Response:
-        """Read the response; BrokenResponseError if none comes in time."""
+        """Read the response; ResponseTimeoutError if none comes in time."""
         # A non-idempotent job can't be retried elsewhere anyway, so it waits for as long as its client does.
         timeout = math.inf if attempt.job.is_non_idempotent else _ACCEPT_TIMEOUT_SECONDS
         with trio.move_on_after(timeout):
             return await connection.read()
         # Without this, a job would wait until its deadline on a connection that has fallen silent.
-        raise BrokenResponseError("no response came in time")
+        raise ResponseTimeoutError(timeout)
 
     async def _send_request(self, attempt: Attempt) -> PooledConnection:
         """Write the complete request to a connection; that connection."""
@@ -191,7 +196,7 @@
     # --- cancellation -----------------------------------------------------------------------------
 
     async def _send_cancel(self, attempt: Attempt) -> None:
-        """Send the DELETE; the engine is told if the endpoint has answered it, or is gone."""
+        """Send the DELETE; the engine learns if the endpoint has answered it, or is gone."""
         try:
             if await self._is_cancelled_by_delete(attempt):
                 self._engine.on_attempt_cancelled(attempt)
--- a/burlmoor/upstream/errors.py
+++ b/burlmoor/upstream/errors.py
@@ -30,3 +30,26 @@
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
         self.reason = reason
+
+
+class ConnectionEndedError(BrokenResponseError):
+    """The peer closed the connection before the response was complete."""
+
+    def __init__(self) -> None:
+        super().__init__("the connection has ended")
+
+
+class ResponseTooLongError(BrokenResponseError):
+    """The response's body exceeds what is allowed, `limit` bytes."""
+
+    def __init__(self, limit: int) -> None:
+        super().__init__(f"the response is too long, {limit} bytes are allowed")
+        self.limit = limit
+
+
+class ResponseTimeoutError(BrokenResponseError):
+    """No response came in time."""
+
+    def __init__(self, timeout_seconds: float) -> None:
+        super().__init__(f"no response came within {timeout_seconds} s")
+        self.timeout_seconds = timeout_seconds
--- a/burlmoor/upstream/http.py
+++ b/burlmoor/upstream/http.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from burlmoor.upstream.errors import BrokenResponseError
+from burlmoor.upstream.errors import BrokenResponseError, ConnectionEndedError, ResponseTooLongError
 
 _END_OF_MESSAGE = h11.EndOfMessage()
 
@@ -74,14 +74,14 @@
                 head = self._response_head
                 return Response(head.status_code, dict(head.headers), bytes(self._body))
             elif isinstance(event, h11.ConnectionClosed):
-                raise BrokenResponseError("the connection has ended")
+                raise ConnectionEndedError
             elif not isinstance(event, h11.InformationalResponse):
                 return None
 
     def _append_to_body(self, data: bytes | bytearray) -> None:
         self._body += data
         if len(self._body) > self._body_limit:
-            raise BrokenResponseError(f"the response is too long, {self._body_limit} bytes are allowed")
+            raise ResponseTooLongError(self._body_limit)
 
     def prepare_next_request(self) -> bool:
         """Make ready for another request; False if the connection cannot carry one."""
--- a/tests/discovery/test_schedule.py
+++ b/tests/discovery/test_schedule.py
@@ -17,7 +17,7 @@
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.types.endpoint_list import EndpointEntry, ListKind
-from burlmoor.upstream.errors import BrokenResponseError
+from burlmoor.upstream.errors import ConnectionEndedError
 from burlmoor.upstream.http import Response
 from tests.discovery.watch_simulation import DRAIN_RULE, QUEUE_TIMEOUT, new_schedule
 
@@ -172,7 +172,7 @@
 
     async def call(self, *_: object) -> Response:
         self.called_at.append(trio.current_time())
-        raise BrokenResponseError("status 503")
+        raise ConnectionEndedError
 
 
 def discard(*_: object, **__: object) -> None:
--- /dev/null
+++ b/tests/discovery/test_watch_mutations.py
@@ -0,0 +1,66 @@
+"""The mutations of the testbed that concern discovery change what they name, and are noticed."""
+
+from __future__ import annotations
+
+from typing import Any, cast
+
+import pytest
+
+from burlmoor.discovery import schedule
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.testbed.mutations import OF_WATCH
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+from tests.discovery.watch_simulation import DRAIN_RULE, World, worst_lateness
+
+
+def world(seed: int) -> World:
+    return World(
+        nodes=5,
+        has_agent=False,
+        changes=[10.0, 12.0, 16.0, 18.0, 20.0],
+        silences=[9.5],
+        resets=[],
+        outages=[(15.0, 4.0)],
+        moves=[],
+        invalid=[],
+        poll_interval=10.0,
+        seed=seed,
+    )
+
+
+@pytest.mark.parametrize("name", ["late-watch", "slow-again"])
+def test_a_mutation_of_the_schedule_delays_changes_beyond_the_drain_rule(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    constants = {constant: value for constant, value in vars(schedule).items() if constant.isupper()}
+    for constant, value in constants.items():
+        monkeypatch.setattr(schedule, constant, value)  # so that each is restored afterwards
+    assert all(worst_lateness(world(seed)) <= DRAIN_RULE for seed in range(5))
+    OF_WATCH[name]()
+    assert {constant for constant in vars(schedule) if constant.isupper()} == set(constants)
+    assert any(worst_lateness(world(seed)) > DRAIN_RULE for seed in range(5))
+
+
+class Observer:
+    def __init__(self) -> None:
+        self.states: list[EndpointState] = []
+
+    def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None:
+        self.states += [entry.state for entry in entries]
+
+
+def load_draining() -> tuple[bool, list[EndpointState]]:
+    """Whether an endpoint that drains may be sent work, and the state that the policy learns of it."""
+    observer = Observer()
+    directory = EndpointDirectory(observer, cast(Any, None), lambda unix_ms: unix_ms, print)
+    directory.load_cached(DiscoveredList(1, True, [DiscoveredEndpoint("e0", "h:1", health="leaving")]))
+    return directory.find_live("e0") is not None, observer.states
+
+
+def test_the_undrained_mutation_lets_a_draining_endpoint_get_work(monkeypatch: pytest.MonkeyPatch) -> None:
+    for method in ("find_live", "_effective_state"):
+        monkeypatch.setattr(EndpointDirectory, method, getattr(EndpointDirectory, method))
+    assert load_draining() == (False, [EndpointState.DRAINING])
+    OF_WATCH["undrained"]()
+    assert load_draining() == (True, [EndpointState.LIVE])
