--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -170,7 +170,7 @@
             open_connection = self._pool.connect if must_connect else self._pool.acquire
             connection = await open_connection(endpoint.address)
             try:
-                # All may have changed while the connection came up. No await from here to the first byte.
+                # All may have changed during the connect. Nothing suspends from here to the first byte.
                 recheck_send_precondition(attempt, self._directory, endpoint)
                 await self._write_request(attempt, connection)
             except RequestNotSentError:
--- a/burlmoor/upstream/send_precondition.py
+++ b/burlmoor/upstream/send_precondition.py
@@ -29,7 +29,7 @@
     - The endpoint is live: neither draining, nor gone, nor disabled by an override. Without this, an endpoint
       would get work after the node was notified that it drains (the drain rule, rule 3).
 
-    No task may run between this check and the first byte: the caller must not await in between.
+    No other task may run between this check and the first byte: the caller must not suspend in between.
     """
     if attempt.has_ended or attempt.job.is_closed:
         raise SendPreconditionError(attempt, "its job needs it no more")
--- /dev/null
+++ b/tests/upstream/test_send_precondition.py
@@ -0,0 +1,97 @@
+"""The send precondition: an attempt is sent only while its job needs it and its endpoint may get work."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, cast
+
+import pytest
+
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.engine.job import Attempt, Job
+from burlmoor.errors import BurlmoorError
+from burlmoor.types.endpoint_list import EndpointEntry, ListKind
+from burlmoor.types.outcome import Outcome
+from burlmoor.upstream.send_precondition import (
+    SendPreconditionError,
+    check_send_precondition,
+    recheck_send_precondition,
+)
+
+
+class Peers:
+    """The directory's observer and the idle connections, without effect."""
+
+    def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None: ...
+
+    def close_idle_to(self, address: str) -> None: ...
+
+
+class Setting:
+    """One attempt at one live endpoint."""
+
+    def __init__(self) -> None:
+        self.directory = EndpointDirectory(Peers(), Peers(), lambda unix_ms: unix_ms, print)
+        self.publish("active")
+        self.job = Job("a1", 1, cast(Any, None), None, 0.0, 1000.0, False)
+        self.attempt = Attempt(self.job, 0, "e0", 0.0, 1000.0)
+
+    def publish(self, health: str, started_unix_ms: float = 1.0) -> None:
+        entry = DiscoveredEndpoint("e0", "127.0.0.1:9", health=health, started_unix_ms=started_unix_ms)
+        self.directory.load_cached(DiscoveredList(1, True, [entry]))
+
+
+def end_job(setting: Setting) -> None:
+    setting.job.is_over = True
+
+
+def end_attempt(setting: Setting) -> None:
+    setting.attempt.outcome = Outcome.CANCELLED
+
+
+def drain(setting: Setting) -> None:
+    setting.publish("leaving")
+
+
+def remove(setting: Setting) -> None:
+    setting.directory.load_cached(DiscoveredList(2, True, []))
+
+
+def disable(setting: Setting) -> None:
+    setting.directory.disable("e0")
+
+
+def replace_process(setting: Setting) -> None:
+    setting.publish("active", started_unix_ms=2.0)
+
+
+def test_an_attempt_of_an_open_job_is_sent_to_the_live_endpoint() -> None:
+    setting = Setting()
+    endpoint = check_send_precondition(setting.attempt, setting.directory)
+    assert endpoint.address == "127.0.0.1:9"
+    recheck_send_precondition(setting.attempt, setting.directory, endpoint)
+
+
+@pytest.mark.parametrize("change", [end_job, end_attempt, drain, remove, disable])
+def test_a_change_before_the_connect_or_during_it_stops_the_attempt(
+    change: Callable[[Setting], None],
+) -> None:
+    setting = Setting()
+    connected_to = check_send_precondition(setting.attempt, setting.directory)
+    change(setting)
+    with pytest.raises(SendPreconditionError) as raised:
+        check_send_precondition(setting.attempt, setting.directory)
+    assert raised.value.attempt is setting.attempt
+    assert isinstance(raised.value, BurlmoorError)
+    with pytest.raises(SendPreconditionError):
+        recheck_send_precondition(setting.attempt, setting.directory, connected_to)
+
+
+def test_a_process_that_is_replaced_during_the_connect_gets_nothing_on_the_old_connection() -> None:
+    setting = Setting()
+    connected_to = check_send_precondition(setting.attempt, setting.directory)
+    replace_process(setting)
+    with pytest.raises(SendPreconditionError):
+        recheck_send_precondition(setting.attempt, setting.directory, connected_to)
+    assert check_send_precondition(setting.attempt, setting.directory).started_unix_ms == 2.0
