--- a/burlmoor/downstream/eviction.py
+++ b/burlmoor/downstream/eviction.py
@@ -8,7 +8,7 @@
 from burlmoor.downstream.connection import WRITE_TIMEOUT_SECONDS, DownstreamConnection
 
 # Seconds that a request may take to come in, the first one counted from the accept. True clients take up to
-# 2 s to write; one that never ends is owed a close within 3 s, and the sweep comes five times a second.
+# 2 s to write; one that never ends has to be closed within 3 s, and the sweep comes five times a second.
 _REQUEST_TIMEOUT_SECONDS = 2.6
 _IDLE_TIMEOUT_SECONDS = 120.0  # that a connection may lie idle once it has been used
 # Seconds after which a connection may be closed to make room for others.
--- a/burlmoor/downstream/job_headers.py
+++ b/burlmoor/downstream/job_headers.py
@@ -57,11 +57,21 @@
     if timeout_ms <= 0:
         raise InvalidHeaderError("Request-Timeout-Ms", "is missing or not a positive whole number")
     request_info = _parse_request_info(fields.get(b"request-info", ""))
-    job_class = path_parts[1]
-    idempotency_key = _parse_idempotency_key(fields, job_class in classes_requiring_key)
-    request = JobRequest(
+    idempotency_key = _parse_idempotency_key(fields, path_parts[1] in classes_requiring_key)
+    request = _build_request(fields, path_parts, timeout_ms, request_info)
+    payload = Payload(head.method, head.target, body, idempotency_key)
+    conditions = None
+    if parse_conditions is not None:
+        conditions = parse_conditions(head.headers, request_id, len(body))
+    return JobSubmission(request_id, request, payload, conditions)
+
+
+def _build_request(
+    fields: _Fields, path_parts: list[str], timeout_ms: int, request_info: dict[str, float]
+) -> JobRequest:
+    return JobRequest(
         id=0,
-        job_class=job_class,
+        job_class=path_parts[1],
         timeout_ms=float(timeout_ms),
         work_ms=max(0, _parse_whole_number(fields, b"work-hint")) / 1000.0,
         slots=request_info.get("slots", 1.0),
@@ -70,11 +80,6 @@
         affinity_key=path_parts[-1] if len(path_parts) > _PARTS_WITHOUT_KEY else "",
         is_client_retry=fields.get(b"client-retry", "") == "1",
     )
-    payload = Payload(head.method, head.target, body, idempotency_key)
-    conditions = None
-    if parse_conditions is not None:
-        conditions = parse_conditions(head.headers, request_id, len(body))
-    return JobSubmission(request_id, request, payload, conditions)
 
 
 def _collect_fields(head: h11.Request) -> _Fields:
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -165,17 +165,19 @@
                 if not self._receive(self._sock):
                     break
         except (OSError, trio.ClosedResourceError):
-            pass
+            pass  # the peer is gone, or this side has closed the channel
         except Exception as error:
             # Without this, a peer of another build, or a fault here, would end the node: it goes on alone.
             self._log("handover-failed", error=repr(error))
         finally:
             self.close()
 
-    def _receive(self, own: socket.socket) -> bool:
+    def _receive(self, channel_socket: socket.socket) -> bool:
         """Receive one datagram; False where the channel is to end."""
         try:
-            data, descriptors, flags, _ = socket.recv_fds(own, MAX_DATAGRAM_BYTES, 1, socket.MSG_CMSG_CLOEXEC)
+            data, descriptors, flags, _ = socket.recv_fds(
+                channel_socket, MAX_DATAGRAM_BYTES, 1, socket.MSG_CMSG_CLOEXEC
+            )
         except (BlockingIOError, InterruptedError, ConnectionResetError):
             # The kernel reports a reset before what was sent until then: the end itself reads as empty.
             return True
--- a/tests/downstream/test_http.py
+++ b/tests/downstream/test_http.py
@@ -1,4 +1,4 @@
-"""The listener's state machine: bytes in, requests and answers out."""
+"""The HTTP state machine of a downstream connection: bytes in, requests and responses out."""
 
 from __future__ import annotations
 
@@ -20,49 +20,53 @@
 KEY = b"Idempotency-Key: 5c0f\r\n"
 
 
-def connection() -> HttpServerConnection:
+def build_connection() -> HttpServerConnection:
     return HttpServerConnection(["lookup", "once", "keyed"], classes_requiring_key=["keyed"])
 
 
-def fed(data: bytes, step: int = 1 << 20) -> tuple[HttpServerConnection, ParsedRequest | None]:
-    http, asked = connection(), None
-    for at in range(0, len(data), step):
-        assert asked is None
-        asked = http.receive_data(data[at : at + step])
-    return http, asked
+def parse(data: bytes, chunk_bytes: int = 1 << 20) -> tuple[HttpServerConnection, ParsedRequest | None]:
+    """Feed bytes in chunks to a new connection; what the last one completed."""
+    http = build_connection()
+    parsed = None
+    for start in range(0, len(data), chunk_bytes):
+        assert parsed is None
+        parsed = http.receive_data(data[start : start + chunk_bytes])
+    return http, parsed
 
 
-@pytest.mark.parametrize("step", [1, 7, 1 << 20])
-def test_a_job_is_read_whole_however_it_is_cut(step: int) -> None:
-    http, asked = fed(JOB, step)
-    assert isinstance(asked, JobSubmission)
-    assert (asked.request_id, asked.payload.path, asked.payload.body) == (
+@pytest.mark.parametrize("chunk_bytes", [1, 7, 1 << 20])
+def test_a_job_is_parsed_however_its_bytes_are_split(chunk_bytes: int) -> None:
+    http, request = parse(JOB, chunk_bytes)
+    assert isinstance(request, JobSubmission)
+    assert (request.request_id, request.payload.path, request.payload.body) == (
         "9b1f",
         b"/lookup/00ff?x=1",
         b"body",
     )
-    request = asked.request
-    assert (request.job_class, request.timeout_ms, request.work_ms, request.slots) == (
+    job = request.request
+    assert (job.job_class, job.timeout_ms, job.work_ms, job.slots) == (
         "lookup",
         480.0,
         12.5,
         2.0,
     )
-    assert (request.tenant, request.affinity_key) == ("acme", "00ff")
+    assert (job.tenant, job.affinity_key) == ("acme", "00ff")
     assert http.encode_response(200, b"done").endswith(b"\r\n\r\ndone")
     assert http.is_idle
     assert not http.is_closing
 
 
-@pytest.mark.parametrize("name", [b"keyed", b"lookup"])
-def test_a_key_is_kept_for_the_executor_whatever_the_class(name: bytes) -> None:
-    _, asked = fed(JOB.replace(b"lookup", name).replace(b"Tenant", KEY + b"Tenant"))
-    assert isinstance(asked, JobSubmission)
-    assert asked.payload.idempotency_key == "5c0f"
+@pytest.mark.parametrize("job_class", [b"keyed", b"lookup"])
+def test_an_idempotency_key_is_passed_on_for_any_class(job_class: bytes) -> None:
+    _, request = parse(JOB.replace(b"lookup", job_class).replace(b"Tenant", KEY + b"Tenant"))
+    assert isinstance(request, JobSubmission)
+    assert request.payload.idempotency_key == "5c0f"
 
 
 def test_pipelined_requests_wait_for_their_turn() -> None:
-    http, first = fed(JOB + JOB.replace(b"9b1f", b"77aa") + b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+    http, first = parse(
+        JOB + JOB.replace(b"9b1f", b"77aa") + b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
+    )
     assert isinstance(first, JobSubmission)
     assert http.has_open_request
     http.encode_response(200)
@@ -73,11 +77,11 @@
     assert isinstance(http.receive_data(b""), ReadinessCheck)
 
 
-def test_a_call_back_closes_where_its_sender_asks() -> None:
-    http, asked = fed(
+def test_a_callback_closes_its_connection_if_its_sender_asks() -> None:
+    http, request = parse(
         b"POST /v1/job-events HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}"
     )
-    assert asked == JobCallback(b"{}")
+    assert request == JobCallback(b"{}")
     assert b" 204 " in http.encode_response(204)
     assert http.is_closing
     assert not http.may_have_unread_input
@@ -122,10 +126,10 @@
         (b"\xa4" * 10_000 + b"\r\n\r\n", 400),
     ],
 )  # fmt: skip
-def test_bad_input_is_rejected_and_costs_its_connection(data: bytes, status: int) -> None:
-    http, asked = fed(data)
-    assert isinstance(asked, InvalidRequest)
-    assert asked.status == status
-    assert len(asked.reason) <= 100
-    assert http.encode_response(status, asked.reason.encode()).startswith(b"HTTP/1.1 %d " % status)
+def test_invalid_input_is_rejected_and_its_connection_closed(data: bytes, status: int) -> None:
+    http, request = parse(data)
+    assert isinstance(request, InvalidRequest)
+    assert request.status == status
+    assert len(request.reason) <= 100
+    assert http.encode_response(status, request.reason.encode()).startswith(b"HTTP/1.1 %d " % status)
     assert http.is_closing
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -75,7 +75,7 @@
     async def scenario(harness: NodeHarness) -> None:
         client = await harness.connect_client()
         for ref in ("a1", "a2", "a3", "a4", "a5"):
-            await harness.send_job(client, ref=ref)
+            await harness.send_job(client, request_id=ref)
             await harness.wait_until(partial(is_last_job, harness, ref))
             await harness.send_callback("done", ref)
             assert (await harness.read_response(client)).body == ref.encode()
@@ -123,7 +123,7 @@
 
 def test_a_job_on_a_silent_connection_is_retried_elsewhere_in_time() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        client = await harness.submit_job(ms=2000)
+        client = await harness.submit_job(timeout_ms=2000)
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         # The silent connection is closed, which cancels the attempt that it carried.
         await harness.wait_until(lambda: harness.unanswered_connection_count)
@@ -136,7 +136,7 @@
 
 def test_an_attempt_at_a_silent_executor_times_out_by_the_deadline() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        client = await harness.submit_job("once", ms=600)
+        client = await harness.submit_job("once", timeout_ms=600)
         started_at = trio.current_time()
         assert (await harness.read_response(client)).status == 502
         assert trio.current_time() - started_at < 5.0
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -59,7 +59,7 @@
 def test_the_close_of_a_client_is_noticed_behind_much_unread_input(byte_count: int) -> None:
     # Its close comes behind more than the node keeps of what is written to it.
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(ms=9000)
+        wire = await harness.submit_job(timeout_ms=9000)
         await harness.wait_until(lambda: harness.jobs)
         began = trio.current_time()
         await wire.socket_stream.send_all(b"x" * byte_count)
@@ -73,7 +73,7 @@
 
 def test_a_client_that_never_stops_writing_is_answered_and_its_connection_closed() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(ms=5000)
+        wire = await harness.submit_job(timeout_ms=5000)
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("started")  # else it is retried elsewhere after a while
         written_count = 0
@@ -90,7 +90,7 @@
 
         harness.nursery.start_soon(write)
         await harness.wait_until(lambda: written_count > 100)
-        other = await harness.submit_job(ref="b1")  # another client's, to be answered all the same
+        other = await harness.submit_job(request_id="b1")  # another client's, to be answered all the same
         for ref, client in (("b1", other), ("a1", wire)):
             await harness.wait_until(lambda ref=ref: harness.find_attempts(ref))  # type: ignore[misc]
             await harness.send_callback("done", "fine", job=harness.find_attempts(ref)[-1])
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -96,7 +96,7 @@
 
 async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> tuple[HttpMessage, int]:
     """Submit one job; its client's answer, and how many attempts were sent."""
-    client = await harness.submit_job(row["kind"], "a1", ms=1500)
+    client = await harness.submit_job(row["kind"], "a1", timeout_ms=1500)
     finished: list[int] = []
     harness.nursery.start_soon(finish_jobs, harness, row, finished)
     answer = await harness.read_response(client)
--- a/tests/integration/test_endpoint_changes.py
+++ b/tests/integration/test_endpoint_changes.py
@@ -31,7 +31,7 @@
     async def scenario(harness: NodeHarness) -> None:
         await harness.publish(2, False, e0="leaving", e1="leaving")
         await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
-        rejection = await harness.read_response(await harness.submit_job(ms=300))
+        rejection = await harness.read_response(await harness.submit_job(timeout_ms=300))
         assert rejection.status == 503
         assert 0.0 < float(rejection.headers["retry-after"]) <= 1.0  # the most that the settings allow
         assert not harness.jobs
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -82,7 +82,7 @@
     name: str, attempt_count: int, response: str
 ) -> None:
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(name, ms=1500)
+        wire = await harness.submit_job(name, timeout_ms=1500)
         await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
         if attempt_count == 2:
             await harness.send_callback("done", "second")
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("name", ["lookup", "keyed", "once"])
 def test_the_late_result_of_a_cancelled_attempt_is_accepted_and_changes_nothing(name: str) -> None:
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(name, ms=400)
+        wire = await harness.submit_job(name, timeout_ms=400)
         await harness.wait_until(lambda: harness.jobs)
         answer = await harness.read_response(wire)  # its deadline: the attempt is cancelled
         assert answer.status in (502, 503)
@@ -143,7 +143,7 @@
 ) -> None:
     async def scenario(harness: NodeHarness) -> int:
         monkeypatch.setattr(harness.node.pool, "acquire", lambda _address: 1 // 0)
-        return (await harness.read_response(await harness.submit_job("once", ms=800))).status
+        return (await harness.read_response(await harness.submit_job("once", timeout_ms=800))).status
 
     lines: list[str] = []
     assert run_scenario(scenario, lines=lines) == 502  # whether it was executed is not known
--- a/tests/integration/test_shutdown_over_sockets.py
+++ b/tests/integration/test_shutdown_over_sockets.py
@@ -13,7 +13,7 @@
 
 def test_a_stopping_node_finishes_admitted_jobs() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        first = await harness.submit_job(ref="a1", ms=5000)
+        first = await harness.submit_job(request_id="a1", timeout_ms=5000)
         idle = await harness.connect_client()
         await harness.wait_until(lambda: harness.jobs)
         harness.nursery.start_soon(harness.node.shut_down)
@@ -21,12 +21,14 @@
         ready = await harness.connect_client()
         await ready.write("GET /health/ready HTTP/1.1", Host="node")
         assert (await harness.read_response(ready)).status == 503
-        await harness.send_job(idle, ref="a2", ms=5000)  # clients keep the connections they have for a while
+        await harness.send_job(
+            idle, request_id="a2", timeout_ms=5000
+        )  # clients keep the connections they have for a while
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         for job in (0, 1):
             await harness.send_callback("started", job=job)
         await harness.wait_until(lambda: harness.node.drain.state is ServiceState.REJECTING)
-        late = await harness.submit_job(ref="a3")
+        late = await harness.submit_job(request_id="a3")
         assert (await harness.read_response(late)).status == 503
         for job, client in ((0, first), (1, idle)):
             # A call-back that is slow to write its first byte must not be closed either.
--- /dev/null
+++ b/tests/lifecycle/test_connection_limits.py
@@ -0,0 +1,37 @@
+"""The node's descriptors, divided between directions and between its two processes."""
+
+from __future__ import annotations
+
+import pytest
+
+from burlmoor.lifecycle.connection_limits import SharedConnectionLimits, SocketBudget, divide_sockets
+from tests.support.node_harness import NodeHarness, run_scenario
+
+
+@pytest.mark.parametrize(
+    ("max_sockets", "budget"),
+    [
+        (0, SocketBudget(23, 9)),
+        (64, SocketBudget(23, 9)),
+        (128, SocketBudget(45, 19)),
+        (1024, SocketBudget(672, 288)),
+    ],
+)
+def test_half_of_few_descriptors_and_64_of_many_are_reserved(max_sockets: int, budget: SocketBudget) -> None:
+    assert divide_sockets(max_sockets) == budget
+
+
+def test_a_process_leaves_out_what_the_other_has_open_but_keeps_a_minimum() -> None:
+    async def scenario(harness: NodeHarness) -> None:
+        server, pool = harness.node.server, harness.node.pool
+        limits = SharedConnectionLimits(server, pool)
+        limits.reserve(downstream=72, upstream=88)
+        assert (server.max_connections, pool.max_connections) == (600, 200)
+        limits.reserve(downstream=1000, upstream=1000)
+        assert (server.max_connections, pool.max_connections) == (8, 8)
+        limits.freeze_upstream()
+        assert (server.max_connections, pool.max_connections) == (8, 0)
+        limits.restore()
+        assert (server.max_connections, pool.max_connections) == (672, 288)
+
+    run_scenario(scenario)
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -73,9 +73,12 @@
         return f"{host}:{port}"
 
     async def start_executor(self, name: str) -> None:
+        """Start an executor that answers as the script says."""
         self.addresses[name] = await self.listen(ScriptedExecutor(self, name).serve)
 
     async def start_discovery(self) -> str:
+        """Start a discovery service whose watches the scenario answers; its address."""
+
         async def serve(wire: HttpStream) -> None:
             while (message := await wire.read()) is not None:
                 path = message.start_line.split()[1]
@@ -108,41 +111,48 @@
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await wire.write("HTTP/1.1 200 OK", body)
 
-    def endpoint_list(self, seq: int, whole: bool = True, **states: str) -> dict[str, Any]:
+    def endpoint_list(self, version: int, is_complete: bool = True, **states: str) -> dict[str, Any]:
+        """Build the list of these executors, with these states, as discovery sends it."""
         hosts = [
             {"host": name, "dial": self.addresses[name], "site": "a", "class": "m", "block": 1, "share": 4.0,
              "health": state, "born_ms": 0}
             for name, state in states.items()
         ]  # fmt: skip
-        return {"seq": seq, "whole": whole, "hosts": hosts}
+        return {"seq": version, "whole": is_complete, "hosts": hosts}
 
-    async def publish(self, seq: int, whole: bool = True, **states: str) -> None:
+    async def publish(self, version: int, is_complete: bool = True, **states: str) -> None:
         """Answer the open watch with this list."""
         await self.wait_until(lambda: self.open_watches)
-        body = json.dumps(self.endpoint_list(seq, whole, **states)).encode()
+        body = json.dumps(self.endpoint_list(version, is_complete, **states)).encode()
         await self.open_watches.pop().write("HTTP/1.1 200 OK", body)
 
     async def connect_client(self, receive_buffer: int = 0) -> HttpStream:
+        """Connect a client; its receive buffer is limited to so many bytes."""
         sock = trio.socket.socket()
         if receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         await sock.connect(self.address)
         return HttpStream(trio.SocketStream(sock))
 
-    async def submit_job(self, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> HttpStream:
+    async def submit_job(
+        self, job_class: str = "lookup", request_id: str = "a1", timeout_ms: int = 3000
+    ) -> HttpStream:
+        """Submit a job on a connection of its own, which is returned."""
         wire = await self.connect_client()
-        await self.send_job(wire, name, ref, ms)
+        await self.send_job(wire, job_class, request_id, timeout_ms)
         return wire
 
-    async def send_job(self, wire: HttpStream, name: str = "lookup", ref: str = "a1", ms: int = 3000) -> None:
+    async def send_job(
+        self, wire: HttpStream, job_class: str = "lookup", request_id: str = "a1", timeout_ms: int = 3000
+    ) -> None:
         head: dict[str, Any] = {
             "Host": "svc",
-            "Request_Id": ref,
-            "Request_Timeout_Ms": str(ms),
+            "Request_Id": request_id,
+            "Request_Timeout_Ms": str(timeout_ms),
             "Work_Hint": "90000",
-            **({"Idempotency_Key": f"key-{ref}"} if name == "keyed" else {}),
+            **({"Idempotency_Key": f"key-{request_id}"} if job_class == "keyed" else {}),
         }
-        await wire.write(f"POST /{name}/0f HTTP/1.1", b"work", **head)
+        await wire.write(f"POST /{job_class}/0f HTTP/1.1", b"work", **head)
 
     def find_attempts(self, request_id: str) -> list[int]:
         """Find which of the received jobs, by their order, are attempts of this one."""
