--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -14,9 +14,11 @@
 from burlmoor.cli.output import exit_with_verdict, print_verdict
 from burlmoor.testbed.drill import Verdict
 from burlmoor.testbed.fleet import record as records
-from burlmoor.testbed.fleet.faults import Schedule, draw, read
+from burlmoor.testbed.fleet.faults import FaultSchedule
+from burlmoor.testbed.fleet.random_schedule import draw_schedule
 from burlmoor.testbed.fleet.run import Fleet
-from burlmoor.testbed.fleet.verdict import found
+from burlmoor.testbed.fleet.schedule_file import parse_schedule
+from burlmoor.testbed.fleet.verdict import assess_run
 
 _ERR = Console(stderr=True)
 _MAX_VIOLATIONS_PRINTED = 20
@@ -65,35 +67,37 @@
     sink: IO[str] | None,
 ) -> None:
     """Run a fleet under a SCHEDULE of faults (INI); status 1 where a claim of the verdict did not hold."""
-    plan = records.Plan(
+    plan = records.RunPlan(
         nodes=nodes,
         executors=executors,
         seconds=seconds,
         seed=seed,
         rate=rate,
-        load=load,
+        utilization=load,
         zones=zones,
-        loud=loud,
-        keys=keys,
-        hot=hot,
+        first_node_factor=loud,
+        key_count=keys,
+        hot_key_share=hot,
         schedule=_load_schedule(schedule, seed, seconds, fault_count),
     )
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         record = _run_fleet(plan, keep or Path(folder))
     verdict = _judge(record)
-    _print_status(f"nodes ready after {record.started:.1f} s; {record.cpus:.1f} cores used")
+    _print_status(f"nodes ready after {record.startup_seconds:.1f} s; {record.cores_used:.1f} cores used")
     exit_with_verdict(verdict, sink)
 
 
-def _load_schedule(path: Path | None, seed: int, seconds: float, fault_count: int) -> Schedule:
+def _load_schedule(path: Path | None, seed: int, seconds: float, fault_count: int) -> FaultSchedule:
     """Read the schedule of faults, or draw one where no file is given."""
     try:
-        return read(path.read_text()) if path is not None else draw(seed, seconds, fault_count)
+        if path is not None:
+            return parse_schedule(path.read_text())
+        return draw_schedule(seed, seconds, fault_count)
     except (ValueError, UnicodeDecodeError) as error:
         exit_with_errors([f"{path}: {error}"])
 
 
-def _run_fleet(plan: records.Plan, folder: Path) -> records.Record:
+def _run_fleet(plan: records.RunPlan, folder: Path) -> records.RunRecord:
     """Run the fleet and write its record into the folder."""
     record = trio.run(Fleet(plan, folder, _print_status).run)
     record.write(folder)
@@ -104,10 +108,10 @@
     _ERR.print(line, style="dim")
 
 
-def _judge(record: records.Record) -> Verdict:
+def _judge(record: records.RunRecord) -> Verdict:
     """Return the verdict on a record; the first violations are printed."""
-    judged = found(record)
-    print_errors(judged.audit.broken[:_MAX_VIOLATIONS_PRINTED])
+    judged = assess_run(record)
+    print_errors(judged.audit.violations[:_MAX_VIOLATIONS_PRINTED])
     return Verdict("fleet", record.plan.seed, record.plan.seconds, judged.claims(), judged.figures())
 
 
@@ -116,10 +120,10 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="The picture; RUN/report.png.")
 def report(run: Path, out: Path | None) -> None:
     """Draw the record that a RUN has kept, and print its verdict again."""
-    from burlmoor.testbed.fleet.report import draw as draw_report  # noqa: PLC0415
+    from burlmoor.testbed.fleet.report import draw_report  # noqa: PLC0415
 
     try:
-        record = records.read(run)
+        record = records.read_record(run)
     except ValueError as error:
         exit_with_errors([str(error)])
     path = out or run / "report.png"
--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -1,8 +1,8 @@
-"""The drill of spread: many node processes that each see little, and troubles one after another.
+"""The drill of spread: many node processes that each see little of the load, and faults one after another.
 
 All nodes start at once with the same list. Executors die, nodes are stopped, most are killed at once and
-come back with the old list, executors fail every job at once. Claims are about the far sides' rows alone,
-beside baselines that spread the same jobs on the same executors.
+start again with the old list, executors fail every job at once. The claims are about what clients and
+executors observed, beside baselines that spread the same jobs on the same executors.
 """
 
 from __future__ import annotations
@@ -11,51 +11,68 @@
 from pathlib import Path
 
 from burlmoor.testbed.drill import Drill, DrillParameters, Verdict
-from burlmoor.testbed.fleet.faults import Schedule, Trouble
-from burlmoor.testbed.fleet.record import Plan
-from burlmoor.testbed.fleet.run import Fleet, Parts
-from burlmoor.testbed.fleet.verdict import found
+from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
+from burlmoor.testbed.fleet.helper_processes import ProcessCounts
+from burlmoor.testbed.fleet.record import RunPlan
+from burlmoor.testbed.fleet.run import Fleet
+from burlmoor.testbed.fleet.verdict import assess_run
 from burlmoor.testbed.mutations import OF_SPREAD, told
 
-NODES = 12  # where none are asked for
-_A_NODE, _MOST = 3.0, 150.0  # jobs a second for each node, and at all, that this machine bears
-_EXECUTORS, _LEAST = 0.6, 10  # for each node, and at least
-_LOAD = 0.65
-_STARTS = 8.0  # nodes that 5 cores start in a second, beside those that run
+DEFAULT_NODES = 12
+_RATE_PER_NODE = 3.0  # jobs a second
+_MIN_RATE = 40.0
+_MAX_RATE = 150.0  # what one machine can bear
+_EXECUTORS_PER_NODE = 0.6
+_MIN_EXECUTORS = 10
+_UTILIZATION = 0.65
+_STARTS_PER_SECOND = 8.0  # nodes that 5 cores start beside those that run
+_MAX_PRINTED_VIOLATIONS = 20
 
 
-def troubles(seconds: float, seed: int, nodes: int) -> Schedule:
-    """The same troubles at every size, spread over the run."""
-    back = round(0.7 * nodes / _STARTS, 2)
+def make_schedule(seconds: float, seed: int, nodes: int) -> FaultSchedule:
+    """Return the same faults at every size, spread over the run."""
 
-    def at(share: float) -> float:
-        return round(share * seconds, 2)
+    def share(fraction: float) -> float:
+        """Return a share of the run in seconds."""
+        return round(fraction * seconds, 2)
 
-    return Schedule(
-        seed,
-        (
-            Trouble(what="die", at=at(0.25), lasts=at(0.08), executors="10%", told=1.0),
-            Trouble(what="stop", at=at(0.45), lasts=min(3.0, at(0.08)), nodes="10%"),
-            Trouble(what="kill", at=at(0.55), lasts=at(0.02), nodes="70%", back=back),
-            Trouble(what="fail", at=at(0.85), lasts=at(0.05), executors="5%"),
-        ),
+    restart_stagger = round(0.7 * nodes / _STARTS_PER_SECOND, 2)
+    die = Fault(kind="die", start=share(0.25), duration=share(0.08), executors="10%", notification_delay=1.0)
+    stop = Fault(kind="stop", start=share(0.45), duration=min(3.0, share(0.08)), nodes="10%")
+    kill = Fault(
+        kind="kill", start=share(0.55), duration=share(0.02), nodes="70%", restart_stagger=restart_stagger
     )
+    fail = Fault(kind="fail", start=share(0.85), duration=share(0.05), executors="5%")
+    return FaultSchedule(seed, (die, stop, kill, fail))
 
 
-async def _run(ask: DrillParameters, folder: Path) -> Verdict:
-    nodes = ask.nodes or NODES
-    plan = Plan(
-        nodes, max(_LEAST, round(_EXECUTORS * nodes)), ask.seconds, ask.seed,
-        min(_MOST, max(40.0, _A_NODE * nodes)), _LOAD, sabotage=ask.mutation,
-        schedule=troubles(ask.seconds, ask.seed, nodes),
-    )  # fmt: skip
-    parts = Parts.round(nodes)
-    record = await Fleet(plan, folder, lambda line: print(line, file=sys.stderr)).run(parts)
-    judged = found(record)
-    for line in judged.audit.broken[:20]:
-        print(f"burlmoor: {line}", file=sys.stderr)
-    figures = {**judged.figures(), "start s": record.started, "cores used": record.cpus}
-    return Verdict("spread", ask.seed, ask.seconds, judged.claims(), figures)
+def _make_plan(parameters: DrillParameters) -> RunPlan:
+    nodes = parameters.nodes or DEFAULT_NODES
+    return RunPlan(
+        nodes,
+        max(_MIN_EXECUTORS, round(_EXECUTORS_PER_NODE * nodes)),
+        parameters.seconds,
+        parameters.seed,
+        min(_MAX_RATE, max(_MIN_RATE, _RATE_PER_NODE * nodes)),
+        _UTILIZATION,
+        mutation=parameters.mutation,
+        schedule=make_schedule(parameters.seconds, parameters.seed, nodes),
+    )
+
+
+async def _run(parameters: DrillParameters, folder: Path) -> Verdict:
+    plan = _make_plan(parameters)
+    fleet = Fleet(plan, folder, lambda line: print(line, file=sys.stderr))
+    record = await fleet.run(ProcessCounts.for_nodes(plan.nodes))
+    assessment = assess_run(record)
+    for violation in assessment.audit.violations[:_MAX_PRINTED_VIOLATIONS]:
+        print(f"burlmoor: {violation}", file=sys.stderr)
+    figures = {
+        **assessment.figures(),
+        "start s": record.startup_seconds,
+        "cores used": record.cores_used,
+    }
+    return Verdict("spread", parameters.seed, parameters.seconds, assessment.claims(), figures)
 
 
 SPREAD = Drill(
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -1,9 +1,9 @@
-"""The drill of the watch on discovery: node processes whose watches break, and executors that leave then.
+"""The drill of the watch on discovery: the nodes' watches break, and executors drain then.
 
-All watches fall silent at once and a quarter of the executors are announced as leaving right after, and stay
-up; then discovery is down while another quarter is, and later all watches are reset while a third one is.
-Claims are about the far sides' rows alone: what executors got, against what discovery had written to each
-node, or counts as having told it.
+All watches stall at once, and a quarter of the executors is announced as leaving right after, and stays up.
+Later discovery is down while another quarter is announced, and then all watches are reset while a third one
+is. The claims are about what clients and executors observed: which jobs executors got, against what discovery
+had written to each node, or what counts as notified because the notification deadline had passed.
 """
 
 from __future__ import annotations
@@ -13,70 +13,85 @@
 
 from burlmoor.testbed.drill import Claim, Drill, DrillParameters, Verdict
 from burlmoor.testbed.fleet.audit import audit
-from burlmoor.testbed.fleet.faults import Schedule, Trouble
-from burlmoor.testbed.fleet.record import Plan, Record
-from burlmoor.testbed.fleet.run import Fleet, Parts
+from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
+from burlmoor.testbed.fleet.helper_processes import ProcessCounts
+from burlmoor.testbed.fleet.record import RunPlan, RunRecord
+from burlmoor.testbed.fleet.run import Fleet
 from burlmoor.testbed.mutations import OF_WATCH, told
 
-NODES = 6  # where none are asked for
-_A_NODE, _LEAST_RATE, _MOST_RATE = 3.0, 60.0, 150.0  # jobs a second
-_EXECUTORS, _LEAST = 0.6, 10
-_LOAD = 0.4  # of what all executors can do: a quarter and more of them leave
-_SERVED = 0.9
+DEFAULT_NODES = 6
+_RATE_PER_NODE = 3.0  # jobs a second
+_MIN_RATE = 60.0
+_MAX_RATE = 150.0
+_EXECUTORS_PER_NODE = 0.6
+_MIN_EXECUTORS = 10
+_UTILIZATION = 0.4  # of all executors: a quarter and more of them drain
+_MIN_SERVED = 0.9
+_DRAINED_PARTS = 3
+_PARTS = 4
+_MAX_PRINTED_VIOLATIONS = 20
 
 
-def troubles(seconds: float, seed: int, leaving: tuple[list[str], ...]) -> Schedule:
-    """Watches break, and each time another part of the executors leaves and stays up."""
+def make_schedule(seconds: float, seed: int, draining: tuple[list[str], ...]) -> FaultSchedule:
+    """Return faults that break watches, with another part of the executors draining each time."""
+    down_at = 0.4 * seconds
+    reset_at = 0.85 * seconds
 
-    def drain(at: float, names: list[str], until: float) -> Trouble:
-        lasts = max(1.0, min(until, seconds - 2.0) - at)
-        return Trouble(what="drain", at=at, lasts=lasts, executors=",".join(names))
+    def drain(at: float, names: list[str], until: float) -> Fault:
+        duration = max(1.0, min(until, seconds - 2.0) - at)
+        return Fault(kind="drain", start=at, duration=duration, executors=",".join(names))
 
-    down, reset = 0.4 * seconds, 0.85 * seconds
-    return Schedule(
+    return FaultSchedule(
         seed,
         (
-            Trouble(what="silent", at=1.0, lasts=0.0, nodes="*"),
-            drain(1.3, leaving[0], min(down, 15.0)),
-            # What is announced meanwhile counts as told some seconds after the return.
-            Trouble(what="down", at=down, lasts=0.1 * seconds, nodes="n000"),
-            drain(down + 0.05 * seconds, leaving[2], reset),
-            Trouble(what="broken", at=reset, lasts=0.0, nodes="*"),
-            drain(reset + 0.3, leaving[1], seconds),
+            Fault(kind="silent", start=1.0, duration=0.0, nodes="*"),
+            drain(1.3, draining[0], min(down_at, 15.0)),
+            # What is announced while discovery is down counts as notified some seconds after its return.
+            Fault(kind="down", start=down_at, duration=0.1 * seconds, nodes="n000"),
+            drain(down_at + 0.05 * seconds, draining[2], reset_at),
+            Fault(kind="broken", start=reset_at, duration=0.0, nodes="*"),
+            drain(reset_at + 0.3, draining[1], seconds),
         ),
     )
 
 
-def judge(record: Record, ask: DrillParameters) -> Verdict:
-    """The verdict on a run."""
-    judged = audit(record)
-    for line in judged.broken[:20]:
-        print(f"burlmoor: {line}", file=sys.stderr)
-    lost = set(judged.lost)
-    asked = [job for job in record.asked if job.id not in lost]
-    served = sum(job.is_served for job in asked) / max(1, len(asked))
-    told_of = {(who, host) for _, who, host, health in record.heard if health == "leaving"}
+def judge(record: RunRecord, parameters: DrillParameters) -> Verdict:
+    """Return the verdict on a run, and print violations."""
+    audited = audit(record)
+    for violation in audited.violations[:_MAX_PRINTED_VIOLATIONS]:
+        print(f"burlmoor: {violation}", file=sys.stderr)
+    lost_ids = set(audited.lost_job_ids)
+    requests = [request for request in record.requests if request.id not in lost_ids]
+    served = sum(request.is_served for request in requests) / max(1, len(requests))
+    notified = {(each.node, each.endpoint) for each in record.notifications if each.health == "leaving"}
     claims = {
-        "rules broken": Claim(float(len(judged.broken)), 0.0),
-        "served": Claim(served, _SERVED, is_lower_bound=True),
-        "drains told, a node": Claim(len(told_of) / record.plan.nodes, 1.0, is_lower_bound=True),
+        "rules broken": Claim(float(len(audited.violations)), 0.0),
+        "served": Claim(served, _MIN_SERVED, is_lower_bound=True),
+        "drains told, a node": Claim(len(notified) / record.plan.nodes, 1.0, is_lower_bound=True),
     }
-    figures = {"jobs": float(len(record.asked)), "start s": record.started}
-    figures |= {f"excused: {why}": float(count) for why, count in sorted(judged.excused.items())}
-    return Verdict("watch", ask.seed, ask.seconds, claims, figures)
+    figures = {"jobs": float(len(record.requests)), "start s": record.startup_seconds}
+    figures |= {f"excused: {reason}": float(count) for reason, count in sorted(audited.excused.items())}
+    return Verdict("watch", parameters.seed, parameters.seconds, claims, figures)
 
 
-async def _run(ask: DrillParameters, folder: Path) -> Verdict:
-    nodes = ask.nodes or NODES
-    executors = max(_LEAST, round(_EXECUTORS * nodes))
-    rate = min(_MOST_RATE, max(_LEAST_RATE, _A_NODE * nodes))
-    plan = Plan(nodes, executors, ask.seconds, ask.seed, rate, _LOAD, sabotage=ask.mutation)
+async def _run(parameters: DrillParameters, folder: Path) -> Verdict:
+    nodes = parameters.nodes or DEFAULT_NODES
+    executors = max(_MIN_EXECUTORS, round(_EXECUTORS_PER_NODE * nodes))
+    rate = min(_MAX_RATE, max(_MIN_RATE, _RATE_PER_NODE * nodes))
+    plan = RunPlan(
+        nodes,
+        executors,
+        parameters.seconds,
+        parameters.seed,
+        rate,
+        _UTILIZATION,
+        mutation=parameters.mutation,
+    )
     fleet = Fleet(plan, folder, lambda line: print(line, file=sys.stderr))
-    names = fleet.record.names()
-    leaving = tuple(names[part::4] for part in range(3))
-    plan.schedule = troubles(ask.seconds, ask.seed, leaving)
-    parts = Parts.round(nodes)
-    return judge(await fleet.run(parts), ask)
+    names = fleet.record.executor_names()
+    draining = tuple(names[part::_PARTS] for part in range(_DRAINED_PARTS))
+    plan.schedule = make_schedule(parameters.seconds, parameters.seed, draining)
+    return judge(await fleet.run(ProcessCounts.for_nodes(nodes)), parameters)
 
 
 WATCH = Drill(
--- a/burlmoor/testbed/fleet/__init__.py
+++ b/burlmoor/testbed/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Hundreds of node processes on loopback, stand-ins round them, and faults between them.
+"""Hundreds of node processes on loopback, with simulated clients and executors, and injected faults.
 
-Each party has an address of its own in 127/8 (`places.py`), so a fault can name a pair. What happened is
-told by the far sides alone: clients and executors.
+Each process has an address of its own in 127/8 (`addresses.py`), so a fault can name a pair of processes.
+What happened is judged by what clients and executors observed, never by what a node logs.
 """
--- a/burlmoor/testbed/fleet/addresses.py
+++ b/burlmoor/testbed/fleet/addresses.py
@@ -1,8 +1,9 @@
-"""Who has which address: nodes, executors and the link between each two have places of their own in 127/8.
+"""The address allocation of a fleet: nodes, executors and the link between each two have their own in 127/8.
 
-A node dials an executor at the address of their link, on which a relay listens; the relay goes on from that
-same address, so that the executor knows who called, and calls back to it on another port. Links between two
-nodes are used alike for datagrams. No list of pairs is kept anywhere: an address says whose it is.
+A node connects to an executor at the address of their link, on which a relay listens. The relay connects to
+the executor from that same address, so that the executor knows which node sent a job, and sends its
+call-backs to that address on another port. Links between two nodes carry datagrams in the same way. No table
+of pairs is kept: the pair is computed from the link's address.
 """
 
 from __future__ import annotations
@@ -13,69 +14,103 @@
 from contextlib import ExitStack
 from typing import NamedTuple
 
-MOST = 2048  # nodes, and executors: 11 bits of a link's address each
-_NODES, _EXECUTORS, _LINKS = 0x7F010000, 0x7F020000, 0x7F400000
+from burlmoor.errors import BurlmoorError
 
+MAX_PER_KIND = 2048  # nodes, and executors: 11 bits of a link's address each
+_NODES = 0x7F010000
+_EXECUTORS = 0x7F020000
+_LINKS = 0x7F400000
+_PORT_RANGE = (20_000, 30_000)
 
-def _written(number: int) -> str:
+
+class LinkAddressError(BurlmoorError, ValueError):
+    """An address that is not in the range of link addresses."""
+
+    def __init__(self, address: str) -> None:
+        super().__init__(f"invalid link address {address}: it is in no link's range")
+        self.address = address
+
+
+class NoFreePortsError(BurlmoorError, OSError):
+    """No run of consecutive free ports on loopback was found."""
+
+    def __init__(self, count: int) -> None:
+        super().__init__(f"no {count} consecutive free ports on loopback within {_PORT_RANGE}")
+        self.count = count
+
+
+class Link(NamedTuple):
+    """The two ends of a link, by number."""
+
+    node: int
+    peer: int  # an executor, or another node
+
+
+def _format_address(number: int) -> str:
     return str(ipaddress.IPv4Address(number))
 
 
-def node(number: int) -> str:
-    """The address that a node listens on."""
-    return _written(_NODES + number + 1)
+def node_address(number: int) -> str:
+    """Return the address that a node listens on."""
+    return _format_address(_NODES + number + 1)
 
 
-def executor(number: int) -> str:
-    """The address that an executor listens on."""
-    return _written(_EXECUTORS + number + 1)
+def executor_address(number: int) -> str:
+    """Return the address that an executor listens on."""
+    return _format_address(_EXECUTORS + number + 1)
 
 
-def link(of_node: int, to: int) -> str:
-    """The address of the link between a node and an executor, or another node."""
-    return _written(_LINKS + of_node * MOST + to)
+def link_address(node: int, peer: int) -> str:
+    """Return the address of the link between a node and an executor, or another node."""
+    return _format_address(_LINKS + node * MAX_PER_KIND + peer)
 
 
-def ends(address: str) -> tuple[int, int]:
-    """Whose link an address is: the node, and the executor or other node; ValueError where it is none."""
+def parse_link_address(address: str) -> Link:
+    """Return the ends of the link that has this address; raises LinkAddressError where it is no link's."""
     number = int(ipaddress.IPv4Address(address)) - _LINKS
-    if not 0 <= number < MOST * MOST:
-        raise ValueError(f"{address} is no link's address")
-    return divmod(number, MOST)
+    if not 0 <= number < MAX_PER_KIND * MAX_PER_KIND:
+        raise LinkAddressError(address)
+    return Link(*divmod(number, MAX_PER_KIND))
 
 
 class Ports(NamedTuple):
-    """The ports of one fleet, in a row, alike at all addresses."""
+    """The consecutive ports of one fleet, the same at all addresses."""
 
-    clients: int  # where nodes take jobs and call-backs
-    control: int  # where nodes hear their operators
-    jobs: int  # where executors listen
-    forwards: int  # where the relays take what nodes send to executors
-    backwards: int  # where the relays take call-backs
-    datagrams: int  # where the switch takes what nodes send each other
-    peers: int  # where nodes take other nodes' datagrams
+    node_http: int  # where nodes take jobs and call-backs
+    node_admin: int  # the nodes' admin servers
+    executor_http: int  # where executors take jobs
+    relay_to_executors: int  # where the relays take connections from nodes to executors
+    relay_to_nodes: int  # where the relays take call-backs from executors to nodes
+    switch_datagrams: int  # where the switch takes datagrams between nodes
+    node_datagrams: int  # where nodes take other nodes' datagrams
 
 
-def local(sock: socket.socket) -> None:
-    """Bind a socket that is to listen on every address to the loopback device: nothing else reaches it."""
+def bind_to_loopback(sock: socket.socket) -> None:
+    """Bind a socket that listens on every address to the loopback device: nothing else can reach it."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo")
 
 
-def free_ports() -> Ports:
-    """A row of ports that nobody on loopback listens on now; OSError where none is found."""
-    # Each process looks from a place of its own, so that fleets that start together seldom meet.
-    rows = range(20_000, 30_000, len(Ports._fields))
+def find_free_ports() -> Ports:
+    """Return consecutive ports that nobody on loopback listens on now; raises NoFreePortsError."""
+    # Each process begins its search elsewhere, so that fleets that start together seldom collide.
+    rows = range(*_PORT_RANGE, len(Ports._fields))
     begin = os.getpid() % len(rows)
     for first in (*rows[begin:], *rows[:begin]):
         ports = Ports(*range(first, first + len(Ports._fields)))
-        with ExitStack() as held:
-            try:
-                for port in ports:
-                    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-                        sock = held.enter_context(socket.socket(socket.AF_INET, kind))
-                        local(sock)
-                        sock.bind(("0.0.0.0", port))
-            except OSError:
-                continue
+        if _are_free(ports):
             return ports
-    raise OSError("no row of free ports on loopback")
+    raise NoFreePortsError(len(Ports._fields))
+
+
+def _are_free(ports: Ports) -> bool:
+    """Whether each port can be bound now, for TCP and UDP, all at once."""
+    with ExitStack() as sockets:
+        try:
+            for port in ports:
+                for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+                    sock = sockets.enter_context(socket.socket(socket.AF_INET, kind))
+                    bind_to_loopback(sock)
+                    sock.bind(("0.0.0.0", port))
+        except OSError:
+            return False
+        return True
--- a/burlmoor/testbed/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -1,7 +1,8 @@
-"""The rules over the sum of all nodes, from the far sides' rows alone; what a node logs acquits nobody.
+"""The rules that must hold over all nodes together, checked against what clients and executors observed.
 
-Excused is only what the schedule itself caused: jobs that a killed node had, answers that a stopped node
-could not give, bytes that a troubled link held back. Each excuse is counted.
+What a node logs excuses nothing. Excused is only what the fault schedule itself caused: jobs at a node that
+was killed, answers that a stopped node could not give, bytes that a link fault held back. Each excuse is
+counted.
 """
 
 from __future__ import annotations
@@ -9,167 +10,230 @@
 import bisect
 import math
 from collections import defaultdict
+from collections.abc import Iterator
 
 import msgspec
 
 from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
-from burlmoor.testbed.executor_model import max_calls_by_chance
-from burlmoor.testbed.fleet.faults import effects
-from burlmoor.testbed.fleet.record import Record, Span
+from burlmoor.testbed.executor_model import ExecutorSpec, max_calls_by_chance
+from burlmoor.testbed.fleet.link_faults import active_executor_link_faults
+from burlmoor.testbed.fleet.record import FaultInterval, Notification, RunRecord
 from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
 
-DRAIN = 250.0  # ms from when a node was told until nothing new comes
-FLIGHT = 150.0  # ms that a forward may be on its way on a loaded machine
-LATE = 500.0  # ms beyond a client's patience, on a loaded machine
-WAKES = 1000.0  # ms that a stopped node's news may lie unread once it goes on
-LUCK = 1.15  # how far the drawn sizes of jobs may push the work over a budget
+NOTIFICATION_DEADLINE_MS = 250.0  # from when a node was notified of a drain until nothing new arrives
+TRANSIT_ALLOWANCE_MS = 150.0  # that an attempt may take to reach its executor on a loaded machine
+LATE_ANSWER_ALLOWANCE_MS = 500.0  # beyond a client's timeout, on a loaded machine
+RESUME_ALLOWANCE_MS = 1000.0  # that a stopped node may take to read its input once it continues
+LINK_RECOVERY_SECONDS = 1.0  # that bytes may still be held back after a link fault has ended
+_JUST_BEFORE_SECONDS = 1e-3  # within the fault, whose interval is half-open
+WORK_DEVIATION_FACTOR = 1.15  # how far the random sizes of jobs may take the work over a budget
 
 
 class Audit(msgspec.Struct):
-    """What was found: broken rules a line each, and how many rows were excused by what."""
+    """The result: one line for each violation, and how many events were excused for which reason."""
 
-    broken: list[str] = []
+    violations: list[str] = []
     excused: dict[str, int] = {}
-    lost: list[str] = []  # jobs that were given no answer in time because of what befell their node
-
-    def excuse(self, why: str, job: str = "") -> None:
-        """Count one row that the schedule itself accounts for."""
-        self.excused[why] = self.excused.get(why, 0) + 1
-        if job:
-            self.lost.append(job)
-
-
-def audit(record: Record) -> Audit:
-    """Every rule, for every row."""
-    found = Audit()
-    found.broken += [f"{name} ended with {status}" for name, status in record.ended.items()]
-    _answers(record, found)
-    _repeats(record, found)
-    _drains(record, found)
-    _cold(record, found)
-    return found
-
-
-def _at_node(record: Record, what: tuple[str, ...]) -> dict[int, list[Span]]:
-    spans: dict[int, list[Span]] = defaultdict(list)
-    numbers = {name: number for number, name in enumerate(record.node_names())}
-    for span in record.spans:
-        if span.what in what and span.who in numbers:
-            spans[numbers[span.who]].append(span)
-    return spans
-
-
-def _met(spans: list[Span], since: float, until: float, after: float = 0.0) -> bool:
-    return any(span.since <= until and since <= span.until + after for span in spans)
-
-
-def _answers(record: Record, found: Audit) -> None:
-    killed, stopped, away = (_at_node(record, what) for what in (("kill",), ("stop",), ("term",)))
-    done = {row.id for row in record.ran if row.outcome == "done"}
-    taken = {row.id for row in record.ran}
-    for job in record.asked:
-        over = job.sent_ms + job.timeout_ms
-        if job.is_unsent:
-            found.excuse("no node took a connection", job.id)
-        elif job.answered_ms is None:
-            if _met(killed[job.node], job.sent_ms, over):
-                found.excuse("its node was killed", job.id)
-            elif _met(stopped[job.node], job.sent_ms, over):
-                found.excuse("its node was stopped", job.id)
-            elif job.id not in taken and _met(away[job.node], job.sent_ms, job.sent_ms):
-                # Written to a kept connection in the moment in which a node that stops closes it.
-                found.excuse("never taken by a node that stopped", job.id)
+    lost_job_ids: list[str] = []  # jobs without an answer in time because of a fault of their node
+
+    def excuse(self, reason: str, job_id: str = "") -> None:
+        """Count one event that the fault schedule itself caused; with a job where that job was lost."""
+        self.excused[reason] = self.excused.get(reason, 0) + 1
+        if job_id:
+            self.lost_job_ids.append(job_id)
+
+
+def audit(record: RunRecord) -> Audit:
+    """Check every rule for every request and attempt of a run."""
+    result = Audit()
+    result.violations += [f"{name} ended with {status}" for name, status in record.unexpected_exits.items()]
+    _check_answers(record, result)
+    _check_non_idempotent_jobs(record, result)
+    _check_drains(record, result)
+    _check_slow_starts(record, result)
+    return result
+
+
+class _NodeFaults:
+    """The intervals of one kind of fault, by the number of the node."""
+
+    def __init__(self, record: RunRecord, kind: str) -> None:
+        self._intervals: dict[int, list[FaultInterval]] = defaultdict(list)
+        numbers = {name: number for number, name in enumerate(record.node_names())}
+        for interval in record.fault_intervals:
+            if interval.kind == kind and interval.subject in numbers:
+                self._intervals[numbers[interval.subject]].append(interval)
+
+    def overlap(self, node: int, start_ms: float, end_ms: float, allowance_ms: float = 0.0) -> bool:
+        """Whether the node had the fault, or had it until `allowance_ms` before, within the period."""
+        return any(
+            interval.start <= end_ms and start_ms <= interval.end + allowance_ms
+            for interval in self._intervals[node]
+        )
+
+
+def _check_answers(record: RunRecord, result: Audit) -> None:
+    """Each client got one answer in time, and a result only of its own job."""
+    terminated = _NodeFaults(record, "term")
+    killed = _NodeFaults(record, "kill")
+    stopped = _NodeFaults(record, "stop")
+    done_ids = {attempt.id for attempt in record.attempts if attempt.outcome == "done"}
+    received_ids = {attempt.id for attempt in record.attempts}
+    for request in record.requests:
+        deadline_ms = request.sent_ms + request.timeout_ms
+        if request.is_unsent:
+            result.excuse("no node took a connection", request.id)
+        elif request.answered_ms is None:
+            is_received = request.id in received_ids
+            _check_missing_answer(request, is_received, killed, stopped, terminated, result)
+        elif request.answered_ms > deadline_ms + LATE_ANSWER_ALLOWANCE_MS:
+            if stopped.overlap(request.node, request.sent_ms, deadline_ms, RESUME_ALLOWANCE_MS):
+                result.excuse("answered late by a stopped node", request.id)
             else:
-                found.broken.append(f"{job.id}: no answer from n{job.node:03d}")
-        elif job.answered_ms > over + LATE:
-            if _met(stopped[job.node], job.sent_ms, over, WAKES):
-                found.excuse("answered late by a stopped node", job.id)
-            else:
-                found.broken.append(f"{job.id}: answered {job.answered_ms - over:.0f} ms late")
-        if job.is_served and (job.id not in done or job.body.partition(b"@")[0] != job.id.encode()):
-            found.broken.append(f"{job.id}: served with what no executor made")
-
-
-def _repeats(record: Record, found: Audit) -> None:
-    once = {kind.name for kind in JOB_CLASSES if kind.is_non_idempotent}
-    began: dict[str, list[AttemptRecord]] = defaultdict(list)
-    for row in record.ran:
-        if row.started_ms is not None:
-            began[row.id].append(row)
-    found.broken += [
-        f"{ref}: a job that must not run twice began {len(rows)} times"
-        for ref, rows in began.items()
-        if len(rows) > 1 and rows[0].job_class in once
+                late_ms = request.answered_ms - deadline_ms
+                result.violations.append(f"{request.id}: answered {late_ms:.0f} ms late")
+        if request.is_served and (request.id not in done_ids or _result_owner(request) != request.id):
+            result.violations.append(f"{request.id}: served with a result that no executor made")
+
+
+def _check_missing_answer(
+    request: RequestRecord,
+    is_received: bool,
+    killed: _NodeFaults,
+    stopped: _NodeFaults,
+    terminated: _NodeFaults,
+    result: Audit,
+) -> None:
+    """A request without an answer had a node that was killed, stopped or terminated."""
+    node = request.node
+    sent_ms = request.sent_ms
+    deadline_ms = sent_ms + request.timeout_ms
+    if killed.overlap(node, sent_ms, deadline_ms):
+        result.excuse("its node was killed", request.id)
+    elif stopped.overlap(node, sent_ms, deadline_ms):
+        result.excuse("its node was stopped", request.id)
+    elif not is_received and terminated.overlap(node, sent_ms, sent_ms):
+        # Written to an idle connection at the moment at which a terminating node closed it.
+        result.excuse("never taken by a node that stopped", request.id)
+    else:
+        result.violations.append(f"{request.id}: no answer from n{node:03d}")
+
+
+def _result_owner(request: RequestRecord) -> str:
+    """Return the id of the job whose result the answer carries."""
+    return request.body.partition(b"@")[0].decode(errors="replace")
+
+
+def _check_non_idempotent_jobs(record: RunRecord, result: Audit) -> None:
+    """No non-idempotent job starts twice, or once its client was told that a retry does no harm.
+
+    No job of any class starts that no client sent.
+    """
+    non_idempotent = {job_class.name for job_class in JOB_CLASSES if job_class.is_non_idempotent}
+    started: dict[str, list[float]] = defaultdict(list)
+    classes: dict[str, str] = {}
+    for attempt in record.attempts:
+        if attempt.started_ms is not None:
+            started[attempt.id].append(attempt.started_ms)
+            classes.setdefault(attempt.id, attempt.job_class)
+    result.violations += [
+        f"{job_id}: a non-idempotent job started {len(times)} times"
+        for job_id, times in started.items()
+        if len(times) > 1 and classes[job_id] in non_idempotent
     ]
-    asked: dict[str, RequestRecord] = {job.id: job for job in record.asked}
-    for ref, rows in began.items():
-        job = asked.get(ref)
-        if job is None:
-            found.broken.append(f"{ref}: ran, and no client sent it")
+    requests = {request.id: request for request in record.requests}
+    for job_id, times in started.items():
+        request = requests.get(job_id)
+        if request is None:
+            result.violations.append(f"{job_id}: ran, and no client sent it")
         elif (
-            job.is_rejected and job.job_class in once and rows[0].started_ms <= (job.answered_ms or math.inf)  # type: ignore[operator]
+            request.is_rejected
+            and request.job_class in non_idempotent
+            and times[0] <= (request.answered_ms or math.inf)
         ):
-            found.broken.append(f"{ref}: ran, and its client was told that a retry does no harm")
-
-
-def _drains(record: Record, found: Audit) -> None:
-    """Nothing new later than 250 ms after the node was told, however it learnt of it."""
-    heard: dict[tuple[int, str], list[tuple[float, str]]] = defaultdict(list)
-    for at, who, host, health in record.heard:
-        heard[int(who[1:]), host].append((at, health))
-    stopped = _at_node(record, ("stop",))
-    for row in record.ran:
-        node = int(row.node)
-        told = heard.get((node, row.executor), [])
-        place = bisect.bisect_right(told, row.received_ms, key=lambda each: each[0])
-        if not place or told[place - 1][1] == "active":
+            result.violations.append(f"{job_id}: ran, and its client was told that a retry does no harm")
+
+
+def _check_drains(record: RunRecord, result: Audit) -> None:
+    """No new job arrives later than 250 ms after its node was notified, however it was notified."""
+    notifications: dict[tuple[int, str], list[Notification]] = defaultdict(list)
+    for notification in record.notifications:
+        notifications[int(notification.node[1:]), notification.endpoint].append(notification)
+    stopped = _NodeFaults(record, "stop")
+    for attempt in record.attempts:
+        node = int(attempt.node)
+        received_ms = attempt.received_ms
+        earlier = notifications.get((node, attempt.executor), [])
+        count = bisect.bisect_right(earlier, received_ms, key=lambda each: each.at)
+        if not count or earlier[count - 1].health == "active":
             continue
-        late = row.received_ms - told[place - 1][0]
-        if late <= DRAIN + FLIGHT:
+        late_ms = received_ms - earlier[count - 1].at
+        if late_ms <= NOTIFICATION_DEADLINE_MS + TRANSIT_ALLOWANCE_MS:
             continue
-        if _met(stopped[node], row.received_ms, row.received_ms, WAKES):
-            found.excuse("its node was stopped")
-        elif _troubled(record, node, row.executor, row.received_ms):
-            found.excuse("a troubled link held it back")
+        if stopped.overlap(node, received_ms, received_ms, RESUME_ALLOWANCE_MS):
+            result.excuse("its node was stopped")
+        elif _is_link_faulty(record, node, attempt.executor, received_ms):
+            result.excuse("a troubled link held it back")
         else:
-            found.broken.append(f"{row.id}: came {late:.0f} ms after n{node:03d} was told of {row.executor}")
+            result.violations.append(
+                f"{attempt.id}: received {late_ms:.0f} ms after n{node:03d} was notified that "
+                f"{attempt.executor} drains"
+            )
 
 
-def _troubled(record: Record, node: int, executor: str, came: float) -> bool:
+def _is_link_faulty(record: RunRecord, node: int, executor: str, at_ms: float) -> bool:
     """Whether the schedule holds bytes back on this link, or did so until a moment before."""
-    at = (came - record.begin) / 1000.0
-    sides = (record.node_names(), record.node_zones), (record.names(), record.executor_zones)
-    number = record.names().index(executor)
-    near = [at, *(t.until - 1e-3 for t in record.plan.schedule.troubles if 0.0 <= at - t.until < 1.0)]
+    schedule = record.plan.schedule
+    at_seconds = (at_ms - record.start_ms) / 1000.0
+    just_ended = [fault for fault in schedule.faults if 0.0 <= at_seconds - fault.end < LINK_RECOVERY_SECONDS]
+    moments = [at_seconds, *(fault.end - _JUST_BEFORE_SECONDS for fault in just_ended)]
+    nodes = record.node_population()
+    executors = record.executor_population()
+    number = record.executor_names().index(executor)
     return any(
-        effect.meets(node, number, True)
-        for moment in near
-        for effect in effects(record.plan.schedule, moment, *sides, between_nodes=False)
+        link_fault.affects(node, number, forward=True)
+        for moment in moments
+        for link_fault in active_executor_link_faults(schedule, moment, nodes, executors)
     )
 
 
-def _cold(record: Record, found: Audit) -> None:
-    """What reaches a cold executor within a window stays under what would push it over."""
-    rules = platform_settings(JOB_CLASSES, record.plan.nodes)["Rules"]
-    window, multiple = rules["OverloadFor"], rules["FallMultiple"]
-    births: dict[str, list[float]] = defaultdict(list)
-    for span in record.spans:
-        if span.what in ("die", "drain"):
-            births[span.who].append(span.until)
-    came: dict[str, list[AttemptRecord]] = defaultdict(list)
-    for row in record.ran:
-        came[row.executor].append(row)
-    mean = sum(row.work_ms * row.slots for row in record.ran) / max(1, len(record.ran))
-    for name, times in births.items():
-        spec = record.specs[name]
-        rows = sorted(came[name], key=lambda row: row.received_ms)
-        for born in times:
-            cold = [row for row in rows if born <= row.received_ms < born + spec.slow_start_ms]
-            for number, row in enumerate(cold):
-                budget = multiple * spec.slow_start_factor(row.received_ms - born) * spec.capacity * window
-                work = sum(
-                    r.work_ms * r.slots for r in cold[number:] if r.received_ms < row.received_ms + window
+def _check_slow_starts(record: RunRecord, result: Audit) -> None:
+    """The work that reaches a starting executor within a window stays below what would overload it."""
+    started: dict[str, list[float]] = defaultdict(list)
+    for interval in record.fault_intervals:
+        if interval.kind in ("die", "drain"):
+            started[interval.subject].append(interval.end)
+    attempts: dict[str, list[AttemptRecord]] = defaultdict(list)
+    for attempt in record.attempts:
+        attempts[attempt.executor].append(attempt)
+    mean_work = sum(map(_total_work, record.attempts)) / max(1, len(record.attempts))
+    for executor, start_times in started.items():
+        spec = record.specs[executor]
+        received = sorted(attempts[executor], key=lambda attempt: attempt.received_ms)
+        for start_ms in start_times:
+            overload = next(_overloads(record.plan.nodes, spec, received, start_ms, mean_work), None)
+            if overload is not None:
+                result.violations.append(
+                    f"{executor}: in slow start, got {overload:.2f} of its budget in a window"
                 )
-                if work > min(LUCK * budget, mean * max_calls_by_chance(budget / mean)):
-                    found.broken.append(f"{name}: cold, got {work / budget:.2f} of its budget in a window")
-                    break
+
+
+def _overloads(
+    node_count: int, spec: ExecutorSpec, received: list[AttemptRecord], start_ms: float, mean_work: float
+) -> Iterator[float]:
+    """Yield by how much the work exceeds the budget, for each window of the slow start in which it does."""
+    rules = platform_settings(JOB_CLASSES, node_count)["Rules"]
+    window_ms = rules["OverloadFor"]
+    attempts = [each for each in received if start_ms <= each.received_ms < start_ms + spec.slow_start_ms]
+    for number, first in enumerate(attempts):
+        age_ms = first.received_ms - start_ms
+        budget = rules["FallMultiple"] * spec.slow_start_factor(age_ms) * spec.capacity * window_ms
+        window_end_ms = first.received_ms + window_ms
+        work = sum(_total_work(each) for each in attempts[number:] if each.received_ms < window_end_ms)
+        if work > min(WORK_DEVIATION_FACTOR * budget, mean_work * max_calls_by_chance(budget / mean_work)):
+            yield work / budget
+
+
+def _total_work(attempt: AttemptRecord) -> float:
+    """Core-ms over all slots of the job."""
+    return attempt.work_ms * attempt.slots
--- /dev/null
+++ b/burlmoor/testbed/fleet/baseline_replay.py
@@ -0,0 +1,220 @@
+"""Replays the jobs of a run in virtual time, with a simple way of endpoint selection and the same faults.
+
+There is no network: nothing is lost or delayed on it, so a baseline does no worse than it would as processes.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+import random
+from collections import defaultdict
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from functools import partial
+from typing import NamedTuple
+
+from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.executor_model import ExecutorModel
+from burlmoor.testbed.fleet.load import Job, draw_jobs
+from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
+
+# Returns the number of the executor for a job, out of the listed ones, which are in ascending order.
+Selector = Callable[["BaselineReplay", Job, Sequence[int]], int]
+
+_ATTEMPTS = 2  # a rejected job goes to one other executor, as a node's retry would
+_MAX_OVERRUN_MS = 10_000.0  # beyond the load, for jobs in flight at its end
+
+
+class ReplayResult(NamedTuple):
+    """What clients and executors would have observed."""
+
+    requests: list[RequestRecord]
+    attempts: list[AttemptRecord]
+
+
+class _ScheduledEvent(NamedTuple):
+    at_ms: float
+    order: int  # of scheduling: events of the same time run in this order
+    action: Callable[[], None]
+
+
+@dataclass(slots=True)
+class _InFlight:
+    attempt: AttemptRecord
+    request: RequestRecord
+    executor: int
+
+
+class BaselineReplay:
+    """Owns one replay: models of the executors, and what each node counts as its own jobs."""
+
+    def __init__(self, record: RunRecord, select: Selector, seed: int = 1) -> None:
+        self.record = record
+        self.rng = random.Random(seed)
+        self.executor_names = record.executor_names()
+        self.executors = [ExecutorModel(spec, 0.0) for spec in record.executor_specs()]
+        self.capacities = [spec.capacity for spec in record.executor_specs()]
+        # Jobs in flight, by node, then by executor.
+        self.jobs_by_node: dict[int, list[float]] = defaultdict(lambda: [0.0] * len(self.executors))
+        self.next_turns: dict[int, int] = {}  # by node, for round robin
+        self.outstanding_work = [0.0] * len(self.executors)  # true state, in core-ms
+        self.now_ms = 0.0
+        self._select = select
+        self._result = ReplayResult([], [])
+        self._in_flight: dict[str, _InFlight] = {}
+        self._listed = set(range(len(self.executors)))
+        self._running = set(range(len(self.executors)))
+        self._next_steps_ms = [math.inf] * len(self.executors)
+        self._events: list[_ScheduledEvent] = []
+        self._event_count = 0
+
+    def run(self) -> ReplayResult:
+        """Replay all jobs and faults."""
+        record = self.record
+        self.now_ms = record.start_ms
+        for job in draw_jobs(record.load):
+            self._schedule(record.start_ms + job.start_seconds * 1000.0, partial(self._dispatch, job))
+        self._schedule_faults()
+        end_ms = record.start_ms + record.plan.seconds * 1000.0 + _MAX_OVERRUN_MS
+        while self._events and self._events[0].at_ms <= end_ms:
+            event = heapq.heappop(self._events)
+            self.now_ms = event.at_ms
+            event.action()
+        return self._result
+
+    def _schedule(self, at_ms: float, action: Callable[[], None]) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, _ScheduledEvent(at_ms, self._event_count, action))
+
+    # --- jobs -----------------------------------------------------------------------------------
+
+    def _dispatch(self, job: Job) -> None:
+        request = RequestRecord(
+            f"j{job.number}", job.kind.name, self.now_ms, job.kind.timeout_ms, job.work, slots=job.slots
+        )
+        request.node = job.node
+        self._result.requests.append(request)
+        for _ in range(_ATTEMPTS):
+            executor = self._select(self, job, sorted(self._listed))
+            if self._attempt(request, job, executor):
+                return
+        self._answer(request, 503)
+
+    def _attempt(self, request: RequestRecord, job: Job, executor: int) -> bool:
+        """Send the job to an executor; whether it was admitted there."""
+        attempt = AttemptRecord(
+            request.id,
+            request.job_class,
+            self.executor_names[executor],
+            self.now_ms,
+            node=str(job.node),
+            work_ms=job.work,
+            slots=job.slots,
+        )
+        self._result.attempts.append(attempt)
+        if executor not in self._running or not self.executors[executor].admit(
+            self.now_ms, attempt.id, job.work, job.slots
+        ):
+            attempt.outcome = "full"
+            attempt.ended_ms = self.now_ms
+            return False
+        self._in_flight[attempt.id] = _InFlight(attempt, request, executor)
+        self.jobs_by_node[job.node][executor] += 1.0
+        self.outstanding_work[executor] += job.work * job.slots
+        self._step(executor)
+        return True
+
+    def _answer(self, request: RequestRecord, status: int) -> None:
+        request.answered_ms = self.now_ms
+        request.status = status
+        request.answer_count = 1
+
+    def _step(self, executor: int) -> None:
+        """Advance an executor to the present and schedule its next step."""
+        model = self.executors[executor]
+        for progress in model.step(self.now_ms):
+            if progress.state == "started":
+                self._in_flight[progress.job].attempt.started_ms = self.now_ms
+            elif progress.state == "done":
+                self._on_done(self._in_flight[progress.job])
+        due_ms = model.next_due_ms()
+        scheduled_ms = self._next_steps_ms[executor]
+        if due_ms < scheduled_ms or scheduled_ms <= self.now_ms:
+            self._next_steps_ms[executor] = due_ms
+            if due_ms < math.inf:
+                self._schedule(max(due_ms, self.now_ms), partial(self._on_step_due, executor, due_ms))
+
+    def _on_step_due(self, executor: int, due_ms: float) -> None:
+        # Any other value: a step that was scheduled later has replaced this one.
+        if self._next_steps_ms[executor] == due_ms:
+            self._next_steps_ms[executor] = math.inf
+            self._step(executor)
+
+    def _on_done(self, job: _InFlight) -> None:
+        job.attempt.outcome = "done"
+        job.attempt.ended_ms = self.now_ms
+        if self.now_ms <= job.request.sent_ms + job.request.timeout_ms:
+            self._answer(job.request, 200)
+        self._remove(job)
+
+    def _remove(self, job: _InFlight) -> None:
+        del self._in_flight[job.attempt.id]
+        self.jobs_by_node[job.request.node][job.executor] -= 1.0
+        self.outstanding_work[job.executor] -= job.attempt.work_ms * job.attempt.slots
+
+    # --- faults ---------------------------------------------------------------------------------
+
+    def _schedule_faults(self) -> None:
+        numbers = {name: number for number, name in enumerate(self.executor_names)}
+        for interval in self.record.fault_intervals:
+            executor = numbers.get(interval.subject)
+            if executor is not None:
+                self._schedule_fault(interval, executor)
+
+    def _schedule_fault(self, interval: FaultInterval, executor: int) -> None:
+        faults = self.record.plan.schedule.faults
+        if interval.kind == "drain":
+            self._schedule(interval.start, partial(self._listed.discard, executor))
+            self._schedule(interval.end, partial(self._kill, executor))
+            self._schedule(interval.end, partial(self._restart, executor))
+        elif interval.kind == "die":
+            delays_ms = [fault.notification_delay * 1000.0 for fault in faults if fault.kind == "die"]
+            self._schedule(interval.start, partial(self._kill, executor))
+            self._schedule(interval.start + delays_ms[-1], partial(self._listed.discard, executor))
+            self._schedule(interval.end, partial(self._restart, executor))
+        elif interval.kind == "slow":
+            factor = max((fault.magnitude for fault in faults if fault.kind == "slow"), default=1.0)
+            self._schedule(interval.start, partial(self._set_slowdown, executor, max(1.0, factor)))
+            self._schedule(interval.end, partial(self._set_slowdown, executor, 1.0))
+        elif interval.kind in ("still", "fail"):
+            # An executor that fails every job at once counts as stalled: it serves no client.
+            self._schedule(interval.start, partial(self._set_stalled, executor, True))
+            self._schedule(interval.end, partial(self._set_stalled, executor, False))
+
+    def _kill(self, executor: int) -> None:
+        self._running.discard(executor)
+        for job in [job for job in self._in_flight.values() if job.executor == executor]:
+            job.attempt.outcome = "died"
+            job.attempt.ended_ms = self.now_ms
+            self._answer(job.request, 502)
+            self._remove(job)
+        self._reset(executor)
+        self._next_steps_ms[executor] = math.inf
+
+    def _restart(self, executor: int) -> None:
+        self._reset(executor)
+        self._running.add(executor)
+        self._listed.add(executor)
+
+    def _reset(self, executor: int) -> None:
+        spec = self.record.specs[self.executor_names[executor]]
+        self.executors[executor] = ExecutorModel(spec, self.now_ms, cold=True)
+
+    def _set_slowdown(self, executor: int, factor: float) -> None:
+        self.executors[executor].set_slowdown(self.now_ms, factor)
+        self._step(executor)
+
+    def _set_stalled(self, executor: int, is_stalled: bool) -> None:
+        self.executors[executor].set_stalled(self.now_ms, is_stalled)
+        self._step(executor)
--- a/burlmoor/testbed/fleet/child_process.py
+++ b/burlmoor/testbed/fleet/child_process.py
@@ -1,7 +1,7 @@
-"""Processes that end with the one that started them, whatever that one dies of.
+"""Processes that end together with the one that started them, whatever that one ends with.
 
-The kernel is told before the program starts (Linux, prctl(2), PR_SET_PDEATHSIG), so that even SIGKILL of
-the starter leaves nobody over.
+The kernel is asked for it before the program starts (Linux, prctl(2), PR_SET_PDEATHSIG). Without this,
+SIGKILL of the parent would leave its children running.
 """
 
 from __future__ import annotations
@@ -13,107 +13,101 @@
 from collections.abc import Sequence
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import trio
 
-# Run before the program, in its process: asked for first, then looked whether the starter has died meanwhile.
-_BOUND = (
+# Runs before the program, in its process. The parent may have died before prctl took effect, hence the check.
+_BOOTSTRAP = (
     "import ctypes, os, sys\n"
     "ctypes.CDLL(None).prctl(1, 9, 0, 0, 0)\n"
     "os.getppid() == int(sys.argv[1]) or os._exit(1)\n"
     "sys.argv[2] and os.sched_setaffinity(0, {int(core) for core in sys.argv[2].split(',')})\n"
     "os.execv(sys.argv[3], sys.argv[3:])\n"
 )
+_POLL_SECONDS = 0.02
+_KILL_SECONDS = 5.0  # until a process that got SIGKILL must be over
 
 
-class Child:
-    """Owns one process. Starts and signals don't wait; only the main thread may start one.
+class ChildProcess:
+    """Owns one Python process, which starts at once.
 
-    `cores` are those that it may run on; none named: any.
+    Starting and signalling do not block. Only the main thread may start one: the kernel ends the child with
+    the thread that started it. `cores` are those that it may run on; empty: all. With `has_pipes` lines of
+    JSON go to its standard input and come from its standard output; otherwise its output goes to the log.
     """
 
     def __init__(
         self,
-        command: Sequence[str],
+        arguments: Sequence[str],
         log: Path,
         environment: dict[str, str] | None = None,
-        talks: bool = False,
+        has_pipes: bool = False,
         cores: frozenset[int] = frozenset(),
     ) -> None:
-        bound = [
-            sys.executable,
-            "-I",
-            "-S",
-            "-c",
-            _BOUND,
-            str(os.getpid()),
-            ",".join(map(str, sorted(cores))),
-        ]
-        bound += [sys.executable, *command]
-        with log.open("ab") as sink:
-            # Not by a thread: the kernel's promise is on the thread that starts it.
+        core_list = ",".join(map(str, sorted(cores)))
+        bootstrap = [sys.executable, "-I", "-S", "-c", _BOOTSTRAP, str(os.getpid()), core_list]
+        with log.open("ab") as log_file:
             self._process = subprocess.Popen(
-                bound,
-                stdin=subprocess.PIPE if talks else subprocess.DEVNULL,
-                stdout=subprocess.PIPE if talks else sink,
-                stderr=sink,
+                [*bootstrap, sys.executable, *arguments],
+                stdin=subprocess.PIPE if has_pipes else subprocess.DEVNULL,
+                stdout=subprocess.PIPE if has_pipes else log_file,
+                stderr=log_file,
                 env=environment,
                 start_new_session=True,
             )
         self.pid = self._process.pid
 
-    def tell(self, line: Any) -> None:
-        """Write one line of JSON to it; a process that has ended hears nothing."""
+    def send_line(self, message: object) -> None:
+        """Write one line of JSON to its input; nothing happens where the process has ended."""
         assert self._process.stdin is not None
         with suppress(OSError):
-            self._process.stdin.write(msgspec.json.encode(line) + b"\n")
+            self._process.stdin.write(msgspec.json.encode(message) + b"\n")
             self._process.stdin.flush()
 
-    async def said(self, within: float) -> bool:
-        """Whether it says its next line within so many seconds."""
+    async def wait_for_line(self, timeout_seconds: float) -> bool:
+        """Wait for its next line of output; whether it came in time."""
         assert self._process.stdout is not None
-        number = self._process.stdout.fileno()
+        descriptor = self._process.stdout.fileno()
         line = b""
-        with trio.move_on_after(within):
+        with trio.move_on_after(timeout_seconds):
             while not line.endswith(b"\n"):
-                await trio.lowlevel.wait_readable(number)
-                more = os.read(number, 4096)
-                if not more:
+                await trio.lowlevel.wait_readable(descriptor)
+                data = os.read(descriptor, 4096)
+                if not data:
                     return False
-                line += more
+                line += data
             return True
         return False
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send it a signal, if it still runs."""
-        if self.running:
+        if self.is_running:
             self._process.send_signal(number)
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether it has not ended."""
         return self._process.poll() is None
 
     @property
-    def status(self) -> int | None:
-        """Its exit status; below zero the signal that ended it."""
+    def exit_status(self) -> int | None:
+        """Its exit status; below zero the signal that ended it; None while it runs."""
         return self._process.poll()
 
-    async def ended(self, within: float) -> bool:
-        """Whether it ends within so many seconds."""
-        with trio.move_on_after(within):
-            while self.running:
-                await trio.sleep(0.02)
+    async def wait_until_ended(self, timeout_seconds: float) -> bool:
+        """Wait for its end; whether it came in time."""
+        with trio.move_on_after(timeout_seconds):
+            while self.is_running:
+                await trio.sleep(_POLL_SECONDS)
             return True
-        return not self.running
+        return not self.is_running
 
-    async def end(self) -> None:
-        """See to it that it is over."""
-        self.signal(signal.SIGKILL)
+    async def kill(self) -> None:
+        """Kill it if it still runs, wait for its end and close its pipes; not interrupted by cancellation."""
+        self.send_signal(signal.SIGKILL)
         with trio.CancelScope(shield=True):
-            await self.ended(5.0)
+            await self.wait_until_ended(_KILL_SECONDS)
         for pipe in (self._process.stdin, self._process.stdout):
             if pipe is not None:
                 with suppress(OSError):
--- a/burlmoor/testbed/fleet/clients.py
+++ b/burlmoor/testbed/fleet/clients.py
@@ -1,9 +1,9 @@
-"""The clients of a share of the nodes, in a process of their own: `python -m burlmoor.testbed.fleet.clients`.
+"""The clients of a part of the nodes, in a process of their own: `python -m burlmoor.testbed.fleet.clients`.
 
-Each job is sent at its time, whatever became of others, to the node that it was drawn for. Where that node
-takes no connection, the front in place of which this stands goes to another, as often as told; a job that a
-node may have taken is never sent again. It ends with its input, or when all jobs are answered and written
-down.
+Each job is sent at its time, whatever happens to others, to the node that it was drawn for. Where that node
+takes no connection, the job goes to another one, as a proxy in front of the nodes would have it, a limited
+number of times; a job that a node may have taken is never sent again. The process ends with its input, or
+when all jobs are answered and what was observed is written.
 """
 
 from __future__ import annotations
@@ -18,84 +18,95 @@
 from burlmoor.testbed.clients import ClientPool
 from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.event_record import EventRecord, RequestRecord
-from burlmoor.testbed.fleet.addresses import Ports
-from burlmoor.testbed.fleet.addresses import node as node_at
-from burlmoor.testbed.fleet.load import Job, Load, draw
-from burlmoor.testbed.fleet.notifications import lines, play
+from burlmoor.testbed.fleet.addresses import Ports, node_address
+from burlmoor.testbed.fleet.load import Job, Load, draw_jobs
+from burlmoor.testbed.fleet.process_input import read_lines, run_process
 
+_MIN_SLEEP_MS = 0.5
 
-class Plan(msgspec.Struct):
-    """The load, and which part of it is this process's."""
+
+class ClientsConfig(msgspec.Struct):
+    """The load, and which part of it this process sends."""
 
     ports: Ports
     load: Load
-    part: int  # the jobs of nodes of which the number leaves this rest
-    parts: int
-    begin: float  # ms on the machine's clock
-    ledger: str
-    moves: int = 3
+    partition: int  # the jobs of nodes whose number leaves this remainder
+    partition_count: int
+    start_ms: float  # of the load, on the machine's clock
+    output_path: str
+    max_node_changes: int = 3
+
+
+class ClientsOutput(msgspec.Struct):
+    """What the process writes in the end."""
+
+    requests: list[RequestRecord]
+    max_send_delay_ms: float  # the most by which a job was sent late
 
 
-class Front:
-    """Owns the connections to all nodes that its jobs go to."""
+class ClientGroup:
+    """Owns the connections to all nodes that its jobs are sent to."""
 
-    def __init__(self, plan: Plan) -> None:
-        self._plan = plan
-        self.ledger = EventRecord()
-        self._rng = random.Random(plan.load.seed * 1000 + plan.part)
+    def __init__(self, config: ClientsConfig) -> None:
+        self.event_record = EventRecord()
+        self.max_send_delay_ms = 0.0
+        self._config = config
+        self._rng = random.Random(config.load.seed * 1000 + config.partition)
         self._clients: dict[int, ClientPool] = {}
-        self.behind = 0.0  # ms by which a job was sent late, at most
 
     async def run(self) -> None:
-        """Send every job and wait for all answers."""
+        """Send every job of the partition and wait for all answers."""
+        config = self._config
         async with trio.open_nursery() as nursery:
-            for job in draw(self._plan.load):
-                if job.node % self._plan.parts != self._plan.part:
+            for job in draw_jobs(config.load):
+                if job.node % config.partition_count != config.partition:
                     continue
-                due = self._plan.begin + job.at * 1000.0
-                if due - now_ms() > 0.5:
-                    await trio.sleep((due - now_ms()) / 1000.0)
-                self.behind = max(self.behind, now_ms() - due)
-                nursery.start_soon(self._one, job, due)
-
-    async def _one(self, job: Job, due: float) -> None:
-        asked = RequestRecord(
-            f"j{job.number}", job.kind.name, due, job.kind.timeout_ms, job.work, slots=job.slots
+                due_ms = config.start_ms + job.start_seconds * 1000.0
+                if due_ms - now_ms() > _MIN_SLEEP_MS:
+                    await trio.sleep((due_ms - now_ms()) / 1000.0)
+                self.max_send_delay_ms = max(self.max_send_delay_ms, now_ms() - due_ms)
+                nursery.start_soon(self._send, job, due_ms)
+
+    async def _send(self, job: Job, due_ms: float) -> None:
+        """Send a job to its node, or to random others while none takes the connection."""
+        request = RequestRecord(
+            f"j{job.number}", job.kind.name, due_ms, job.kind.timeout_ms, job.work, slots=job.slots
         )
-        asked.node = job.node
-        for moves in range(self._plan.moves + 1):
-            asked.node_changes = moves
-            await self._at(asked.node).send(asked, slots=job.slots, key=job.key)
-            if not asked.is_unsent or now_ms() > due + job.kind.timeout_ms:
+        request.node = job.node
+        for node_changes in range(self._config.max_node_changes + 1):
+            request.node_changes = node_changes
+            await self._clients_of(request.node).send(request, slots=job.slots, key=job.key)
+            if not request.is_unsent or now_ms() > due_ms + job.kind.timeout_ms:
                 return
-            # The front knows that nobody is there, and tries the next that comes to its mind.
-            asked.node, asked.is_unsent = self._rng.randrange(self._plan.load.nodes), False
-        asked.is_unsent = True
+            request.node = self._rng.randrange(self._config.load.nodes)
+            request.is_unsent = False
+        request.is_unsent = True
 
-    def _at(self, node: int) -> ClientPool:
+    def _clients_of(self, node: int) -> ClientPool:
         if node not in self._clients:
-            address = (node_at(node), self._plan.ports.clients)
-            self._clients[node] = ClientPool(address, self.ledger, may_resend=False)
+            address = (node_address(node), self._config.ports.node_http)
+            self._clients[node] = ClientPool(address, self.event_record, may_resend=False)
         return self._clients[node]
 
 
-async def serve(plan: Plan) -> None:
-    """Send all jobs, write what became of them, unless the input ends first."""
+async def serve(config: ClientsConfig) -> None:
+    """Send all jobs and write what was observed, unless the input ends first."""
     async with trio.open_nursery() as nursery:
 
-        async def watch() -> None:
-            async for _ in lines():
+        async def cancel_at_end_of_input() -> None:
+            async for _ in read_lines():
                 pass
             nursery.cancel_scope.cancel()
 
-        nursery.start_soon(watch)
-        front = Front(plan)
-        await front.run()
-        rows = list(front.ledger.requests.values())
-        Path(plan.ledger).write_bytes(msgspec.json.encode({"asked": rows, "behind": front.behind}))
+        nursery.start_soon(cancel_at_end_of_input)
+        clients = ClientGroup(config)
+        await clients.run()
+        output = ClientsOutput(list(clients.event_record.requests.values()), clients.max_send_delay_ms)
+        # Nothing else runs any more that blocking could delay.
+        Path(config.output_path).write_bytes(msgspec.json.encode(output))
         print("{}", flush=True)
         nursery.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    sys.exit(play(serve, Plan))
+    sys.exit(run_process(serve, ClientsConfig))
--- /dev/null
+++ b/burlmoor/testbed/fleet/datagram_faults.py
@@ -0,0 +1,65 @@
+"""What link faults do to datagrams between nodes."""
+
+from __future__ import annotations
+
+import random
+from typing import NamedTuple
+
+from burlmoor.testbed.fleet.link_faults import LinkFault
+
+
+class DatagramCopy(NamedTuple):
+    """One datagram to deliver after a delay."""
+
+    delay_seconds: float
+    payload: bytes
+
+
+class DatagramFaults:
+    """Owns the link faults that are in effect, and applies them to datagrams."""
+
+    def __init__(self, seed: int) -> None:
+        self.link_faults: list[LinkFault] = []
+        self._rng = random.Random(seed)
+
+    def apply(self, payload: bytes, source: int, destination: int) -> list[DatagramCopy]:
+        """Return what arrives of a datagram between two nodes: nothing, one copy or several.
+
+        Forward is from those that a fault has in `nodes` to those in `peers`; the link in the other direction
+        is affected with the two exchanged.
+        """
+        copies = [DatagramCopy(0.0, payload)]
+        for fault in self.link_faults:
+            is_affected = fault.affects(source, destination, forward=True) or fault.affects(
+                destination, source, forward=False
+            )
+            if is_affected:
+                copies = self._apply_fault(fault, copies)
+            if not copies:
+                break
+        return copies
+
+    def _apply_fault(self, fault: LinkFault, copies: list[DatagramCopy]) -> list[DatagramCopy]:
+        # Drawn for every kind of fault, needed or not: the draws of a seed do not depend on the kinds.
+        is_hit = self._rng.random() < fault.magnitude
+        if fault.kind in ("cut", "stall") or (fault.kind == "drop" and is_hit):
+            return []
+        if fault.kind == "repeat" and is_hit:
+            return [*copies, copies[0]]
+        if fault.kind == "delay":
+            return [_delay(copy, fault.magnitude * self._rng.uniform(0.8, 1.2) / 1e3) for copy in copies]
+        if fault.kind == "reorder":
+            return [_delay(copy, self._rng.uniform(0.0, fault.magnitude) / 1e3) for copy in copies]
+        if fault.kind == "corrupt" and copies[0].payload and is_hit:
+            position = self._rng.randrange(len(copies[0].payload))
+            return [copy._replace(payload=corrupt_byte(copy.payload, position)) for copy in copies]
+        return copies
+
+
+def _delay(copy: DatagramCopy, seconds: float) -> DatagramCopy:
+    return copy._replace(delay_seconds=copy.delay_seconds + seconds)
+
+
+def corrupt_byte(data: bytes, position: int) -> bytes:
+    """Return the data with one bit changed in the byte at this position."""
+    return data[:position] + bytes([data[position] ^ 0x20]) + data[position + 1 :]
--- a/burlmoor/testbed/fleet/datagram_switch.py
+++ b/burlmoor/testbed/fleet/datagram_switch.py
@@ -1,16 +1,13 @@
 """The switch for datagrams between nodes, in a process of its own.
 
-Started as `python -m burlmoor.testbed.fleet.datagram_switch`.
-
-A node sends to the address of its link with another; the switch hands the datagram on to that other from
-the address of the link back, so that an answer finds its way. What it does to datagrams is decided by
-`Wayward`, which is pure.
+Started as `python -m burlmoor.testbed.fleet.datagram_switch`. A node sends to the address of its link with
+another node. The switch delivers the datagram to that other node from the address of the link in the other
+direction, so that an answer finds its way. What happens to datagrams is decided by `datagram_faults.py`.
 """
 
 from __future__ import annotations
 
 import heapq
-import random
 import socket
 import sys
 import time
@@ -20,125 +17,109 @@
 import msgspec
 import trio
 
-from burlmoor.testbed.fleet.addresses import ends, link, local
-from burlmoor.testbed.fleet.addresses import node as node_at
-from burlmoor.testbed.fleet.faults import Effect
-from burlmoor.testbed.fleet.notifications import lines, play
-from burlmoor.testbed.fleet.tcp_relay import Plan
-
-MOST = 100_000  # datagrams on their way at once: more are lost, as in a switch
+from burlmoor.testbed.fleet.addresses import bind_to_loopback, link_address, node_address, parse_link_address
+from burlmoor.testbed.fleet.datagram_faults import DatagramFaults
+from burlmoor.testbed.fleet.link_faults import LinkFault
+from burlmoor.testbed.fleet.process_input import read_lines, run_process
+from burlmoor.testbed.fleet.tcp_relay import RelayConfig
+
+MAX_QUEUED = 100_000  # datagrams; more are lost, as in a real switch
+_MAX_BATCH = 256  # datagrams received before others are delivered
+_MAX_DATAGRAM_BYTES = 2048
+_RECEIVE_BUFFER_BYTES = 4 << 20
+_IDLE_SECONDS = 60.0
+_MIN_WAIT_SECONDS = 0.0005
 _IP_PKTINFO = 8  # linux/in.h; the socket module of Python 3.11 has no name for it
-_PKTINFO = socket.CMSG_SPACE(12)
-
-
-class Flight(NamedTuple):
-    """One datagram to hand on, `wait` seconds from now."""
-
-    wait: float
-    data: bytes
-
-
-class Wayward:
-    """Owns the effects of the moment, and says what becomes of a datagram."""
-
-    def __init__(self, seed: int) -> None:
-        self._rng = random.Random(seed)
-        self.effects: list[Effect] = []
-
-    def fate(self, data: bytes, source: int, to: int) -> list[Flight]:
-        """What arrives of a datagram from node `source` to node `to`: nothing, once, or more often.
-
-        Between two nodes forward is from those named in `nodes` to those named in `peers`; the way back
-        is met with the two in the other order.
-        """
-        copies = [Flight(0.0, data)]
-        for effect in self.effects:
-            if not (effect.meets(source, to, True) or effect.meets(to, source, False)):
-                continue
-            hit = self._rng.random() < effect.size
-            if effect.what in ("cut", "stall") or (effect.what == "drop" and hit):
-                return []
-            if effect.what == "repeat" and hit:
-                copies.append(copies[0])
-            elif effect.what == "delay":
-                copies = [
-                    Flight(f.wait + effect.size * self._rng.uniform(0.8, 1.2) / 1e3, f.data) for f in copies
-                ]
-            elif effect.what == "reorder":
-                copies = [Flight(f.wait + self._rng.uniform(0.0, effect.size) / 1e3, f.data) for f in copies]
-            elif effect.what == "corrupt" and data and hit:
-                at = self._rng.randrange(len(data))
-                copies = [
-                    Flight(f.wait, f.data[:at] + bytes([f.data[at] ^ 0x20]) + f.data[at + 1 :])
-                    for f in copies
-                ]
-        return copies
-
-
-class Switch:
-    """Owns the socket and the datagrams on their way."""
-
-    def __init__(self, plan: Plan) -> None:
-        self._ports, self.wayward = plan.ports, Wayward(plan.seed)
-        self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._sock.setsockopt(socket.IPPROTO_IP, _IP_PKTINFO, 1)
-        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
-        local(self._sock)
-        self._sock.bind(("0.0.0.0", self._ports.datagrams))
-        self._sock.setblocking(False)
-        self._due: list[tuple[float, int, int, int, bytes]] = []
-        self._order = 0
-        self.lost = 0
-        self._woken = trio.Event()
+_PKTINFO_SPACE = socket.CMSG_SPACE(12)
+
+
+class _QueuedDatagram(NamedTuple):
+    due_seconds: float  # on the monotonic clock
+    order: int  # of arrival: datagrams due at the same time are delivered in this order
+    source: int
+    destination: int
+    payload: bytes
+
+
+class DatagramSwitch:
+    """Owns the socket and the datagrams that are queued."""
+
+    def __init__(self, config: RelayConfig) -> None:
+        self.faults = DatagramFaults(config.seed)
+        self.lost_count = 0
+        self._ports = config.ports
+        self._queue: list[_QueuedDatagram] = []
+        self._received_count = 0
+        self._queue_changed = trio.Event()
+        self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+
+    def open(self) -> None:
+        """Bind the socket on all addresses of links."""
+        self._socket.setsockopt(socket.IPPROTO_IP, _IP_PKTINFO, 1)
+        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
+        bind_to_loopback(self._socket)
+        self._socket.bind(("0.0.0.0", self._ports.switch_datagrams))
+        self._socket.setblocking(False)
 
     async def receive(self) -> None:
-        """Take what comes, for good."""
+        """Queue what arrives, until canceled."""
         while True:
-            await trio.lowlevel.wait_readable(self._sock)
+            await trio.lowlevel.wait_readable(self._socket)
             with suppress(BlockingIOError):
-                for _ in range(256):
-                    data, ancillary, _flags, _source = self._sock.recvmsg(2048, _PKTINFO)
+                for _ in range(_MAX_BATCH):
+                    payload, ancillary, _flags, _source = self._socket.recvmsg(
+                        _MAX_DATAGRAM_BYTES, _PKTINFO_SPACE
+                    )
+                    # Not the address of a link: nobody's datagram.
                     with suppress(ValueError):
-                        self._take(data, socket.inet_ntoa(ancillary[0][2][8:12]))
-            self._woken.set()
-
-    def _take(self, data: bytes, address: str) -> None:
-        source, to = ends(address)
-        for flight in self.wayward.fate(data, source, to):
-            if len(self._due) >= MOST:
-                self.lost += 1
+                        self._enqueue(payload, socket.inet_ntoa(ancillary[0][2][8:12]))
+            self._queue_changed.set()
+
+    def _enqueue(self, payload: bytes, address: str) -> None:
+        link = parse_link_address(address)
+        for copy in self.faults.apply(payload, link.node, link.peer):
+            if len(self._queue) >= MAX_QUEUED:
+                self.lost_count += 1
                 return
-            self._order += 1
-            heapq.heappush(self._due, (time.monotonic() + flight.wait, self._order, source, to, flight.data))
+            self._received_count += 1
+            due_seconds = time.monotonic() + copy.delay_seconds
+            queued = _QueuedDatagram(due_seconds, self._received_count, link.node, link.peer, copy.payload)
+            heapq.heappush(self._queue, queued)
 
-    async def hand_on(self) -> None:
-        """Hand on what is due, for good."""
+    async def deliver(self) -> None:
+        """Deliver what is due, until canceled."""
         while True:
-            self._woken = trio.Event()
-            while self._due and self._due[0][0] <= time.monotonic():
-                _, _, source, to, data = heapq.heappop(self._due)
-                # The sender's address is that of the link back.
-                back = b"\0\0\0\0" + socket.inet_aton(link(to, source)) + b"\0\0\0\0"
-                with suppress(OSError):
-                    self._sock.sendmsg(
-                        [data], [(socket.IPPROTO_IP, _IP_PKTINFO, back)], 0, (node_at(to), self._ports.peers)
-                    )
-            wait = self._due[0][0] - time.monotonic() if self._due else 60.0
-            with trio.move_on_after(max(0.0005, wait)):
-                await self._woken.wait()
-
-
-async def serve(plan: Plan) -> None:
-    """Switch until the input ends."""
+            self._queue_changed = trio.Event()
+            while self._queue and self._queue[0].due_seconds <= time.monotonic():
+                self._send(heapq.heappop(self._queue))
+            wait_seconds = self._queue[0].due_seconds - time.monotonic() if self._queue else _IDLE_SECONDS
+            with trio.move_on_after(max(_MIN_WAIT_SECONDS, wait_seconds)):
+                await self._queue_changed.wait()
+
+    def _send(self, datagram: _QueuedDatagram) -> None:
+        """Send a datagram from the address of the link back, by struct in_pktinfo."""
+        reverse_link = socket.inet_aton(link_address(datagram.destination, datagram.source))
+        packet_info = b"\0\0\0\0" + reverse_link + b"\0\0\0\0"
+        destination = (node_address(datagram.destination), self._ports.node_datagrams)
+        # The node may be down; its datagrams are lost.
+        with suppress(OSError):
+            self._socket.sendmsg(
+                [datagram.payload], [(socket.IPPROTO_IP, _IP_PKTINFO, packet_info)], 0, destination
+            )
+
+
+async def serve(config: RelayConfig) -> None:
+    """Switch datagrams until the input ends; each line is the list of link faults from then on."""
     async with trio.open_nursery() as nursery:
-        switch = Switch(plan)
+        switch = DatagramSwitch(config)
+        switch.open()
         nursery.start_soon(switch.receive)
-        nursery.start_soon(switch.hand_on)
+        nursery.start_soon(switch.deliver)
         print("{}", flush=True)
-        async for line in lines():
-            switch.wayward.effects = msgspec.json.decode(line, type=list[Effect])
+        async for line in read_lines():
+            switch.faults.link_faults = msgspec.json.decode(line, type=list[LinkFault])
         nursery.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    sys.exit(play(serve, Plan))
+    sys.exit(run_process(serve, RelayConfig))
--- a/burlmoor/testbed/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -1,7 +1,7 @@
-"""A share of the stand-in executors, in a process of its own: `python -m burlmoor.testbed.fleet.executors`.
+"""A part of the stand-in executors, in a process of its own: `python -m burlmoor.testbed.fleet.executors`.
 
-Told by a line of JSON, then by a line for each thing that befalls an executor. It ends with its input, and
-writes its ledger when it is told to end.
+Its configuration is the first line of its input, each further line a command for one executor. The process
+ends with its input, or when it is told to finish, after it has written what the executors observed.
 """
 
 from __future__ import annotations
@@ -16,64 +16,69 @@
 from burlmoor.testbed.event_record import AnyRequestId, EventRecord
 from burlmoor.testbed.executor import Executor
 from burlmoor.testbed.executor_model import ExecutorSpec
-from burlmoor.testbed.fleet.addresses import Ports, ends
-from burlmoor.testbed.fleet.addresses import executor as executor_at
-from burlmoor.testbed.fleet.notifications import lines, play
+from burlmoor.testbed.fleet.addresses import Ports, executor_address, parse_link_address
+from burlmoor.testbed.fleet.process_input import read_lines, run_process
 
+Action = Literal["die", "restart", "hand_back", "still", "slow", "fail", "finish"]
 
-class Plan(msgspec.Struct):
-    """The executors of this process, by number and name."""
+
+class ExecutorsConfig(msgspec.Struct):
+    """The executors of this process, by name."""
 
     ports: Ports
     specs: dict[str, ExecutorSpec]
     numbers: dict[str, int]
-    ledger: str  # where it is written in the end
+    output_path: str  # where the attempts are written in the end
 
 
-class Order(msgspec.Struct):
-    """What befalls an executor; its name is left out of `end`, which is for all."""
+class ExecutorCommand(msgspec.Struct):
+    """What one executor is to do; `finish` is for all and has no name."""
 
-    do: Literal["die", "back", "hand_back", "still", "slow", "fail", "end"]
+    action: Action
     name: str = ""
-    size: float = 0.0  # slow: how many times slower; still, fail: 1 on, 0 off
+    magnitude: float = 0.0  # slow: how many times slower; still, fail: above 0 for on, 0 for off
 
 
-async def _obey(order: Order, each: Executor) -> None:
-    if order.do == "die" and each.is_alive:
-        each.kill()
-    elif order.do == "back" and not each.is_alive:
-        await each.restart()
-    elif order.do == "hand_back":
-        await each.return_queued_jobs()
-    elif order.do == "still":
-        each.set_stalled(order.size > 0.0)
-    elif order.do == "slow":
-        each.set_slowdown(max(1.0, order.size))
-    elif order.do == "fail":
-        each.is_failing = order.size > 0.0
+async def execute_command(command: ExecutorCommand, executor: Executor) -> None:
+    """Apply a command other than `finish`."""
+    if command.action == "die" and executor.is_alive:
+        executor.kill()
+    elif command.action == "restart" and not executor.is_alive:
+        await executor.restart()
+    elif command.action == "hand_back":
+        await executor.return_queued_jobs()
+    elif command.action == "still":
+        executor.set_stalled(command.magnitude > 0.0)
+    elif command.action == "slow":
+        executor.set_slowdown(max(1.0, command.magnitude))
+    elif command.action == "fail":
+        executor.is_failing = command.magnitude > 0.0
 
 
-async def serve(plan: Plan) -> None:
-    """Run the executors until the input ends, or they are told to end."""
+async def serve(config: ExecutorsConfig) -> None:
+    """Run the executors until the input ends, or `finish` comes."""
 
-    def caller(source: str) -> tuple[str, tuple[str, int]]:
-        return str(ends(source)[0]), (source, plan.ports.backwards)
+    def identify_node(source: str) -> tuple[str, tuple[str, int]]:
+        """Return the node that a connection comes from, and where its call-backs go."""
+        return str(parse_link_address(source).node), (source, config.ports.relay_to_nodes)
 
     async with trio.open_nursery() as nursery:
-        ledger = EventRecord(requests=AnyRequestId())
-        executors = {name: Executor(name, spec, ledger, nursery) for name, spec in plan.specs.items()}
-        for name, each in executors.items():
-            await each.listen_for_all_nodes((executor_at(plan.numbers[name]), plan.ports.jobs), caller)
+        event_record = EventRecord(requests=AnyRequestId())
+        executors = {name: Executor(name, spec, event_record, nursery) for name, spec in config.specs.items()}
+        for name, executor in executors.items():
+            address = (executor_address(config.numbers[name]), config.ports.executor_http)
+            await executor.listen_for_all_nodes(address, identify_node)
         print("{}", flush=True)
-        async for line in lines():
-            order = msgspec.json.decode(line, type=Order)
-            if order.do == "end":
-                Path(plan.ledger).write_bytes(msgspec.json.encode(ledger.attempts))
+        async for line in read_lines():
+            command = msgspec.json.decode(line, type=ExecutorCommand)
+            if command.action == "finish":
+                # Nothing else runs any more that blocking could delay.
+                Path(config.output_path).write_bytes(msgspec.json.encode(event_record.attempts))
                 print("{}", flush=True)
                 break
-            await _obey(order, executors[order.name])
+            await execute_command(command, executors[command.name])
         nursery.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    sys.exit(play(serve, Plan))
+    sys.exit(run_process(serve, ExecutorsConfig))
--- a/burlmoor/testbed/fleet/load.py
+++ b/burlmoor/testbed/fleet/load.py
@@ -1,4 +1,4 @@
-"""The jobs of a run, drawn ahead from one seed, alike in every process that draws them."""
+"""The jobs of a run, drawn ahead from one seed, so that every process that draws them gets the same."""
 
 from __future__ import annotations
 
@@ -9,15 +9,17 @@
 
 from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
 
-_SIGMA = 0.5  # of the logarithm of a job's work
-_WIDTHS, _WIDTH_SHARES = (1, 2, 4), (0.8, 0.15, 0.05)
+_WORK_SIGMA = 0.5  # of the logarithm of a job's work
+_SLOTS = (1, 2, 4)
+_SLOT_SHARES = (0.8, 0.15, 0.05)
+_KEY_EXPONENT = 1.5  # of Zipf's law
 
 
 class Job(NamedTuple):
-    """One job; `at` in seconds from the beginning, work in ms on one core of speed 1 for each slot."""
+    """One job; its work is in ms on one core of speed 1 for each slot."""
 
     number: int
-    at: float
+    start_seconds: float  # from the beginning of the load
     kind: JobClass
     work: float
     slots: int
@@ -26,7 +28,7 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What is asked of a fleet: an open loop, uneven over the nodes."""
+    """The parameters of an open-loop load that is uneven over the nodes."""
 
     rate: float  # jobs a second
     seconds: float
@@ -34,43 +36,65 @@
     seed: int
     scale: float = 1.0  # of the kinds' mean work
     skew: float = 0.5  # sigma of the logarithm of a node's share
-    loud: float = 1.0  # how many times its share the first node gets
-    hot: float = 0.0  # the share of all jobs that one key has
-    keys: int = 0  # that jobs share, by Zipf's law; 0: each has its own, since stand-ins keep no data sets
+    # How many times its share the first node gets.
+    first_node_factor: float = msgspec.field(default=1.0, name="loud")
+    # The share of all jobs that have one and the same key.
+    hot_key_share: float = msgspec.field(default=0.0, name="hot")
+    # Number of keys, which jobs share by Zipf's law; 0: each job has a key of its own, since the stand-in
+    # executors cache nothing.
+    key_count: int = msgspec.field(default=0, name="keys")
 
 
-def shares(load: Load) -> np.ndarray:
-    """Each node's share of all jobs."""
+def node_shares(load: Load) -> np.ndarray:
+    """Return each node's share of all jobs."""
     rng = np.random.default_rng([load.seed, 1])
     weights = rng.lognormal(0.0, load.skew, load.nodes)
-    weights[0] *= load.loud
+    weights[0] *= load.first_node_factor
     return np.asarray(weights / weights.sum())
 
 
-def draw(load: Load) -> list[Job]:
-    """All jobs in order of time: a Poisson stream, work lognormal."""
+def draw_jobs(load: Load) -> list[Job]:
+    """Return all jobs in order of time: a Poisson process, with work distributed lognormally."""
+    # The order of the draws is part of the load's definition: another order is another load.
     rng = np.random.default_rng([load.seed, 2])
     count = int(rng.poisson(load.rate * load.seconds))
-    at = np.sort(rng.uniform(0.0, load.seconds, count))
-    kinds = np.array([kind.share for kind in JOB_CLASSES])
-    chosen = rng.choice(len(JOB_CLASSES), size=count, p=kinds / kinds.sum())
-    spread = load.scale * rng.lognormal(-0.5 * _SIGMA**2, _SIGMA, count)
-    widths = rng.choice(_WIDTHS, size=count, p=_WIDTH_SHARES)
-    keys = np.minimum(rng.zipf(1.5, count), load.keys) if load.keys else np.arange(1, count + 1)
-    keys[rng.uniform(size=count) < load.hot] = 0
-    nodes = rng.choice(load.nodes, size=count, p=shares(load))
-    return [
-        Job(n, float(at[n]), JOB_CLASSES[chosen[n]], float(JOB_CLASSES[chosen[n]].mean_work_ms * spread[n]),
-            int(widths[n]), f"k{keys[n]}", int(nodes[n]))
-        for n in range(count)
-    ]  # fmt: skip
-
-
-def mean_cost() -> float:
-    """Core-ms on a core of speed 1 that a job takes on average, at scale 1."""
-    width = sum(w * s for w, s in zip(_WIDTHS, _WIDTH_SHARES, strict=True))
+    starts = np.sort(rng.uniform(0.0, load.seconds, count))
+    kind_shares = np.array([kind.share for kind in JOB_CLASSES])
+    kinds = rng.choice(len(JOB_CLASSES), size=count, p=kind_shares / kind_shares.sum())
+    work_factors = load.scale * rng.lognormal(-0.5 * _WORK_SIGMA**2, _WORK_SIGMA, count)
+    slots = rng.choice(_SLOTS, size=count, p=_SLOT_SHARES)
+    keys = _draw_keys(rng, load, count)
+    nodes = rng.choice(load.nodes, size=count, p=node_shares(load))
+    jobs = []
+    for number in range(count):
+        kind = JOB_CLASSES[kinds[number]]
+        job = Job(
+            number=number,
+            start_seconds=float(starts[number]),
+            kind=kind,
+            work=float(kind.mean_work_ms * work_factors[number]),
+            slots=int(slots[number]),
+            key=f"k{keys[number]}",
+            node=int(nodes[number]),
+        )
+        jobs.append(job)
+    return jobs
+
+
+def _draw_keys(rng: np.random.Generator, load: Load, count: int) -> np.ndarray:
+    if load.key_count:
+        keys = np.minimum(rng.zipf(_KEY_EXPONENT, count), load.key_count)
+    else:
+        keys = np.arange(1, count + 1)
+    keys[rng.uniform(size=count) < load.hot_key_share] = 0
+    return keys
+
+
+def mean_job_work() -> float:
+    """Return the ms that a job takes on average on one core of speed 1, over all its slots, at scale 1."""
+    mean_slots = sum(slots * share for slots, share in zip(_SLOTS, _SLOT_SHARES, strict=True))
     return (
-        width
+        mean_slots
         * sum(kind.share * kind.mean_work_ms for kind in JOB_CLASSES)
         / sum(kind.share for kind in JOB_CLASSES)
     )
--- /dev/null
+++ b/burlmoor/testbed/fleet/load_grid.py
@@ -0,0 +1,105 @@
+"""The load of each executor over time, in slices of equal length; a slice has the state at its beginning."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from typing import Literal, NamedTuple
+
+import numpy as np
+
+from burlmoor.testbed.event_record import AttemptRecord
+from burlmoor.testbed.executor_model import ExecutorSpec
+from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
+
+SLICE_MS = 100.0
+SLICES_PER_SECOND = int(1000.0 / SLICE_MS)
+SETTLING_SECONDS = 5.0  # after the start, while the nodes have learned nothing yet
+SETTLING_SLICES = int(SETTLING_SECONDS * 1000.0 / SLICE_MS)
+_UNAVAILABLE_KINDS = ("die", "drain", "still", "fail")
+
+
+class Evenness(NamedTuple):
+    """How evenly outstanding work over capacity is spread over the executors, by slice."""
+
+    variation: np.ndarray  # coefficient of variation
+    max_over_mean: np.ndarray
+
+
+class LoadGrid:
+    """Owns the slices of a run and each executor's capacity and availability in them."""
+
+    def __init__(
+        self,
+        specs: Sequence[ExecutorSpec],
+        names: Sequence[str],
+        start_ms: float,
+        seconds: float,
+        fault_intervals: Sequence[FaultInterval],
+    ) -> None:
+        self.start_ms = start_ms
+        self.slice_count = int(seconds * 1000.0 / SLICE_MS)
+        self.numbers = {name: number for number, name in enumerate(names)}
+        self.capacities = np.array([spec.capacity for spec in specs])
+        self.is_available = np.ones((self.slice_count, len(specs)), dtype=bool)
+        for interval in fault_intervals:
+            if interval.kind in _UNAVAILABLE_KINDS and interval.subject in self.numbers:
+                first = self.slice_at(interval.start)
+                last = self.slice_at(interval.end)
+                self.is_available[first : last + 1, self.numbers[interval.subject]] = False
+
+    @classmethod
+    def from_record(cls, record: RunRecord) -> LoadGrid:
+        """Return the grid of a run."""
+        return cls(
+            record.executor_specs(),
+            record.executor_names(),
+            record.start_ms,
+            record.plan.seconds,
+            record.fault_intervals,
+        )
+
+    def slice_at(self, at_ms: float) -> int:
+        """Return the slice of a moment; what lies outside of the run counts as its beginning or end."""
+        if at_ms == math.inf:
+            return self.slice_count
+        return int(min(max(0.0, (at_ms - self.start_ms) // SLICE_MS), self.slice_count))
+
+    def outstanding_work(self, attempts: Sequence[AttemptRecord]) -> np.ndarray:
+        """Return the work of admitted jobs (core-ms at speed 1), by slice and executor."""
+        return self._accumulate(attempts, [attempt.work_ms * attempt.slots for attempt in attempts])
+
+    def job_counts(self, attempts: Sequence[AttemptRecord]) -> np.ndarray:
+        """Return the number of admitted jobs, by slice and executor."""
+        return self._accumulate(attempts, [1.0] * len(attempts))
+
+    def _accumulate(self, attempts: Sequence[AttemptRecord], sizes: Sequence[float]) -> np.ndarray:
+        """Sum the sizes of the attempts that are in flight in each slice."""
+        changes = np.zeros((self.slice_count + 1, len(self.capacities)))
+        for attempt, size in zip(attempts, sizes, strict=True):
+            if attempt.outcome == "full":
+                continue
+            executor = self.numbers[attempt.executor]
+            ended_ms = attempt.ended_ms if attempt.ended_ms is not None else math.inf
+            changes[self.slice_at(attempt.received_ms), executor] += size
+            changes[self.slice_at(ended_ms), executor] -= size
+        return np.cumsum(changes, axis=0)[:-1]
+
+    def relative_load(self, attempts: Sequence[AttemptRecord]) -> np.ndarray:
+        """Return outstanding work over capacity, by slice and executor; nan where it is unavailable."""
+        return np.where(self.is_available, self.outstanding_work(attempts) / self.capacities, np.nan)
+
+
+def measure_evenness(grid: LoadGrid, attempts: Sequence[AttemptRecord]) -> Evenness:
+    """Return the evenness of the load over the available executors; 0 for slices without load."""
+    load = grid.relative_load(attempts)
+    with np.errstate(all="ignore"):
+        mean = np.nanmean(load, axis=1)
+        variation = np.nanstd(load, axis=1) / mean
+        max_over_mean = np.nanmax(load, axis=1) / mean
+    return Evenness(np.nan_to_num(variation), np.nan_to_num(max_over_mean))
+
+
+def smooth_over_a_second(values: np.ndarray, mode: Literal["same", "valid"]) -> np.ndarray:
+    """Return the moving average over a second; `mode` is that of numpy's convolve."""
+    return np.asarray(np.convolve(values, np.ones(SLICES_PER_SECOND) / SLICES_PER_SECOND, mode=mode))
--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -1,217 +1,210 @@
-"""What a run shows of how load is spread: herds, evenness, idleness, and how soon it heals.
-
-Pure: rests on the far sides' rows alone. Time is cut into slices; a slice's state is that at its beginning.
-
-- herd: jobs that reach one executor within a window, against what the same jobs, dealt in turn, give.
-- evenness: work held over what an executor can do, its greatest over its mean and its coefficient of
-  variation (Jain et al. 1984 weigh such indices; the variation tells a few hot executors from many uneven
-  ones).
-- idleness: executors' time without any job while jobs waited or were refused anywhere, as a share of it.
-- time to heal: from a trouble's end until the variation is back, and stays, where it was before any.
+"""How load was spread in a run, measured by what clients and executors observed.
+
+- thundering herd: jobs that reach one executor within a window, over what the same jobs, dealt round robin,
+  give.
+- evenness: outstanding work over capacity, its maximum over its mean and its coefficient of variation (Jain
+  et al. 1984 compare such indices; the variation tells a few hot executors from many uneven ones).
+- idleness: the share of executors' time without any job while jobs waited or were rejected anywhere.
+- recovery time: from a fault's end until the variation is back, and stays, where it was before any fault.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Sequence
+from typing import NamedTuple
 
 import msgspec
 import numpy as np
 
 from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
-from burlmoor.testbed.executor_model import ExecutorSpec
-from burlmoor.testbed.fleet.record import Record, Span
+from burlmoor.testbed.fleet.load_grid import (
+    SETTLING_SECONDS,
+    SETTLING_SLICES,
+    SLICE_MS,
+    SLICES_PER_SECOND,
+    LoadGrid,
+    measure_evenness,
+    smooth_over_a_second,
+)
+from burlmoor.testbed.fleet.record import RunRecord
 from burlmoor.testbed.job_classes import JOB_CLASSES
 
-SLICE = 100.0  # ms
-HERD = 50.0  # ms
-SETTLED = 5.0  # seconds from the begin that a fleet which knows nothing may take
-CALM = 1.25  # times the usual variation that count as healed
-STAYS = 2.0  # seconds for which it must hold
-_WAITS = 100.0  # ms that any job may be on its way without counting as waiting
-_AWAY = ("die", "drain", "still", "fail")
+HERD_WINDOW_MS = 50.0
+RECOVERED_FACTOR = 1.25  # of the usual variation, up to which it counts as recovered
+RECOVERED_SECONDS = 2.0  # for which the variation must stay there
+_TRANSIT_ALLOWANCE_MS = 100.0  # that a job may be on its way without counting as waiting
+_HERD_QUANTILE = 0.999
 
 
-class Spread(msgspec.Struct):
-    """What was measured of one way to spread the same jobs."""
+class SpreadMetrics(msgspec.Struct):
+    """What was measured of one way to spread the jobs of a run."""
 
-    herd: float  # at p99.9, over what dealing in turn gives
-    herd_most: float
-    worst_over_mean: float  # median over the slices
+    thundering_herd: float  # at p99.9, over what round robin gives
+    thundering_herd_max: float
+    max_over_mean: float  # median over the slices
     variation: float  # median over the slices
     idleness: float
     served: float  # share of the jobs
-    in_time: float  # share of the jobs served within their aim
-    latency_p50: float  # ms, of what was served
-    latency_p99: float
-    heal: dict[str, float] = {}  # seconds from the end of each trouble
-
-
-class Grid:
-    """Owns the slices of a run: by slice and executor what is held and what can be done."""
-
-    def __init__(
-        self,
-        specs: Sequence[ExecutorSpec],
-        names: Sequence[str],
-        begin: float,
-        seconds: float,
-        spans: Sequence[Span],
-    ) -> None:
-        self.begin, self.count = begin, int(seconds * 1000.0 / SLICE)
-        self.names = {name: number for number, name in enumerate(names)}
-        self.able = np.array([spec.capacity for spec in specs])
-        self.up = np.ones((self.count, len(specs)), dtype=bool)
-        for span in spans:
-            if span.what in _AWAY and span.who in self.names:
-                self.up[self.slot(span.since) : self.slot(span.until) + 1, self.names[span.who]] = False
-
-    def slot(self, at: float) -> int:
-        """The slice of a moment, within the run."""
-        if at == math.inf:
-            return self.count
-        return int(min(max(0.0, (at - self.begin) // SLICE), self.count))
-
-    def held(self, rows: Sequence[AttemptRecord], jobs: bool = False) -> np.ndarray:
-        """Work in hand (core-ms at speed 1), or the number of jobs, by slice and executor."""
-        found = np.zeros((self.count + 1, len(self.able)))
-        for row in rows:
-            if row.outcome == "full":
-                continue
-            size = 1.0 if jobs else row.work_ms * row.slots
-            number = self.names[row.executor]
-            until = row.ended_ms if row.ended_ms is not None else math.inf
-            found[self.slot(row.received_ms), number] += size
-            found[self.slot(until), number] -= size
-        return np.cumsum(found, axis=0)[:-1]
-
-
-def variation(grid: Grid, rows: Sequence[AttemptRecord]) -> tuple[np.ndarray, np.ndarray]:
-    """By slice: the coefficient of variation of work held over capacity, and its greatest over its mean."""
-    load = np.where(grid.up, grid.held(rows) / grid.able, np.nan)
-    with np.errstate(all="ignore"):
-        mean = np.nanmean(load, axis=1)
-        cv = np.nanstd(load, axis=1) / mean
-        most = np.nanmax(load, axis=1) / mean
-    return np.nan_to_num(cv), np.nan_to_num(most)
-
-
-def herds(grid: Grid, rows: Sequence[AttemptRecord]) -> tuple[float, float]:
-    """Herd at p99.9 of all windows in which an executor got work, and the greatest of all."""
-    came = sorted((row.received_ms, grid.names[row.executor]) for row in rows)
-    windows = [int((at - grid.begin) // HERD) for at, _ in came]
-
-    def counts(executors: Sequence[int]) -> np.ndarray:
-        keys = np.array(windows, dtype=np.int64) * len(grid.able) + np.array(executors, dtype=np.int64)
-        return np.unique(keys, return_counts=True)[1]
-
-    if not came:
-        return 0.0, 0.0
-    seen, even = counts([number for _, number in came]), counts(_dealt(grid, len(came)))
-    return (
-        float(np.quantile(seen, 0.999) / np.quantile(even, 0.999)),
+    served_in_time: float  # share of the jobs that were served within their latency objective
+    latency_p50_ms: float  # of what was served
+    latency_p99_ms: float
+    recovery_seconds: dict[str, float] = {}  # from the end of each fault
+
+
+class ThunderingHerd(NamedTuple):
+    """Jobs that reach one executor within a window, over what round robin gives."""
+
+    p999: float  # of all windows in which an executor got a job
+    maximum: float
+
+
+class FaultWindow(NamedTuple):
+    """When a fault was in effect anywhere, in ms on the machine's clock."""
+
+    name: str
+    start_ms: float
+    end_ms: float
+
+
+def measure_thundering_herd(grid: LoadGrid, attempts: Sequence[AttemptRecord]) -> ThunderingHerd:
+    """Compare the jobs of each executor and window with the same jobs dealt round robin."""
+    if not attempts:
+        return ThunderingHerd(0.0, 0.0)
+    received = sorted((attempt.received_ms, grid.numbers[attempt.executor]) for attempt in attempts)
+    windows = [int((at_ms - grid.start_ms) // HERD_WINDOW_MS) for at_ms, _ in received]
+    seen = _count_per_window(grid, windows, [executor for _, executor in received])
+    even = _count_per_window(grid, windows, _deal_round_robin(grid, len(received)))
+    return ThunderingHerd(
+        float(np.quantile(seen, _HERD_QUANTILE) / np.quantile(even, _HERD_QUANTILE)),
         float(seen.max() / even.max()),
     )
 
 
-def _dealt(grid: Grid, count: int) -> list[int]:
-    """Executors in turn, by size: the smooth weighted round robin."""
-    current, dealt = np.zeros(len(grid.able)), []
-    share = grid.able / grid.able.sum()
+def _count_per_window(grid: LoadGrid, windows: Sequence[int], executors: Sequence[int]) -> np.ndarray:
+    """Return the number of jobs for each window and executor that got any."""
+    keys = np.array(windows, dtype=np.int64) * len(grid.capacities) + np.array(executors, dtype=np.int64)
+    return np.unique(keys, return_counts=True)[1]
+
+
+def _deal_round_robin(grid: LoadGrid, count: int) -> list[int]:
+    """Return the executors of so many jobs by smooth round robin, weighted by capacity."""
+    shares = grid.capacities / grid.capacities.sum()
+    balances = np.zeros(len(shares))
+    dealt = []
     for _ in range(count):
-        current += share
-        best = int(np.argmax(current))
-        current[best] -= 1.0
-        dealt.append(best)
+        balances += shares
+        executor = int(np.argmax(balances))
+        balances[executor] -= 1.0
+        dealt.append(executor)
     return dealt
 
 
-def wanting(grid: Grid, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> np.ndarray:
-    """By slice: whether any job waited to begin, or was refused."""
-    began: dict[str, float] = {}
-    for row in rows:
-        if row.started_ms is not None:
-            began[row.id] = min(row.started_ms, began.get(row.id, math.inf))
-    found = np.zeros(grid.count + 1)
-    for job in asked:
-        over = job.answered_ms if job.answered_ms is not None else job.sent_ms + job.timeout_ms
-        until = min(began.get(job.id, math.inf), over)
-        if until > job.sent_ms + _WAITS:
-            found[grid.slot(job.sent_ms + _WAITS)] += 1.0
-            found[grid.slot(until)] -= 1.0
-        if job.is_rejected:
-            found[grid.slot(over)] += 1.0
-            found[min(grid.count, grid.slot(over) + 1)] -= 1.0
-    return np.asarray(np.cumsum(found)[:-1] > 0.5)
-
-
-def idleness(grid: Grid, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> float:
-    """The share of executors' time without work while somebody wanted some."""
-    held = grid.held(rows, jobs=True)
-    idle = (held < 0.5) & grid.up & wanting(grid, asked, rows)[:, None]
-    idle[: int(SETTLED * 1000.0 / SLICE)] = False
-    counted = grid.up[int(SETTLED * 1000.0 / SLICE) :].sum()
-    return float(idle.sum() / max(1, counted))
-
-
-def heals(grid: Grid, cv: np.ndarray, ends: Sequence[tuple[str, float, float]]) -> dict[str, float]:
-    """Seconds from each trouble's end until the variation is usual and stays so; `ends` go by their begin.
-
-    Usual is the median of what was before the first trouble, smoothed over a second. Infinite where it does
-    not heal before the next trouble or the end of the run: what was not seen is not claimed.
+def find_unmet_demand(
+    grid: LoadGrid, requests: Sequence[RequestRecord], attempts: Sequence[AttemptRecord]
+) -> np.ndarray:
+    """Return for each slice whether any job waited to start, or was rejected."""
+    started_ms: dict[str, float] = {}
+    for attempt in attempts:
+        if attempt.started_ms is not None:
+            started_ms[attempt.id] = min(attempt.started_ms, started_ms.get(attempt.id, math.inf))
+    changes = np.zeros(grid.slice_count + 1)
+    for request in requests:
+        over_ms = request.sent_ms + request.timeout_ms
+        if request.answered_ms is not None:
+            over_ms = request.answered_ms
+        waited_until_ms = min(started_ms.get(request.id, math.inf), over_ms)
+        if waited_until_ms > request.sent_ms + _TRANSIT_ALLOWANCE_MS:
+            changes[grid.slice_at(request.sent_ms + _TRANSIT_ALLOWANCE_MS)] += 1.0
+            changes[grid.slice_at(waited_until_ms)] -= 1.0
+        if request.is_rejected:
+            rejected = grid.slice_at(over_ms)
+            changes[rejected] += 1.0
+            changes[min(grid.slice_count, rejected + 1)] -= 1.0
+    return np.asarray(np.cumsum(changes)[:-1] > 0.5)  # more than none, for sums of floats
+
+
+def measure_idleness(
+    grid: LoadGrid, requests: Sequence[RequestRecord], attempts: Sequence[AttemptRecord]
+) -> float:
+    """Return the share of executors' time without a job while there was unmet demand."""
+    is_without_job = grid.job_counts(attempts) < 0.5  # less than one, for sums of floats
+    is_idle = is_without_job & grid.is_available & find_unmet_demand(grid, requests, attempts)[:, None]
+    is_idle[:SETTLING_SLICES] = False
+    counted = grid.is_available[SETTLING_SLICES:].sum()
+    return float(is_idle.sum() / max(1, counted))
+
+
+def measure_recovery(
+    grid: LoadGrid, variation: np.ndarray, windows: Sequence[FaultWindow]
+) -> dict[str, float]:
+    """Return the seconds from each fault's end until the variation is usual and stays so.
+
+    `windows` are in order of their start. Usual is the median of the variation before the first fault,
+    smoothed over a second. Infinite where there is no recovery before the next fault or the end of the run.
     """
-    if not ends:
+    if not windows:
         return {}
-    per_second = int(1000.0 / SLICE)
-    smooth = np.convolve(cv, np.ones(per_second) / per_second, mode="same")
-    first = grid.slot(min(since for _, since, _ in ends))
-    usual = (
-        float(np.median(smooth[int(SETTLED * per_second) : first]))
-        if first > SETTLED * per_second
-        else math.inf
-    )
-    found = {}
-    for place, (name, _, until) in enumerate(ends):
-        begin = grid.slot(until)
-        later = [since for _, since, _ in ends[place + 1 :] if since > until]
-        end = grid.slot(min(later)) if later else grid.count
-        calm = smooth[begin:end] <= CALM * usual
-        stays = int(STAYS * per_second)
-        healed = next((n for n in range(max(0, len(calm) - stays + 1)) if calm[n : n + stays].all()), None)
-        found[name] = math.inf if healed is None else healed * SLICE / 1000.0
-    return found
-
-
-def ends(record: Record) -> list[tuple[str, float, float]]:
-    """Each trouble of a run, by what and when: its begin and end in ms."""
+    smooth = smooth_over_a_second(variation, "same")
+    first = grid.slice_at(min(window.start_ms for window in windows))
+    usual = math.inf
+    if first > SETTLING_SECONDS * SLICES_PER_SECOND:
+        usual = float(np.median(smooth[SETTLING_SLICES:first]))
+    recovery = {}
+    for number, window in enumerate(windows):
+        later = [each.start_ms for each in windows[number + 1 :] if each.start_ms > window.end_ms]
+        end = grid.slice_at(min(later)) if later else grid.slice_count
+        is_usual = smooth[grid.slice_at(window.end_ms) : end] <= RECOVERED_FACTOR * usual
+        recovery[window.name] = _first_lasting(is_usual) * SLICE_MS / 1000.0
+    return recovery
+
+
+def _first_lasting(is_usual: np.ndarray) -> float:
+    """Return the first slice from which the variation stays usual for long enough; infinite for none."""
+    length = int(RECOVERED_SECONDS * SLICES_PER_SECOND)
+    for first in range(max(0, len(is_usual) - length + 1)):
+        if is_usual[first : first + length].all():
+            return first
+    return math.inf
+
+
+def fault_windows(record: RunRecord) -> list[FaultWindow]:
+    """Return when each fault of a run was in effect, in order of their start."""
     return [
-        (f"{t.what} at {t.at:g} s", record.begin + t.at * 1000.0, record.begin + t.past * 1000.0)
-        for t in sorted(record.plan.schedule.troubles, key=lambda each: each.at)
+        FaultWindow(
+            f"{fault.kind} at {fault.start:g} s",
+            record.start_ms + fault.start * 1000.0,
+            record.start_ms + fault.end_for_all * 1000.0,
+        )
+        for fault in sorted(record.plan.schedule.faults, key=lambda each: each.start)
     ]
 
 
-def spread(record: Record, asked: Sequence[RequestRecord], rows: Sequence[AttemptRecord]) -> Spread:
-    """All figures for one way in which the jobs of a run were spread."""
-    names = record.names()
-    grid = Grid([record.specs[n] for n in names], names, record.begin, record.plan.seconds, record.spans)
-    cv, most = variation(grid, rows)
-    settled = slice(int(SETTLED * 1000.0 / SLICE), None)
-    herd, herd_most = herds(grid, rows)
-    aims = {kind.name: (kind.latency_objective_ms, kind.objective_stretch) for kind in JOB_CLASSES}
-    served = [job for job in asked if job.is_served]
-    late = [job.latency_ms for job in served]
-    in_time = sum(
-        job.latency_ms <= aims[job.job_class][0] + aims[job.job_class][1] * job.work_ms for job in served
-    )
-    return Spread(
-        herd=herd,
-        herd_most=herd_most,
-        worst_over_mean=float(np.median(most[settled])),
-        variation=float(np.median(cv[settled])),
-        idleness=idleness(grid, asked, rows),
-        served=len(served) / max(1, len(asked)),
-        in_time=in_time / max(1, len(asked)),
-        latency_p50=float(np.quantile(late, 0.5)) if late else 0.0,
-        latency_p99=float(np.quantile(late, 0.99)) if late else 0.0,
-        heal=heals(grid, cv, ends(record)),
+def measure_spread(
+    record: RunRecord, requests: Sequence[RequestRecord], attempts: Sequence[AttemptRecord]
+) -> SpreadMetrics:
+    """Return all figures for one way in which the jobs of a run were spread."""
+    grid = LoadGrid.from_record(record)
+    evenness = measure_evenness(grid, attempts)
+    herd = measure_thundering_herd(grid, attempts)
+    served = [request for request in requests if request.is_served]
+    latencies_ms = [request.latency_ms for request in served]
+    return SpreadMetrics(
+        thundering_herd=herd.p999,
+        thundering_herd_max=herd.maximum,
+        max_over_mean=float(np.median(evenness.max_over_mean[SETTLING_SLICES:])),
+        variation=float(np.median(evenness.variation[SETTLING_SLICES:])),
+        idleness=measure_idleness(grid, requests, attempts),
+        served=len(served) / max(1, len(requests)),
+        served_in_time=sum(map(_is_within_objective, served)) / max(1, len(requests)),
+        latency_p50_ms=float(np.quantile(latencies_ms, 0.5)) if latencies_ms else 0.0,
+        latency_p99_ms=float(np.quantile(latencies_ms, 0.99)) if latencies_ms else 0.0,
+        recovery_seconds=measure_recovery(grid, evenness.variation, fault_windows(record)),
     )
+
+
+def _is_within_objective(request: RequestRecord) -> bool:
+    """Whether the answer came within the latency objective of its class, which grows with the job's work."""
+    job_class = next(each for each in JOB_CLASSES if each.name == request.job_class)
+    objective_ms = job_class.latency_objective_ms + job_class.objective_stretch * request.work_ms
+    return request.latency_ms <= objective_ms
--- /dev/null
+++ b/burlmoor/testbed/fleet/node_processes.py
@@ -0,0 +1,180 @@
+"""The node processes of a run: started, awaited, signalled and stopped."""
+
+from __future__ import annotations
+
+import json
+import signal
+from contextlib import suppress
+from pathlib import Path
+from types import TracebackType
+from typing import Any
+
+import psutil
+import trio
+
+from burlmoor.testbed.discovery import DiscoveryService
+from burlmoor.testbed.fleet.addresses import Ports, link_address, node_address
+from burlmoor.testbed.fleet.child_process import ChildProcess
+from burlmoor.testbed.fleet.helper_processes import ProcessError
+from burlmoor.testbed.fleet.record import ResourceUsage, RunRecord
+from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
+from burlmoor.testbed.node_process import inherited_environment, send_http_request
+
+READY_SECONDS = 90.0  # until nodes that start must be ready
+STOP_SECONDS = 15.0  # until a node that got SIGTERM must have ended
+_KILL_SECONDS = 5.0  # until a node that got SIGKILL must have ended
+_READY_POLL_SECONDS = 0.2
+_HTTP_OK = 200
+_SOCKET_LIMIT = 1024
+
+
+class NodeProcesses:
+    """Owns the node processes; as a context manager it kills them at its end."""
+
+    def __init__(
+        self,
+        record: RunRecord,
+        ports: Ports,
+        folder: Path,
+        cores: frozenset[int],
+        discovery: DiscoveryService,
+    ) -> None:
+        self.names = record.node_names()
+        self._record = record
+        self._ports = ports
+        self._folder = folder
+        self._cores = cores
+        self._discovery = discovery
+        self._discovery_addresses: list[str] = []
+        self._initial_lists: list[dict[str, Any]] = []
+        self._processes: dict[int, ChildProcess] = {}
+        self._ended_by_fault: set[int] = set()
+
+    async def __aenter__(self) -> NodeProcesses:
+        return self
+
+    async def __aexit__(
+        self, _type: type[BaseException] | None, _error: BaseException | None, _trace: TracebackType | None
+    ) -> None:
+        for process in self._processes.values():
+            await process.kill()
+
+    async def announce_executors(self) -> None:
+        """Give discovery an address for each node, and announce all executors by the addresses of links."""
+        record = self._record
+        for number, name in enumerate(self.names):
+            addresses = {
+                executor: f"{link_address(number, executor_number)}:{self._ports.relay_to_executors}"
+                for executor_number, executor in enumerate(record.executor_names())
+            }
+            self._discovery_addresses.append(await self._discovery.listen_for_node(name, addresses))
+        for executor, zone in zip(record.executor_names(), record.executor_zones, strict=True):
+            # With its capacity, since the baselines know that, too.
+            self._discovery.set_entry(executor, site=zone, share=record.specs[executor].capacity)
+        self._initial_lists = [self._discovery.full_list(name) for name in self.names]
+
+    async def start_all(self) -> None:
+        """Start all nodes at once, and wait until each is ready; raises ProcessError or trio.TooSlowError."""
+        for number in range(len(self.names)):
+            self.start(number)
+        with trio.fail_after(READY_SECONDS):
+            async with trio.open_nursery() as nursery:
+                for number in range(len(self.names)):
+                    nursery.start_soon(self.wait_until_ready, number)
+
+    def start(self, number: int) -> None:
+        """Start one node, or start it again."""
+        name = self.names[number]
+        folder = self._folder / name
+        folder.mkdir(exist_ok=True)
+        config_path = folder / "config.json"
+        config_path.write_text(json.dumps(self._make_config(number)))
+        mutation = self._record.plan.mutation
+        arguments = ["-m", "burlmoor"]
+        if mutation is not None:
+            arguments = ["-m", "burlmoor.testbed.mutations", mutation]
+        environment = {**inherited_environment(), "RELAY_CONFIG": str(config_path), "TMPDIR": str(folder)}
+        self._discovery.on_node_started(name)
+        self._processes[number] = ChildProcess(arguments, folder / "log", environment, cores=self._cores)
+        self._ended_by_fault.discard(number)
+
+    def _make_config(self, number: int) -> dict[str, Any]:
+        plan = self._record.plan
+        settings = platform_settings(JOB_CLASSES, plan.nodes, self._record.node_zones[number])
+        return {
+            "name": self.names[number],
+            "listen": f"{node_address(number)}:{self._ports.node_http}",
+            "control": f"{node_address(number)}:{self._ports.node_admin}",
+            "discovery": self._discovery_addresses[number],
+            "seed": f"{plan.seed:04x}{number:04x}",
+            "settings": {**settings, "Me": number},
+            # A node that starts again has the list as it was when the run began.
+            "known": self._initial_lists[number],
+            "limits": {"sockets": _SOCKET_LIMIT},
+        }
+
+    async def wait_until_ready(self, number: int) -> None:
+        """Wait until a node takes jobs; raises ProcessError where it ends by itself."""
+        address = (node_address(number), self._ports.node_http)
+        while True:
+            with suppress(OSError):
+                if (await send_http_request(address, "GET", "/health/ready")).status == _HTTP_OK:
+                    return
+            process = self._processes[number]
+            if not process.is_running and number not in self._ended_by_fault:
+                name = self.names[number]
+                reason = f"ended with {process.exit_status}; its log is in {self._folder / name}"
+                raise ProcessError(name, reason)
+            await trio.sleep(_READY_POLL_SECONDS)
+
+    def pause(self, number: int) -> ChildProcess:
+        """Pause a node by SIGSTOP and return its process, for `resume`."""
+        process = self._processes[number]
+        process.send_signal(signal.SIGSTOP)
+        return process
+
+    def resume(self, process: ChildProcess) -> None:
+        """Let a paused process continue."""
+        process.send_signal(signal.SIGCONT)
+
+    async def end_by_fault(self, number: int, kind: str) -> None:
+        """Kill or terminate a node; a status other than 0 on SIGTERM, or no end in time, is recorded."""
+        process = self._processes[number]
+        name = self.names[number]
+        self._ended_by_fault.add(number)
+        process.send_signal(signal.SIGKILL if kind == "kill" else signal.SIGTERM)
+        if not await process.wait_until_ended(STOP_SECONDS):
+            self._record.unexpected_exits[f"{name} on {kind}"] = 1
+            process.send_signal(signal.SIGKILL)
+            await process.wait_until_ended(_KILL_SECONDS)
+        if kind == "term" and process.exit_status:
+            self._record.unexpected_exits[f"{name} on term"] = process.exit_status
+
+    def record_resource_usage(self) -> None:
+        """Record what each node has used, and which have ended by themselves."""
+        for number, process in self._processes.items():
+            name = self.names[number]
+            if not process.is_running:
+                self._record.unexpected_exits[name] = process.exit_status or 0
+                continue
+            with suppress(psutil.Error):
+                info = psutil.Process(process.pid)
+                times = info.cpu_times()
+                usage = ResourceUsage(times.user + times.system, info.memory_info().rss)
+                self._record.resource_usage[name] = usage
+
+    async def stop_all(self) -> None:
+        """Terminate all nodes and record those that do not end in time, or end with a status other than 0."""
+        for process in self._processes.values():
+            process.send_signal(signal.SIGTERM)
+        async with trio.open_nursery() as nursery:
+            for number in self._processes:
+                nursery.start_soon(self._record_exit, number)
+
+    async def _record_exit(self, number: int) -> None:
+        process = self._processes[number]
+        name = self.names[number]
+        if not await process.wait_until_ended(STOP_SECONDS):
+            self._record.unexpected_exits[f"{name} at the end"] = 1
+        elif process.exit_status:
+            self._record.unexpected_exits.setdefault(name, process.exit_status)
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -1,89 +1,126 @@
-"""What is left of a run: one folder that holds its plan, its troubles and the far sides' ledgers."""
+"""What is kept of a run: one folder with its plan, its faults, and what clients and executors observed.
+
+Fields keep the names that they have in stored records through `msgspec.field(name=...)`.
+"""
 
 from __future__ import annotations
 
 import gzip
+from collections.abc import Sequence
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
+from burlmoor.errors import BurlmoorError
 from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorSpec
-from burlmoor.testbed.fleet.faults import Schedule
+from burlmoor.testbed.fleet.faults import FaultSchedule, Population
 from burlmoor.testbed.fleet.load import Load
+from burlmoor.testbed.fleet.schedule_file import format_schedule
+
+
+class RecordError(BurlmoorError, ValueError):
+    """A folder that holds no readable record of a run."""
 
+    def __init__(self, folder: Path, reason: Exception) -> None:
+        super().__init__(f"{folder} holds no record of a run: {reason}")
+        self.folder = folder
 
-class Plan(msgspec.Struct):
-    """What is run."""
+
+class RunPlan(msgspec.Struct):
+    """The parameters of a run."""
 
     nodes: int
     executors: int
     seconds: float
     seed: int
-    rate: float
-    load: float = 0.7  # of what warm executors can do
+    rate: float  # jobs a second
+    utilization: float = msgspec.field(default=0.7, name="load")  # share of the warm executors' capacity
     zones: int = 1
-    skew: float = 0.5
-    loud: float = 1.0
-    hot: float = 0.0
-    keys: int = 0
-    sabotage: str | None = None
-    schedule: Schedule = Schedule(0)
+    skew: float = 0.5  # sigma of the logarithm of a node's share of the jobs
+    first_node_factor: float = msgspec.field(default=1.0, name="loud")
+    hot_key_share: float = msgspec.field(default=0.0, name="hot")
+    key_count: int = msgspec.field(default=0, name="keys")
+    mutation: str | None = msgspec.field(default=None, name="sabotage")
+    schedule: FaultSchedule = FaultSchedule(0)
 
 
-class Span(msgspec.Struct):
-    """Something that was so for a while: times are ms on the machine's clock; `until` is when it was over."""
+class FaultInterval(msgspec.Struct):
+    """A fault as it took place at one node or executor; times are ms on the machine's clock."""
 
-    what: str
-    who: str
-    since: float
-    until: float
+    kind: str = msgspec.field(name="what")
+    subject: str = msgspec.field(name="who")  # the name of the node or executor; `links` for link faults
+    start: float = msgspec.field(name="since")
+    end: float = msgspec.field(name="until")
 
 
-class Used(msgspec.Struct):
+class ResourceUsage(msgspec.Struct):
     """What one node's process used."""
 
-    cpu: float  # seconds
-    memory: int  # bytes resident at the end
+    cpu_seconds: float = msgspec.field(name="cpu")
+    memory_bytes: int = msgspec.field(name="memory")  # resident at the end
+
 
+class Notification(NamedTuple):
+    """Discovery notified a node of an endpoint's health, or the notification deadline had passed."""
 
-class Record(msgspec.Struct):
-    """All that verdicts and reports rest on."""
+    at: float  # ms on the machine's clock
+    node: str
+    endpoint: str
+    health: str
 
-    plan: Plan
+
+class RunRecord(msgspec.Struct):
+    """All that verdicts and reports are computed from."""
+
+    plan: RunPlan
     load: Load
     specs: dict[str, ExecutorSpec]
     node_zones: list[str]
     executor_zones: list[str]
-    begin: float  # ms on the machine's clock
-    started: float = 0.0  # seconds that it took until all nodes were ready
-    spans: list[Span] = []
-    heard: list[tuple[float, str, str, str]] = []  # when, which node, of whom, their health
-    used: dict[str, Used] = {}
-    ended: dict[str, int] = {}  # nodes that ended unasked, or with a status other than 0
-    behind: float = 0.0
-    cpus: float = 0.0  # cores that the whole machine used on average
-    asked: list[RequestRecord] = []
-    ran: list[AttemptRecord] = []
+    start_ms: float = msgspec.field(name="begin")  # on the machine's clock
+    startup_seconds: float = msgspec.field(default=0.0, name="started")  # until all nodes were ready
+    fault_intervals: list[FaultInterval] = msgspec.field(default_factory=list, name="spans")
+    notifications: list[Notification] = msgspec.field(default_factory=list, name="heard")
+    resource_usage: dict[str, ResourceUsage] = msgspec.field(default_factory=dict, name="used")
+    # Exit status of nodes that ended without being stopped, or with a status other than 0.
+    unexpected_exits: dict[str, int] = msgspec.field(default_factory=dict, name="ended")
+    max_send_delay_ms: float = msgspec.field(default=0.0, name="behind")  # of a client that fell behind
+    cores_used: float = msgspec.field(default=0.0, name="cpus")  # by the whole machine, on average
+    requests: list[RequestRecord] = msgspec.field(default_factory=list, name="asked")
+    attempts: list[AttemptRecord] = msgspec.field(default_factory=list, name="ran")
 
     def node_names(self) -> list[str]:
-        """The nodes, in the order of their numbers."""
+        """Return the names of the nodes, in the order of their numbers."""
         return [f"n{number:03d}" for number in range(self.plan.nodes)]
 
-    def names(self) -> list[str]:
-        """The executors, in the order of their numbers."""
+    def executor_names(self) -> list[str]:
+        """Return the names of the executors, in the order of their numbers."""
         return list(self.specs)
 
+    def executor_specs(self) -> Sequence[ExecutorSpec]:
+        """Return the specifications of the executors, in the order of their numbers."""
+        return list(self.specs.values())
+
+    def node_population(self) -> Population:
+        """Return the nodes as fault selectors see them."""
+        return Population(self.node_names(), self.node_zones)
+
+    def executor_population(self) -> Population:
+        """Return the executors as fault selectors see them."""
+        return Population(self.executor_names(), self.executor_zones)
+
     def write(self, folder: Path) -> None:
-        """Keep it in a folder."""
+        """Write the record and its schedule to a folder, which is created where needed."""
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "schedule.ini").write_text(self.plan.schedule.written())
+        (folder / "schedule.ini").write_text(format_schedule(self.plan.schedule))
         (folder / "record.json.gz").write_bytes(gzip.compress(msgspec.json.encode(self), 1))
 
 
-def read(folder: Path) -> Record:
-    """A record that was kept; ValueError where there is none."""
+def read_record(folder: Path) -> RunRecord:
+    """Return the record that a folder holds; raises RecordError where there is none."""
     try:
-        return msgspec.json.decode(gzip.decompress((folder / "record.json.gz").read_bytes()), type=Record)
+        return msgspec.json.decode(gzip.decompress((folder / "record.json.gz").read_bytes()), type=RunRecord)
     except (OSError, EOFError, msgspec.DecodeError) as error:
-        raise ValueError(f"{folder} holds no record of a run: {error}") from None
+        raise RecordError(folder, error) from error
--- a/burlmoor/testbed/fleet/report.py
+++ b/burlmoor/testbed/fleet/report.py
@@ -1,4 +1,4 @@
-"""Draws a run: executors by second, spread over time with the troubles marked, the worst second."""
+"""Draws a run: load over time, the evenness beside the baselines', and the least even second."""
 
 from __future__ import annotations
 
@@ -10,52 +10,84 @@
 mpl.use("Agg")
 from matplotlib import pyplot as plt
 from matplotlib.axes import Axes
+from matplotlib.figure import Figure
 
-from burlmoor.testbed.fleet.baselines import play
-from burlmoor.testbed.fleet.metrics import SETTLED, SLICE, Grid, variation
-from burlmoor.testbed.fleet.record import Record
-
-
-def draw(record: Record, path: Path) -> None:
-    """Write the picture of a run to `path`; its suffix tells the format."""
-    names = record.names()
-    grid = Grid([record.specs[n] for n in names], names, record.begin, record.plan.seconds, record.spans)
-    load = np.where(grid.up, grid.held(record.ran) / grid.able, np.nan) / 1000.0
-    figure, (map_, lines, worst) = plt.subplots(3, 1, figsize=(11, 12), layout="constrained")
-    image = map_.imshow(
-        load.T, aspect="auto", origin="lower", interpolation="nearest", cmap="viridis",
-        extent=(0.0, record.plan.seconds, -0.5, len(names) - 0.5), vmax=float(np.nanquantile(load, 0.995)),
-    )  # fmt: skip
-    figure.colorbar(image, ax=map_, label="work in hand, s")
-    map_.set(title="each executor's work in hand over what it can do (white: away)", ylabel="executor")
-    at = np.arange(grid.count) * SLICE / 1000.0
-    cv, _ = variation(grid, record.ran)
-    lines.plot(at, cv, label="burlmoor", color="black", linewidth=1.2)
-    for way, colour in (("shortest", "tab:green"), ("least of two", "tab:orange"), ("random", "tab:red")):
-        asked_rows = play(record, way)[1]
-        lines.plot(at, variation(grid, asked_rows)[0], label=way, color=colour, linewidth=0.7)
-    lines.set(title="coefficient of variation of work in hand over capacity", xlabel="s", ylim=(0.0, None))
-    lines.legend(loc="upper right")
-    for trouble in record.plan.schedule.troubles:
-        for axis in (map_, lines):
-            axis.axvspan(trouble.at, trouble.until, color="red", alpha=0.08)
-        lines.text(trouble.at, 0.02, trouble.what, rotation=90, fontsize=7, color="darkred")
-    _worst(record, grid, load, cv, worst)
+from burlmoor.testbed.fleet.baselines import replay_baseline
+from burlmoor.testbed.fleet.load_grid import (
+    SETTLING_SLICES,
+    SLICE_MS,
+    SLICES_PER_SECOND,
+    LoadGrid,
+    measure_evenness,
+    smooth_over_a_second,
+)
+from burlmoor.testbed.fleet.record import RunRecord
+
+_BASELINE_COLORS = {"shortest": "tab:green", "least of two": "tab:orange", "random": "tab:red"}
+_NAMED_EXECUTORS = 8  # with the most work, named below the least even second
+
+
+def draw_report(record: RunRecord, path: Path) -> None:
+    """Write the picture of a run to `path`, in the format of its suffix."""
+    grid = LoadGrid.from_record(record)
+    load_seconds = grid.relative_load(record.attempts) / 1000.0
+    variation = measure_evenness(grid, record.attempts).variation
+    figure, (load_axes, variation_axes, worst_axes) = plt.subplots(
+        3, 1, figsize=(11, 12), layout="constrained"
+    )
+    _draw_load(figure, load_axes, record, load_seconds)
+    _draw_variation(variation_axes, record, grid, variation)
+    for fault in record.plan.schedule.faults:
+        for axes in (load_axes, variation_axes):
+            axes.axvspan(fault.start, fault.end, color="red", alpha=0.08)
+        variation_axes.text(fault.start, 0.02, fault.kind, rotation=90, fontsize=7, color="darkred")
+    _draw_least_even_second(worst_axes, record, load_seconds, variation)
     figure.savefig(path)
     plt.close(figure)
 
 
-def _worst(record: Record, grid: Grid, load: np.ndarray, cv: np.ndarray, axis: Axes) -> None:
-    """The second after the settling in which load was least even, executor by executor."""
-    per_second = int(1000.0 / SLICE)
-    skip = int(SETTLED * per_second)
-    smooth = np.convolve(cv, np.ones(per_second) / per_second, mode="valid")
-    begin = skip + int(np.argmax(smooth[skip:])) if len(smooth) > skip else 0
-    held = np.nan_to_num(load[begin : begin + per_second]).mean(axis=0)
-    order = np.argsort(-held)
-    names = record.names()
-    axis.bar(range(len(names)), held[order])
-    axis.set(
-        title=f"the worst second, from {begin / per_second:.1f} s on: work in hand by executor",
-        ylabel="s", xlabel=f"most: {', '.join(names[n] for n in order[:8])}",
-    )  # fmt: skip
+def _draw_load(figure: Figure, axes: Axes, record: RunRecord, load_seconds: np.ndarray) -> None:
+    """Draw each executor's load over time, as a heat map."""
+    image = axes.imshow(
+        load_seconds.T,
+        aspect="auto",
+        origin="lower",
+        interpolation="nearest",
+        cmap="viridis",
+        extent=(0.0, record.plan.seconds, -0.5, len(record.specs) - 0.5),
+        vmax=float(np.nanquantile(load_seconds, 0.995)),
+    )
+    figure.colorbar(image, ax=axes, label="outstanding work, s")
+    axes.set(
+        title="each executor's outstanding work over its capacity (white: unavailable)", ylabel="executor"
+    )
+
+
+def _draw_variation(axes: Axes, record: RunRecord, grid: LoadGrid, variation: np.ndarray) -> None:
+    """Draw the coefficient of variation over time, beside that of the baselines."""
+    seconds = np.arange(grid.slice_count) * SLICE_MS / 1000.0
+    axes.plot(seconds, variation, label="burlmoor", color="black", linewidth=1.2)
+    for name, color in _BASELINE_COLORS.items():
+        attempts = replay_baseline(record, name).attempts
+        axes.plot(seconds, measure_evenness(grid, attempts).variation, label=name, color=color, linewidth=0.7)
+    axes.set(title="coefficient of variation of outstanding work over capacity", xlabel="s", ylim=(0.0, None))
+    axes.legend(loc="upper right")
+
+
+def _draw_least_even_second(
+    axes: Axes, record: RunRecord, load_seconds: np.ndarray, variation: np.ndarray
+) -> None:
+    """Draw each executor's load in the second after the settling time in which it was least even."""
+    smooth = smooth_over_a_second(variation, "valid")
+    begin = 0
+    if len(smooth) > SETTLING_SLICES:
+        begin = SETTLING_SLICES + int(np.argmax(smooth[SETTLING_SLICES:]))
+    load = np.nan_to_num(load_seconds[begin : begin + SLICES_PER_SECOND]).mean(axis=0)
+    order = np.argsort(-load)
+    names = record.executor_names()
+    axes.bar(range(len(names)), load[order])
+    axes.set(
+        title=f"the least even second, from {begin / SLICES_PER_SECOND:.1f} s: outstanding work by executor",
+        ylabel="s",
+        xlabel=f"most: {', '.join(names[number] for number in order[:_NAMED_EXECUTORS])}",
+    )
--- /dev/null
+++ b/burlmoor/testbed/fleet/schedule_file.py
@@ -0,0 +1,94 @@
+"""Fault schedules as INI files: `[schedule]` with the seed, then a `[trouble N]` for each fault."""
+
+from __future__ import annotations
+
+import configparser
+from io import StringIO
+
+import msgspec
+
+from burlmoor.errors import BurlmoorError
+from burlmoor.testbed.fleet.faults import EXECUTOR_FAULTS, FAULT_KINDS, Fault, FaultSchedule
+
+_REQUIRED_KEYS = ("what", "at", "lasts")
+_MAX_SECONDS = 1e6
+
+
+class ScheduleError(BurlmoorError, ValueError):
+    """An invalid schedule: which section, and what is wrong with which key, in one line."""
+
+    def __init__(self, section: str, reason: str) -> None:
+        super().__init__(f"{section}: {reason}" if section else reason)
+        self.section = section
+        self.reason = reason
+
+
+def format_schedule(schedule: FaultSchedule) -> str:
+    """Return the schedule as an INI file that `parse_schedule` reads back as the same."""
+    defaults = msgspec.to_builtins(Fault(kind="cut", start=0.0, duration=0.0))
+    lines = ["[schedule]", f"seed = {schedule.seed}", ""]
+    for number, fault in enumerate(schedule.faults):
+        lines.append(f"[trouble {number + 1}]")
+        for key, value in msgspec.to_builtins(fault).items():
+            if key in _REQUIRED_KEYS or value != defaults[key]:
+                lines.append(f"{key} = {value}")
+        lines.append("")
+    return "\n".join(lines)
+
+
+def parse_schedule(text: str) -> FaultSchedule:
+    """Return the schedule that an INI file holds; raises ScheduleError."""
+    parser = configparser.ConfigParser(interpolation=None)
+    try:
+        parser.read_file(StringIO(text))
+    except configparser.Error as error:
+        raise ScheduleError("", str(error).replace("\n", " ")) from error
+    seed = 0
+    faults = []
+    for section in parser.sections():
+        values = dict(parser.items(section))
+        if section == "schedule":
+            seed = _parse_seed(values)
+        elif section.startswith("trouble"):
+            faults.append(_parse_fault(section, values))
+        else:
+            raise ScheduleError(section, "invalid section, allowed are schedule and trouble N")
+    return FaultSchedule(seed, tuple(faults))
+
+
+def _parse_seed(values: dict[str, str]) -> int:
+    text = values.pop("seed", "0")
+    try:
+        seed = int(text)
+    except ValueError as error:
+        raise ScheduleError("schedule", f"invalid seed {text!r}, must be an integer") from error
+    if values:
+        raise ScheduleError("schedule", f"invalid key {min(values)}, allowed is seed")
+    return seed
+
+
+def _parse_fault(section: str, values: dict[str, str]) -> Fault:
+    allowed = Fault.__struct_encode_fields__
+    for key in values:
+        if key not in allowed:
+            raise ScheduleError(section, f"invalid key {key}, allowed are {', '.join(allowed)}")
+    try:
+        fault = msgspec.convert(values, Fault, strict=False)
+    except msgspec.ValidationError as error:
+        raise ScheduleError(section, str(error)) from error
+    _check_fault(section, fault)
+    return fault
+
+
+def _check_fault(section: str, fault: Fault) -> None:
+    """Raise ScheduleError where the values are of the right types, but out of range."""
+    if fault.kind not in FAULT_KINDS:
+        raise ScheduleError(section, f"invalid what {fault.kind!r}, allowed are {', '.join(FAULT_KINDS)}")
+    # Also false for nan.
+    if not (0.0 <= fault.start < _MAX_SECONDS and 0.0 <= fault.duration < _MAX_SECONDS):
+        raise ScheduleError(section, f"invalid at or lasts, must be seconds from 0 to {_MAX_SECONDS:.0f}")
+    if min(fault.magnitude, fault.stagger, fault.notification_delay, fault.restart_stagger) < 0.0:
+        raise ScheduleError(section, "invalid size, over, told or back, must be 0 or more")
+    required = "executors" if fault.kind in EXECUTOR_FAULTS else "nodes"
+    if not getattr(fault, required):
+        raise ScheduleError(section, f"{fault.kind} needs {required}")
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -1,10 +1,10 @@
-"""The TCP relays between nodes and executors: bytes pass as the troubles of the moment let them.
+"""The TCP relays between nodes and executors, which apply link faults to the bytes that pass.
 
-In a process of its own, `python -m burlmoor.testbed.fleet.tcp_relay`, told by a line of JSON on standard
-input, then by a line of effects at each change; it ends with its input. Several such processes share
-the ports.
-What a relay cannot do is refuse a connect on a cut link: it is accepted, and then nothing comes, as with a
-peer whose machine has vanished after the handshake.
+They run in processes of their own, `python -m burlmoor.testbed.fleet.tcp_relay`, several of which share the
+ports. The configuration is the first line of a process's input, each further line the list of link faults
+from then on; the process ends with its input. What a relay cannot do is refuse a connection on a link that is
+cut: the connection is accepted, and then nothing comes, as with a peer whose machine vanished after the
+handshake.
 """
 
 from __future__ import annotations
@@ -13,52 +13,73 @@
 import socket
 import sys
 from contextlib import suppress
+from typing import NamedTuple
 
 import msgspec
 import trio
 
-from burlmoor.testbed.fleet.addresses import Ports, ends, link, local
-from burlmoor.testbed.fleet.addresses import executor as executor_at
-from burlmoor.testbed.fleet.addresses import node as node_at
-from burlmoor.testbed.fleet.faults import Effect
-from burlmoor.testbed.fleet.notifications import lines, play
+from burlmoor.testbed.fleet.addresses import (
+    Ports,
+    bind_to_loopback,
+    executor_address,
+    link_address,
+    node_address,
+    parse_link_address,
+)
+from burlmoor.testbed.fleet.datagram_faults import corrupt_byte
+from burlmoor.testbed.fleet.link_faults import LinkFault
+from burlmoor.testbed.fleet.process_input import read_lines, run_process
 from burlmoor.testbed.http_stream import HttpStream, connect
 
-_CHUNK = 65_536
-_AGAIN = 0.2  # seconds after which what was dropped is sent again, as TCP would
+_CHUNK_BYTES = 65_536
+_BACKLOG = 4096
+_RETRANSMIT_SECONDS = 0.2  # by which dropped bytes are late, as TCP would send them again
+_ACCEPT_RETRY_SECONDS = 0.02
 
 
-class Plan(msgspec.Struct):
-    """Where to listen."""
+class RelayConfig(msgspec.Struct):
+    """The ports of the fleet, and the seed of what link faults draw."""
 
     ports: Ports
     seed: int
 
 
-class Relays:
-    """Owns the listeners, the connections through them, and the effects of the moment."""
+class _Direction(NamedTuple):
+    """One direction of a link: forward is from the node to the executor."""
 
-    def __init__(self, plan: Plan, nursery: trio.Nursery) -> None:
-        self._ports, self._nursery = plan.ports, nursery
-        self._rng = random.Random(plan.seed)
-        self._effects: list[Effect] = []
-        self._changed = trio.Event()
+    node: int
+    executor: int
+    forward: bool
 
-    def take_up(self, effects: list[Effect]) -> None:
-        """These are what is wrong from now on."""
-        self._effects = effects
-        self._changed.set()
-        self._changed = trio.Event()
+    def reverse(self) -> _Direction:
+        return self._replace(forward=not self.forward)
+
+
+class TcpRelays:
+    """Owns the listeners, the connections through them, and the link faults that are in effect."""
+
+    def __init__(self, config: RelayConfig, nursery: trio.Nursery) -> None:
+        self._ports = config.ports
+        self._nursery = nursery
+        self._rng = random.Random(config.seed)
+        self._faults: list[LinkFault] = []
+        self._faults_changed = trio.Event()
+
+    def apply_faults(self, faults: list[LinkFault]) -> None:
+        """Replace the link faults that are in effect."""
+        self._faults = faults
+        self._faults_changed.set()
+        self._faults_changed = trio.Event()
 
     async def open(self) -> None:
-        """Listen on every link's address, both ways."""
-        for port, forward in ((self._ports.forwards, True), (self._ports.backwards, False)):
+        """Listen on every link's address, for connections from nodes and from executors."""
+        for port, forward in ((self._ports.relay_to_executors, True), (self._ports.relay_to_nodes, False)):
             sock = trio.socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            local(sock)  # type: ignore[arg-type]
+            bind_to_loopback(sock)  # type: ignore[arg-type]
             await sock.bind(("0.0.0.0", port))
-            sock.listen(4096)
+            sock.listen(_BACKLOG)
             self._nursery.start_soon(self._accept, trio.SocketListener(sock), forward)
 
     async def _accept(self, listener: trio.SocketListener, forward: bool) -> None:
@@ -66,24 +87,22 @@
             try:
                 stream = await listener.accept()
             except OSError:
-                await trio.sleep(0.02)
+                await trio.sleep(_ACCEPT_RETRY_SECONDS)
                 continue
-            self._nursery.start_soon(self._pass, stream, forward)
+            self._nursery.start_soon(self._relay, stream, forward)
 
-    async def _pass(self, near: trio.SocketStream, forward: bool) -> None:
+    async def _relay(self, near: trio.SocketStream, forward: bool) -> None:
+        """Connect to the other end and relay both directions until one of the connections is over."""
         far: trio.SocketStream | None = None
         try:
-            address = near.socket.getsockname()[0]
-            node, executor = ends(address)
-            await self._until_open(node, executor, forward)
-            to = (
-                (executor_at(executor), self._ports.jobs) if forward else (node_at(node), self._ports.clients)
-            )
-            # From the link's own address, so that the executor knows who calls.
-            far = (await connect(to, link(node, executor) if forward else "")).socket_stream
-            async with trio.open_nursery() as both:
-                both.start_soon(self._pump, near, far, (node, executor, forward), both.cancel_scope)
-                both.start_soon(self._pump, far, near, (node, executor, not forward), both.cancel_scope)
+            link = parse_link_address(near.socket.getsockname()[0])
+            direction = _Direction(link.node, link.peer, forward)
+            await self._wait_until_open(direction)
+            far = await self._connect(direction)
+            async with trio.open_nursery() as nursery:
+                cancel_scope = nursery.cancel_scope
+                nursery.start_soon(self._copy, near, far, direction, cancel_scope)
+                nursery.start_soon(self._copy, far, near, direction.reverse(), cancel_scope)
         except (OSError, ValueError, trio.BrokenResourceError, trio.ClosedResourceError):
             HttpStream(near).reset()
             if far is not None:
@@ -94,27 +113,37 @@
                     with suppress(OSError, trio.BrokenResourceError):
                         stream.socket.close()
 
-    async def _until_open(self, node: int, executor: int, forward: bool) -> None:
-        while any(e.what in ("cut", "stall") and e.meets(node, executor, forward) for e in self._effects):
-            await self._changed.wait()
+    async def _connect(self, direction: _Direction) -> trio.SocketStream:
+        """Connect to the end that this direction leads to."""
+        node, executor, forward = direction
+        if not forward:
+            return (await connect((node_address(node), self._ports.node_http), "")).socket_stream
+        address = (executor_address(executor), self._ports.executor_http)
+        # From the link's own address, so that the executor knows which node connects.
+        return (await connect(address, link_address(node, executor))).socket_stream
+
+    async def _wait_until_open(self, direction: _Direction) -> None:
+        while any(fault.kind in ("cut", "stall") and fault.affects(*direction) for fault in self._faults):
+            await self._faults_changed.wait()
 
-    async def _pump(
+    async def _copy(
         self,
         source: trio.SocketStream,
         sink: trio.SocketStream,
-        way: tuple[int, int, bool],
-        both: trio.CancelScope,
+        direction: _Direction,
+        both_directions: trio.CancelScope,
     ) -> None:
-        # Bytes of one direction stay in order whatever befalls them: it is a TCP connection.
+        """Copy bytes until the source ends; an error of either stream ends both directions."""
+        # Bytes of one direction stay in order whatever the faults: it is a TCP connection.
         while True:
             try:
-                data = await source.receive_some(_CHUNK)
+                data = await source.receive_some(_CHUNK_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 HttpStream(sink).reset()
-                both.cancel()
+                both_directions.cancel()
                 return
-            if self._effects:
-                data = await self._befalls(data, way)
+            if self._faults:
+                data = await self._apply_to_chunk(data, direction)
             if not data:
                 with suppress(trio.BrokenResourceError, trio.ClosedResourceError, OSError):
                     await sink.send_eof()
@@ -123,36 +152,36 @@
                 await sink.send_all(data)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 HttpStream(source).reset()
-                both.cancel()
+                both_directions.cancel()
                 return
 
-    async def _befalls(self, data: bytes, way: tuple[int, int, bool]) -> bytes:
-        for effect in [each for each in self._effects if each.meets(*way)]:
-            if effect.what == "delay":
-                await trio.sleep(effect.size * self._rng.uniform(0.8, 1.2) / 1000.0)
-            elif effect.what == "drop" and self._rng.random() < effect.size:
-                await trio.sleep(_AGAIN)
-            elif effect.what == "throttle":
-                await trio.sleep(len(data) / max(1.0, effect.size))
-            elif effect.what == "reset" and self._rng.random() < effect.size:
-                raise trio.BrokenResourceError("as the schedule says")
-            elif effect.what == "corrupt" and data and self._rng.random() < effect.size:
-                at = self._rng.randrange(len(data))
-                data = data[:at] + bytes([data[at] ^ 0x20]) + data[at + 1 :]
-        await self._until_open(*way)
+    async def _apply_to_chunk(self, data: bytes, direction: _Direction) -> bytes:
+        """Apply this direction's faults: wait, corrupt the data, or raise BrokenResourceError for a reset."""
+        for fault in [each for each in self._faults if each.affects(*direction)]:
+            if fault.kind == "delay":
+                await trio.sleep(fault.magnitude * self._rng.uniform(0.8, 1.2) / 1000.0)
+            elif fault.kind == "drop" and self._rng.random() < fault.magnitude:
+                await trio.sleep(_RETRANSMIT_SECONDS)
+            elif fault.kind == "throttle":
+                await trio.sleep(len(data) / max(1.0, fault.magnitude))
+            elif fault.kind == "reset" and self._rng.random() < fault.magnitude:
+                raise trio.BrokenResourceError("reset by the fault schedule")
+            elif fault.kind == "corrupt" and data and self._rng.random() < fault.magnitude:
+                data = corrupt_byte(data, self._rng.randrange(len(data)))
+        await self._wait_until_open(direction)
         return data
 
 
-async def serve(plan: Plan) -> None:
+async def serve(config: RelayConfig) -> None:
     """Relay until the input ends."""
     async with trio.open_nursery() as nursery:
-        relays = Relays(plan, nursery)
+        relays = TcpRelays(config, nursery)
         await relays.open()
         print("{}", flush=True)
-        async for line in lines():
-            relays.take_up(msgspec.json.decode(line, type=list[Effect]))
+        async for line in read_lines():
+            relays.apply_faults(msgspec.json.decode(line, type=list[LinkFault]))
         nursery.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    sys.exit(play(serve, Plan))
+    sys.exit(run_process(serve, RelayConfig))
--- a/burlmoor/testbed/fleet/verdict.py
+++ b/burlmoor/testbed/fleet/verdict.py
@@ -1,4 +1,4 @@
-"""What a run proves: the node's spread beside the baselines', and the claims that it is held to."""
+"""What a run shows: the nodes' spread of load beside the baselines', and the claims that it must hold."""
 
 from __future__ import annotations
 
@@ -8,79 +8,105 @@
 
 from burlmoor.testbed.drill import Claim
 from burlmoor.testbed.fleet.audit import Audit, audit
-from burlmoor.testbed.fleet.baselines import WAYS, play
-from burlmoor.testbed.fleet.metrics import Spread, spread
-from burlmoor.testbed.fleet.record import Record
+from burlmoor.testbed.fleet.baselines import BASELINES, replay_baseline
+from burlmoor.testbed.fleet.metrics import SpreadMetrics, measure_spread
+from burlmoor.testbed.fleet.record import RunRecord
 
-EVEN, HERD, IDLE, HEALS = 1.5, 3.0, 0.02, 5.0
+MAX_RATIO_TO_BOUND = 1.5  # of variation, and of maximum over mean
+MAX_THUNDERING_HERD = 3.0
+MAX_IDLENESS = 0.02
+MAX_RECOVERY_SECONDS = 5.0  # or what the bound takes, where that is longer
+_BOUND = "shortest"  # the baseline that knows the true state, which no node can
 
 
-class Found(msgspec.Struct):
+class RunAssessment(msgspec.Struct):
     """All figures of one run."""
 
-    node: Spread
-    ways: dict[str, Spread]
+    node: SpreadMetrics
+    baselines: dict[str, SpreadMetrics]
     audit: Audit
-    cpu_ms: float  # of node processes, for each job asked
-    memory_mib: float  # of a node, at most
+    cpu_ms: float  # of node processes, for each job sent
+    memory_mib: float  # of the node with the most
 
     def claims(self) -> dict[str, Claim]:
-        """What must hold: name, value and bound."""
-        bound = self.ways["shortest"]
-        honest = {name: way for name, way in self.ways.items() if name != "shortest"}
-        claims = {
-            "rules broken": Claim(float(len(self.audit.broken)), 0.0),
-            "variation over the bound's": Claim(self.node.variation / max(bound.variation, 1e-9), EVEN),
-            "worst over mean, over the bound's": Claim(
-                self.node.worst_over_mean / max(bound.worst_over_mean, 1e-9), EVEN
-            ),
-            "herd at p99.9": Claim(self.node.herd, HERD),
-            "idleness": Claim(self.node.idleness, IDLE),
+        """Return what must hold: name, value and bound."""
+        return {**self._spread_claims(), **self._baseline_claims(), **self._recovery_claims()}
+
+    def _spread_claims(self) -> dict[str, Claim]:
+        bound = self.baselines[_BOUND]
+        variation_ratio = _ratio(self.node.variation, bound.variation)
+        max_over_mean_ratio = _ratio(self.node.max_over_mean, bound.max_over_mean)
+        return {
+            "rules broken": Claim(float(len(self.audit.violations)), 0.0),
+            "variation over the bound's": Claim(variation_ratio, MAX_RATIO_TO_BOUND),
+            "worst over mean, over the bound's": Claim(max_over_mean_ratio, MAX_RATIO_TO_BOUND),
+            "herd at p99.9": Claim(self.node.thundering_herd, MAX_THUNDERING_HERD),
+            "idleness": Claim(self.node.idleness, MAX_IDLENESS),
         }
-        for name, way in honest.items():
-            claims[f"served in time, over {name}'s"] = Claim(
-                self.node.in_time / max(way.in_time, 1e-9), 1.0, is_lower_bound=True
-            )
-        for name, seconds in self.node.heal.items():
-            if math.isfinite(bound.heal[name]):  # else the run was too short to see any way heal
-                claims[f"healed after {name}, s"] = Claim(seconds, max(HEALS, bound.heal[name]))
+
+    def _baseline_claims(self) -> dict[str, Claim]:
+        claims = {}
+        for name, baseline in self.baselines.items():
+            if name != _BOUND:
+                ratio = _ratio(self.node.served_in_time, baseline.served_in_time)
+                claims[f"served in time, over {name}'s"] = Claim(ratio, 1.0, is_lower_bound=True)
+        return claims
+
+    def _recovery_claims(self) -> dict[str, Claim]:
+        bound = self.baselines[_BOUND]
+        claims = {}
+        for name, seconds in self.node.recovery_seconds.items():
+            # Infinite: the run was too short to see any recovery.
+            if math.isfinite(bound.recovery_seconds[name]):
+                limit_seconds = max(MAX_RECOVERY_SECONDS, bound.recovery_seconds[name])
+                claims[f"healed after {name}, s"] = Claim(seconds, limit_seconds)
         return claims
 
     def figures(self) -> dict[str, float]:
-        """What is told beside the claims."""
-        found = {
-            "served": self.node.served, "served in time": self.node.in_time,
-            "p50 ms": self.node.latency_p50, "p99 ms": self.node.latency_p99,
-            "variation": self.node.variation, "herd at most": self.node.herd_most,
-            "node CPU ms a job": self.cpu_ms, "node MiB": self.memory_mib,
-        }  # fmt: skip
-        for name, way in self.ways.items():
-            found[f"{name}: served in time"] = way.in_time
-            found[f"{name}: variation"] = way.variation
-            found[f"{name}: idleness"] = way.idleness
-            found[f"{name}: herd at p99.9"] = way.herd
-        for why, count in sorted(self.audit.excused.items()):
-            found[f"excused: {why}"] = float(count)
-        return {name: value for name, value in found.items() if math.isfinite(value)}
-
-
-def found(record: Record) -> Found:
-    """Judge a run.
-
-    No way of spreading can serve what was at a node when it was killed or stopped, and the baselines have no
-    nodes that die: those jobs count for none of them.
+        """Return the finite figures that are shown beside the claims."""
+        figures = {
+            "served": self.node.served,
+            "served in time": self.node.served_in_time,
+            "p50 ms": self.node.latency_p50_ms,
+            "p99 ms": self.node.latency_p99_ms,
+            "variation": self.node.variation,
+            "herd at most": self.node.thundering_herd_max,
+            "node CPU ms a job": self.cpu_ms,
+            "node MiB": self.memory_mib,
+        }
+        for name, baseline in self.baselines.items():
+            figures[f"{name}: served in time"] = baseline.served_in_time
+            figures[f"{name}: variation"] = baseline.variation
+            figures[f"{name}: idleness"] = baseline.idleness
+            figures[f"{name}: herd at p99.9"] = baseline.thundering_herd
+        for reason, count in sorted(self.audit.excused.items()):
+            figures[f"excused: {reason}"] = float(count)
+        return {name: value for name, value in figures.items() if math.isfinite(value)}
+
+
+def _ratio(value: float, reference: float) -> float:
+    return value / max(reference, 1e-9)
+
+
+def assess_run(record: RunRecord) -> RunAssessment:
+    """Return all figures of a run.
+
+    No way of endpoint selection can serve what was at a node when it was killed or stopped, and the baselines
+    have no nodes that fail: those jobs are left out for all of them.
     """
-    judged = audit(record)
-    lost = set(judged.lost)
-    ways = {}
-    for way in WAYS:
-        asked, rows = play(record, way)
-        ways[way] = spread(record, [job for job in asked if job.id not in lost], rows)
-    jobs = max(1, len(record.asked))
-    return Found(
-        spread(record, [job for job in record.asked if job.id not in lost], record.ran),
-        ways,
-        judged,
-        1000.0 * sum(used.cpu for used in record.used.values()) / jobs,
-        max((used.memory for used in record.used.values()), default=0) / 2**20,
+    audited = audit(record)
+    lost_ids = set(audited.lost_job_ids)
+    baselines = {}
+    for name in BASELINES:
+        replayed = replay_baseline(record, name)
+        requests = [request for request in replayed.requests if request.id not in lost_ids]
+        baselines[name] = measure_spread(record, requests, replayed.attempts)
+    requests = [request for request in record.requests if request.id not in lost_ids]
+    usages = record.resource_usage.values()
+    return RunAssessment(
+        node=measure_spread(record, requests, record.attempts),
+        baselines=baselines,
+        audit=audited,
+        cpu_ms=1000.0 * sum(usage.cpu_seconds for usage in usages) / max(1, len(record.requests)),
+        memory_mib=max((usage.memory_bytes for usage in usages), default=0) / 2**20,
     )
--- a/tests/cli/test_fleet.py
+++ b/tests/cli/test_fleet.py
@@ -19,15 +19,15 @@
 class RecordedFleet:
     """Stands for the processes of a fleet; its run is the recorded one."""
 
-    plans: list[records.Plan]
+    plans: list[records.RunPlan]
 
-    def __init__(self, plan: records.Plan, folder: Path, *_report_progress: Any) -> None:
+    def __init__(self, plan: records.RunPlan, folder: Path, *_report_progress: Any) -> None:
         self.plans.append(plan)
         self._folder = folder
 
-    async def run(self) -> records.Record:
+    async def run(self) -> records.RunRecord:
         assert self._folder.is_dir()
-        return records.read(RECORDED)
+        return records.read_record(RECORDED)
 
 
 def test_fleet_run_keeps_the_record_and_exits_with_the_verdict(
@@ -41,7 +41,13 @@
     assert done.exit_code == (0 if verdict["held"] else 1)
     assert {"claims", "figures"} <= set(verdict)
     (plan,) = RecordedFleet.plans
-    assert (plan.nodes, plan.executors, plan.seconds, plan.loud, plan.hot) == (3, 20, 5.0, 4.0, 0.3)
+    assert (plan.nodes, plan.executors, plan.seconds, plan.first_node_factor, plan.hot_key_share) == (
+        3,
+        20,
+        5.0,
+        4.0,
+        0.3,
+    )
     assert (tmp_path / "record.json.gz").exists()
 
 
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -27,7 +27,7 @@
 from burlmoor.testbed.drill_watch import judge as judge_watch
 from burlmoor.testbed.event_record import EventRecord
 from burlmoor.testbed.fleet import record as records
-from burlmoor.testbed.fleet.verdict import found
+from burlmoor.testbed.fleet.verdict import assess_run
 from tests.stats.test_snapshot import taken, taught
 
 DATA = Path(__file__).parent / "data"
@@ -116,7 +116,7 @@
 
 
 def test_the_record_of_a_fleet_run_keeps_its_encoding(tmp_path: Path) -> None:
-    run = records.read(DATA / "run")
+    run = records.read_record(DATA / "run")
     recorded = gzip.decompress((DATA / "run" / "record.json.gz").read_bytes())
     assert msgspec.json.encode(run) == recorded
     run.write(tmp_path)
@@ -126,16 +126,16 @@
 
 def test_verdicts_on_recorded_rows_are_the_same() -> None:
     recorded = json.loads((DATA / "verdicts.json").read_text())
-    run = records.read(DATA / "run")
-    judged = found(run)
+    run = records.read_record(DATA / "run")
+    judged = assess_run(run)
     fleet = Verdict("fleet", run.plan.seed, run.plan.seconds, judged.claims(), judged.figures())
     assert json.dumps(fleet.to_json_object()) == json.dumps(recorded["fleet"])
     assert json.dumps(judge_watch(run, DrillParameters(12.0, 4)).to_json_object()) == json.dumps(
         recorded["watch"]
     )
     ledger = EventRecord()
-    ledger.unix_offset_ms, ledger.attempts = 1.0, list(run.ran)
-    ledger.requests = {job.id: job for job in run.asked}
+    ledger.unix_offset_ms, ledger.attempts = 1.0, list(run.attempts)
+    ledger.requests = {job.id: job for job in run.requests}
     ids = list(ledger.requests)
     for number, job in enumerate(ledger.requests.values()):
         if number % 5 == 4:
--- /dev/null
+++ b/tests/testbed/fleet/test_audit.py
@@ -0,0 +1,88 @@
+"""The audit reports each violation of a rule, and excuses only what the schedule caused."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from burlmoor.testbed.fleet.audit import audit
+from burlmoor.testbed.fleet.record import FaultInterval, Notification, RunRecord
+from tests.testbed.fleet.recorded_runs import CONFIRM, SEARCH, make_even_run
+
+
+def test_a_run_without_fault_has_no_violation() -> None:
+    assert audit(make_even_run()).violations == []
+
+
+def leave_unanswered(record: RunRecord) -> None:
+    record.requests[5].answered_ms = None
+
+
+def answer_late(record: RunRecord) -> None:
+    record.requests[5].answered_ms = record.requests[5].sent_ms + SEARCH.timeout_ms + 900.0
+
+
+def answer_with_another_result(record: RunRecord) -> None:
+    record.requests[5].body = b"j6@s-0"
+
+
+def start_non_idempotent_job_twice(record: RunRecord) -> None:
+    for attempt in (record.attempts[5], record.attempts[6]):
+        attempt.job_class = CONFIRM.name
+        attempt.id = "j5"
+
+
+def reject_job_that_ran(record: RunRecord) -> None:
+    record.requests[5].job_class = record.attempts[5].job_class = CONFIRM.name
+    record.requests[5].status = 503
+
+
+def run_unknown_job(record: RunRecord) -> None:
+    record.attempts[5].id = "x"
+
+
+def send_to_draining_executor(record: RunRecord) -> None:
+    record.notifications = [Notification(record.start_ms + 1000.0, "n000", "s-1", "leaving")]
+
+
+def flood_executor_in_slow_start(record: RunRecord) -> None:
+    record.fault_intervals = [FaultInterval("die", "s-1", record.start_ms, record.start_ms + 2000.0)]
+    for attempt in record.attempts:
+        attempt.work_ms = 5000.0
+
+
+def crash_node(record: RunRecord) -> None:
+    record.unexpected_exits = {"n003": -11}
+
+
+@pytest.mark.parametrize(
+    ("break_rule", "message"),
+    [
+        (leave_unanswered, "no answer"),
+        (answer_late, "late"),
+        (answer_with_another_result, "no executor made"),
+        (start_non_idempotent_job_twice, "started 2 times"),
+        (reject_job_that_ran, "retry does no harm"),
+        (run_unknown_job, "no client sent"),
+        (send_to_draining_executor, "was notified that s-1 drains"),
+        (flood_executor_in_slow_start, "of its budget"),
+        (crash_node, "ended with -11"),
+    ],
+)
+def test_each_violation_is_reported(break_rule: Callable[[RunRecord], None], message: str) -> None:
+    record = make_even_run()
+    break_rule(record)
+    assert any(message in violation for violation in audit(record).violations)
+
+
+def test_only_what_the_schedule_caused_is_excused() -> None:
+    record = make_even_run()
+    leave_unanswered(record)
+    sent_ms = record.requests[5].sent_ms
+    record.fault_intervals = [FaultInterval("kill", "n000", sent_ms + 10.0, sent_ms + 20.0)]
+    result = audit(record)
+    assert result.violations == []
+    assert result.excused == {"its node was killed": 1}
+    record.requests[5].node = 1
+    assert audit(record).violations
--- /dev/null
+++ b/tests/testbed/fleet/test_faults.py
@@ -0,0 +1,83 @@
+"""Fault schedules: their file format, their selectors, and schedules drawn at random."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from burlmoor.testbed.fleet.faults import (
+    DISCOVERY_FAULTS,
+    EXECUTOR_FAULTS,
+    FAULT_KINDS,
+    LINK_FAULTS,
+    Fault,
+    FaultSchedule,
+    Population,
+    resolve_selector,
+)
+from burlmoor.testbed.fleet.random_schedule import draw_schedule
+from burlmoor.testbed.fleet.schedule_file import format_schedule, parse_schedule
+
+seconds = st.floats(0.0, 1000.0).map(lambda value: round(value, 3))
+faults = st.builds(
+    Fault,
+    kind=st.sampled_from(FAULT_KINDS),
+    start=seconds,
+    duration=seconds,
+    nodes=st.sampled_from(["n0*", "20%"]),
+    executors=st.sampled_from(["s-*", "zone:a"]),
+    direction=st.sampled_from(["both", "back"]),
+    magnitude=seconds,
+    stagger=seconds,
+    notification_delay=seconds,
+)
+
+
+@given(st.lists(faults), st.integers(0, 10**9))
+def test_a_schedule_is_parsed_as_it_was_formatted(drawn: list[Fault], seed: int) -> None:
+    schedule = FaultSchedule(seed, tuple(drawn))
+    assert parse_schedule(format_schedule(schedule)) == schedule
+
+
+@pytest.mark.parametrize(
+    ("text", "message"),
+    [
+        ("[trouble 1]\nwhat = fire\nat = 1\nlasts = 1\nnodes = *", "invalid what 'fire'"),
+        ("[trouble 1]\nwhat = kill\nat = soon\nlasts = 1\nnodes = *", "trouble 1"),
+        ("[trouble 1]\nwhat = kill\nat = 1\nlasts = 1", "needs nodes"),
+        ("[trouble 1]\nwhat = die\nat = 1\nlasts = 1\nnodes = *", "needs executors"),
+        ("[trouble 1]\nwhat = cut\nat = -1\nlasts = 1\nnodes = *", "seconds from 0"),
+        ("[trouble 1]\nwhat = cut\nat = nan\nlasts = 1\nnodes = *", "seconds from 0"),
+        ("[trouble 1]\nwhat = cut\nat = 1\nlasts = 1\nnodes = *\nwhere = x", "invalid key where"),
+        ("[trouble 1]\nwhat = cut\nat = 1\nlasts = 1\nnodes = *\ndirection = up", "direction"),
+        ("[schedule]\nseed = x", "invalid seed 'x'"),
+        ("[other]\nseed = 1", "other: invalid section"),
+        ("what = cut", "section"),
+    ],
+)
+def test_an_invalid_schedule_raises_an_error_of_one_line(text: str, message: str) -> None:
+    with pytest.raises(ValueError, match=message) as error:
+        parse_schedule(text)
+    assert "\n" not in str(error.value)
+
+
+def test_selectors_select_the_same_members_every_time() -> None:
+    nodes = Population(
+        [f"n{number:03d}" for number in range(100)], ["ab"[number % 2] for number in range(100)]
+    )
+    assert resolve_selector(nodes, "n00*, n010", 1) == list(range(11))
+    assert resolve_selector(nodes, "zone:b", 1) == list(range(1, 100, 2))
+    assert resolve_selector(nodes, "30%", 1) == resolve_selector(nodes, "30%", 1)
+    assert len(resolve_selector(nodes, "30%", 1)) == 30
+    assert resolve_selector(nodes, "30%", 1) != resolve_selector(nodes, "30%", 2)
+    assert draw_schedule(5, 60.0, 4) == draw_schedule(5, 60.0, 4) != draw_schedule(6, 60.0, 4)
+
+
+def test_every_kind_of_fault_has_a_name_of_its_own_and_a_drawn_schedule_can_be_stored() -> None:
+    assert set(LINK_FAULTS) | set(EXECUTOR_FAULTS) | set(DISCOVERY_FAULTS) < set(FAULT_KINDS)
+    assert len(set(FAULT_KINDS)) == len(FAULT_KINDS)
+    schedule = draw_schedule(1, 60.0, 9)
+    assert msgspec.json.decode(msgspec.json.encode(schedule), type=FaultSchedule) == schedule
+    assert schedule == draw_schedule(1, 60.0, 9)
--- /dev/null
+++ b/tests/testbed/fleet/test_runs.py
@@ -0,0 +1,96 @@
+"""Runs of real processes: a fleet under faults, and the processes of a run."""
+
+from __future__ import annotations
+
+import signal
+import subprocess
+import sys
+import time
+from pathlib import Path
+
+import psutil
+import trio
+
+from burlmoor.testbed.fleet.audit import audit
+from burlmoor.testbed.fleet.child_process import ChildProcess
+from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
+from burlmoor.testbed.fleet.helper_processes import ProcessCounts
+from burlmoor.testbed.fleet.record import RunPlan, RunRecord, read_record
+from burlmoor.testbed.fleet.run import Fleet
+from burlmoor.testbed.fleet.schedule_file import parse_schedule
+
+
+def run_fleet(folder: Path, *faults: Fault) -> RunRecord:
+    plan = RunPlan(4, 6, 6.0, 7, 40.0, 0.5, schedule=FaultSchedule(7, faults))
+
+    async def run() -> RunRecord:
+        with trio.fail_after(120.0):
+            return await Fleet(plan, folder).run(ProcessCounts(1, 1, 1))
+
+    return trio.run(run)
+
+
+def test_a_fleet_under_faults_keeps_the_rules_and_its_record_can_be_read_and_drawn(tmp_path: Path) -> None:
+    record = run_fleet(
+        tmp_path,
+        Fault(kind="kill", start=1.0, duration=0.5, nodes="n001"),
+        Fault(kind="stop", start=2.0, duration=1.0, nodes="n002"),
+        Fault(kind="die", start=2.5, duration=1.0, executors="s-001", notification_delay=0.3),
+        Fault(kind="cut", start=3.0, duration=0.8, nodes="n000,n003", executors="s-000"),
+        Fault(kind="term", start=3.5, duration=0.5, nodes="n003"),
+        Fault(kind="drain", start=4.0, duration=1.0, executors="s-002"),
+        Fault(kind="late", start=1.0, duration=4.0, nodes="50%", magnitude=800.0),
+    )
+    assert audit(record).violations == []
+    assert sum(request.is_served for request in record.requests) > 0.5 * len(record.requests) > 50
+    kinds = {interval.kind for interval in record.fault_intervals}
+    assert kinds == {"kill", "stop", "die", "cut", "term", "drain", "late"}
+    record.write(tmp_path / "kept")
+    read_again = read_record(tmp_path / "kept")
+    assert read_again == record
+    assert parse_schedule((tmp_path / "kept" / "schedule.ini").read_text()) == record.plan.schedule
+    from burlmoor.testbed.fleet.report import draw_report  # noqa: PLC0415
+
+    draw_report(read_again, tmp_path / "report.png")
+    assert (tmp_path / "report.png").stat().st_size > 10_000
+
+
+def test_a_link_that_is_cut_carries_nothing_and_others_go_on(tmp_path: Path) -> None:
+    record = run_fleet(
+        tmp_path, Fault(kind="cut", start=0.0, duration=6.0, nodes="*", executors="s-000,s-001")
+    )
+    end_ms = record.start_ms + 5500.0
+    attempts = [attempt for attempt in record.attempts if attempt.received_ms < end_ms]
+    executors = {attempt.executor for attempt in attempts if attempt.started_ms is not None}
+    assert executors
+    assert not executors & {"s-000", "s-001"}
+    assert audit(record).violations == []
+
+
+def test_no_process_outlives_a_run_that_is_killed() -> None:
+    arguments = ["fleet", "run", "--nodes", "3", "--executors", "4"]
+    code = "from burlmoor.cli.main import main; main()"
+    run = subprocess.Popen([sys.executable, "-c", code, *arguments], stderr=subprocess.DEVNULL)
+    children: list[psutil.Process] = []
+    try:
+        deadline = time.monotonic() + 30.0
+        while len(children) < 6 and time.monotonic() < deadline:
+            time.sleep(0.1)
+            children = list(psutil.Process(run.pid).children(recursive=True))
+        assert len(children) >= 6
+    finally:
+        run.kill()
+        run.wait()
+    _, alive = psutil.wait_procs(children, timeout=15.0)
+    assert alive == []
+
+
+def test_a_child_process_has_the_exit_status_of_the_signal_that_ended_it(tmp_path: Path) -> None:
+    async def terminate() -> int | None:
+        process = ChildProcess(["-c", "import time; time.sleep(60)"], tmp_path / "log")
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait_until_ended(20.0)
+        await process.kill()
+        return process.exit_status
+
+    assert trio.run(terminate) in (-signal.SIGTERM, 143)
