--- a/burlmoor/testbed/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -73,7 +73,7 @@
 
 
 def _check_answers(record: RunRecord, result: Audit) -> None:
-    """Each client got one answer in time, and a result only of its own job."""
+    """Check that each client got an answer in time, and a result only of its own job."""
     terminated = _NodeFaults(record, "term")
     killed = _NodeFaults(record, "kill")
     stopped = _NodeFaults(record, "stop")
@@ -104,7 +104,7 @@
     terminated: _NodeFaults,
     result: Audit,
 ) -> None:
-    """A request without an answer had a node that was killed, stopped or terminated."""
+    """Check that the node of a request without an answer was killed, stopped or terminated."""
     node = request.node
     sent_ms = request.sent_ms
     deadline_ms = sent_ms + request.timeout_ms
@@ -125,9 +125,9 @@
 
 
 def _check_non_idempotent_jobs(record: RunRecord, result: Audit) -> None:
-    """No non-idempotent job starts twice, or once its client was told that a retry does no harm.
+    """Check that no non-idempotent job starts twice, or once its client was told that a retry does no harm.
 
-    No job of any class starts that no client sent.
+    Nor may a job of any class start that no client sent.
     """
     non_idempotent = {job_class.name for job_class in JOB_CLASSES if job_class.is_non_idempotent}
     started: dict[str, list[float]] = defaultdict(list)
@@ -155,7 +155,7 @@
 
 
 def _check_drains(record: RunRecord, result: Audit) -> None:
-    """No new job arrives later than 250 ms after its node was notified, however it was notified."""
+    """Check that no job reaches an executor that drains after the deadline, however its node was notified."""
     notifications: dict[tuple[int, str], list[Notification]] = defaultdict(list)
     for notification in record.notifications:
         notifications[int(notification.node[1:]), notification.endpoint].append(notification)
@@ -198,7 +198,7 @@
 
 
 def _check_slow_starts(record: RunRecord, result: Audit) -> None:
-    """The work that reaches a starting executor within a window stays below what would overload it."""
+    """Check that the work that reaches a starting executor within a window does not overload it."""
     started: dict[str, list[float]] = defaultdict(list)
     for interval in record.fault_intervals:
         if interval.kind in ("die", "drain"):
--- a/burlmoor/testbed/fleet/child_process.py
+++ b/burlmoor/testbed/fleet/child_process.py
@@ -25,7 +25,6 @@
     "sys.argv[2] and os.sched_setaffinity(0, {int(core) for core in sys.argv[2].split(',')})\n"
     "os.execv(sys.argv[3], sys.argv[3:])\n"
 )
-_POLL_SECONDS = 0.02
 _KILL_SECONDS = 5.0  # until a process that got SIGKILL must be over
 
 
@@ -97,10 +96,13 @@
 
     async def wait_until_ended(self, timeout_seconds: float) -> bool:
         """Wait for its end; whether it came in time."""
-        with trio.move_on_after(timeout_seconds):
-            while self.is_running:
-                await trio.sleep(_POLL_SECONDS)
-            return True
+        if self.is_running:
+            descriptor = os.pidfd_open(self.pid)  # readable when the process ends
+            try:
+                with trio.move_on_after(timeout_seconds):
+                    await trio.lowlevel.wait_readable(descriptor)
+            finally:
+                os.close(descriptor)
         return not self.is_running
 
     async def kill(self) -> None:
--- a/burlmoor/testbed/fleet/clients.py
+++ b/burlmoor/testbed/fleet/clients.py
@@ -101,12 +101,16 @@
         nursery.start_soon(cancel_at_end_of_input)
         clients = ClientGroup(config)
         await clients.run()
-        output = ClientsOutput(list(clients.event_record.requests.values()), clients.max_send_delay_ms)
-        # Nothing else runs any more that blocking could delay.
-        Path(config.output_path).write_bytes(msgspec.json.encode(output))
+        _write_output(config, clients)
         print("{}", flush=True)
         nursery.cancel_scope.cancel()
 
 
+def _write_output(config: ClientsConfig, clients: ClientGroup) -> None:
+    """Write what was observed. This blocks, but nothing else runs any more that it could delay."""
+    output = ClientsOutput(list(clients.event_record.requests.values()), clients.max_send_delay_ms)
+    Path(config.output_path).write_bytes(msgspec.json.encode(output))
+
+
 if __name__ == "__main__":
     sys.exit(run_process(serve, ClientsConfig))
--- a/burlmoor/testbed/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -72,13 +72,17 @@
         async for line in read_lines():
             command = msgspec.json.decode(line, type=ExecutorCommand)
             if command.action == "finish":
-                # Nothing else runs any more that blocking could delay.
-                Path(config.output_path).write_bytes(msgspec.json.encode(event_record.attempts))
+                _write_output(config, event_record)
                 print("{}", flush=True)
                 break
             await execute_command(command, executors[command.name])
         nursery.cancel_scope.cancel()
 
 
+def _write_output(config: ExecutorsConfig, event_record: EventRecord) -> None:
+    """Write the attempts. This blocks, but what the executors still do counts no more."""
+    Path(config.output_path).write_bytes(msgspec.json.encode(event_record.attempts))
+
+
 if __name__ == "__main__":
     sys.exit(run_process(serve, ExecutorsConfig))
--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -35,6 +35,7 @@
 RECOVERED_SECONDS = 2.0  # for which the variation must stay there
 _TRANSIT_ALLOWANCE_MS = 100.0  # that a job may be on its way without counting as waiting
 _HERD_QUANTILE = 0.999
+_HALF = 0.5  # counts are sums of floats: more than a half is one or more
 
 
 class SpreadMetrics(msgspec.Struct):
@@ -121,14 +122,14 @@
             rejected = grid.slice_at(over_ms)
             changes[rejected] += 1.0
             changes[min(grid.slice_count, rejected + 1)] -= 1.0
-    return np.asarray(np.cumsum(changes)[:-1] > 0.5)  # more than none, for sums of floats
+    return np.asarray(np.cumsum(changes)[:-1] > _HALF)
 
 
 def measure_idleness(
     grid: LoadGrid, requests: Sequence[RequestRecord], attempts: Sequence[AttemptRecord]
 ) -> float:
     """Return the share of executors' time without a job while there was unmet demand."""
-    is_without_job = grid.job_counts(attempts) < 0.5  # less than one, for sums of floats
+    is_without_job = grid.job_counts(attempts) < _HALF
     is_idle = is_without_job & grid.is_available & find_unmet_demand(grid, requests, attempts)[:, None]
     is_idle[:SETTLING_SLICES] = False
     counted = grid.is_available[SETTLING_SLICES:].sum()
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -18,6 +18,7 @@
 import msgspec
 import trio
 
+from burlmoor.errors import BurlmoorError
 from burlmoor.testbed.fleet.addresses import (
     Ports,
     bind_to_loopback,
@@ -44,6 +45,10 @@
     seed: int
 
 
+class LinkResetError(BurlmoorError, trio.BrokenResourceError):
+    """A connection that is to be reset by the fault schedule."""
+
+
 class _Direction(NamedTuple):
     """One direction of a link: forward is from the node to the executor."""
 
@@ -156,7 +161,7 @@
                 return
 
     async def _apply_to_chunk(self, data: bytes, direction: _Direction) -> bytes:
-        """Apply this direction's faults: wait, corrupt the data, or raise BrokenResourceError for a reset."""
+        """Apply this direction's faults: wait, corrupt the data, or raise LinkResetError."""
         for fault in [each for each in self._faults if each.affects(*direction)]:
             if fault.kind == "delay":
                 await trio.sleep(fault.magnitude * self._rng.uniform(0.8, 1.2) / 1000.0)
@@ -165,7 +170,7 @@
             elif fault.kind == "throttle":
                 await trio.sleep(len(data) / max(1.0, fault.magnitude))
             elif fault.kind == "reset" and self._rng.random() < fault.magnitude:
-                raise trio.BrokenResourceError("reset by the fault schedule")
+                raise LinkResetError
             elif fault.kind == "corrupt" and data and self._rng.random() < fault.magnitude:
                 data = corrupt_byte(data, self._rng.randrange(len(data)))
         await self._wait_until_open(direction)
