--- a/benchmarks/limit.py
+++ b/benchmarks/limit.py
@@ -37,13 +37,13 @@
         report = await LoadGenerator([clients]).run(draw_arrivals(rate, seconds, kinds, 1))
         meter.read_into(report)
         clients.close()
-    whole = report.total
+    whole = report.all_classes
     row: dict[str, Any] = {
         "offered_per_s": rate,
         "served_per_s": round(whole.outcomes["served"] / seconds, 1),
         **{name: whole.outcomes[name] for name in ("refused", "failed", "no answer")},
         "p50_ms": whole.latency_percentile_ms(50.0), "p99_ms": whole.latency_percentile_ms(99.0),
-        "cpu_ms_a_job": round(report.cpu_ms / max(1, whole.total), 3),
+        "cpu_ms_a_job": round(report.cpu_ms / max(1, whole.job_count), 3),
         "generator_behind_ms": round(report.max_lag_ms, 1),
     }  # fmt: skip
     if sampled:
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -63,10 +63,8 @@
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         report = trio.run(_load_new_installation, rate, seconds, seed, executors, Path(folder))
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
-    _ERR.print(
-        f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job "
-        f"and {report.memory_bytes / 2**20:.0f} MiB."
-    )
+    memory_mib = report.memory_bytes / 2**20
+    _ERR.print(f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job and {memory_mib:.0f} MiB.")
     _finish(report, sink)
 
 
@@ -108,9 +106,8 @@
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s"))
     _ERR.print(f"generator behind by {report.max_lag_ms:.1f} ms at most")
     if report.cpu_ms:
-        _ERR.print(
-            f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {report.memory_bytes / 2**20:.0f} MiB"
-        )
+        memory_mib = report.memory_bytes / 2**20
+        _ERR.print(f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {memory_mib:.0f} MiB")
     _finish(report, sink)
 
 
@@ -180,19 +177,19 @@
     for heading in ("class", "asked", *_OUTCOMES, "p50 ms", "p90 ms", "p99 ms", "max ms"):
         is_class = heading == "class"
         table.add_column(heading, justify="left" if is_class else "right", no_wrap=is_class)
-    for name, tally in [*sorted(report.by_class.items()), ("all", report.total)]:
-        counts = [tally.total, *(tally.outcomes[outcome] for outcome in _OUTCOMES)]
+    for name, tally in [*sorted(report.by_class.items()), ("all", report.all_classes)]:
+        counts = [tally.job_count, *(tally.outcomes[outcome] for outcome in _OUTCOMES)]
         latencies = [f"{tally.latency_percentile_ms(percentile):.0f}" for percentile in _PERCENTILES]
         table.add_row(name, *map(str, counts), *latencies)
     return table
 
 
 def _cpu_ms_per_job(report: LoadReport) -> float:
-    return report.cpu_ms / max(1, report.total.total)
+    return report.cpu_ms / max(1, report.all_classes.job_count)
 
 
 def _finish(report: LoadReport, sink: IO[str] | None) -> None:
     """Write the figures where they are asked for; exit with status 1 if a job got no answer."""
     write_json(report.to_json_object(), sink)
-    if report.total.outcomes[_NO_ANSWER]:
+    if report.all_classes.outcomes[_NO_ANSWER]:
         sys.exit(1)
--- a/burlmoor/testbed/load.py
+++ b/burlmoor/testbed/load.py
@@ -66,7 +66,7 @@
             self.outcomes["failed" if asked.answer_count else "no answer"] += 1
 
     @property
-    def total(self) -> int:
+    def job_count(self) -> int:
         """How many there were."""
         return self.outcomes.total()
 
@@ -86,7 +86,7 @@
     max_lag_ms: float = 0.0  # the most by which the generator itself was late
 
     @property
-    def total(self) -> OutcomeTally:
+    def all_classes(self) -> OutcomeTally:
         """All classes together."""
         whole = OutcomeTally()
         for tally in self.by_class.values():
@@ -96,11 +96,11 @@
 
     def to_json_object(self) -> dict[str, Any]:
         """The report as plain figures."""
-        rows = {**self.by_class, "all": self.total}
+        rows = {**self.by_class, "all": self.all_classes}
         return {
             "seconds": round(self.seconds, 3),
             "generator_behind_ms": round(self.max_lag_ms, 1),
-            "node_cpu_ms_per_job": round(self.cpu_ms / max(1, rows["all"].total), 4),
+            "node_cpu_ms_per_job": round(self.cpu_ms / max(1, rows["all"].job_count), 4),
             "node_memory_mib": round(self.memory_bytes / 2**20, 1),
             "classes": {name: self._class_figures(tally) for name, tally in rows.items()},
         }
@@ -108,7 +108,7 @@
     def _class_figures(self, tally: OutcomeTally) -> dict[str, Any]:
         percentile_ms = tally.latency_percentile_ms
         return {
-            "asked": tally.total,
+            "asked": tally.job_count,
             **dict(sorted(tally.outcomes.items())),
             "served_per_s": round(tally.outcomes["served"] / self.seconds, 1),
             "p50_ms": percentile_ms(50.0),
--- a/tests/cli/test_fleet.py
+++ b/tests/cli/test_fleet.py
@@ -41,7 +41,13 @@
     assert done.exit_code == (0 if verdict["held"] else 1)
     assert {"claims", "figures"} <= set(verdict)
     (plan,) = RecordedFleet.plans
-    assert (plan.nodes, plan.executors, plan.seconds, plan.first_node_factor, plan.hot_key_share) == (3, 20, 5.0, 4.0, 0.3)
+    assert (plan.nodes, plan.executors, plan.seconds, plan.first_node_factor, plan.hot_key_share) == (
+        3,
+        20,
+        5.0,
+        4.0,
+        0.3,
+    )
     assert (tmp_path / "record.json.gz").exists()
 
 
--- a/tests/upstream/test_send_precondition.py
+++ b/tests/upstream/test_send_precondition.py
@@ -43,7 +43,7 @@
 
 
 def end_job(setting: Setting) -> None:
-    setting.job.is_over = True
+    setting.job.is_closed = True
 
 
 def end_attempt(setting: Setting) -> None:
