--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -63,8 +63,10 @@
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         report = trio.run(_load_new_installation, rate, seconds, seed, executors, Path(folder))
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
-    memory_mib = report.memory_bytes / 2**20
-    _ERR.print(f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job and {memory_mib:.0f} MiB.")
+    _ERR.print(
+        f"The node used {_cpu_ms_per_job(report):.2f} ms of CPU a job "
+        f"and {report.memory_bytes / 2**20:.0f} MiB."
+    )
     _finish(report, sink)
 
 
@@ -106,8 +108,9 @@
     _ERR.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s"))
     _ERR.print(f"generator behind by {report.max_lag_ms:.1f} ms at most")
     if report.cpu_ms:
-        memory_mib = report.memory_bytes / 2**20
-        _ERR.print(f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {memory_mib:.0f} MiB")
+        _ERR.print(
+            f"node: {_cpu_ms_per_job(report):.3f} ms of CPU a job, {report.memory_bytes / 2**20:.0f} MiB"
+        )
     _finish(report, sink)
 
 
