--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -22,6 +22,7 @@
     wait_until_status,
 )
 from tests.support.node_harness import NodeHarness
+from tests.support.polling import poll_until
 
 
 def test_a_deferred_job_is_sent_after_its_parent_without_its_condition_headers() -> None:
@@ -241,16 +242,21 @@
                 clients, confirm = cluster.clients[0], JOB_CLASSES[2]
                 parent = new_request("p", confirm, 4300.0)
                 child = new_request("c", confirm, 10.0, timeout_ms=30_000.0, run_after=("p",))
+
+                async def has_started() -> bool:
+                    return bool(cluster.event_record.started_attempts_by_id())
+
+                async def are_answered() -> bool:
+                    return bool(parent.answer_count and child.answer_count)
+
                 cluster.executors["s-000"].set_slowdown(1.6)  # the parent runs for 3.4 s
-                for each in (parent, child):
-                    nursery.start_soon(clients.send, each)
-                while not cluster.event_record.started_attempts_by_id():
-                    await trio.sleep(0.02)
+                for request in (parent, child):
+                    nursery.start_soon(clients.send, request)
+                await poll_until(has_started)
                 cluster.nodes[0].send_signal(signal.SIGTERM)
                 assert cluster.nodes[0].process is not None
                 assert await cluster.nodes[0].process.wait() == 0
-                while not (parent.answer_count and child.answer_count):
-                    await trio.sleep(0.02)
+                await poll_until(are_answered)
                 assert child.status == 503
                 assert set(cluster.event_record.started_attempts_by_id()) == {"p"}
 
