--- a/tests/downstream/test_other_process.py
+++ b/tests/downstream/test_other_process.py
@@ -21,7 +21,7 @@
 def test_a_connection_is_passed_to_the_successor_only_between_requests() -> None:
     async def scenario(harness: NodeHarness) -> None:
         successor = RecordingProcess()
-        wire = await harness.submit_job("once", "a1")
+        client = await harness.submit_job("once", "a1")
         half = await harness.connect_client()
         await half.socket_stream.send_all(b"POST /once")
         await harness.wait_until(lambda: harness.jobs and len(harness.node.server.connections) == 2)
@@ -29,16 +29,16 @@
         harness.node.server.pass_idle_to_successor()
         assert not successor.connections
         await harness.send_callback("done", "fine")
-        assert (await harness.read_response(wire)).status == 200
+        assert (await harness.read_response(client)).status == 200
         assert [has_been_used for _, has_been_used in successor.connections] == [True]
         # The descriptor belongs to the process that serves it next.
         harness.node.server.attach_successor(None)
         for sock, has_been_used in successor.connections:
             harness.node.server.adopt(sock, has_been_used)
-        await harness.send_job(wire, "once", "a2")
+        await harness.send_job(client, "once", "a2")
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         await harness.send_callback("done", "again")
-        assert (await harness.read_response(wire)).body == b"again"
+        assert (await harness.read_response(client)).body == b"again"
 
     run_scenario(scenario)
 
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -39,12 +39,12 @@
 ) -> None:
     async def scenario(harness: NodeHarness) -> None:
         delayed = DelayedConnections(harness, monkeypatch)
-        wire = await harness.submit_job()
+        client = await harness.submit_job()
         await harness.wait_until(lambda: delayed.waiting_count)
         if how == "closes":
-            await wire.socket_stream.aclose()
+            await client.socket_stream.aclose()
         else:  # as a dying process does
-            wire.reset()
+            client.reset()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         delayed.released.set()
         await harness.wait_until(lambda: not harness.node.attempts.in_flight)
@@ -59,11 +59,11 @@
 def test_the_close_of_a_client_is_noticed_behind_much_unread_input(byte_count: int) -> None:
     # Its close comes behind more than the node keeps of what is written to it.
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(timeout_ms=9000)
+        client = await harness.submit_job(timeout_ms=9000)
         await harness.wait_until(lambda: harness.jobs)
         began = trio.current_time()
-        await wire.socket_stream.send_all(b"x" * byte_count)
-        await wire.socket_stream.aclose()
+        await client.socket_stream.send_all(b"x" * byte_count)
+        await client.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         assert trio.current_time() - began < 2.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
@@ -73,7 +73,7 @@
 
 def test_a_client_that_never_stops_writing_is_answered_and_its_connection_closed() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(timeout_ms=5000)
+        client = await harness.submit_job(timeout_ms=5000)
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("started")  # else it is retried elsewhere after a while
         written_count = 0
@@ -82,7 +82,7 @@
             nonlocal written_count
             try:
                 for _ in range(200):
-                    await wire.socket_stream.send_all(b"x" * 100_000)
+                    await client.socket_stream.send_all(b"x" * 100_000)
                     written_count += 1
                     harness.notify()
             except trio.BrokenResourceError:
@@ -91,10 +91,10 @@
         harness.nursery.start_soon(write)
         await harness.wait_until(lambda: written_count > 100)
         other = await harness.submit_job(request_id="b1")  # another client's, to be answered all the same
-        for ref, client in (("b1", other), ("a1", wire)):
+        for ref, waiting in (("b1", other), ("a1", client)):
             await harness.wait_until(lambda ref=ref: harness.find_attempts(ref))  # type: ignore[misc]
             await harness.send_callback("done", "fine", job=harness.find_attempts(ref)[-1])
-            answer = await harness.read_response(client)
+            answer = await harness.read_response(waiting)
             assert (answer.status, answer.body) == (200, b"fine")
         assert answer.headers["connection"] == "close"
 
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -64,11 +64,11 @@
     name: str, status: int, attempt_count: int, response: str
 ) -> None:
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(name)
+        client = await harness.submit_job(name)
         await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
         if attempt_count == 2:
             await harness.send_callback("done", "second")
-        answer = await harness.read_response(wire)
+        answer = await harness.read_response(client)
         assert (answer.status, answer.body == b"second") == (status, attempt_count == 2)
         assert len(harness.jobs) == attempt_count
         assert not harness.node.attempts.in_flight
@@ -82,11 +82,11 @@
     name: str, attempt_count: int, response: str
 ) -> None:
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(name, timeout_ms=1500)
+        client = await harness.submit_job(name, timeout_ms=1500)
         await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
         if attempt_count == 2:
             await harness.send_callback("done", "second")
-        answer = await harness.read_response(wire)
+        answer = await harness.read_response(client)
         assert (answer.status, len(harness.jobs)) == ((200, 2) if attempt_count == 2 else (502, 1))
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # the connection is not kept
 
@@ -96,9 +96,9 @@
 @pytest.mark.parametrize("name", ["lookup", "keyed", "once"])
 def test_the_late_result_of_a_cancelled_attempt_is_accepted_and_changes_nothing(name: str) -> None:
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job(name, timeout_ms=400)
+        client = await harness.submit_job(name, timeout_ms=400)
         await harness.wait_until(lambda: harness.jobs)
-        answer = await harness.read_response(wire)  # its deadline: the attempt is cancelled
+        answer = await harness.read_response(client)  # its deadline: the attempt is cancelled
         assert answer.status in (502, 503)
         await harness.wait_until(lambda: harness.cancelled_attempts)
         assert await harness.send_callback("done", "late", job=0) == 204
@@ -125,9 +125,9 @@
             return stream
 
         monkeypatch.setattr("burlmoor.upstream.pool.connect", connect_later)
-        wire = await harness.submit_job()
+        client = await harness.submit_job()
         await established.wait()
-        await wire.socket_stream.aclose()
+        await client.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.node.engine.open_job_count)
         released.set()
         await harness.wait_until(
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -21,10 +21,10 @@
     receive_now = SocketStream.receive_now
 
     async def scenario(harness: NodeHarness) -> None:
-        wire = await harness.submit_job("once", "a1")
+        client = await harness.submit_job("once", "a1")
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("done", "fine")
-        assert (await harness.read_response(wire)).body == b"fine"
+        assert (await harness.read_response(client)).body == b"fine"
         admit = harness.node.engine.admit
 
         def record_and_admit(*arguments: Any) -> Any:
@@ -40,9 +40,9 @@
             return receive_now(stream)
 
         monkeypatch.setattr(SocketStream, "receive_now", close_idle_and_receive)
-        await harness.send_job(wire, "once", "a2")
+        await harness.send_job(client, "once", "a2")
         with suppress(trio.BrokenResourceError):
-            assert await wire.read() is None
+            assert await client.read() is None
         again = await harness.submit_job("once", "a2")  # as the protocol has clients do
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         await harness.send_callback("done", "again")
@@ -69,16 +69,16 @@
     async def scenario(harness: NodeHarness) -> None:
         began = trio.current_time()
 
-        async def client(number: int) -> None:
+        async def submit_repeatedly(number: int) -> None:
             """Submit job after job on one connection for as long as that stays open."""
-            wire = await harness.connect_client()
+            client = await harness.connect_client()
             for again in range(1000):
                 asked = trio.current_time() - began
                 if asked >= killed_after_seconds:
                     return
                 try:
-                    await harness.send_job(wire, "once", f"c{number}-{again}", int(deadline_ms))
-                    answer = await wire.read()
+                    await harness.send_job(client, "once", f"c{number}-{again}", int(deadline_ms))
+                    answer = await client.read()
                 except trio.BrokenResourceError:
                     answer = None
                 if answer is not None and asked > 0.7:
@@ -86,14 +86,14 @@
                 if answer is None or answer.headers.get("connection") == "close":
                     if trio.current_time() - began > 0.4:
                         return
-                    wire = await harness.connect_client()
+                    client = await harness.connect_client()
                 await trio.sleep(0.02)
 
         harness.nursery.start_soon(harness.node.shut_down)
         with trio.move_on_after(killed_after_seconds):
             async with trio.open_nursery() as nursery:
                 for number in range(6):
-                    nursery.start_soon(client, number)
+                    nursery.start_soon(submit_repeatedly, number)
         # A client that still waits has submitted its job within 0.7 s of SIGTERM, or not at all.
         assert not harness.node.engine.open_job_count
         assert not harness.node.server.has_unsent
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -31,10 +31,10 @@
     async def connect(self, begun: bytes = b"") -> None:
         """Connect one more client, which writes these bytes."""
         with suppress(OSError):
-            wire = await self._harness.connect_client()
+            client = await self._harness.connect_client()
             with suppress(trio.BrokenResourceError):
-                await wire.socket_stream.send_all(begun)
-            self._connections.append(wire)
+                await client.socket_stream.send_all(begun)
+            self._connections.append(client)
 
     async def keep_connecting(self) -> None:
         """Connect again and again: clients whose connections were closed come back."""
@@ -46,11 +46,11 @@
 async def assert_served_by(harness: NodeHarness, endpoint_name: str, request_id: str) -> None:
     """A job is sent to this endpoint, and answered."""
     job_count = len(harness.jobs)
-    wire = await harness.submit_job("once", request_id, 4000)
+    client = await harness.submit_job("once", request_id, 4000)
     await harness.wait_until(lambda: len(harness.jobs) > job_count)
     assert harness.jobs[-1][0] == endpoint_name
     assert await harness.send_callback("done", request_id) == 204
-    assert (await harness.read_response(wire)).body == request_id.encode()
+    assert (await harness.read_response(client)).body == request_id.encode()
 
 
 @pytest.mark.parametrize(("descriptors", "hanging"), [(64, 0), (96, 0), (160, 0), (64, 60), (160, 160)])
@@ -140,12 +140,14 @@
             harness = NodeHarness([], nursery)
             await harness.start_executor("e0")
 
-            async def serve(wire: HttpStream) -> None:
-                while await wire.read() is not None:
+            async def serve(connection: HttpStream) -> None:
+                while await connection.read() is not None:
                     if what == "answers with no list":
-                        await wire.write("HTTP/1.1 200 OK", b'{"seq": "x"}')
+                        await connection.write("HTTP/1.1 200 OK", b'{"seq": "x"}')
                     elif what == "never ends its answer":
-                        await wire.socket_stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{")
+                        await connection.socket_stream.send_all(
+                            b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"
+                        )
 
             address = "127.0.0.1:9" if what == "refuses" else await harness.listen(serve)
             node = NodeProcess("n0", tmp_path)
@@ -155,10 +157,10 @@
                 await node.start(nursery, settings, address, harness.endpoint_list(1, e0="active"))
                 assert time.monotonic() - began < 10.0
                 harness.address = node.address
-                wire = await harness.submit_job("once")
+                client = await harness.submit_job("once")
                 await harness.wait_until(lambda: harness.jobs)
                 await harness.send_callback("done", "served")
-                assert (await harness.read_response(wire)).body == b"served"
+                assert (await harness.read_response(client)).body == b"served"
             finally:
                 await node.kill()
             nursery.cancel_scope.cancel()
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -20,18 +20,18 @@
 
 async def readiness_status(harness: NodeHarness) -> int:
     """The status of /health/ready, once the node listens."""
-    wires: list[HttpStream] = []
+    clients: list[HttpStream] = []
 
     async def connect() -> bool:
         try:
-            wires.append(await harness.connect_client())
+            clients.append(await harness.connect_client())
         except OSError:
             return False
         return True
 
     await poll_until(connect, interval_seconds=0.05)
-    await wires[0].write("GET /health/ready HTTP/1.1", Host="node")
-    return (await harness.read_response(wires[0])).status
+    await clients[0].write("GET /health/ready HTTP/1.1", Host="node")
+    return (await harness.read_response(clients[0])).status
 
 
 def test_a_process_reloads_on_sighup_and_answers_its_open_jobs_before_it_ends_on_sigterm(
@@ -63,10 +63,10 @@
 
             try:
                 assert await readiness_status(harness) == 200
-                wire = await harness.submit_job("once")
+                client = await harness.submit_job("once")
                 await harness.wait_until(lambda: harness.jobs)
                 assert await harness.send_callback("done", "served") == 204
-                assert (await harness.read_response(wire)).body == b"served"
+                assert (await harness.read_response(client)).body == b"served"
                 open_job = await harness.submit_job("once", "b2", 5000)
                 await harness.wait_until(lambda: len(harness.jobs) == 2)
                 call_count = len(harness.discovery_paths)
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -8,8 +8,27 @@
 import msgspec
 import trio
 
+from burlmoor.testbed.http_stream import HttpStream
 from tests.support.admin_client import get_readiness_status, serve_job
 from tests.support.handover_harness import open_handover_harness
+from tests.support.node_harness import NodeHarness
+from tests.support.service_process import ServiceProcess
+
+
+async def assert_overrides_hold_at_both(old: ServiceProcess, new: ServiceProcess) -> None:
+    """What is set at either process holds at both; e0 was disabled before the handover."""
+    assert (await new.call("/executors/disable", "e1")).status == 200
+    assert (await old.call("/executors/enable", "e1")).status == 200
+    assert msgspec.json.decode((await new.call("/ready")).body)["out"] == ["e0"]
+
+
+async def assert_served(harness: NodeHarness, client: HttpStream, request_id: str) -> None:
+    """A job that is sent on an open connection is answered."""
+    job_count = len(harness.jobs)
+    await harness.send_job(client, "once", request_id)
+    await harness.wait_until(lambda: len(harness.jobs) == job_count + 1)
+    await harness.send_callback("done", "fine")
+    assert (await harness.read_response(client)).body == b"fine"
 
 
 def test_a_new_process_takes_over_without_a_client_noticing(tmp_path: Path) -> None:
@@ -17,14 +36,14 @@
         async with open_handover_harness(tmp_path) as harness:
             old = await harness.start_process()
             await old.wait_ready()
-            kept = await harness.submit_job("once", "a1")
+            used = await harness.submit_job("once", "a1")
             await harness.wait_until(lambda: harness.jobs)
             assert await harness.send_callback("done", "one") == 204
-            assert (await harness.read_response(kept)).body == b"one"
-            under_way = await harness.submit_job("once", "a2", 5000)
+            assert (await harness.read_response(used)).body == b"one"
+            waiting = await harness.submit_job("once", "a2", 5000)
             await harness.wait_until(lambda: len(harness.jobs) == 2)
-            half = await harness.connect_client()
-            await half.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
+            partial = await harness.connect_client()
+            await partial.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
             silent = await harness.connect_client()
             assert (await old.call("/executors/disable", "e0")).status == 200
 
@@ -32,34 +51,28 @@
             await new.wait_ready()
             assert await get_readiness_status(harness) == 200
             assert (await old.call("/ready")).status == 503
-            # What is set at either of them holds at both.
-            assert (await new.call("/executors/disable", "e1")).status == 200
-            assert (await old.call("/executors/enable", "e1")).status == 200
-            assert msgspec.json.decode((await new.call("/ready")).body)["out"] == ["e0"]
+            await assert_overrides_hold_at_both(old, new)
 
             # The job is the old process's, its call-back comes to the new one.
             assert await harness.send_callback("started", job=1) == 204
             assert await harness.send_callback("done", "two", job=1) == 204
-            answer = await harness.read_response(under_way)
+            answer = await harness.read_response(waiting)
             assert (answer.status, answer.body, answer.headers.get("connection")) == (200, b"two", None)
-            taken = await harness.submit_job("once", "a4")
+            later = await harness.submit_job("once", "a4")
             await harness.wait_until(lambda: len(harness.jobs) == 3)
             old.process.send_signal(signal.SIGTERM)
-            await half.socket_stream.send_all(b"Request-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
+            await partial.socket_stream.send_all(b"Request-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
             await harness.wait_until(lambda: len(harness.jobs) == 4)
             assert {name for name, _ in harness.jobs[2:]} == {"e1"}
             for job in (2, 3):
                 await harness.send_callback("done", "on", job=job)
-            for wire in (taken, half):
-                assert (await harness.read_response(wire)).body == b"on"
+            for client in (later, partial):
+                assert (await harness.read_response(client)).body == b"on"
             with trio.fail_after(3.0):
                 assert await old.process.wait() == 0
             # Every connection that was open goes on at the new process.
-            for number, wire in enumerate((kept, under_way, half, silent, taken)):
-                await harness.send_job(wire, "once", f"b{number}")
-                await harness.wait_until(lambda number=number: len(harness.jobs) == 5 + number)  # type: ignore[misc]
-                await harness.send_callback("done", "fine")
-                assert (await harness.read_response(wire)).body == b"fine"
+            for number, client in enumerate((used, waiting, partial, silent, later)):
+                await assert_served(harness, client, f"b{number}")
             await new.stop()
 
     trio.run(scenario)
@@ -70,7 +83,7 @@
         async with open_handover_harness(tmp_path) as harness:
             first = await harness.start_process()
             await first.wait_ready()
-            wire = await harness.submit_job("once", "a1", 5000)
+            client = await harness.submit_job("once", "a1", 5000)
             await harness.wait_until(lambda: harness.jobs)
             second = await harness.start_process()
             await second.wait_ready()
@@ -81,7 +94,7 @@
             assert await get_readiness_status(harness) == 503
             # The result comes to the third process, for a job of the first.
             assert await harness.send_callback("done", "far") == 204
-            assert (await harness.read_response(wire)).body == b"far"
+            assert (await harness.read_response(client)).body == b"far"
             assert (await third.call("/undrain")).status == 200
             assert await get_readiness_status(harness) == 200
             for process in (first, second, third):
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -79,22 +79,22 @@
     async def start_discovery(self) -> str:
         """Start a discovery service whose watches the scenario answers; its address."""
 
-        async def serve(wire: HttpStream) -> None:
-            while (message := await wire.read()) is not None:
+        async def serve(connection: HttpStream) -> None:
+            while (message := await connection.read()) is not None:
                 path = message.start_line.split()[1]
                 self.discovery_paths.append(path)
-                self.discovery_connections.append(wire)
-                self.open_watches.append(wire)
+                self.discovery_connections.append(connection)
+                self.open_watches.append(connection)
                 self.notify()
                 self.nursery.start_soon(
-                    self._answer_expired_watch, wire, len(self.discovery_connections), path
+                    self._answer_expired_watch, connection, len(self.discovery_connections), path
                 )
-            self.closed_discovery_connections.append(wire)
+            self.closed_discovery_connections.append(connection)
             self.notify()
 
         return await self.listen(serve)
 
-    async def _answer_expired_watch(self, wire: HttpStream, number: int, path: str) -> None:
+    async def _answer_expired_watch(self, connection: HttpStream, number: int, path: str) -> None:
         """Answer a watch when its wait is over, unless the scenario has answered it."""
         _, _, wait = path.partition("&wait_ms=")
         if not wait:
@@ -102,14 +102,14 @@
         await trio.sleep(float(wait) / 1000.0)
         after = path.partition("after=")[2].partition("&")[0]
         if (
-            wire in self.open_watches
+            connection in self.open_watches
             and not self.is_discovery_silent
-            and wire not in self.discovery_connections[number:]
+            and connection not in self.discovery_connections[number:]
         ):
-            self.open_watches.remove(wire)
+            self.open_watches.remove(connection)
             body = json.dumps({"seq": int(after), "whole": False, "hosts": []}).encode()
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await wire.write("HTTP/1.1 200 OK", body)
+                await connection.write("HTTP/1.1 200 OK", body)
 
     def endpoint_list(self, version: int, is_complete: bool = True, **states: str) -> dict[str, Any]:
         """Build the list of these executors, with these states, as discovery sends it."""
@@ -138,12 +138,16 @@
         self, job_class: str = "lookup", request_id: str = "a1", timeout_ms: int = 3000
     ) -> HttpStream:
         """Submit a job on a connection of its own, which is returned."""
-        wire = await self.connect_client()
-        await self.send_job(wire, job_class, request_id, timeout_ms)
-        return wire
+        connection = await self.connect_client()
+        await self.send_job(connection, job_class, request_id, timeout_ms)
+        return connection
 
     async def send_job(
-        self, wire: HttpStream, job_class: str = "lookup", request_id: str = "a1", timeout_ms: int = 3000
+        self,
+        connection: HttpStream,
+        job_class: str = "lookup",
+        request_id: str = "a1",
+        timeout_ms: int = 3000,
     ) -> None:
         head: dict[str, Any] = {
             "Host": "svc",
@@ -152,7 +156,7 @@
             "Work_Hint": "90000",
             **({"Idempotency_Key": f"key-{request_id}"} if job_class == "keyed" else {}),
         }
-        await wire.write(f"POST /{job_class}/0f HTTP/1.1", b"work", **head)
+        await connection.write(f"POST /{job_class}/0f HTTP/1.1", b"work", **head)
 
     def find_attempts(self, request_id: str) -> list[int]:
         """Find which of the received jobs, by their order, are attempts of this one."""
@@ -169,16 +173,16 @@
         return await self.send_callback_body(json.dumps(event).encode(), pause)
 
     async def send_callback_body(self, body: bytes, pause: float = 0.0) -> int:
-        wire = await self.connect_client()
+        connection = await self.connect_client()
         await trio.sleep(pause)
-        await wire.write("POST /v1/job-events HTTP/1.1", body, Host="node", Connection="close")
-        response = await wire.read()
+        await connection.write("POST /v1/job-events HTTP/1.1", body, Host="node", Connection="close")
+        response = await connection.read()
         assert response is not None
         return response.status
 
-    async def read_response(self, wire: HttpStream) -> HttpMessage:
+    async def read_response(self, connection: HttpStream) -> HttpMessage:
         with trio.fail_after(10.0):
-            response = await wire.read()
+            response = await connection.read()
         assert response is not None
         return response
 
--- a/tests/support/scripted_executor.py
+++ b/tests/support/scripted_executor.py
@@ -34,24 +34,24 @@
         self._harness = harness
         self._name = name
 
-    async def serve(self, wire: HttpStream) -> None:
+    async def serve(self, connection: HttpStream) -> None:
         """Answer what comes on one connection until either side ends it."""
         harness = self._harness
         harness.executor_connection_count += 1
-        harness.executor_connections.append(wire)
-        while (message := await wire.read()) is not None:
+        harness.executor_connections.append(connection)
+        while (message := await connection.read()) is not None:
             if message.start_line.startswith("DELETE"):
                 harness.cancelled_attempts.append((self._name, message.start_line.split()[1]))
-                await wire.write("HTTP/1.1 204 Gone")
+                await connection.write("HTTP/1.1 204 Gone")
             elif message.start_line.startswith("GET"):
-                await wire.write("HTTP/1.1 200 OK")
-            elif not await self._on_job(wire, message):
+                await connection.write("HTTP/1.1 200 OK")
+            elif not await self._on_job(connection, message):
                 return
             harness.notify()
         harness.unanswered_connection_count += 1
         harness.notify()
 
-    async def _on_job(self, wire: HttpStream, message: HttpMessage) -> bool:
+    async def _on_job(self, connection: HttpStream, message: HttpMessage) -> bool:
         """Answer a job as the script says; False where that ended the connection."""
         harness = self._harness
         act = harness.executor_script.pop(0) if harness.executor_script else "take"
@@ -59,33 +59,33 @@
         harness.notify()
         await self._send_second_response()
         if act.startswith("bytes:"):
-            return await self._send_bytes(wire, act.removeprefix("bytes:"))
+            return await self._send_bytes(connection, act.removeprefix("bytes:"))
         if act == "reset":
-            await wire.socket_stream.aclose()
+            await connection.socket_stream.aclose()
             return False
         if act == "stray":
-            harness.connection_for_second_response = wire
+            harness.connection_for_second_response = connection
             act = "take"
         if act == "early":
             await harness.send_callback("done", "early")
             act = "take"
         if act != "hang":
             start, headers = RESPONSES[act]
-            await wire.write(start, **headers)
+            await connection.write(start, **headers)
         return True
 
     async def _send_second_response(self) -> None:
         """Answer the job before a second time, now that the next one has been written."""
-        wire = self._harness.connection_for_second_response
-        if wire is not None:
+        connection = self._harness.connection_for_second_response
+        if connection is not None:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await wire.write("HTTP/1.1 503 No", Not_Started="1")
+                await connection.write("HTTP/1.1 503 No", Not_Started="1")
             self._harness.connection_for_second_response = None
 
-    async def _send_bytes(self, wire: HttpStream, act: str) -> bool:
+    async def _send_bytes(self, connection: HttpStream, act: str) -> bool:
         data, _, then = act.partition("|")
-        await wire.socket_stream.send_all(data.encode("latin-1"))
+        await connection.socket_stream.send_all(data.encode("latin-1"))
         if then == "end":
-            await wire.socket_stream.aclose()
+            await connection.socket_stream.aclose()
             return False
         return True
--- a/tests/support/service_process.py
+++ b/tests/support/service_process.py
@@ -33,10 +33,10 @@
         """Make one admin call, once the process listens."""
         method = "GET" if path == "/ready" else "POST"
         body = msgspec.json.encode({"name": name}) if name else b""
-        wire = HttpStream(await self._connect())
+        connection = HttpStream(await self._connect())
         with trio.fail_after(TIMEOUT_SECONDS):
-            await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
-            response = await wire.read()
+            await connection.write(f"{method} {path} HTTP/1.1", body, Host="node")
+            response = await connection.read()
         assert response is not None
         return response
 
