--- a/burlmoor/testbed/drill.py
+++ b/burlmoor/testbed/drill.py
@@ -1,4 +1,4 @@
-"""What all drills share: claims with values and bounds, the verdict, and how one is run."""
+"""What all drills share: claims with values and bounds, the verdict, and how a drill is run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Claim(msgspec.Struct):
-    """One thing that the program is held to: `value` is at most `bound` (or at least, where `least`)."""
+    """A measured value and the bound that it must keep: an upper one unless `is_lower_bound`."""
 
     value: float
     bound: float
@@ -18,12 +18,12 @@
 
     @property
     def holds(self) -> bool:
-        """Whether it is so."""
+        """Whether the value keeps the bound; a NaN does not."""
         return self.value >= self.bound if self.is_lower_bound else self.value <= self.bound
 
 
 class Verdict(msgspec.Struct):
-    """What a drill has found."""
+    """The result of a drill: claims that must hold, and further figures."""
 
     drill: str
     seed: int
@@ -33,33 +33,35 @@
 
     @property
     def holds(self) -> bool:
-        """Whether every claim is so."""
+        """Whether every claim holds."""
         return all(claim.holds for claim in self.claims.values())
 
     def to_json_object(self) -> dict[str, Any]:
-        """The verdict as one JSON object."""
+        """Return the verdict as an object to be written as JSON."""
         return {
-            "drill": self.drill, "seed": self.seed, "seconds": self.seconds,
+            "drill": self.drill,
+            "seed": self.seed,
+            "seconds": self.seconds,
             "claims": {
-                name: {"value": round(each.value, 4), "bound": each.bound, "held": each.holds}
-                for name, each in self.claims.items()
+                name: {"value": round(claim.value, 4), "bound": claim.bound, "held": claim.holds}
+                for name, claim in self.claims.items()
             },
-            "figures": {name: round(each, 4) for name, each in self.figures.items()},
+            "figures": {name: round(figure, 4) for name, figure in self.figures.items()},
             "held": self.holds,
-        }  # fmt: skip
+        }
 
 
 class DrillParameters(NamedTuple):
-    """What a drill is asked to be; `nodes` 0: as many as it has by itself."""
+    """The parameters of one run of a drill."""
 
     seconds: float
     seed: int
-    mutation: str | None = None
-    nodes: int = 0
+    mutation: str | None = None  # a mutation of the node with which the drill must fail
+    nodes: int = 0  # 0: the drill's own number
 
 
 class Drill(NamedTuple):
-    """A drill by name: what it does, and the faults of the node with which it must fail."""
+    """A drill, and the mutations of the node with which it must fail, by name, each with its description."""
 
     summary: str
     run: Callable[[DrillParameters, Path], Awaitable[Verdict]]
--- /dev/null
+++ b/burlmoor/testbed/executor_process.py
@@ -0,0 +1,44 @@
+"""A process of stand-in executors: configured by one line of JSON on standard input, ended by its end.
+
+So that the load generator, the executors and the node have an interpreter each. Its first line of output is
+a JSON object of the address of each executor.
+"""
+
+from __future__ import annotations
+
+import json
+import sys
+
+import msgspec
+import trio
+
+from burlmoor.testbed.event_record import AnyRequestId, EventRecord
+from burlmoor.testbed.executor import Executor
+from burlmoor.testbed.executor_model import ExecutorSpec
+
+_NODE = "n0"
+
+
+class ExecutorProcessPlan(msgspec.Struct):
+    """The executors of the process, and where the node takes call-backs."""
+
+    executors: dict[str, ExecutorSpec]
+    callback_address: tuple[str, int]
+
+
+async def _serve(plan: ExecutorProcessPlan) -> None:
+    async with trio.open_nursery() as nursery:
+        record = EventRecord(requests=AnyRequestId())
+        addresses = {}
+        for name, spec in plan.executors.items():
+            executor = Executor(name, spec, record, nursery)
+            addresses[name] = await executor.listen_for_node(_NODE, plan.callback_address)
+        print(json.dumps(addresses), flush=True)
+        await trio.to_thread.run_sync(sys.stdin.read, abandon_on_cancel=True)
+        nursery.cancel_scope.cancel()
+
+
+def main() -> int:
+    """Run until standard input ends; return the exit status."""
+    trio.run(_serve, msgspec.json.decode(sys.stdin.readline().encode(), type=ExecutorProcessPlan))
+    return 0
--- a/burlmoor/testbed/load.py
+++ b/burlmoor/testbed/load.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import time
 from collections import Counter
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -18,91 +17,105 @@
 from burlmoor.testbed.event_record import RequestRecord
 from burlmoor.testbed.job_classes import JobClass
 
-_LONGEST = 60_000_000  # us that a histogram reaches to
-_SIGMA = 0.5  # of the logarithm of a job's work
+_MAX_LATENCY_US = 60_000_000  # the highest value of a histogram
+_SIGNIFICANT_DIGITS = 3
+_WORK_SIGMA = 0.5  # of the logarithm of a job's work
+_ZIPF_EXPONENT = 1.5
+_MAX_KEYS = 50
+_MIN_SLEEP_MS = 0.5
+_CHECKPOINT_EVERY = 8  # jobs that are sent without a sleep between them
 
 
 class Arrival(NamedTuple):
-    """One job of a load; `at` in seconds from its begin, work in ms."""
+    """One job of a load."""
 
-    at_seconds: float
+    at_seconds: float  # from the begin of the load
     job_class: JobClass
     work_ms: float
     key: str
 
 
 def draw_arrivals(
-    rate: float, seconds: float, kinds: Sequence[JobClass], seed: int, scale: float = 1.0
+    rate: float, seconds: float, job_classes: Sequence[JobClass], seed: int, scale: float = 1.0
 ) -> list[Arrival]:
-    """A Poisson stream of jobs: classes by their shares, work lognormal round `scale` times their means."""
+    """Draw a Poisson stream of `rate` jobs a second.
+
+    Classes are drawn by their shares, work log-normally around `scale` times the class's mean.
+    """
     rng = np.random.default_rng(seed)
     count = rng.poisson(rate * seconds)
-    at = np.sort(rng.uniform(0.0, seconds, count))
-    shares = np.array([kind.share for kind in kinds])
-    chosen = rng.choice(len(kinds), size=count, p=shares / shares.sum())
-    spread = rng.lognormal(-0.5 * _SIGMA**2, _SIGMA, count)
-    keys = np.minimum(rng.zipf(1.5, count), 50)
-    return [
-        Arrival(float(t), kinds[k], float(scale * kinds[k].mean_work_ms * s), f"k{z}")
-        for t, k, s, z in zip(at, chosen, spread, keys, strict=True)
-    ]
+    times = np.sort(rng.uniform(0.0, seconds, count))
+    shares = np.array([job_class.share for job_class in job_classes])
+    chosen = rng.choice(len(job_classes), size=count, p=shares / shares.sum())
+    factors = rng.lognormal(-0.5 * _WORK_SIGMA**2, _WORK_SIGMA, count)
+    keys = np.minimum(rng.zipf(_ZIPF_EXPONENT, count), _MAX_KEYS)
+    arrivals = []
+    for at_seconds, index, factor, key in zip(times, chosen, factors, keys, strict=True):
+        job_class = job_classes[index]
+        work_ms = float(scale * job_class.mean_work_ms * factor)
+        arrivals.append(Arrival(float(at_seconds), job_class, work_ms, f"k{key}"))
+    return arrivals
 
 
 @dataclass
 class OutcomeTally:
-    """Owns what came of one class's jobs: outcomes, and how long the served ones took."""
+    """The outcomes of one class's jobs, and the latencies of the served ones."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    served_latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, _LONGEST, 3))
+    served_latency: HdrHistogram = field(
+        default_factory=lambda: HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
+    )
 
-    def add(self, asked: RequestRecord) -> None:
-        """Count one answered or abandoned job."""
-        if asked.is_served:
+    def add(self, request: RequestRecord) -> None:
+        """Count one job that is over for its client."""
+        if request.is_served:
             self.outcomes["served"] += 1
-            self.served_latency.record_value(max(1, min(_LONGEST, int(asked.latency_ms * 1000.0))))
-        elif asked.is_rejected:
+            latency_us = int(request.latency_ms * 1000.0)
+            self.served_latency.record_value(max(1, min(_MAX_LATENCY_US, latency_us)))
+        elif request.is_rejected:
             self.outcomes["refused"] += 1
         else:
-            self.outcomes["failed" if asked.answer_count else "no answer"] += 1
+            self.outcomes["failed" if request.answer_count else "no answer"] += 1
 
     @property
     def job_count(self) -> int:
-        """How many there were."""
+        """The number of jobs counted."""
         return self.outcomes.total()
 
     def latency_percentile_ms(self, percentile: float) -> float:
-        """Latency of served jobs at a percentile, in ms."""
+        """Return the latency of served jobs at a percentile."""
         return float(self.served_latency.get_value_at_percentile(percentile)) / 1000.0
 
 
 @dataclass
 class LoadReport:
-    """What a load has shown."""
+    """What was measured during a load."""
 
     seconds: float
     by_class: dict[str, OutcomeTally] = field(default_factory=dict)
     cpu_ms: float = 0.0  # of the node's process
-    memory_bytes: int = 0  # its resident bytes at the end
-    max_lag_ms: float = 0.0  # the most by which the generator itself was late
+    memory_bytes: int = 0  # resident in the node's process at the end
+    max_lag_ms: float = 0.0  # by which the generator itself sent a job late
 
     @property
     def all_classes(self) -> OutcomeTally:
-        """All classes together."""
-        whole = OutcomeTally()
+        """The tally of all classes together."""
+        sum_of_classes = OutcomeTally()
         for tally in self.by_class.values():
-            whole.outcomes.update(tally.outcomes)
-            whole.served_latency.add(tally.served_latency)
-        return whole
+            sum_of_classes.outcomes.update(tally.outcomes)
+            sum_of_classes.served_latency.add(tally.served_latency)
+        return sum_of_classes
 
     def to_json_object(self) -> dict[str, Any]:
-        """The report as plain figures."""
-        rows = {**self.by_class, "all": self.all_classes}
+        """Return the report as an object to be written as JSON."""
+        all_classes = self.all_classes
+        tallies = {**self.by_class, "all": all_classes}
         return {
             "seconds": round(self.seconds, 3),
             "generator_behind_ms": round(self.max_lag_ms, 1),
-            "node_cpu_ms_per_job": round(self.cpu_ms / max(1, rows["all"].job_count), 4),
+            "node_cpu_ms_per_job": round(self.cpu_ms / max(1, all_classes.job_count), 4),
             "node_memory_mib": round(self.memory_bytes / 2**20, 1),
-            "classes": {name: self._class_figures(tally) for name, tally in rows.items()},
+            "classes": {name: self._class_figures(tally) for name, tally in tallies.items()},
         }
 
     def _class_figures(self, tally: OutcomeTally) -> dict[str, Any]:
@@ -119,54 +132,57 @@
 
 
 class LoadGenerator:
-    """Owns one open loop: each job is sent at its time whatever became of those before it."""
+    """An open loop: each job is sent at its time, whether or not earlier ones are answered."""
 
-    def __init__(self, clients: Sequence[ClientPool], prefix: str = "load") -> None:
-        self._clients, self._prefix = clients, prefix
+    def __init__(self, clients: Sequence[ClientPool], id_prefix: str = "load") -> None:
         self.report = LoadReport(1.0)
+        self._clients = clients
+        self._id_prefix = id_prefix
 
     async def run(
-        self, arrivals: Sequence[Arrival], done: Callable[[int], None] = lambda _n: None
+        self, arrivals: Sequence[Arrival], on_answered: Callable[[int], None] = lambda _count: None
     ) -> LoadReport:
-        """Send every job and wait for all answers; `done` hears of each."""
-        began = now_ms()
+        """Send every job and wait for all answers; `on_answered` is called with 1 after each."""
+        begin_ms = now_ms()
         async with trio.open_nursery() as nursery:
             for number, arrival in enumerate(arrivals):
-                due = began + arrival.at_seconds * 1000.0
-                wait = due - now_ms()
-                if wait > 0.5:
-                    await trio.sleep(wait / 1000.0)
-                elif number % 8 == 0:
+                due_ms = begin_ms + arrival.at_seconds * 1000.0
+                wait_ms = due_ms - now_ms()
+                if wait_ms > _MIN_SLEEP_MS:
+                    await trio.sleep(wait_ms / 1000.0)
+                elif number % _CHECKPOINT_EVERY == 0:
                     await trio.lowlevel.checkpoint()
-                self.report.max_lag_ms = max(self.report.max_lag_ms, now_ms() - due)
-                nursery.start_soon(self._one, number, arrival, due, done)
-        self.report.seconds = max((now_ms() - began) / 1000.0, 1e-3)
-        if arrivals:
-            self.report.seconds = max(arrivals[-1].at_seconds, 1e-3)
+                self.report.max_lag_ms = max(self.report.max_lag_ms, now_ms() - due_ms)
+                nursery.start_soon(self._send, number, arrival, due_ms, on_answered)
+        run_seconds = arrivals[-1].at_seconds if arrivals else (now_ms() - begin_ms) / 1000.0
+        self.report.seconds = max(run_seconds, 1e-3)
         return self.report
 
-    async def _one(self, number: int, arrival: Arrival, due: float, done: Callable[[int], None]) -> None:
-        ref = f"{self._prefix}-{number}"
-        # Latency counts from when the job was to be sent: a generator that lags hides nothing.
-        asked = RequestRecord(ref, arrival.job_class.name, due, arrival.job_class.timeout_ms, arrival.work_ms)
-        await self._clients[number % len(self._clients)].send(asked, key=arrival.key)
-        self.report.by_class.setdefault(arrival.job_class.name, OutcomeTally()).add(asked)
-        done(1)
+    async def _send(
+        self, number: int, arrival: Arrival, due_ms: float, on_answered: Callable[[int], None]
+    ) -> None:
+        job_class = arrival.job_class
+        # Latency counts from when the job was to be sent: without this a generator that lags would hide it.
+        request = RequestRecord(
+            f"{self._id_prefix}-{number}", job_class.name, due_ms, job_class.timeout_ms, arrival.work_ms
+        )
+        await self._clients[number % len(self._clients)].send(request, key=arrival.key)
+        self.report.by_class.setdefault(job_class.name, OutcomeTally()).add(request)
+        on_answered(1)
 
 
 class ProcessMeter:
-    """Owns the reading of one process's CPU and memory; its children count."""
+    """Measures the CPU time of one process since the meter was made, and its memory."""
 
     def __init__(self, pid: int) -> None:
         self._process = psutil.Process(pid)
-        self._began = self._cpu()
-        self._at = time.monotonic()
+        self._begin_cpu_ms = self._read_cpu_ms()
 
-    def _cpu(self) -> float:
+    def _read_cpu_ms(self) -> float:
         times = self._process.cpu_times()
         return 1000.0 * float(times.user + times.system)
 
     def read_into(self, report: LoadReport) -> None:
-        """Book what was used since the meter was made."""
-        report.cpu_ms = self._cpu() - self._began
+        """Write CPU time and resident memory to a report."""
+        report.cpu_ms = self._read_cpu_ms() - self._begin_cpu_ms
         report.memory_bytes = self._process.memory_info().rss
--- a/burlmoor/testbed/local_cluster.py
+++ b/burlmoor/testbed/local_cluster.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import trio
 
@@ -18,32 +18,46 @@
 from burlmoor.testbed.job_classes import JobClass, platform_settings
 from burlmoor.testbed.node_process import NodeProcess
 
-# (cores, slots, speed of a core) of executors, in turn
-EXECUTOR_SIZES = ((4.0, 6, 2.0), (5.0, 7, 1.2), (5.0, 7, 0.8))
+_DRAIN_SECONDS = 0.1  # from the announcement until an executor that drains returns its queued jobs
+
+
+class ExecutorSize(NamedTuple):
+    """The size of an executor; `speed` is that of each core."""
+
+    cores: float
+    slots: int
+    speed: float
+
+
+EXECUTOR_SIZES = (ExecutorSize(4.0, 6, 2.0), ExecutorSize(5.0, 7, 1.2), ExecutorSize(5.0, 7, 0.8))
 
 
 def total_capacity(specs: Mapping[str, ExecutorSpec]) -> float:
-    """Work (ms on a core of speed 1) that warm executors do in a ms."""
+    """Return the work (ms on a core of speed 1) that executors do in a ms after slow start."""
     return sum(spec.capacity for spec in specs.values())
 
 
 def executor_specs(
-    count: int, sizes: Sequence[tuple[float, int, float]] = EXECUTOR_SIZES, queue: int = 24
+    count: int, sizes: Sequence[ExecutorSize] = EXECUTOR_SIZES, queue_capacity: int = 24
 ) -> dict[str, ExecutorSpec]:
-    """Executors of mixed sizes."""
-    return {
-        f"s-{number:03d}": ExecutorSpec(cores=cores, slots=slots, speed=speed, queue_capacity=queue)
-        for number, (cores, slots, speed) in ((n, sizes[n % len(sizes)]) for n in range(count))
-    }
+    """Return specs of `count` executors by name, with the sizes in turn."""
+    specs = {}
+    for number in range(count):
+        cores, slots, speed = sizes[number % len(sizes)]
+        specs[f"s-{number:03d}"] = ExecutorSpec(
+            cores=cores, slots=slots, speed=speed, queue_capacity=queue_capacity
+        )
+    return specs
 
 
 class LocalCluster:
-    """Owns all parties of one installation and the ledger of what its far sides saw."""
+    """All processes of one installation, and the record of what clients and executors observe."""
 
     def __init__(
         self, nursery: trio.Nursery, folder: Path, specs: Mapping[str, ExecutorSpec], nodes: int
     ) -> None:
-        self.nursery, self.event_record = nursery, EventRecord()
+        self.nursery = nursery
+        self.event_record = EventRecord()
         self.discovery = DiscoveryService(nursery)
         self.executors = {
             name: Executor(name, spec, self.event_record, nursery) for name, spec in specs.items()
@@ -52,16 +66,16 @@
         self.nodes = [NodeProcess(f"n{number}", folder / f"n{number}") for number in range(nodes)]
         self.clients: list[ClientPool] = []
         self.settings = platform_settings(nodes=nodes)
-        self._discovery_at: dict[str, str] = {}
+        self._discovery_addresses: dict[str, str] = {}  # by node
 
     async def start(self) -> None:
-        """Open every stand-in, then start the nodes and wait until they take jobs."""
+        """Open every stand-in, then start the nodes and wait until all are ready."""
         for node in self.nodes:
-            dials = {
-                name: await each.listen_for_node(node.name, node.address)
-                for name, each in self.executors.items()
-            }
-            self._discovery_at[node.name] = await self.discovery.listen_for_node(node.name, dials)
+            addresses = {}
+            for name, executor in self.executors.items():
+                addresses[name] = await executor.listen_for_node(node.name, node.address)
+            discovery_address = await self.discovery.listen_for_node(node.name, addresses)
+            self._discovery_addresses[node.name] = discovery_address
         for name in self.executors:
             self.discovery.set_entry(name)
         async with trio.open_nursery() as starting:
@@ -70,35 +84,40 @@
         self.clients = [ClientPool(node.address, self.event_record) for node in self.nodes]
 
     async def start_node(self, node: NodeProcess) -> None:
-        """Start one node's process (again)."""
-        known = self.discovery.full_list(node.name)
-        await node.start(self.nursery, self.settings, self._discovery_at[node.name], known)
+        """Start one node's process, for the first time or again."""
+        known_list = self.discovery.full_list(node.name)
+        discovery_address = self._discovery_addresses[node.name]
+        await node.start(self.nursery, self.settings, discovery_address, known_list)
 
-    # --- failures that discovery has a part in ----------------------------------------------------
+    # --- failures that discovery announces --------------------------------------------------------
 
-    async def kill_executor(self, name: str, told_after: float, back_after: float) -> None:
-        """An executor's process dies; discovery hears of it late, and it comes back cold. Seconds."""
+    async def kill_executor(self, name: str, announced_after: float, restarted_after: float) -> None:
+        """Kill an executor, announce it some seconds later, and restart it in slow start."""
         executor = self.executors[name]
         executor.kill()
-        await trio.sleep(told_after)
+        await trio.sleep(announced_after)
         self.discovery.set_entry(name, health="left")
-        await trio.sleep(max(0.0, back_after - told_after))
-        await executor.restart()
-        self.discovery.set_entry(name, health="active", born_ms=executor.started_unix_ms)
+        await trio.sleep(max(0.0, restarted_after - announced_after))
+        await self._restart_executor(name)
 
     async def drain_executor(self, name: str, for_seconds: float) -> None:
-        """An executor leaves: it hands back what waits, and comes back as a new process."""
+        """Announce that an executor drains, return its queued jobs, and restart it after some seconds."""
         self.discovery.set_entry(name, health="leaving")
-        await trio.sleep(0.1)
+        await trio.sleep(_DRAIN_SECONDS)
         await self.executors[name].return_queued_jobs()
         await trio.sleep(for_seconds)
+        self.executors[name].kill()
+        await self._restart_executor(name)
+
+    async def _restart_executor(self, name: str) -> None:
         executor = self.executors[name]
-        executor.kill()
         await executor.restart()
         self.discovery.set_entry(name, health="active", born_ms=executor.started_unix_ms)
 
+    # --- the end --------------------------------------------------------------------------------
+
     async def stop(self) -> None:
-        """Stop the nodes in order and close what lies idle."""
+        """Stop the nodes gracefully and close idle connections."""
         with trio.CancelScope(shield=True):
             for clients in self.clients:
                 clients.close()
@@ -107,6 +126,12 @@
                     if node.process is not None:
                         stopping.start_soon(node.stop)
 
+    async def kill(self) -> None:
+        """Kill the nodes that still run, also when cancelled."""
+        with trio.CancelScope(shield=True):
+            for node in self.nodes:
+                await node.kill()
+
 
 @asynccontextmanager
 async def local_cluster(
@@ -117,24 +142,23 @@
     start: bool = True,
     **changes: Any,
 ) -> AsyncIterator[LocalCluster]:
-    """An installation that is up, unless `start` is left to others; `changes` alter the settings."""
+    """Run an installation; with `start` false the caller starts it. `changes` alter the platform settings."""
     async with trio.open_nursery() as nursery:
-        made = LocalCluster(nursery, folder, specs, nodes)
-        made.settings = {**made.settings, **changes}
-        for node in made.nodes:
+        cluster = LocalCluster(nursery, folder, specs, nodes)
+        cluster.settings = {**cluster.settings, **changes}
+        for node in cluster.nodes:
             node.options_text = options
         try:
             if start:
-                await made.start()
-            yield made
-            await made.stop()
+                await cluster.start()
+            yield cluster
+            await cluster.stop()
         finally:
-            with trio.CancelScope(shield=True):
-                for node in made.nodes:
-                    await node.kill()
+            await cluster.kill()
         nursery.cancel_scope.cancel()
 
 
-def new_request(ref: str, kind: JobClass, work: float, **more: Any) -> RequestRecord:
-    """A client's row for a job that is sent now."""
-    return RequestRecord(ref, kind.name, now_ms(), more.pop("timeout_ms", kind.timeout_ms), work, **more)
+def new_request(request_id: str, job_class: JobClass, work_ms: float, **fields: Any) -> RequestRecord:
+    """Return the record of a request that is sent now, by default with its class's timeout."""
+    timeout_ms = fields.pop("timeout_ms", job_class.timeout_ms)
+    return RequestRecord(request_id, job_class.name, now_ms(), timeout_ms, work_ms, **fields)
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -1,4 +1,4 @@
-"""A real node process on loopback: started with its files, watched, stopped or killed by its id."""
+"""A real node process on loopback: started with its files, watched, and stopped or killed by its id."""
 
 from __future__ import annotations
 
@@ -9,29 +9,56 @@
 import subprocess
 import sys
 from contextlib import suppress
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
 import trio
 
+from burlmoor.errors import BurlmoorError
 from burlmoor.testbed.http_stream import HttpMessage, connect
 
-_READY_WITHIN = 30.0
+_READY_WITHIN_SECONDS = 30.0
+_READY_POLL_SECONDS = 0.02
+_STOP_WITHIN_SECONDS = 12.0
+_ANSWER_WITHIN_SECONDS = 5.0
+_SEED = "5eed"
+_SOCKETS = 4096
+_PRODUCT_VARIABLES = ("RELAY_", "BURLMOOR_")
+
+
+class NodeExitedError(BurlmoorError, RuntimeError):
+    """A node's process ended before it was ready; `log` holds its last events."""
+
+    def __init__(self, name: str, status: int | None, log: list[dict[str, Any]]) -> None:
+        super().__init__(f"node {name} ended: {status}, {log}")
+        self.name = name
+        self.status = status
+        self.log = log
+
+
+class NoAnswerError(BurlmoorError, OSError):
+    """A connection ended, or time was over, before an answer was complete."""
+
+    def __init__(self, method: str, path: str, reason: str = "no answer") -> None:
+        super().__init__(f"{method} {path}: {reason}")
+        self.method = method
+        self.path = path
 
 
 def free_port() -> int:
-    """A port of 127.0.0.1 that nobody listens on now."""
+    """Return a port of 127.0.0.1 that is not in use now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 class NodeProcess:
-    """Owns one node's files and its process."""
+    """One node's files, its process and its log; the folder is made where it is missing."""
 
     def __init__(self, name: str, folder: Path) -> None:
-        self.name, self._folder = name, folder
         folder.mkdir(parents=True, exist_ok=True)
+        self.name = name
         self.address = ("127.0.0.1", free_port())
         self.admin_address = ("127.0.0.1", free_port())
         self.process: trio.Process | None = None
@@ -40,42 +67,68 @@
         self.command = [sys.executable, "-m", "burlmoor"]
         self.options_text: str | None = None
         self.extra_config: dict[str, Any] = {}  # further fields of the configuration
+        self._folder = folder
 
     async def start(
-        self, nursery: trio.Nursery, settings: dict[str, Any], discovery: str, known: Any
+        self, nursery: trio.Nursery, settings: dict[str, Any], discovery_address: str, known_list: Any
     ) -> None:
-        """Write the files, start the process, and wait until it takes jobs."""
-        given = {
-            "name": self.name, "listen": _written(self.address), "control": _written(self.admin_address),
-            "discovery": discovery, "seed": "5eed", "settings": settings, "known": known,
-            "limits": {"sockets": 4096}, **self.extra_config,
-        }  # fmt: skip
-        path = self._folder / "config.json"
-        path.write_text(json.dumps(given))
+        """Write the files, start the process, and wait until it is ready.
+
+        Raises NodeExitedError where the process ends instead, and trio.TooSlowError after 30 s.
+        """
+        self._write_config(settings, discovery_address, known_list)
+        environment = self._make_environment()
+        self.process = await trio.lowlevel.open_process(
+            self.command, env=environment, stderr=subprocess.PIPE, start_new_session=True
+        )
+        nursery.start_soon(self._read_log, self.process)
+        with trio.fail_after(_READY_WITHIN_SECONDS):
+            while not await self._is_ready():
+                if self.process.poll() is not None:
+                    raise NodeExitedError(self.name, self.process.returncode, self.log)
+                await trio.sleep(_READY_POLL_SECONDS)
+
+    def _write_config(self, settings: dict[str, Any], discovery_address: str, known_list: Any) -> None:
+        config = {
+            "name": self.name,
+            "listen": _format_address(self.address),
+            "control": _format_address(self.admin_address),
+            "discovery": discovery_address,
+            "seed": _SEED,
+            "settings": settings,
+            "known": known_list,
+            "limits": {"sockets": _SOCKETS},
+            **self.extra_config,
+        }
+        self._config_path.write_text(json.dumps(config))
+        if self.options_text is not None:
+            self._options_path.write_text(self.options_text)
+
+    def _make_environment(self) -> dict[str, str]:
         environment = {
             **inherited_environment(),
             **self.environment,
-            "RELAY_CONFIG": str(path),
+            "RELAY_CONFIG": str(self._config_path),
             "TMPDIR": str(self._folder),
         }
         if self.options_text is not None:
-            (self._folder / "options.ini").write_text(self.options_text)
-            environment["BURLMOOR_OPTIONS"] = str(self._folder / "options.ini")
-        self.process = await trio.lowlevel.open_process(
-            self.command, env=environment, stderr=subprocess.PIPE, start_new_session=True
-        )
-        nursery.start_soon(self._read_log, self.process)
-        with trio.fail_after(_READY_WITHIN):
-            while not await self._ready():
-                if self.process.poll() is not None:
-                    raise RuntimeError(f"node {self.name} ended: {self.process.returncode}, {self.log}")
-                await trio.sleep(0.02)
+            environment["BURLMOOR_OPTIONS"] = str(self._options_path)
+        return environment
+
+    @property
+    def _config_path(self) -> Path:
+        return self._folder / "config.json"
+
+    @property
+    def _options_path(self) -> Path:
+        return self._folder / "options.ini"
 
-    async def _ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         try:
-            return (await send_http_request(self.address, "GET", "/health/ready")).status == 200
+            answer = await send_http_request(self.address, "GET", "/health/ready")
         except OSError:
             return False
+        return answer.status == HTTPStatus.OK
 
     async def _read_log(self, process: trio.Process) -> None:
         buffer = b""
@@ -83,34 +136,30 @@
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             async for chunk in process.stderr:
                 *lines, buffer = (buffer + chunk).split(b"\n")
-                for line in lines:
-                    try:
-                        self.log.append(json.loads(line))
-                    except ValueError:
-                        self.log.append({"event": "unreadable", "text": line.decode("utf-8", "replace")})
+                self.log += [_parse_log_line(line) for line in lines]
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """The id of the process."""
         assert self.process is not None
         return self.process.pid
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send the process a signal, if it still runs."""
+        """Send the process a signal if it still runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    async def stop(self, within: float = 12.0) -> int:
-        """SIGTERM, and its exit status; SIGKILL where it does not end in time."""
+    async def stop(self, timeout_seconds: float = _STOP_WITHIN_SECONDS) -> int:
+        """Stop the process gracefully, kill it after the timeout, and return its exit status."""
         self.send_signal(signal.SIGTERM)
         assert self.process is not None
-        with trio.move_on_after(within):
+        with trio.move_on_after(timeout_seconds):
             return await self.process.wait()
         self.send_signal(signal.SIGKILL)
         return await self.process.wait()
 
     async def kill(self) -> None:
-        """End the process whatever it does."""
+        """Kill the process if it still runs, and wait for its end also when cancelled."""
         if self.process is not None:
             self.send_signal(signal.SIGKILL)
             with trio.CancelScope(shield=True):
@@ -118,27 +167,37 @@
 
 
 def inherited_environment() -> dict[str, str]:
-    """What a node's process takes over of this one's environment: nothing that would set it up."""
-    return {key: text for key, text in os.environ.items() if not key.startswith(("RELAY_", "BURLMOOR_"))}
+    """Return the environment that a node's process inherits: without variables that would configure it."""
+    return {name: value for name, value in os.environ.items() if not name.startswith(_PRODUCT_VARIABLES)}
 
 
-def _written(address: tuple[str, int]) -> str:
+def _parse_log_line(line: bytes) -> Any:
+    try:
+        return json.loads(line)
+    except ValueError:
+        return {"event": "unreadable", "text": line.decode("utf-8", "replace")}
+
+
+def _format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
 async def send_http_request(
     address: tuple[str, int], method: str, path: str, body: bytes = b""
 ) -> HttpMessage:
-    """One call on a connection of its own; OSError where no answer comes."""
-    wire = await connect(address)
+    """Send one request on a connection of its own and return the answer.
+
+    Raises NoAnswerError where none comes within 5 s, and OSError where the connection is refused.
+    """
+    stream = await connect(address)
     try:
-        await wire.write(f"{method} {path} HTTP/1.1", body, Host="node", Connection="close")
-        with trio.move_on_after(5.0):
-            answer = await wire.read()
+        await stream.write(f"{method} {path} HTTP/1.1", body, Host="node", Connection="close")
+        with trio.move_on_after(_ANSWER_WITHIN_SECONDS):
+            answer = await stream.read()
             if answer is not None:
                 return answer
     except trio.BrokenResourceError as error:
-        raise OSError(str(error)) from error
+        raise NoAnswerError(method, path, str(error)) from error
     finally:
-        wire.socket_stream.socket.close()
-    raise OSError("no answer")
+        stream.close()
+    raise NoAnswerError(method, path)
--- a/burlmoor/testbed/single_node.py
+++ b/burlmoor/testbed/single_node.py
@@ -1,4 +1,4 @@
-"""One node, and stand-in executors in processes of their own, for loads that one interpreter can't bear."""
+"""One node with stand-in executors in processes of their own, for loads beyond one interpreter."""
 
 from __future__ import annotations
 
@@ -8,66 +8,90 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 import trio
 
+from burlmoor.errors import BurlmoorError
 from burlmoor.testbed.discovery import DiscoveryService
 from burlmoor.testbed.executor_model import ExecutorSpec
+from burlmoor.testbed.executor_process import ExecutorProcessPlan
 from burlmoor.testbed.job_classes import JobClass, platform_settings
 from burlmoor.testbed.node_process import NodeProcess
 
-_SHARDS = 4  # processes of stand-in executors: each bears some 300 jobs a second
+_MAX_EXECUTOR_PROCESSES = 4  # each carries some 300 jobs a second
+_UNBOUNDED = 10_000
+_READ_BYTES = 65_536
+
+
+class ExecutorsExitedError(BurlmoorError, RuntimeError):
+    """A process of stand-in executors ended before it was ready."""
+
+    def __init__(self, executors: list[str]) -> None:
+        super().__init__(f"the process of the stand-in executors {', '.join(executors)} has ended")
+        self.executors = executors
+
+
+class _ExecutorProcess(NamedTuple):
+    process: trio.Process
+    addresses: dict[str, str]  # by executor
 
 
 def unbounded_executor_specs(count: int) -> dict[str, ExecutorSpec]:
-    """Executors with room for all, so that what is measured is the node."""
-    return {
-        f"s-{n:03d}": ExecutorSpec(cores=10_000.0, slots=10_000, queue_capacity=10_000) for n in range(count)
-    }
+    """Return specs of executors that never limit the load, so that the node alone is measured."""
+    spec = ExecutorSpec(cores=float(_UNBOUNDED), slots=_UNBOUNDED, queue_capacity=_UNBOUNDED)
+    return {f"s-{number:03d}": spec for number in range(count)}
 
 
-async def _shard(
-    executors: dict[str, ExecutorSpec], relay: tuple[str, int]
-) -> tuple[trio.Process, dict[str, str]]:
-    """Executors in a process of their own, and where each listens."""
+async def _start_executors(
+    specs: dict[str, ExecutorSpec], callback_address: tuple[str, int]
+) -> _ExecutorProcess:
     process = await trio.lowlevel.open_process(
         [sys.executable, "-m", "burlmoor.testbed"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
     )
-    assert process.stdin is not None and process.stdout is not None
-    await process.stdin.send_all(msgspec.json.encode({"executors": executors, "relay": relay}) + b"\n")
+    assert process.stdin is not None
+    assert process.stdout is not None
+    plan = ExecutorProcessPlan(specs, callback_address)
+    await process.stdin.send_all(msgspec.json.encode(plan) + b"\n")
     line = b""
     while not line.endswith(b"\n"):
-        more = await process.stdout.receive_some(65536)
-        if not more:
-            raise RuntimeError("the stand-in executors have ended")
-        line += more
-    return process, json.loads(line)
+        data = await process.stdout.receive_some(_READ_BYTES)
+        if not data:
+            raise ExecutorsExitedError(list(specs))
+        line += data
+    return _ExecutorProcess(process, json.loads(line))
 
 
 @asynccontextmanager
 async def run_single_node(
-    executors: dict[str, ExecutorSpec],
-    kinds: tuple[JobClass, ...],
+    specs: dict[str, ExecutorSpec],
+    job_classes: tuple[JobClass, ...],
     folder: Path,
     command: list[str] | None = None,
 ) -> AsyncIterator[NodeProcess]:
-    """One node, and executors in a few processes of their own, so that they bear more than the node."""
-    node, names = NodeProcess("n0", folder), list(executors)
+    """Run one node, with its executors in up to four processes so that they carry more than the node.
+
+    `command` starts the node's process in place of `python -m burlmoor`.
+    """
+    node = NodeProcess("n0", folder)
     node.command = command or node.command
+    names = list(specs)
     processes: list[trio.Process] = []
     try:
         async with trio.open_nursery() as nursery:
-            dials: dict[str, str] = {}
-            for part in range(min(_SHARDS, len(names))):
-                process, at = await _shard({n: executors[n] for n in names[part::_SHARDS]}, node.address)
-                processes.append(process)
-                dials |= at
+            addresses: dict[str, str] = {}
+            for part in range(min(_MAX_EXECUTOR_PROCESSES, len(names))):
+                own_specs = {name: specs[name] for name in names[part::_MAX_EXECUTOR_PROCESSES]}
+                started = await _start_executors(own_specs, node.address)
+                processes.append(started.process)
+                addresses |= started.addresses
             discovery = DiscoveryService(nursery)
-            address = await discovery.listen_for_node("n0", dials)
+            discovery_address = await discovery.listen_for_node("n0", addresses)
             for name in names:
                 discovery.set_entry(name)
-            await node.start(nursery, platform_settings(kinds), address, discovery.full_list("n0"))
+            settings = platform_settings(job_classes)
+            await node.start(nursery, settings, discovery_address, discovery.full_list("n0"))
             yield node
             await node.stop()
             nursery.cancel_scope.cancel()
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -240,7 +240,7 @@
             ):
                 clients, confirm = cluster.clients[0], JOB_CLASSES[2]
                 parent = new_request("p", confirm, 4300.0)
-                child = new_request("c", confirm, 10.0, patience=30_000.0, after=("p",))
+                child = new_request("c", confirm, 10.0, timeout_ms=30_000.0, run_after=("p",))
                 cluster.executors["s-000"].set_slowdown(1.6)  # the parent runs for 3.4 s
                 for each in (parent, child):
                     nursery.start_soon(clients.send, each)
