--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -67,7 +67,7 @@
                 await self._serve_call(stream)
         except (OSError, BufferError):
             pass  # the caller is gone
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # The boundary of a connection's task: without this, one call's fault would end the node.
             self._log("admin-connection-failed", error=repr(error))
         finally:
--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -94,7 +94,7 @@
             return CallResult.TIMED_OUT, ""
         except InvalidEndpointListError as error:
             return CallResult.INVALID, str(error)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # The boundary of the watch's task: without this, one failed call would end the node.
             return CallResult.FAILED, repr(error)
         return CallResult.ANSWERED, ""
--- a/burlmoor/downstream/server.py
+++ b/burlmoor/downstream/server.py
@@ -123,7 +123,7 @@
         try:
             if connection.serve_without_task():
                 return
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # Without this, one connection's fault would end the task that accepts all others.
             self.log("connection-failed", error=repr(error))
             connection.close_now()
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -166,7 +166,7 @@
                     break
         except (OSError, trio.ClosedResourceError):
             pass  # the peer is gone, or this side has closed the channel
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # Without this, a peer of another build, or a fault here, would end the node: it goes on alone.
             self._log("handover-failed", error=repr(error))
         finally:
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -210,7 +210,7 @@
         """Apply what a new configuration changes while the node runs; jobs and statistics stay."""
         try:
             new = node_config.load_config(environment, again=True)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # Without this, an invalid configuration would end the node: the old one stays in force.
             self._log("reload-failed", error=str(error))
             return
--- a/burlmoor/simulator_adapter.py
+++ b/burlmoor/simulator_adapter.py
@@ -263,7 +263,7 @@
                 if isinstance(parsed, _Spawn):
                     try:
                         self._dispatchers[instance] = Dispatcher(parsed.settings, parsed.seed)
-                    except Exception as error:
+                    except Exception as error:  # noqa: BLE001
                         # The simulator gets a policy's exception as a decision, and goes on without it.
                         return _encode_internal_error(error)
             elif parsed is not None:
@@ -276,7 +276,7 @@
             return []
         try:
             return [_ACTION_ENCODERS[type(action)](action) for action in dispatcher.handle(now, events)]
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # As above: one instance's exception must not end the others.
             return _encode_internal_error(error)
 
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -123,7 +123,7 @@
                 outcome = await self._exchange(attempt, in_flight)
                 if outcome is not None:
                     self._engine.on_attempt_ended(attempt, outcome)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # The boundary of the attempt's task: without this, an error in one attempt would end the node.
             # Whether the job has run is not known.
             self._log("attempt-error", target=attempt.endpoint, error=repr(error))
@@ -202,7 +202,7 @@
                 self._engine.on_attempt_cancelled(attempt)
         except (RequestNotSentError, BrokenResponseError):
             return  # whether it arrived is not known: the policy cancels the attempt again
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
             # The boundary of the call's task: without this, an error in one call would end the node.
             self._log("attempt-error", target=attempt.endpoint, error=repr(error))
         finally:
