--- a/burlmoor/policy/load_shedding.py
+++ b/burlmoor/policy/load_shedding.py
@@ -24,7 +24,7 @@
         """
         fastest = self._context.statistics.endpoints.slowness_of_fastest_kind(now, UNKNOWN_FASTEST_SLOWNESS)
         parallel_slots = self._context.endpoints.parallel_slots()
-        kept: list[ScheduledJob] = []
+        remaining: list[ScheduledJob] = []
         excess: list[ScheduledJob] = []
         ahead_ms = taken_ms = objectives_ms = 0.0
         for job in queue:
@@ -39,12 +39,12 @@
                 objectives_ms += job.objective_ms + round_ms
             is_overload = taken_ms > MAX_QUEUE_LOAD * objectives_ms
             is_excess = is_overload and job.rounds_waited > 0 and not job.attempts
-            (excess if is_excess else kept).append(job)
+            (excess if is_excess else remaining).append(job)
         for job in reversed(excess):
             self._context.jobs.abandon(job)
         if excess:
             self._context.warn("overload: refusing the least worth", now)
-        return kept
+        return remaining
 
     def _drop_from_queue(self, job: ScheduledJob) -> None:
         job.is_queued = False
