--- a/burlmoor/simulation/__init__.py
+++ b/burlmoor/simulation/__init__.py
@@ -1,1 +1,5 @@
-"""What burlmoor balances, in virtual time: the shipped core and decisions among executors without sockets."""
+"""Simulations in virtual time, without sockets.
+
+`cluster` runs the engine and its policy against simulated executors, and `audit` checks what clients and
+executors observed; `gossip` runs the membership protocol.
+"""
--- /dev/null
+++ b/burlmoor/simulation/cluster_spec.py
@@ -0,0 +1,49 @@
+"""What a simulated cluster consists of."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from burlmoor.testbed.executor_model import ExecutorSpec
+from burlmoor.types.settings import Settings
+
+DEFAULT_EXECUTOR_SPEC = ExecutorSpec(
+    cores=4.0,
+    slots=4,
+    queue_capacity=12,
+    initial_capacity_fraction=0.2,
+    slow_start_ms=4000.0,
+    progress_interval_ms=500.0,
+)
+
+
+class CancelEffect(Enum):
+    """What a cancelled attempt frees at its executor."""
+
+    NOTHING = "nothing"
+    QUEUED = "queued"  # its place in the queue, if it has not begun
+
+
+class WeightSource(Enum):
+    """Which weights the endpoint list gives executors."""
+
+    EQUAL = "equal"
+    NOMINAL = "nominal"  # the number of cores
+    LIVE = "live"  # the number of cores, the less the more jobs the executor holds
+
+
+@dataclass(frozen=True)
+class ClusterSpec:
+    """What a simulated cluster consists of. Executors are spread evenly over the zones, and so are nodes."""
+
+    settings: Settings
+    zones: tuple[str, ...] = ("a",)
+    executor_count: int = 6
+    executor_spec: ExecutorSpec = DEFAULT_EXECUTOR_SPEC
+    network_delay_ms: float = 2.0  # one way
+    list_delay_ms: tuple[float, float] = (50.0, 400.0)  # until a node hears of a change, drawn for each
+    cancel_effect: CancelEffect = CancelEffect.NOTHING
+    weight_source: WeightSource = WeightSource.NOMINAL
+    lost_response_fraction: float = 0.0  # of attempts that were served; their node is never told
+    reset_fraction: float = 0.0  # of attempts whose connection breaks after the executor accepted them
--- /dev/null
+++ b/burlmoor/simulation/discovery.py
@@ -0,0 +1,42 @@
+"""The discovery service of a simulated cluster."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+from functools import partial
+from typing import Protocol
+
+from burlmoor.simulation.event_queue import EventQueue
+from burlmoor.types.endpoint_list import EndpointEntry
+
+
+class ListSubscriber(Protocol):
+    """A node as the discovery service knows it."""
+
+    def on_list_changed(self, entries: list[EndpointEntry]) -> None:
+        """Take over changes of the endpoint list."""
+
+
+class SimulatedDiscovery:
+    """Tells every node of changes to the endpoint list, each node after a delay of its own."""
+
+    def __init__(
+        self,
+        delay_ms: tuple[float, float],
+        events: EventQueue,
+        rng: random.Random,
+        nodes: Sequence[ListSubscriber | None],
+    ) -> None:
+        self._delay_ms = delay_ms
+        self._events = events
+        self._rng = rng
+        self._nodes = nodes
+
+    def publish(self, entries: list[EndpointEntry]) -> None:
+        """Tell every node that runs now of these entries."""
+        for node in self._nodes:
+            if node is not None:
+                arrives_at = self._events.now + self._rng.uniform(*self._delay_ms)
+                notify: Callable[[], None] = partial(node.on_list_changed, entries)
+                self._events.schedule(arrives_at, notify)
--- /dev/null
+++ b/burlmoor/simulation/executors.py
@@ -0,0 +1,240 @@
+"""The executors of a simulated cluster: their processes, the attempts they hold, how those end."""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from burlmoor.engine.job import Attempt
+from burlmoor.simulation.cluster_spec import CancelEffect, ClusterSpec, WeightSource
+from burlmoor.simulation.discovery import SimulatedDiscovery
+from burlmoor.simulation.event_queue import EventQueue
+from burlmoor.simulation.network import ResponseNetwork
+from burlmoor.simulation.records import DEDUPLICATED_RESULT, ClientRecord, ExecutorRecord
+from burlmoor.testbed.executor_model import ExecutorModel, JobProgress
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.settings import DeduplicationScope, Idempotency, JobClass
+
+_EXECUTORS_PER_CELL = 3
+
+
+class HeldAttempt(NamedTuple):
+    """An attempt that an executor has accepted and not ended."""
+
+    record: ExecutorRecord
+    attempt: Attempt
+
+
+@dataclass(slots=True)
+class SimulatedExecutor:
+    """One process of an executor; a restart makes another."""
+
+    entry: EndpointEntry  # as on the endpoint list, but for its weight
+    model: ExecutorModel
+    is_running: bool = True
+    next_step_at: float = math.inf
+    held: dict[str, HeldAttempt] = field(default_factory=dict)  # by request id
+
+
+class SimulatedExecutors:
+    """Owns all executors of a cluster."""
+
+    def __init__(
+        self,
+        spec: ClusterSpec,
+        events: EventQueue,
+        rng: random.Random,
+        discovery: SimulatedDiscovery,
+        network: ResponseNetwork,
+        client_records: Mapping[str, ClientRecord],
+        executor_records: Sequence[ExecutorRecord],
+    ) -> None:
+        self._spec = spec
+        self._events = events
+        self._rng = rng
+        self._discovery = discovery
+        self._network = network
+        self._client_records = client_records
+        self._executor_records = executor_records
+        self._job_classes = {job_class.name: job_class for job_class in spec.settings.classes}
+        self._executors: dict[str, SimulatedExecutor] = {}
+        for number in range(spec.executor_count):
+            self._add(f"x{number}", spec.zones[number % len(spec.zones)], 0.0)
+
+    # --- the endpoint list ----------------------------------------------------------------------
+
+    @property
+    def names(self) -> list[str]:
+        """All executors that ever were."""
+        return list(self._executors)
+
+    def is_running(self, name: str) -> bool:
+        """Whether an executor's process runs."""
+        return self._executors[name].is_running
+
+    def entry(self, name: str) -> EndpointEntry:
+        """Return an executor's entry on the endpoint list as it is now."""
+        executor = self._executors[name]
+        return executor.entry._replace(weight=self._weight(executor))
+
+    def listed(self) -> list[EndpointEntry]:
+        """Return the complete endpoint list; executors that are gone are not on it."""
+        entries = [self.entry(name) for name in self._executors]
+        return [entry for entry in entries if entry.state is not EndpointState.GONE]
+
+    def _weight(self, executor: SimulatedExecutor) -> float:
+        cores = self._spec.executor_spec.cores
+        match self._spec.weight_source:
+            case WeightSource.EQUAL:
+                return 1.0
+            case WeightSource.NOMINAL:
+                return cores
+            case WeightSource.LIVE:
+                return cores / (1.0 + executor.model.job_count / cores)
+
+    # --- processes ------------------------------------------------------------------------------
+
+    def drain(self, name: str, duration_ms: float) -> None:
+        """Drain an executor: it hands back what is queued, finishes what runs, and ends after a while."""
+        executor = self._executors[name]
+        if not executor.is_running or executor.entry.state is not EndpointState.LIVE:
+            return
+        executor.entry = executor.entry._replace(state=EndpointState.DRAINING)
+        self._discovery.publish([self.entry(name)])
+        for request_id in executor.model.take_queued(self._events.now):
+            self._end(executor, request_id, Outcome.OVERLOADED)
+        self._events.schedule(self._events.now + duration_ms, lambda: self.crash(name))
+
+    def crash(self, name: str, restart_after_ms: float | None = None) -> None:
+        """End an executor's process with all attempts that it holds; start a new one later if so told."""
+        executor = self._executors[name]
+        if not executor.is_running:
+            return
+        executor.is_running = False
+        executor.entry = executor.entry._replace(state=EndpointState.GONE)
+        for request_id in list(executor.held):
+            self._end(executor, request_id, Outcome.RESET)
+        executor.next_step_at = math.inf
+        self._discovery.publish([self.entry(name)])
+        if restart_after_ms is not None:
+            self._events.schedule(self._events.now + restart_after_ms, lambda: self.restart(name))
+
+    def restart(self, name: str) -> None:
+        """Start a new process of an executor, which has to warm up."""
+        self._add(name, self._executors[name].entry.zone, self._events.now)
+        self._discovery.publish([self.entry(name)])
+
+    def _add(self, name: str, zone: str, started_at: float) -> None:
+        number = self._executors[name].entry.cell if name in self._executors else len(self._executors)
+        entry = EndpointEntry(
+            name,
+            zone=zone,
+            cell=number // _EXECUTORS_PER_CELL,
+            kind=f"kind{number % 2}",
+            started_at=started_at,
+        )
+        model = ExecutorModel(self._spec.executor_spec, self._events.now, cold=started_at > 0.0)
+        self._executors[name] = SimulatedExecutor(entry, model)
+
+    # --- attempts -------------------------------------------------------------------------------
+
+    def accept(self, attempt: Attempt, record: ExecutorRecord) -> None:
+        """Take an attempt that has arrived, or end it at once."""
+        executor = self._executors[attempt.endpoint]
+        client = self._client_records[attempt.job.id]
+        if not executor.is_running:
+            self._network.report_end(attempt, record, Outcome.UNREACHABLE)
+            return
+        if self._is_duplicate(client, record):
+            self._network.report_end(attempt, record, Outcome.SERVED, DEDUPLICATED_RESULT)
+            return
+        is_draining = executor.entry.state is not EndpointState.LIVE
+        request_id = client.request_id
+        if is_draining or not executor.model.admit(self._events.now, request_id, client.work_ms):
+            self._network.report_end(attempt, record, Outcome.OVERLOADED)
+            return
+        executor.held[request_id] = HeldAttempt(record, attempt)
+        if self._rng.random() < self._spec.reset_fraction:
+            self._network.report_end(attempt, record, Outcome.RESET)
+        self._step(executor)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Drop an attempt that its node has cancelled, if this cluster's executors do so."""
+        executor = self._executors[attempt.endpoint]
+        request_id = attempt.job.id
+        if request_id in executor.held and self._spec.cancel_effect is not CancelEffect.NOTHING:
+            if executor.model.drop_queued(self._events.now, request_id):
+                del executor.held[request_id]
+            self._step(executor)
+
+    def _is_duplicate(self, client: ClientRecord, record: ExecutorRecord) -> bool:
+        """Whether executors that deduplicate together have begun this job before, within the window."""
+        job_class = self._job_classes[client.job_class]
+        if job_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
+            return False
+        return any(
+            earlier.began_at is not None
+            and self._events.now < earlier.began_at + job_class.deduplication_window_ms
+            and earlier.request_id == client.request_id
+            and shares_deduplication(job_class, earlier, record)
+            for earlier in self._executor_records
+        )
+
+    def _step(self, executor: SimulatedExecutor) -> None:
+        """Report what has happened at an executor, and schedule the next step."""
+        for progress in executor.model.step(self._events.now):
+            self._report_progress(executor, progress)
+        due = executor.model.next_due_ms()
+        if due < executor.next_step_at or executor.next_step_at <= self._events.now:
+            executor.next_step_at = due
+            if due < math.inf:
+                self._events.schedule(due, lambda: self._step_if_due(executor, due))
+
+    def _step_if_due(self, executor: SimulatedExecutor, due: float) -> None:
+        if executor.is_running and executor.next_step_at == due:
+            executor.next_step_at = math.inf
+            self._step(executor)
+
+    def _report_progress(self, executor: SimulatedExecutor, progress: JobProgress) -> None:
+        held = executor.held.get(progress.job)
+        if held is None:
+            return
+        settings = self._spec.settings
+        if progress.state == "done":
+            self._end(executor, progress.job, Outcome.SERVED)
+        elif progress.state == "started":
+            held.record.began_at = self._events.now
+            if settings.reports_start:
+                self._network.report_started(held.attempt, held.record)
+        elif settings.progress_interval_ms > 0.0:
+            self._network.report_progress(held.attempt, held.record, progress.done_fraction)
+
+    def _end(self, executor: SimulatedExecutor, request_id: str, outcome: Outcome) -> None:
+        held = executor.held.pop(request_id, None)
+        if held is None:
+            return
+        if outcome is not Outcome.SERVED:
+            self._network.report_end(held.attempt, held.record, outcome)
+        elif self._rng.random() >= self._spec.lost_response_fraction:
+            result = expected_result(held.record)
+            self._network.report_end(held.attempt, held.record, outcome, result)
+
+
+def expected_result(record: ExecutorRecord) -> bytes:
+    """Return the result that an executor gives for an attempt."""
+    return f"{record.request_id}@{record.executor}".encode()
+
+
+def shares_deduplication(job_class: JobClass, first: ExecutorRecord, second: ExecutorRecord) -> bool:
+    """Whether the executors of two attempts recognize each other's repeats of a job of this class."""
+    match job_class.deduplication_scope:
+        case DeduplicationScope.ALL:
+            return True
+        case DeduplicationScope.ZONE:
+            return first.zone == second.zone
+        case DeduplicationScope.CELL:
+            return first.zone == second.zone and first.cell == second.cell
--- /dev/null
+++ b/burlmoor/simulation/network.py
@@ -0,0 +1,68 @@
+"""The way back from executors to nodes, in virtual time."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+from typing import Protocol
+
+from burlmoor.engine.engine import Engine
+from burlmoor.engine.job import Attempt
+from burlmoor.simulation.event_queue import EventQueue
+from burlmoor.simulation.records import ExecutorRecord
+from burlmoor.types.outcome import Outcome
+
+
+class NodeProcess(Protocol):
+    """A node as the network knows it."""
+
+    core: Engine
+    generation: int
+    is_alive: bool
+
+
+class ResponseNetwork:
+    """Reports to nodes what happens to their attempts, each report after a delay of its own."""
+
+    def __init__(
+        self,
+        delay_ms: float,
+        events: EventQueue,
+        rng: random.Random,
+        nodes: Sequence[NodeProcess | None],
+    ) -> None:
+        self._delay_ms = delay_ms
+        self._events = events
+        self._rng = rng
+        self._nodes = nodes
+
+    def report_started(self, attempt: Attempt, record: ExecutorRecord) -> None:
+        """Report that an attempt has begun to run."""
+        self._report(record, lambda engine: engine.on_attempt_started(attempt))
+
+    def report_progress(self, attempt: Attempt, record: ExecutorRecord, fraction: float) -> None:
+        """Report what fraction of an attempt's work is done."""
+        self._report(record, lambda engine: engine.on_attempt_progressed(attempt, fraction))
+
+    def report_end(
+        self, attempt: Attempt, record: ExecutorRecord, outcome: Outcome, result: bytes | None = None
+    ) -> None:
+        """Report how an attempt ended."""
+
+        def end_attempt(engine: Engine) -> None:
+            if record.outcome is None:
+                record.outcome = outcome
+                record.outcome_known_at = self._events.now
+            engine.on_attempt_ended(attempt, outcome, result)
+
+        self._report(record, end_attempt)
+
+    def _report(self, record: ExecutorRecord, deliver: Callable[[Engine], None]) -> None:
+        """Deliver to the process that sent the attempt, if it still runs by then."""
+        node = self._nodes[record.node_index]
+
+        def arrive() -> None:
+            if node is not None and node.is_alive and node.generation == record.node_generation:
+                deliver(node.core)
+
+        self._events.schedule(self._events.now + self._delay_ms * self._rng.uniform(0.8, 1.5), arrive)
--- /dev/null
+++ b/burlmoor/simulation/node.py
@@ -0,0 +1,185 @@
+"""A node of a simulated cluster: the engine, with simulated parts in place of its sockets."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from typing import Any
+
+from burlmoor.engine.answers import FinalAnswer
+from burlmoor.engine.engine import Engine
+from burlmoor.engine.job import Attempt, Job
+from burlmoor.simulation.cluster_spec import ClusterSpec
+from burlmoor.simulation.event_queue import EventQueue
+from burlmoor.simulation.executors import SimulatedExecutors
+from burlmoor.simulation.records import AnswerRecord, ClientRecord, EndpointNotification, ExecutorRecord
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+from burlmoor.types.events import JobRequest
+from burlmoor.types.outcome import Outcome
+
+_FAULT_EVENTS = frozenset(("policy-failed", "action-failed", "answered-at-deadline"))
+_HEALTH_CHECK_MS = 4.0  # as reported
+
+
+@dataclass(frozen=True, slots=True)
+class SimulatedClient:
+    """The client's side of one job; records its answers."""
+
+    record: ClientRecord
+    events: EventQueue
+
+    def respond(self, answer: FinalAnswer) -> None:
+        """Record an answer."""
+        self.record.answers.append(AnswerRecord(self.events.now, answer))
+
+
+@dataclass(frozen=True, slots=True)
+class NodeRecorder:
+    """Where nodes record what they were told, what they sent, and faults that they logged."""
+
+    executor_records: list[ExecutorRecord]
+    notifications: list[EndpointNotification]
+    node_faults: list[str]
+
+
+class SimulatedNode:
+    """One process of a node; a restart makes another, of the next generation."""
+
+    def __init__(
+        self,
+        index: int,
+        generation: int,
+        seed: int,
+        spec: ClusterSpec,
+        events: EventQueue,
+        executors: SimulatedExecutors,
+        client_records: dict[str, ClientRecord],
+        recorder: NodeRecorder,
+    ) -> None:
+        self.index = index
+        self.generation = generation
+        self.is_alive = True
+        self.jobs: dict[str, Job] = {}  # by request id
+        self._spec = spec
+        self._events = events
+        self._executors = executors
+        self._client_records = client_records
+        self._recorder = recorder
+        self._next_step_at = math.inf
+        zone = spec.zones[index % len(spec.zones)]
+        settings = replace(spec.settings, node_index=index, zone=zone)
+        self.core = Engine(settings, seed, lambda: events.now, self._on_log_event, self._wake)
+        self.core.connect(self, self)
+
+    def start(self) -> None:
+        """Start from the endpoint list as it is now, as from a cached one."""
+        self.on_endpoint_list(ListKind.CACHED, self._executors.listed())
+
+    # --- time and logging -----------------------------------------------------------------------
+
+    def _on_log_event(self, event: str, **fields: Any) -> None:
+        if event in _FAULT_EVENTS:
+            self._recorder.node_faults.append(f"{event}: {fields}")
+
+    def _wake(self) -> None:
+        self._events.schedule(self._events.now, self._step)
+
+    def _step(self) -> None:
+        if not self.is_alive:
+            return
+        now = self._events.now
+        if self.core.next_due() <= now:
+            self.core.step()
+        due = self.core.next_due()
+        if due < math.inf and not now < self._next_step_at <= due:
+            self._next_step_at = due
+            self._events.schedule(due, self._step)
+
+    # --- events ---------------------------------------------------------------------------------
+
+    def on_list_changed(self, entries: list[EndpointEntry]) -> None:
+        """Take over changes of the endpoint list."""
+        self.on_endpoint_list(ListKind.DELTA, entries)
+
+    def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None:
+        """Take over the endpoint list, or changes to it."""
+        if not self.is_alive:
+            return
+        states = {entry.endpoint: (entry.state, entry.started_at) for entry in entries}
+        if kind is not ListKind.DELTA:
+            unlisted = dict.fromkeys(self._executors.names, (EndpointState.GONE, 0.0))
+            states = {**unlisted, **states}
+        for name, (state, started_at) in states.items():
+            self._recorder.notifications.append(
+                EndpointNotification(self._events.now, self.index, name, state, started_at)
+            )
+        self.core.on_endpoint_list(kind, entries)
+        self._wake()
+
+    def on_job(self, record: ClientRecord, request: JobRequest) -> None:
+        """Admit or reject a client's job."""
+        job = self.core.admit(SimulatedClient(record, self._events), record.request_id, request, None)
+        if job is not None:
+            self.jobs[record.request_id] = job
+        self._wake()
+
+    def on_client_disconnected(self, request_id: str) -> None:
+        """Tell the engine that a job's client has disconnected."""
+        self.core.on_client_disconnected(self.jobs[request_id])
+
+    # --- upstream -------------------------------------------------------------------------------
+
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt; it arrives after the network's delay."""
+        client = self._client_records[attempt.job.id]
+        entry = self._executors.entry(attempt.endpoint)
+        record = ExecutorRecord(
+            client.request_id,
+            entry.endpoint,
+            entry.zone,
+            entry.cell,
+            self.index,
+            self._events.now,
+            client.work_ms,
+            entry.started_at,
+            self.generation,
+        )
+        self._recorder.executor_records.append(record)
+        self._after_delays(1, lambda: self._executors.accept(attempt, record))
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt; the cancellation arrives after the network's delay."""
+        record = self._find_record(attempt)
+        if record.outcome is None:
+            record.outcome = attempt.outcome or Outcome.CANCELLED
+            record.outcome_known_at = self._events.now
+        self._after_delays(1, lambda: self._executors.cancel(attempt))
+        self._after_delays(2, lambda: self.core.on_attempt_cancelled(attempt))
+
+    def check_health(self, endpoint: str) -> None:
+        """Check whether an executor's process runs; the result arrives after two network delays."""
+        outcome = Outcome.SERVED if self._executors.is_running(endpoint) else Outcome.UNREACHABLE
+        self._after_delays(2, lambda: self.core.on_health_checked(endpoint, outcome, _HEALTH_CHECK_MS))
+
+    def _find_record(self, attempt: Attempt) -> ExecutorRecord:
+        return next(
+            record
+            for record in reversed(self._recorder.executor_records)
+            if record.request_id == attempt.job.id and record.executor == attempt.endpoint
+        )
+
+    def _after_delays(self, count: int, action: Callable[[], None]) -> None:
+        self._events.schedule(self._events.now + count * self._spec.network_delay_ms, action)
+
+    # --- discovery ------------------------------------------------------------------------------
+
+    def watch(self) -> None:
+        """Fetch the endpoint list; changes are published to all nodes in any case."""
+        entries = self._executors.listed()
+        arrives_at = self._events.now + self._spec.list_delay_ms[0]
+        self._events.schedule(arrives_at, lambda: self.on_endpoint_list(ListKind.SNAPSHOT, entries))
+
+    def fetch(self) -> None:
+        """Fetch the complete endpoint list once."""
+        self.watch()
--- /dev/null
+++ b/burlmoor/simulation/records.py
@@ -0,0 +1,67 @@
+"""What clients and executors of a simulated cluster observed: the evidence that the audit judges.
+
+Times are ms of the virtual clock; `math.inf` where something has not happened.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from burlmoor.engine.answers import FinalAnswer
+from burlmoor.types.endpoint_list import EndpointState
+from burlmoor.types.outcome import Outcome
+
+DEDUPLICATED_RESULT = b"dropped"  # stands for the result of a repeat that executors recognized by its key
+
+
+class AnswerRecord(NamedTuple):
+    """A final answer and when the client received it."""
+
+    at: float
+    answer: FinalAnswer
+
+
+@dataclass(slots=True)
+class ClientRecord:
+    """A job as its client observed it."""
+
+    request_id: str
+    job_class: str
+    tenant: str
+    sent_at: float
+    deadline_ms: float
+    work_ms: float
+    node_index: int
+    answers: list[AnswerRecord] = field(default_factory=list)
+    has_node_crashed: bool = False  # then nobody owes it an answer
+    disconnected_at: float = math.inf
+
+
+@dataclass(slots=True)
+class ExecutorRecord:
+    """An attempt as its executor observed it. `outcome` is what its node knows of its end, if anything."""
+
+    request_id: str
+    executor: str
+    zone: str
+    cell: int
+    node_index: int
+    sent_at: float
+    work_ms: float
+    executor_started_at: float  # 0: long ago
+    node_generation: int = 0  # attempts of an earlier process of the node are not reported to the next
+    began_at: float | None = None
+    outcome: Outcome | None = None
+    outcome_known_at: float = math.inf
+
+
+class EndpointNotification(NamedTuple):
+    """A node was told of an executor's state."""
+
+    at: float
+    node_index: int
+    executor: str
+    state: EndpointState
+    executor_started_at: float
