--- a/burlmoor/simulation/cluster_spec.py
+++ b/burlmoor/simulation/cluster_spec.py
@@ -30,7 +30,7 @@
 
     EQUAL = "equal"
     NOMINAL = "nominal"  # the number of cores
-    LIVE = "live"  # the number of cores, the less the more jobs the executor holds
+    LIVE = "live"  # the number of cores, reduced the more jobs the executor has
 
 
 @dataclass(frozen=True)
--- a/burlmoor/simulation/executors.py
+++ b/burlmoor/simulation/executors.py
@@ -1,4 +1,4 @@
-"""The executors of a simulated cluster: their processes, the attempts they hold, how those end."""
+"""The executors of a simulated cluster: their processes, their attempts in flight, how those end."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 _EXECUTORS_PER_CELL = 3
 
 
-class HeldAttempt(NamedTuple):
+class InFlightAttempt(NamedTuple):
     """An attempt that an executor has accepted and not ended."""
 
     record: ExecutorRecord
@@ -37,7 +37,7 @@
     model: ExecutorModel
     is_running: bool = True
     next_step_at: float = math.inf
-    held: dict[str, HeldAttempt] = field(default_factory=dict)  # by request id
+    in_flight: dict[str, InFlightAttempt] = field(default_factory=dict)  # by request id
 
 
 class SimulatedExecutors:
@@ -116,7 +116,7 @@
             return
         executor.is_running = False
         executor.entry = executor.entry._replace(state=EndpointState.GONE)
-        for request_id in list(executor.held):
+        for request_id in list(executor.in_flight):
             self._end(executor, request_id, Outcome.RESET)
         executor.next_step_at = math.inf
         self._discovery.publish([self.entry(name)])
@@ -157,7 +157,7 @@
         if is_draining or not executor.model.admit(self._events.now, request_id, client.work_ms):
             self._network.report_end(attempt, record, Outcome.OVERLOADED)
             return
-        executor.held[request_id] = HeldAttempt(record, attempt)
+        executor.in_flight[request_id] = InFlightAttempt(record, attempt)
         if self._rng.random() < self._spec.reset_fraction:
             self._network.report_end(attempt, record, Outcome.RESET)
         self._step(executor)
@@ -166,9 +166,9 @@
         """Drop an attempt that its node has cancelled, if this cluster's executors do so."""
         executor = self._executors[attempt.endpoint]
         request_id = attempt.job.id
-        if request_id in executor.held and self._spec.cancel_effect is not CancelEffect.NOTHING:
+        if request_id in executor.in_flight and self._spec.cancel_effect is not CancelEffect.NOTHING:
             if executor.model.drop_queued(self._events.now, request_id):
-                del executor.held[request_id]
+                del executor.in_flight[request_id]
             self._step(executor)
 
     def _is_duplicate(self, client: ClientRecord, record: ExecutorRecord) -> bool:
@@ -200,28 +200,28 @@
             self._step(executor)
 
     def _report_progress(self, executor: SimulatedExecutor, progress: JobProgress) -> None:
-        held = executor.held.get(progress.job)
-        if held is None:
+        in_flight = executor.in_flight.get(progress.job)
+        if in_flight is None:
             return
         settings = self._spec.settings
         if progress.state == "done":
             self._end(executor, progress.job, Outcome.SERVED)
         elif progress.state == "started":
-            held.record.began_at = self._events.now
+            in_flight.record.began_at = self._events.now
             if settings.reports_start:
-                self._network.report_started(held.attempt, held.record)
+                self._network.report_started(in_flight.attempt, in_flight.record)
         elif settings.progress_interval_ms > 0.0:
-            self._network.report_progress(held.attempt, held.record, progress.done_fraction)
+            self._network.report_progress(in_flight.attempt, in_flight.record, progress.done_fraction)
 
     def _end(self, executor: SimulatedExecutor, request_id: str, outcome: Outcome) -> None:
-        held = executor.held.pop(request_id, None)
-        if held is None:
+        in_flight = executor.in_flight.pop(request_id, None)
+        if in_flight is None:
             return
         if outcome is not Outcome.SERVED:
-            self._network.report_end(held.attempt, held.record, outcome)
+            self._network.report_end(in_flight.attempt, in_flight.record, outcome)
         elif self._rng.random() >= self._spec.lost_response_fraction:
-            result = expected_result(held.record)
-            self._network.report_end(held.attempt, held.record, outcome, result)
+            result = expected_result(in_flight.record)
+            self._network.report_end(in_flight.attempt, in_flight.record, outcome, result)
 
 
 def expected_result(record: ExecutorRecord) -> bytes:
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -61,26 +61,30 @@
 )
 
 
-def cluster_spec(deployment: dict[str, Any]) -> ClusterSpec:
+def job_classes(deployment: dict[str, Any]) -> tuple[JobClass, ...]:
     late_fraction = 0.5 if deployment["late_value"] else 0.0
-    classes = (
+    keyed = JobClass(
+        "keyed",
+        5.0,
+        400.0,
+        2.0,
+        3000.0,
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        deployment["deduplication_scope"],
+        1500.0,
+        late_fraction,
+    )
+    return (
         JobClass("plain", 2.0, 300.0, 2.0, 2500.0, Idempotency.IDEMPOTENT, late_fraction=late_fraction),
-        JobClass(
-            "keyed",
-            5.0,
-            400.0,
-            2.0,
-            3000.0,
-            Idempotency.IDEMPOTENT_WITH_KEY,
-            deployment["deduplication_scope"],
-            1500.0,
-            late_fraction,
-        ),
+        keyed,
         JobClass("once", 3.0, 300.0, 1.75, 4000.0, Idempotency.NON_IDEMPOTENT, late_fraction=late_fraction),
     )
+
+
+def node_settings(deployment: dict[str, Any]) -> Settings:
     tenants = (Tenant("big", 0.7, 45.0), Tenant("small", 0.3, 20.0)) if deployment["tenants"] else ()
-    node_settings = Settings(
-        classes=classes,
+    return Settings(
+        classes=job_classes(deployment),
         tenants=tenants,
         limits=Limits(
             max_attempts=deployment["attempts"],
@@ -99,8 +103,11 @@
         weight_by_work=True,
         over_quota_fraction=0.1,
     )
+
+
+def cluster_spec(deployment: dict[str, Any]) -> ClusterSpec:
     return ClusterSpec(
-        node_settings,
+        node_settings(deployment),
         zones=tuple("abcd"[: deployment["zones"]]),
         cancel_effect=deployment["cancel"] or CancelEffect.NOTHING,
         weight_source=deployment["weights"],
