--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -30,45 +30,45 @@
 _UNIX = 1_700_000_000_000.0
 
 
-def filled(count: int) -> tuple[DeferredJobQueue, float]:
+def make_filled_queue(count: int) -> tuple[DeferredJobQueue, float]:
     """A ward where `count` jobs wait, and its clock's time."""
     given = DeferredOptions(
         max_jobs=10_000_000, max_dependents=10_000_000, release_rate=10_000_000, release_burst=1_000_000
     )
     now = [0.0]
-    ward = DeferredJobQueue(given, 1 << 30, 1000.0, 1, lambda *_a, **_k: None, 0.0, lambda: _UNIX + now[0])
-    ward.on_job_opened("root")
+    queue = DeferredJobQueue(given, 1 << 30, 1000.0, 1, lambda *_a, **_k: None, 0.0, lambda: _UNIX + now[0])
+    queue.on_job_opened("root")
     for number in range(count):
         ref = f"other-{number}"
         after = (("root",), (), (f"other-{number - 2}",))[number % 3] if number > 3 else ("root",)
         at = 0.0 if after else _UNIX + 1e9
-        ward.on_job_opened(ref)
-        ward.defer(ref, _REQUEST, RunConditions(after, at, 200), 1e12, 0.0)
+        queue.on_job_opened(ref)
+        queue.defer(ref, _REQUEST, RunConditions(after, at, 200), 1e12, 0.0)
         if number % 100 == 0:
-            ward.step(0.0, lambda: math.inf)
-    while ward.next_due(0.0) <= 0.0:
-        ward.step(0.0, lambda: math.inf)
-    return ward, 0.0
+            queue.step(0.0, lambda: math.inf)
+    while queue.next_due(0.0) <= 0.0:
+        queue.step(0.0, lambda: math.inf)
+    return queue, 0.0
 
 
-def one_wait(ward: DeferredJobQueue, number: int, now: float) -> None:
+def defer_and_release(queue: DeferredJobQueue, number: int, now: float) -> None:
     """A parent and its child, from the child's arrival to its release and end."""
     parent, child = f"p{number}", f"c{number}"
-    ward.on_job_opened(parent)
-    ward.on_job_opened(child)
-    ward.defer(child, _REQUEST, RunConditions((parent,), _UNIX - 5.0, 200), now + 60_000.0, now)
-    ward.step(now, lambda: math.inf)
-    ward.on_job_ended(parent, Served(b""), now)
-    verdicts = ward.step(now, lambda: math.inf)
+    queue.on_job_opened(parent)
+    queue.on_job_opened(child)
+    queue.defer(child, _REQUEST, RunConditions((parent,), _UNIX - 5.0, 200), now + 60_000.0, now)
+    queue.step(now, lambda: math.inf)
+    queue.on_job_ended(parent, Served(b""), now)
+    verdicts = queue.step(now, lambda: math.inf)
     assert [type(each) for each in verdicts] == [ReleasedJob], verdicts
-    ward.on_job_ended(child, Served(b""), now)
+    queue.on_job_ended(child, Served(b""), now)
 
 
 def measure(count: int) -> dict[str, float]:
     """The figures with `count` jobs waiting."""
     gc.collect()
     tracemalloc.start()
-    ward, now = filled(count)
+    queue, now = make_filled_queue(count)
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     best, number = math.inf, 0
@@ -76,10 +76,10 @@
         began = time.process_time()
         for _ in range(_ROUND):
             number += 1
-            one_wait(ward, number, now)
+            defer_and_release(queue, number, now)
         best = min(best, (time.process_time() - began) / _ROUND)
     began = time.perf_counter()
-    seen = trio.run(build_status, ward, lambda: now)
+    seen = trio.run(build_status, queue, lambda: now)
     shown = time.perf_counter() - began
     assert seen["waiting"] == count
     return {
--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -180,7 +180,9 @@
     def _start(self, name: str, zone: str, started: float) -> None:
         number = len(self.stands) if name not in self.stands else self.stands[name].entry.cell
         entry = EndpointEntry(name, zone=zone, cell=number // 3, kind=f"kind{number % 2}", started_at=started)
-        self.stands[name] = _Stand(entry, ExecutorModel(self.town.spec, self.now, cold=started > 0.0))
+        self.stands[name] = _Stand(
+            entry, ExecutorModel(self.town.spec, self.now, in_slow_start=started > 0.0)
+        )
 
     def drain(self, name: str, for_: float) -> None:
         """An executor wants nothing new, finishes what it has, and is gone after a while."""
--- a/burlmoor/testbed/clients.py
+++ b/burlmoor/testbed/clients.py
@@ -34,7 +34,7 @@
 class ClientPool:
     """The clients of one node and their idle connections, the most recently used last.
 
-    `may_resend`: whether a request is sent once more where a connection ends without an answer. A node may
+    `may_resend`: whether a request is repeated once where a connection ends without an answer. A node may
     close an idle connection just as a request arrives; but a job of a killed node may then run twice.
     """
 
--- a/burlmoor/testbed/discovery.py
+++ b/burlmoor/testbed/discovery.py
@@ -84,12 +84,12 @@
         return len(self._history)
 
     @property
-    def down(self) -> bool:
+    def is_down(self) -> bool:
         """Whether every call is rejected."""
         return self._down
 
-    @down.setter
-    def down(self, is_down: bool) -> None:
+    @is_down.setter
+    def is_down(self, is_down: bool) -> None:
         """Start or end an outage."""
         if self._down and not is_down:
             self._recovered_ms = now_ms()
--- a/burlmoor/testbed/executor.py
+++ b/burlmoor/testbed/executor.py
@@ -18,7 +18,7 @@
 _WILL_FAIL = "to fail"  # the outcome of an attempt that runs and whose job is to be reported as failed
 
 
-class _HeldJob(NamedTuple):
+class _AssignedJob(NamedTuple):
     """A job that runs or is queued here, and the node that sent it."""
 
     attempt: AttemptRecord
@@ -50,7 +50,7 @@
         self._event_record = event_record
         self._nursery = nursery
         self._servers: dict[str, HttpServer] = {}
-        self._held_jobs: dict[str, _HeldJob] = {}
+        self._assigned_jobs: dict[str, _AssignedJob] = {}
         self._model_changed = trio.Event()
         self._resumed = trio.Event()
         self._resumed.set()
@@ -93,15 +93,15 @@
         self.is_alive = False
         for server in self._servers.values():
             server.abort()
-        for held in self._held_jobs.values():
-            held.attempt.outcome = held.attempt.outcome or "died"
-            held.attempt.ended_ms = now_ms()
-        self._held_jobs.clear()
-        self.model = ExecutorModel(self.spec, now_ms(), cold=True)
+        for assigned in self._assigned_jobs.values():
+            assigned.attempt.outcome = assigned.attempt.outcome or "died"
+            assigned.attempt.ended_ms = now_ms()
+        self._assigned_jobs.clear()
+        self.model = ExecutorModel(self.spec, now_ms(), in_slow_start=True)
 
     async def restart(self) -> None:
         """Start a new process at the same addresses, in slow start."""
-        self.model = ExecutorModel(self.spec, now_ms(), cold=True)
+        self.model = ExecutorModel(self.spec, now_ms(), in_slow_start=True)
         self.started_unix_ms = unix_now_ms()
         self.is_alive = True
         for server in self._servers.values():
@@ -158,7 +158,7 @@
         self._event_record.attempts.append(attempt)
         fault = self._take_fault()
         if fault in ("reset", "hang", "error"):
-            return await self._cause_fault(fault, attempt, stream)
+            return await _cause_fault(fault, attempt, stream)
         if fault == "full" or not self._admit(attempt, node, parameters):
             attempt.outcome = "full"
             attempt.ended_ms = now_ms()
@@ -172,24 +172,10 @@
             return self.planned_faults.pop(0)
         return "error" if self.is_failing else ""
 
-    async def _cause_fault(self, fault: str, attempt: AttemptRecord, stream: HttpStream) -> bool:
-        """Answer with a fault; false where the connection is not used any more."""
-        if fault == "hang":
-            await trio.sleep_forever()
-        attempt.started_ms = now_ms()
-        if fault == "reset":
-            # It may have run: without this, a second attempt would not count as a repetition.
-            stream.reset()
-            return False
-        attempt.ended_ms = attempt.started_ms
-        attempt.outcome = "error"
-        await stream.write("HTTP/1.1 500 Failed")
-        return True
-
     def _admit(self, attempt: AttemptRecord, node: str, parameters: dict[str, Any]) -> bool:
         if not self.model.admit(now_ms(), attempt.id, attempt.work_ms, attempt.slots):
             return False
-        self._held_jobs[attempt.id] = _HeldJob(attempt, node)
+        self._assigned_jobs[attempt.id] = _AssignedJob(attempt, node)
         self._model_changed.set()
         if parameters.get("fails"):
             attempt.outcome = _WILL_FAIL
@@ -197,7 +183,7 @@
 
     def _cancel(self, job: str) -> None:
         if self.model.drop_queued(now_ms(), job):
-            attempt = self._held_jobs.pop(job).attempt
+            attempt = self._assigned_jobs.pop(job).attempt
             attempt.outcome = "given up"
             attempt.ended_ms = now_ms()
 
@@ -213,23 +199,38 @@
                 await self._model_changed.wait()
 
     def _on_progress(self, progress: JobProgress) -> None:
-        held = self._held_jobs.get(progress.job)
-        if held is None:
+        assigned = self._assigned_jobs.get(progress.job)
+        if assigned is None:
             return
         if progress.state == "done":
-            outcome = "failed" if held.attempt.outcome == _WILL_FAIL else "done"
+            outcome = "failed" if assigned.attempt.outcome == _WILL_FAIL else "done"
             self._end_job(progress.job, outcome, outcome)
             return
         if progress.state == "started":
-            held.attempt.started_ms = now_ms()
+            assigned.attempt.started_ms = now_ms()
         event = {"id": progress.job, "from": self.name, "state": progress.state}
-        self._callbacks.send(held.node, {**event, "share": progress.done_fraction})
+        self._callbacks.send(assigned.node, {**event, "share": progress.done_fraction})
 
     def _end_job(self, job: str, outcome: str, state: str) -> None:
-        held = self._held_jobs.pop(job)
-        held.attempt.outcome = outcome
-        held.attempt.ended_ms = now_ms()
+        assigned = self._assigned_jobs.pop(job)
+        assigned.attempt.outcome = outcome
+        assigned.attempt.ended_ms = now_ms()
         event = {"id": job, "from": self.name, "state": state}
         if state == "done":
             event["result"] = f"{job}@{self.name}"
-        self._callbacks.send(held.node, event)
+        self._callbacks.send(assigned.node, event)
+
+
+async def _cause_fault(fault: str, attempt: AttemptRecord, stream: HttpStream) -> bool:
+    """Answer a request with a fault; false where the connection is not used any more."""
+    if fault == "hang":
+        await trio.sleep_forever()
+    # Also before a reset: the job may have run, and a second attempt must count as a repetition.
+    attempt.started_ms = now_ms()
+    if fault == "reset":
+        stream.reset()
+        return False
+    attempt.ended_ms = attempt.started_ms
+    attempt.outcome = "error"
+    await stream.write("HTTP/1.1 500 Failed")
+    return True
--- a/burlmoor/testbed/executor_model.py
+++ b/burlmoor/testbed/executor_model.py
@@ -69,9 +69,9 @@
 class ExecutorModel:
     """The jobs that one executor has admitted, and how far each has got."""
 
-    def __init__(self, spec: ExecutorSpec, now: float, cold: bool = False) -> None:
+    def __init__(self, spec: ExecutorSpec, now: float, in_slow_start: bool = False) -> None:
         self.spec = spec
-        self._started_ms = now if cold else -math.inf
+        self._started_ms = now if in_slow_start else -math.inf
         self._now = now
         self._running: dict[str, _Job] = {}
         self._queue: OrderedDict[str, _Job] = OrderedDict()
--- a/burlmoor/testbed/fleet/baseline_replay.py
+++ b/burlmoor/testbed/fleet/baseline_replay.py
@@ -209,7 +209,7 @@
 
     def _reset(self, executor: int) -> None:
         spec = self.record.specs[self.executor_names[executor]]
-        self.executors[executor] = ExecutorModel(spec, self.now_ms, cold=True)
+        self.executors[executor] = ExecutorModel(spec, self.now_ms, in_slow_start=True)
 
     def _set_slowdown(self, executor: int, factor: float) -> None:
         self.executors[executor].set_slowdown(self.now_ms, factor)
--- a/burlmoor/testbed/fleet/fault_injection.py
+++ b/burlmoor/testbed/fleet/fault_injection.py
@@ -168,9 +168,9 @@
         elif fault.kind == "broken":
             self._discovery.reset_watches(name)
         else:
-            self._discovery.down = True
+            self._discovery.is_down = True
             await sleep_until(self._record, fault.end)
-            self._discovery.down = False
+            self._discovery.is_down = False
 
     async def _update_link_faults(self) -> None:
         """Send the link faults in effect to the relays and the switch at each change."""
--- a/burlmoor/testbed/fleet/load.py
+++ b/burlmoor/testbed/fleet/load.py
@@ -59,7 +59,7 @@
     rng = np.random.default_rng([load.seed, 2])
     count = int(rng.poisson(load.rate * load.seconds))
     starts = np.sort(rng.uniform(0.0, load.seconds, count))
-    kind_shares = np.array([kind.share for kind in JOB_CLASSES])
+    kind_shares = np.array([kind.fraction for kind in JOB_CLASSES])
     kinds = rng.choice(len(JOB_CLASSES), size=count, p=kind_shares / kind_shares.sum())
     work_factors = load.scale * rng.lognormal(-0.5 * _WORK_SIGMA**2, _WORK_SIGMA, count)
     slots = rng.choice(_SLOTS, size=count, p=_SLOT_SHARES)
@@ -95,6 +95,6 @@
     mean_slots = sum(slots * share for slots, share in zip(_SLOTS, _SLOT_SHARES, strict=True))
     return (
         mean_slots
-        * sum(kind.share * kind.mean_work_ms for kind in JOB_CLASSES)
-        / sum(kind.share for kind in JOB_CLASSES)
+        * sum(kind.fraction * kind.mean_work_ms for kind in JOB_CLASSES)
+        / sum(kind.fraction for kind in JOB_CLASSES)
     )
--- a/burlmoor/testbed/job_classes.py
+++ b/burlmoor/testbed/job_classes.py
@@ -10,7 +10,7 @@
     """One class of jobs as clients send it."""
 
     name: str
-    share: float  # of all jobs
+    fraction: float  # of all jobs
     mean_work_ms: float  # on one core of speed 1
     timeout_ms: float
     is_non_idempotent: bool = False
--- a/burlmoor/testbed/load.py
+++ b/burlmoor/testbed/load.py
@@ -45,7 +45,7 @@
     rng = np.random.default_rng(seed)
     count = rng.poisson(rate * seconds)
     times = np.sort(rng.uniform(0.0, seconds, count))
-    shares = np.array([job_class.share for job_class in job_classes])
+    shares = np.array([job_class.fraction for job_class in job_classes])
     chosen = rng.choice(len(job_classes), size=count, p=shares / shares.sum())
     factors = rng.lognormal(-0.5 * _WORK_SIGMA**2, _WORK_SIGMA, count)
     keys = np.minimum(rng.zipf(_ZIPF_EXPONENT, count), _MAX_KEYS)
@@ -146,25 +146,25 @@
         begin_ms = now_ms()
         async with trio.open_nursery() as nursery:
             for number, arrival in enumerate(arrivals):
-                due_ms = begin_ms + arrival.at_seconds * 1000.0
-                wait_ms = due_ms - now_ms()
+                intended_ms = begin_ms + arrival.at_seconds * 1000.0
+                wait_ms = intended_ms - now_ms()
                 if wait_ms > _MIN_SLEEP_MS:
                     await trio.sleep(wait_ms / 1000.0)
                 elif number % _CHECKPOINT_EVERY == 0:
                     await trio.lowlevel.checkpoint()
-                self.report.max_lag_ms = max(self.report.max_lag_ms, now_ms() - due_ms)
-                nursery.start_soon(self._send, number, arrival, due_ms, on_answered)
+                self.report.max_lag_ms = max(self.report.max_lag_ms, now_ms() - intended_ms)
+                nursery.start_soon(self._send, number, arrival, intended_ms, on_answered)
         run_seconds = arrivals[-1].at_seconds if arrivals else (now_ms() - begin_ms) / 1000.0
         self.report.seconds = max(run_seconds, 1e-3)
         return self.report
 
     async def _send(
-        self, number: int, arrival: Arrival, due_ms: float, on_answered: Callable[[int], None]
+        self, number: int, arrival: Arrival, intended_ms: float, on_answered: Callable[[int], None]
     ) -> None:
         job_class = arrival.job_class
         # Latency counts from when the job was to be sent: without this a generator that lags would hide it.
         request = RequestRecord(
-            f"{self._id_prefix}-{number}", job_class.name, due_ms, job_class.timeout_ms, arrival.work_ms
+            f"{self._id_prefix}-{number}", job_class.name, intended_ms, job_class.timeout_ms, arrival.work_ms
         )
         await self._clients[number % len(self._clients)].send(request, key=arrival.key)
         self.report.by_class.setdefault(job_class.name, OutcomeTally()).add(request)
--- a/burlmoor/testbed/single_node.py
+++ b/burlmoor/testbed/single_node.py
@@ -63,6 +63,23 @@
     return _ExecutorProcess(process, json.loads(line))
 
 
+async def _start_all_executors(
+    specs: dict[str, ExecutorSpec], callback_address: tuple[str, int], processes: list[trio.Process]
+) -> dict[str, str]:
+    """Start processes that share the executors, and return the address of each executor.
+
+    Processes are added to `processes` as they start, so that the caller ends them also after an error.
+    """
+    names = list(specs)
+    addresses: dict[str, str] = {}
+    for part in range(min(_MAX_EXECUTOR_PROCESSES, len(names))):
+        own_specs = {name: specs[name] for name in names[part::_MAX_EXECUTOR_PROCESSES]}
+        started = await _start_executors(own_specs, callback_address)
+        processes.append(started.process)
+        addresses |= started.addresses
+    return addresses
+
+
 @asynccontextmanager
 async def run_single_node(
     specs: dict[str, ExecutorSpec],
@@ -76,22 +93,16 @@
     """
     node = NodeProcess("n0", folder)
     node.command = command or node.command
-    names = list(specs)
     processes: list[trio.Process] = []
     try:
         async with trio.open_nursery() as nursery:
-            addresses: dict[str, str] = {}
-            for part in range(min(_MAX_EXECUTOR_PROCESSES, len(names))):
-                own_specs = {name: specs[name] for name in names[part::_MAX_EXECUTOR_PROCESSES]}
-                started = await _start_executors(own_specs, node.address)
-                processes.append(started.process)
-                addresses |= started.addresses
+            addresses = await _start_all_executors(specs, node.address, processes)
             discovery = DiscoveryService(nursery)
-            discovery_address = await discovery.listen_for_node("n0", addresses)
-            for name in names:
+            discovery_address = await discovery.listen_for_node(node.name, addresses)
+            for name in specs:
                 discovery.set_entry(name)
-            settings = platform_settings(job_classes)
-            await node.start(nursery, settings, discovery_address, discovery.full_list("n0"))
+            known_list = discovery.full_list(node.name)
+            await node.start(nursery, platform_settings(job_classes), discovery_address, known_list)
             yield node
             await node.stop()
             nursery.cancel_scope.cancel()
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -71,7 +71,7 @@
             harness.address = node.address
             limited = f'ulimit -n {descriptors}; exec "$0" -m burlmoor'
             node.command = ["/bin/sh", "-c", limited, sys.executable]
-            discovery.down = True
+            discovery.is_down = True
             try:
                 await node.start(nursery, SETTINGS_OBJECT, address, discovery.full_list("n0"))
                 for number in range(hanging):
@@ -93,7 +93,7 @@
                     await send_http_request(node.admin_address, "GET", "/state")
                 ).status < 500  # operators are answered
                 discovery.set_entry("e0", health="leaving")
-                discovery.down = False
+                discovery.is_down = False
                 recovered_at = trio.current_time()
                 await harness.wait_until(
                     lambda: any(health == "leaving" for *_, health in discovery.notifications)
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -22,16 +22,12 @@
     """A parent and its child, a timed job, a failed parent, and enough plain jobs beside released ones."""
     record = EventRecord(unix_offset_ms=1e6)
 
-    def add_attempt(request_id: str, received_ms: float, outcome: str = "done") -> None:
-        started_ms, ended_ms = received_ms + 1.0, received_ms + 10.0
-        attempt = AttemptRecord(request_id, "slot-search", "s", received_ms, started_ms, ended_ms, outcome)
-        record.attempts.append(attempt)
-
-    def add_request(
+    def add(
         request_id: str,
-        sent_ms: float,
+        received_ms: float | None,
         answered_ms: float,
         status: int = 200,
+        sent_ms: float = 0.0,
         run_after: tuple[str, ...] = (),
         not_before_unix_ms: float = 0.0,
     ) -> None:
@@ -40,20 +36,22 @@
             status=status, answer_count=1, not_before_unix_ms=not_before_unix_ms,
         )  # fmt: skip
 
-    add_request("a", 0.0, 20.0)
-    add_attempt("a", 5.0)
-    add_request("b", 0.0, 60.0, run_after=("a",))
-    add_attempt("b", 25.0)
-    add_request("t", 0.0, 600.0, not_before_unix_ms=1e6 + 500.0)
-    add_attempt("t", 501.0)
-    add_request("f", 0.0, 30.0, 502)
-    add_attempt("f", 5.0, outcome="failed")
-    add_request("g", 0.0, 32.0, 424, run_after=("f",))
+        if received_ms is not None:
+            outcome = "done" if status == 200 else "failed"
+            started_ms, ended_ms = received_ms + 1.0, received_ms + 10.0
+            attempt = AttemptRecord(
+                request_id, "slot-search", "s", received_ms, started_ms, ended_ms, outcome
+            )
+            record.attempts.append(attempt)
+
+    add("a", 5.0, 20.0)
+    add("b", 25.0, 60.0, run_after=("a",))
+    add("t", 501.0, 600.0, not_before_unix_ms=1e6 + 500.0)
+    add("f", 5.0, 30.0, 502)
+    add("g", None, 32.0, 424, run_after=("f",))
     for number in range(15):
-        add_request(f"p-{number}", 10.0, 50.0)
-        add_attempt(f"p-{number}", 12.0)
-        add_request(f"w-{number}", 0.0, 90.0, run_after=("a",))
-        add_attempt(f"w-{number}", 30.0)
+        add(f"p-{number}", 12.0, 50.0, sent_ms=10.0)
+        add(f"w-{number}", 30.0, 90.0, run_after=("a",))
     return record
 
 
