--- a/burlmoor/simulation/executors.py
+++ b/burlmoor/simulation/executors.py
@@ -137,7 +137,7 @@
             kind=f"kind{number % 2}",
             started_at=started_at,
         )
-        model = ExecutorModel(self._spec.executor_spec, self._events.now, cold=started_at > 0.0)
+        model = ExecutorModel(self._spec.executor_spec, self._events.now, in_slow_start=started_at > 0.0)
         self._executors[name] = SimulatedExecutor(entry, model)
 
     # --- attempts -------------------------------------------------------------------------------
