--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -267,7 +267,3 @@
         print(f"burlmoor: {group.exceptions[0]}", file=sys.stderr)
         status = 1
     return status
-
-
-if __name__ == "__main__":
-    sys.exit(main())
