--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -12,7 +12,7 @@
     from burlmoor.admin.service import AdminService
     from burlmoor.config.options.sections import DeferredOptions
     from burlmoor.downstream.server import DownstreamServer
-    from burlmoor.engine.engine import Engine
+    from burlmoor.engine.core import EngineCore
     from burlmoor.log import EventLogger
 
 STATUS_PATH = "/waiting"
@@ -22,10 +22,10 @@
     """Turns deferral on and off; turned off, no new job is deferred and those deferred already stay so."""
 
     def __init__(
-        self, engine: Engine, server: DownstreamServer, admin: AdminService, seed: int, log: EventLogger
+        self, core: EngineCore, server: DownstreamServer, admin: AdminService, seed: int, log: EventLogger
     ) -> None:
         self.queue: DeferredJobQueue | None = None
-        self._engine = engine
+        self._core = core
         self._server = server
         self._admin = admin
         self._seed = seed
@@ -39,19 +39,19 @@
         if self.queue is None:
             self._enable(options)
         else:
-            self.queue.apply_options(options, self._engine.clock())
+            self.queue.apply_options(options, self._core.clock())
         self._server.parse_conditions = ConditionParser(options.max_dependencies).parse
 
     def _enable(self, options: DeferredOptions) -> None:
         self.queue = DeferredJobQueue(
             options,
             self._server.max_connections,
-            self._engine.settings.limits.max_retry_after_ms,
+            self._core.settings.limits.max_retry_after_ms,
             self._seed,
             self._log,
-            self._engine.clock(),
+            self._core.clock(),
         )
-        self._engine.enable_deferral(self.queue)
+        self._core.deferral.enable(self.queue)
         self._server.on_draining = self._on_draining
         self._admin.status_providers[STATUS_PATH] = self._status
 
@@ -61,13 +61,13 @@
             return
         self.queue.set_draining(is_draining)
         if is_draining:
-            self._engine.wake()
+            self._core.wake()
         if self._server.parse_conditions is None and not self.queue.job_count:
             self.queue = None
-            self._engine.disable_deferral()
+            self._core.deferral.disable()
             self._server.on_draining = None
             self._admin.status_providers.pop(STATUS_PATH, None)
 
     async def _status(self) -> dict[str, Any]:
         assert self.queue is not None
-        return await build_status(self.queue, self._engine.clock)
+        return await build_status(self.queue, self._core.clock)
--- a/burlmoor/downstream/callbacks.py
+++ b/burlmoor/downstream/callbacks.py
@@ -10,7 +10,7 @@
 from burlmoor.types.outcome import Outcome
 
 if TYPE_CHECKING:
-    from burlmoor.engine.engine import Engine
+    from burlmoor.engine.core import EngineCore
 
 
 class _JobEvent(msgspec.Struct):
@@ -38,7 +38,7 @@
     INVALID = "invalid"
 
 
-def handle_callback(engine: Engine, body: bytes) -> CallbackResult:
+def handle_callback(core: EngineCore, body: bytes) -> CallbackResult:
     """Pass a call-back on to the engine.
 
     A call-back may come twice, before the 202, or for an attempt that no job waits for any more: then no
@@ -48,13 +48,13 @@
         event = _DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return CallbackResult.INVALID
-    attempt = engine.find_attempt(event.id, event.endpoint_name)
+    attempt = core.jobs.find_attempt(event.id, event.endpoint_name)
     if attempt is None:
         return CallbackResult.UNKNOWN
     if event.state in _OUTCOMES_BY_STATE:
-        engine.on_attempt_ended(attempt, _OUTCOMES_BY_STATE[event.state], event.result.encode())
+        core.lifecycle.on_attempt_ended(attempt, _OUTCOMES_BY_STATE[event.state], event.result.encode())
     elif event.state == "started":
-        engine.on_attempt_started(attempt)
+        core.lifecycle.on_attempt_started(attempt)
     elif event.state == "running":
-        engine.on_attempt_progressed(attempt, event.progress)
+        core.lifecycle.on_attempt_progressed(attempt, event.progress)
     return CallbackResult.ACCEPTED
--- a/burlmoor/downstream/connection.py
+++ b/burlmoor/downstream/connection.py
@@ -166,7 +166,7 @@
             return  # or passed to another process
         self.note_close(CloseReason.LAST_RESPONSE if self.is_finished else CloseReason.PEER_CLOSED)
         assert self._close_reason is not None
-        self._server.engine.counters.count(CounterGroup.CLIENT_CLOSES, self._close_reason.value)
+        self._server.core.counters.count(CounterGroup.CLIENT_CLOSES, self._close_reason.value)
         self._stream.close()
 
     def close_now(self) -> None:
@@ -174,7 +174,7 @@
         self._close_stream()
         if self.job is not None:
             self._server.waiting_client_count -= 1
-            self._server.engine.on_client_disconnected(self.job)
+            self._server.core.lifecycle.on_client_disconnected(self.job)
 
     def pass_to_successor(self) -> None:
         """Pass the connection to the process that has taken over, if it lies between requests."""
--- a/burlmoor/downstream/request_handler.py
+++ b/burlmoor/downstream/request_handler.py
@@ -72,7 +72,7 @@
             server.successor.on_job_opened(submission.request_id)
 
     def _on_callback(self, connection: DownstreamConnection, body: bytes) -> None:
-        result = callbacks.handle_callback(self._server.engine, body)
+        result = callbacks.handle_callback(self._server.core, body)
         if result is callbacks.CallbackResult.UNKNOWN and self._server.callback_forwarder is not None:
             self._server.nursery.start_soon(self._forward_callback, connection, body)
         elif result is callbacks.CallbackResult.INVALID:
--- a/burlmoor/downstream/server.py
+++ b/burlmoor/downstream/server.py
@@ -30,6 +30,7 @@
         RunConditionParser,
         SuccessorProcess,
     )
+    from burlmoor.engine.core import EngineCore
     from burlmoor.engine.deferral import RunConditions
     from burlmoor.engine.engine import Engine
     from burlmoor.log import EventLogger
@@ -46,6 +47,7 @@
 
     def __init__(
         self,
+        core: EngineCore,
         engine: Engine,
         classes: list[str],
         listener: socket.socket,
@@ -54,12 +56,11 @@
         nursery: trio.Nursery,
         log: EventLogger,
     ) -> None:
+        self.core = core
         self.engine = engine
         self.classes = classes
         self.classes_requiring_key = [
-            each.name
-            for each in engine.settings.classes
-            if each.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            each.name for each in core.settings.classes if each.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         ]
         self.max_connections = max_connections
         self.drain = drain
--- a/burlmoor/engine/action_executor.py
+++ b/burlmoor/engine/action_executor.py
@@ -23,13 +23,17 @@
     from collections.abc import Sequence
 
     from burlmoor.engine.attempt_controller import AttemptController
-    from burlmoor.engine.interfaces import Discovery, JobAnswerer, Upstream
+    from burlmoor.engine.interfaces import Discovery, Upstream
+    from burlmoor.engine.job_lifecycle import JobLifecycle
     from burlmoor.engine.job_registry import JobRegistry
     from burlmoor.engine.policy_driver import PolicyDriver
     from burlmoor.log import EventLogger
     from burlmoor.types.reasons import EndReason
 
 
+_JobAction = StartAttempt | RejectJob | FailJob | CancelAttempt
+
+
 class ActionExecutor:
     """Passes each action to the part of the node that it concerns."""
 
@@ -37,16 +41,16 @@
         self,
         jobs: JobRegistry,
         attempts: AttemptController,
+        lifecycle: JobLifecycle,
         policy: PolicyDriver,
-        answerer: JobAnswerer,
         upstream: Upstream,
         discovery: Discovery,
         log: EventLogger,
     ) -> None:
         self._jobs = jobs
         self._attempts = attempts
+        self._lifecycle = lifecycle
         self._policy = policy
-        self._answerer = answerer
         self._upstream = upstream
         self._discovery = discovery
         self._log = log
@@ -62,14 +66,8 @@
 
     def _execute(self, action: Action, now: float) -> None:
         match action:
-            case StartAttempt():
-                self._attempts.start(action, now)
-            case RejectJob():
-                self._answer(action.id, Rejected(action.retry_after_ms), action.reason)
-            case FailJob():
-                self._answer(action.id, Failed(), action.reason)
-            case CancelAttempt():
-                self._attempts.cancel_by_policy(action, now)
+            case StartAttempt() | RejectJob() | FailJob() | CancelAttempt():
+                self._execute_on_job(action, now)
             case SetTimer():
                 self._policy.set_timer(now + max(0.0, action.delay_ms), action.token)
             case WatchEndpoints():
@@ -81,6 +79,17 @@
             case LogWarning():
                 self._log(PolicyWarning(text=action.text))
 
+    def _execute_on_job(self, action: _JobAction, now: float) -> None:
+        match action:
+            case StartAttempt():
+                self._attempts.start(action, now)
+            case RejectJob():
+                self._answer(action.id, Rejected(action.retry_after_ms), action.reason)
+            case FailJob():
+                self._answer(action.id, Failed(), action.reason)
+            case CancelAttempt():
+                self._attempts.cancel(action)
+
     def _answer(self, number: int, answer: FinalAnswer, reason: EndReason | None) -> None:
         job = self._jobs.find_by_number(number)
         if job is None or job.is_closed:
@@ -88,5 +97,5 @@
         # Without this, a client would be told that a retry is harmless for a job that must not run twice.
         if isinstance(answer, Rejected) and job.is_non_idempotent and job.may_have_run():
             answer = Failed()
-        self._answerer.answer_job(job, answer, reason)
+        self._lifecycle.answer(job, answer, reason)
         self._jobs.forget_if_done(job)
--- a/burlmoor/engine/answers.py
+++ b/burlmoor/engine/answers.py
@@ -1,8 +1,9 @@
-"""The final answers that a job can get (protocol: "Clients to nodes")."""
+"""The final answers that a job can get (protocol: "Clients to nodes"), and who receives them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Protocol
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,3 +33,10 @@
 
 
 FinalAnswer = Served | Rejected | Failed | DependencyFailed
+
+
+class Responder(Protocol):
+    """The downstream side of one job."""
+
+    def respond(self, answer: FinalAnswer) -> None:
+        """Send the client its one final answer."""
--- a/burlmoor/engine/deadlines.py
+++ b/burlmoor/engine/deadlines.py
@@ -13,13 +13,13 @@
 
 
 class DeadlineQueue:
-    """Computes deadlines and hands out what has reached its own; times are in ms on the engine's clock.
+    """Computes deadlines, and returns jobs and attempts once theirs have passed; times in ms on the engine's clock.
 
     Entries with the same deadline come out in the order in which they were scheduled.
     """
 
     def __init__(self, classes: tuple[JobClass, ...]) -> None:
-        self.answer_by = math.inf  # a node that shuts down answers what it still admits by then
+        self.answer_by = math.inf  # by when a node that shuts down answers jobs that it still admits
         self._class_deadlines_ms = {job_class.name: job_class.deadline_ms for job_class in classes}
         self._entries: list[tuple[float, int, Job | Attempt]] = []
         self._last_entry_number = 0
--- a/burlmoor/engine/deferral.py
+++ b/burlmoor/engine/deferral.py
@@ -27,14 +27,14 @@
 
     after: tuple[str, ...]  # ids of the jobs that have to be served first
     not_before_unix_ms: float  # 0: no such condition
-    size_bytes: int  # the request body's, held meanwhile
+    size_bytes: int  # of the request body, which stays in memory meanwhile
 
 
 class ReleasedJob(NamedTuple):
     """A deferred job may run now."""
 
     id: str
-    credit: float  # from 0 to 1: the priority that the time it was deferred has earned
+    credit: float  # from 0 to 1: the priority that it gets for the time it was deferred
 
 
 class EndedJob(NamedTuple):
@@ -47,8 +47,8 @@
 class JobDeferral(Protocol):
     """A queue of deferred jobs.
 
-    It is told of every job, deferred or not, and decides in `step`, never earlier, what becomes of those it
-    holds. Times are in ms on the engine's clock.
+    It is notified of every job, deferred or not, and decides in `step`, never earlier, which of the deferred ones
+    to release or end. Times are in ms on the engine's clock.
     """
 
     @property
--- /dev/null
+++ b/burlmoor/engine/deferral_notifier.py
@@ -0,0 +1,83 @@
+"""The queue that may defer jobs, if there is one, and what it is notified of."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from burlmoor.engine.answers import FinalAnswer
+    from burlmoor.engine.deadlines import DeadlineQueue
+    from burlmoor.engine.deferral import JobDeferral, RunConditions
+    from burlmoor.engine.job import Job
+    from burlmoor.engine.job_registry import JobRegistry
+    from burlmoor.types.events import JobRequest
+
+
+class DeferralNotifier:
+    """Owns whether jobs may be deferred, and notifies the queue of each job that opens or closes.
+
+    `wake` is called when `next_due` may return an earlier time than before. Times are in ms.
+    """
+
+    def __init__(
+        self,
+        jobs: JobRegistry,
+        deadlines: DeadlineQueue,
+        clock: Callable[[], float],
+        wake: Callable[[], None],
+    ) -> None:
+        self._queue: JobDeferral | None = None
+        self._jobs = jobs
+        self._deadlines = deadlines
+        self._clock = clock
+        self._wake = wake
+
+    @property
+    def queue(self) -> JobDeferral | None:
+        """The queue that may defer jobs; None where no job is deferred."""
+        return self._queue
+
+    def enable(self, queue: JobDeferral) -> None:
+        """Let jobs with run conditions be deferred in this queue; it is notified of those that are open."""
+        self._queue = queue
+        for job in self._jobs:
+            if not job.is_closed:
+                queue.on_job_opened(job.id)
+
+    def disable(self) -> None:
+        """Defer no job from now on."""
+        self._queue = None
+
+    def longest_timeout_ms(self, request: JobRequest, conditions: RunConditions | None) -> float:
+        """Return the longest that a request with these conditions may be open, in ms."""
+        if self._queue is None or conditions is None:
+            return self._deadlines.class_deadline_ms(request)
+        return self._queue.max_deferral_ms
+
+    def on_job_opened(
+        self, job: Job, request: JobRequest, conditions: RunConditions | None, now: float
+    ) -> None:
+        """Notify the queue of a new job, which it defers if the job has conditions."""
+        if self._queue is None:
+            return
+        self._queue.on_job_opened(job.id)
+        if conditions is not None:
+            job.deferred_request = request
+            self._queue.defer(job.id, request, conditions, job.deadline, now)
+        self._wake()
+
+    def on_job_closed(self, job: Job, answer: FinalAnswer | None) -> None:
+        """Notify the queue that a job is closed; None if its client has disconnected."""
+        if self._queue is None:
+            return
+        # The queue answers nobody from in here. Without this, a chain of dependent jobs would end in one
+        # recursion and block the event loop.
+        self._queue.on_job_ended(job.id, answer, self._clock())
+        self._wake()
+
+    def next_due(self) -> float:
+        """Return when the queue has something to decide next; infinity without a queue."""
+        return self._queue.next_due(self._clock()) if self._queue is not None else math.inf
--- a/burlmoor/engine/job.py
+++ b/burlmoor/engine/job.py
@@ -1,4 +1,11 @@
-"""A job that the node has admitted, and its attempts."""
+"""A job that the node has admitted, and its attempts, as the engine sees them.
+
+The engine's `Job` and `Attempt` hold what clients and executors depend on: identity, deadlines, state and
+outcome. The policy has its own view of the same job, in `burlmoor.policy.model`, with what it decides by:
+priority, expected times, cached keys. The two views share the numbers of jobs and attempts, and no object.
+
+`JobLifecycle` makes the transitions; `upstream` notes what it has written and received of an attempt.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from burlmoor.engine.interfaces import Responder
+    from burlmoor.engine.answers import FinalAnswer, Responder
     from burlmoor.types.events import JobRequest
     from burlmoor.types.outcome import Outcome
     from burlmoor.types.reasons import CancelReason, EndReason
@@ -23,7 +30,7 @@
     deadline: float
     outcome: Outcome | None = None  # None until the attempt has ended
     cancelled_as: Outcome | None = None  # the outcome once its endpoint is known not to hold the job
-    address: str = ""  # where upstream has sent it
+    address: str = ""  # `host:port` to which upstream has sent it
     written_at: float | None = None  # the last byte of its request
     accepted_at: float | None = None  # the endpoint's 202
     started_at: float | None = None  # the endpoint has reported that the job runs
@@ -46,6 +53,16 @@
         """Whether nothing more is to be done for it but to cancel it."""
         return self.has_ended or self.is_cancelling
 
+    def start(self, now: float) -> None:
+        """Note that the endpoint runs the job; the first report counts."""
+        if self.started_at is None:
+            self.started_at = now
+
+    def end(self, outcome: Outcome, now: float) -> None:
+        """Note how the attempt ended."""
+        self.outcome = outcome
+        self.ended_at = now
+
 
 @dataclass(slots=True, eq=False)
 class Job:
@@ -63,15 +80,22 @@
     is_closed: bool = False  # whether the job has its final answer, or needs none
     deferred_request: JobRequest | None = None  # set while the job is deferred and unknown to the policy
     attempts: list[Attempt] = field(default_factory=list)
-    # How it was closed, for the log.
-    answer_name: str = ""
-    end_reason: EndReason | None = None
+    # How it was closed.
+    answer_type: type[FinalAnswer] | None = None  # None: its client has disconnected
+    end_reason: EndReason | None = None  # None: it was served
     closed_at: float = 0.0
 
     def __post_init__(self) -> None:
-        """Admit the job as it is received; a release from deferral admits it anew."""
+        """Count the job as admitted when it is received; a release from deferral sets a later time."""
         self.admitted_at = self.received_at
 
+    def close(self, answer: FinalAnswer | None, reason: EndReason | None, now: float) -> None:
+        """Note the job's one final answer, None if its client has disconnected, and the reason for it."""
+        self.is_closed = True
+        self.answer_type = None if answer is None else type(answer)
+        self.end_reason = reason
+        self.closed_at = now
+
     def open_attempts(self) -> list[Attempt]:
         """Return the attempts that have not ended."""
         return [attempt for attempt in self.attempts if not attempt.has_ended]
--- a/burlmoor/engine/job_log.py
+++ b/burlmoor/engine/job_log.py
@@ -19,7 +19,7 @@
 
     from burlmoor.engine.job import Attempt, Job
     from burlmoor.log import EventLogger
-    from burlmoor.types.reasons import CancelReason, EndReason
+    from burlmoor.types.reasons import CancelReason
 
 _ANSWER_NAMES: dict[type[FinalAnswer] | None, str] = {
     Served: "served",
@@ -38,14 +38,10 @@
         self._log = log
         self._counters = counters
 
-    def on_job_closed(
-        self, job: Job, answer: FinalAnswer | None, reason: EndReason | None, now: float
-    ) -> None:
-        """Note the answer of a job, None if its client has left."""
-        job.answer_name = _ANSWER_NAMES[None if answer is None else type(answer)]
-        job.end_reason = reason
-        job.closed_at = now
-        counted = job.answer_name if reason is None else f"{job.answer_name}: {reason.value}"
+    def on_job_closed(self, job: Job) -> None:
+        """Count the answer of a job that has just been closed."""
+        answer_name = _ANSWER_NAMES[job.answer_type]
+        counted = answer_name if job.end_reason is None else f"{answer_name}: {job.end_reason.value}"
         self._counters.count(CounterGroup.JOBS, counted)
 
     def on_attempt_started(self, attempt: Attempt) -> None:
@@ -55,7 +51,7 @@
             self._counters.count(CounterGroup.RETRIES, _HEDGED if outcome is None else outcome.value)
 
     def on_attempt_cancelled(self, attempt: Attempt, reason: CancelReason, now: float) -> None:
-        """Note why the node cancelled an attempt; the first reason counts."""
+        """Note and count why the node cancelled an attempt; the first reason counts."""
         if attempt.cancel_reason is None:
             attempt.cancel_reason = reason
             attempt.cancelled_at = now
@@ -68,7 +64,7 @@
                 JobEnded(
                     id=job.id,
                     job_class=job.class_name,
-                    answer=job.answer_name,
+                    answer=_ANSWER_NAMES[job.answer_type],
                     reason=job.end_reason.value if job.end_reason is not None else None,
                     after_ms=_milliseconds_after_receipt(job, job.closed_at),
                     attempts=[_describe(attempt) for attempt in job.attempts],
--- a/burlmoor/engine/job_registry.py
+++ b/burlmoor/engine/job_registry.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
-
-from burlmoor.engine.job import Attempt, Job
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from collections.abc import Iterator
+    from collections.abc import Iterable, Iterator
 
-    from burlmoor.engine.interfaces import Responder
+    from burlmoor.engine.job import Attempt, Job
     from burlmoor.engine.job_log import JobLog
 
 
@@ -17,8 +15,8 @@
     """Holds each job until it is closed and all its attempts have ended."""
 
     def __init__(self, job_log: JobLog) -> None:
-        self.job_log = job_log
-        self.ids_in_other_process: set[str] = set()  # admitted by another process of this node
+        self._job_log = job_log
+        self._ids_in_other_process: set[str] = set()  # admitted by another process of this node
         self._by_number: dict[int, Job] = {}
         self._by_id: dict[str, Job] = {}
         self._last_number = 0
@@ -28,32 +26,24 @@
 
     def is_id_in_use(self, request_id: str) -> bool:
         """Return whether a job with this id is known here or to another process of this node."""
-        return request_id in self._by_id or request_id in self.ids_in_other_process
-
-    def create(
-        self,
-        request_id: str,
-        responder: Responder,
-        class_name: str,
-        payload: Any,
-        received_at: float,
-        deadline: float,
-        is_non_idempotent: bool,
-    ) -> Job:
-        """Register a new open job, with a number that no job of this node has had."""
+        return request_id in self._by_id or request_id in self._ids_in_other_process
+
+    def add_ids_in_other_process(self, request_ids: Iterable[str]) -> None:
+        """Count these ids as in use: another process of this node has admitted jobs under them."""
+        self._ids_in_other_process.update(request_ids)
+
+    def clear_ids_in_other_process(self) -> None:
+        """Forget the ids of the other process: it has ended."""
+        self._ids_in_other_process.clear()
+
+    def next_number(self) -> int:
+        """Return a number that no job of this node has had."""
         self._last_number += 1
-        job = Job(
-            request_id,
-            self._last_number,
-            responder,
-            class_name,
-            payload,
-            received_at,
-            deadline,
-            is_non_idempotent,
-        )
-        self._by_number[job.number] = self._by_id[request_id] = job
-        return job
+        return self._last_number
+
+    def add(self, job: Job) -> None:
+        """Register a new job, whose id must not be in use."""
+        self._by_number[job.number] = self._by_id[job.id] = job
 
     def find_by_id(self, request_id: str) -> Job | None:
         """Return the job with this request id, if it is known."""
@@ -71,17 +61,17 @@
         return next((attempt for attempt in job.open_attempts() if attempt.endpoint == endpoint), None)
 
     def forget_if_done(self, job: Job) -> None:
-        """Drop a job that is closed and has no open attempt; any other is kept."""
+        """Drop a job that is closed and has no open attempt; any other stays."""
         if not job.is_closed or job.open_attempts():
             return
         if self._by_number.pop(job.number, None) is not None:
             del self._by_id[job.id]
-            self.job_log.on_job_over(job)
+            self._job_log.on_job_over(job)
 
     def ids(self) -> list[str]:
-        """Return the request ids of all jobs that are kept, closed ones with open attempts included."""
+        """Return the request ids of all jobs held here, closed ones with open attempts included."""
         return list(self._by_id)
 
     def count_open(self) -> int:
-        """Return how many jobs wait for their final answer."""
+        """Return how many jobs have no final answer yet."""
         return sum(not job.is_closed for job in self._by_number.values())
--- a/burlmoor/engine/policy_driver.py
+++ b/burlmoor/engine/policy_driver.py
@@ -7,15 +7,26 @@
 from typing import TYPE_CHECKING
 
 from burlmoor.log_events import PolicyFailed
-from burlmoor.types.events import Event, JobRequest, TimerFired
+from burlmoor.policy.statistics.snapshot import restore_snapshot, take_snapshot
+from burlmoor.types.events import (
+    EndpointListUpdate,
+    HandoverChanged,
+    HealthChecked,
+    JobRequest,
+    TimerFired,
+)
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Sequence
+    from collections.abc import Callable, Iterable, Sequence
 
     from burlmoor.engine.job_registry import JobRegistry
     from burlmoor.log import EventLogger
     from burlmoor.policy.dispatcher import Dispatcher
+    from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
     from burlmoor.types.actions import Action
+    from burlmoor.types.endpoint_list import EndpointEntry, ListKind
+    from burlmoor.types.events import Event
+    from burlmoor.types.outcome import Outcome
 
 # Of the free slots at endpoints: released jobs leave the rest to the jobs that arrive meanwhile.
 _RELEASABLE_SHARE = 0.8
@@ -34,6 +45,18 @@
         self._events: list[Event] = []
         self._timers: list[tuple[float, int]] = []
 
+    def on_endpoint_list(self, kind: ListKind, entries: Iterable[EndpointEntry]) -> None:
+        """Pass an update of the endpoint list to the policy."""
+        self.post(EndpointListUpdate(kind, list(entries)))
+
+    def on_health_checked(self, endpoint: str, outcome: Outcome, elapsed_ms: float) -> None:
+        """Pass the result of a health check to the policy."""
+        self.post(HealthChecked(endpoint, outcome, elapsed_ms))
+
+    def on_handover_changed(self, *, is_handed_over: bool) -> None:
+        """Notify the policy whether another process admits this node's jobs in place of this one."""
+        self.post(HandoverChanged(is_handed_over))
+
     def post(self, event: Event) -> None:
         """Add an event to the next batch."""
         if not self._events:
@@ -77,8 +100,16 @@
         capacity = _RELEASABLE_SHARE * endpoints.warm_capacity(now)
         return capacity - endpoints.slots_in_flight - self._policy.rounds.queued_slots()
 
+    def take_statistics_snapshot(self, now: float) -> StatisticsSnapshot:
+        """Return the policy's statistics, for another process of this node."""
+        return take_snapshot(self._policy.statistics, self._policy.endpoints.by_name, now)
+
+    def restore_statistics_snapshot(self, snapshot: StatisticsSnapshot, now: float) -> None:
+        """Continue from the statistics of another process, for the endpoints that the policy knows by now."""
+        restore_snapshot(self._policy.statistics, self._policy.endpoints.by_name, snapshot, now)
+
     def _with_remaining_timeout(self, event: Event, now: float) -> Event:
-        """Return a job request with what is left of its timeout when the policy sees it.
+        """Return a job request with the time that remains of its timeout when the policy gets it.
 
         Without this, the policy would time the job out, and advise its client, only after the job's deadline.
         """
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -45,11 +45,11 @@
 
     async def run(self) -> None:
         """Return once all that was admitted is answered and every answer has been sent."""
-        engine = self._parts.engine
+        core, engine = self._parts.core, self._parts.engine
         # Without this, a process that was stopped when the signal came would be killed with jobs open: the
         # platform counts from the signal.
         seconds_ago = self._hold_ups.seconds_held_up()
-        self._log(ShutdownStarted(open_jobs=engine.open_job_count, stalled_seconds=round(seconds_ago, 2)))
+        self._log(ShutdownStarted(open_jobs=core.jobs.count_open(), stalled_seconds=round(seconds_ago, 2)))
         self._drain.begin_shutdown(seconds_ago)
         answered_by = self._clock() + 1000.0 * (self._drain.answer_within_seconds - seconds_ago)
         if self._handover.has_handed_over:
@@ -64,7 +64,7 @@
                 await trio.sleep(_POLL_SECONDS)
         await self._finish_work()
         self._handover.close()
-        self._log(ShutdownFinished(violations=engine.invariants.counts(), counts=engine.counters.totals()))
+        self._log(ShutdownFinished(violations=core.invariants.counts(), counts=core.counters.totals()))
 
     async def _finish_work(self) -> None:
         # Call-backs for what is open still come in, so the node listens until the last job is answered.
@@ -80,7 +80,7 @@
         """Whether this process still owes an answer, a cancellation or a message."""
         server = self._parts.server
         return bool(
-            self._parts.engine.open_job_count
+            self._parts.core.jobs.count_open()
             or self._attempts.open_cancel_calls
             or server.has_unsent
             or server.has_partial_requests
--- a/burlmoor/lifecycle/handover.py
+++ b/burlmoor/lifecycle/handover.py
@@ -151,7 +151,7 @@
                 self._predecessor_role.hand_over(channel)
                 self._update_callback_forwarder()
             case JobOpened(request_id):
-                self._parts.engine.ids_in_other_process.add(request_id)
+                self._parts.core.jobs.add_ids_in_other_process((request_id,))
             case ApplyOverride(number, path, name):
                 self._parts.admin.apply_forwarded(path, name)
                 channel.send(Acknowledged(number))
@@ -179,7 +179,7 @@
         self._update_callback_forwarder()
 
     def _on_forwarded_callback(self, channel: HandoverChannel, number: int, body: bytes) -> None:
-        result = callbacks.handle_callback(self._parts.engine, body)
+        result = callbacks.handle_callback(self._parts.core, body)
         if result is callbacks.CallbackResult.UNKNOWN and self._connected_channels(but=channel):
             self._nursery.start_soon(self._relay_callback, channel, number, body)
         else:
--- a/burlmoor/lifecycle/handover_predecessor.py
+++ b/burlmoor/lifecycle/handover_predecessor.py
@@ -69,8 +69,8 @@
         snapshot = Snapshot(
             overrides=parts.admin.overrides,
             endpoints=parts.directory.snapshot(),
-            statistics=parts.engine.statistics_snapshot(),
-            job_ids=parts.engine.open_job_ids(),
+            statistics=parts.core.policy.take_statistics_snapshot(parts.core.clock()),
+            job_ids=parts.core.jobs.ids(),
             downstream=len(parts.server.connections),
             upstream=parts.pool.open_count,
         )
@@ -84,11 +84,11 @@
         self._accept_scope = None
         self._parts.admin.is_serving = False
         self._limits.freeze_upstream()
-        self._parts.engine.set_handed_over(True)
+        self._parts.core.policy.on_handover_changed(is_handed_over=True)
         self._parts.server.attach_successor(self)
         self._parts.server.pass_idle_to_successor()
         self._send_counts(channel)
-        self._log(HandoverCompleted(open_jobs=self._parts.engine.open_job_count))
+        self._log(HandoverCompleted(open_jobs=self._parts.core.jobs.count_open()))
         self._nursery.start_soon(self._report_counts, channel)
 
     def _send_counts(self, channel: HandoverChannel) -> None:
@@ -117,7 +117,7 @@
         self._parts.server.attach_successor(None)
         if self._accept_scope is None:
             self._log(HandoverReverted())
-            self._parts.engine.set_handed_over(False)
+            self._parts.core.policy.on_handover_changed(is_handed_over=False)
             self._limits.restore()
             self._parts.admin.is_serving = True
             self.start_accepting()
--- a/burlmoor/lifecycle/handover_successor.py
+++ b/burlmoor/lifecycle/handover_successor.py
@@ -53,8 +53,10 @@
         """Go on from the predecessor's state."""
         self._parts.admin.replace(snapshot.overrides)
         self._parts.directory.restore(snapshot.endpoints)
-        self._parts.engine.restore_statistics(snapshot.statistics)
-        self._parts.engine.ids_in_other_process.update(snapshot.job_ids)
+        core = self._parts.core
+        self._parts.engine.step()  # the policy gets the list first: statistics are restored for its endpoints
+        core.policy.restore_statistics_snapshot(snapshot.statistics, core.clock())
+        core.jobs.add_ids_in_other_process(snapshot.job_ids)
         self._limits.reserve(snapshot.downstream, snapshot.upstream)
         self._has_snapshot.set()
 
@@ -70,7 +72,7 @@
     def on_channel_lost(self) -> None:
         """Go on alone: the predecessor has ended."""
         self.channel = None
-        self._parts.engine.ids_in_other_process.clear()
+        self._parts.core.jobs.clear_ids_in_other_process()
         self._limits.reserve(0, 0)
         self._has_snapshot.set()
         self._has_counts.set()
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -19,6 +19,7 @@
 from burlmoor.downstream.drain import DrainController, kill_after_seconds
 from burlmoor.downstream.server import DownstreamServer
 from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
 from burlmoor.lifecycle.connection_limits import divide_sockets
 from burlmoor.lifecycle.graceful_shutdown import GracefulShutdown
@@ -65,22 +66,22 @@
         self._clock = Clock()
         policy = config.settings.policy
         sockets = divide_sockets(config.max_sockets)
-        self.engine = Engine(policy, config.seed, self._clock, log, self._wake)
+        self.core = EngineCore(policy, config.seed, self._clock, log, self._wake)
         self.pool = self._build_pool(sockets.upstream)
         self._lease = ListLease(has_agent=not policy.must_poll)
         self.directory = EndpointDirectory(
-            self.engine, self.pool, self._clock.from_unix, log, self._may_use_list
+            self.core.policy, self.pool, self._clock.from_unix, log, self._may_use_list
         )
-        self.attempts = AttemptRunner(self.engine, self.directory, self.pool, nursery, self._clock, log)
+        self.attempts = AttemptRunner(self.core, self.directory, self.pool, nursery, log)
         self.discovery_pool = self._build_discovery_pool()
         self.discovery = self._build_discovery_client()
-        self.engine.connect(self.attempts, self.discovery)
+        self.engine = Engine(self.core, self.attempts, self.discovery)
         self.drain = DrainController(kill_after_seconds(each.deadline_ms / 1000.0 for each in policy.classes))
         fd = config.listener_fd
         self._listener = bind_socket(config.listen) if fd is None else adopt_listening_socket(fd)
         self.server = self._build_server(sockets.downstream)
         self.admin = AdminService(self.directory, self.drain, self._state_path("by-hand"), log)
-        self._parts = NodeParts(self.engine, self.server, self.pool, self.directory, self.admin)
+        self._parts = NodeParts(self.core, self.engine, self.server, self.pool, self.directory, self.admin)
         self.handover = self._build_handover()
         self._hold_ups = HoldUpMonitor()
         self._shutdown = GracefulShutdown(
@@ -99,8 +100,8 @@
             settings.policy.limits.connect_timeout_ms / 1000.0,
             max_connections,
             reuse_delay_seconds=REUSE_DELAY_SECONDS,
-            invariants=self.engine.invariants,
-            counters=self.engine.counters,
+            invariants=self.core.invariants,
+            counters=self.core.counters,
         )
 
     def _build_discovery_pool(self) -> ConnectionPool:
@@ -130,7 +131,14 @@
     def _build_server(self, max_connections: int) -> DownstreamServer:
         classes = [each.name for each in self._config.settings.policy.classes]
         return DownstreamServer(
-            self.engine, classes, self._listener, max_connections, self.drain, self._nursery, self._log
+            self.core,
+            self.engine,
+            classes,
+            self._listener,
+            max_connections,
+            self.drain,
+            self._nursery,
+            self._log,
         )
 
     def _build_handover(self) -> Handover:
@@ -153,7 +161,7 @@
             from burlmoor.deferred import DeferredService  # noqa: PLC0415
 
             seed = self._config.seed + _DEFERRED_SEED_OFFSET
-            self._deferred = DeferredService(self.engine, self.server, self.admin, seed, self._log)
+            self._deferred = DeferredService(self.core, self.server, self.admin, seed, self._log)
         if self._deferred is not None:
             self._deferred.apply_options(deferred_options)
 
@@ -232,7 +240,7 @@
         """Write what happened to jobs, attempts and connections, by reason, again and again."""
         while True:
             await trio.sleep(_COUNTS_INTERVAL_SECONDS)
-            if counts := self.engine.counters.take_changes():
+            if counts := self.core.counters.take_changes():
                 self._log(Counts.from_groups(counts))
 
     # --- signals --------------------------------------------------------------------------------
--- a/burlmoor/lifecycle/parts.py
+++ b/burlmoor/lifecycle/parts.py
@@ -9,6 +9,7 @@
     from burlmoor.admin.service import AdminService
     from burlmoor.downstream.server import DownstreamServer
     from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.engine.core import EngineCore
     from burlmoor.engine.engine import Engine
     from burlmoor.upstream.pool import ConnectionPool
 
@@ -17,6 +18,7 @@
 class NodeParts:
     """The parts of one running node; `Node` builds and owns them."""
 
+    core: EngineCore
     engine: Engine
     server: DownstreamServer
     pool: ConnectionPool
--- a/burlmoor/simulation/network.py
+++ b/burlmoor/simulation/network.py
@@ -8,7 +8,7 @@
     import random
     from collections.abc import Callable, Sequence
 
-    from burlmoor.engine.engine import Engine
+    from burlmoor.engine.core import EngineCore
     from burlmoor.engine.job import Attempt
     from burlmoor.simulation.event_queue import EventQueue
     from burlmoor.simulation.records import ExecutorRecord
@@ -18,7 +18,7 @@
 class NodeProcess(Protocol):
     """A node as the network knows it."""
 
-    core: Engine
+    core: EngineCore
     generation: int
     is_alive: bool
 
@@ -40,26 +40,26 @@
 
     def report_started(self, attempt: Attempt, record: ExecutorRecord) -> None:
         """Report that an attempt has begun to run."""
-        self._report(record, lambda engine: engine.on_attempt_started(attempt))
+        self._report(record, lambda core: core.lifecycle.on_attempt_started(attempt))
 
     def report_progress(self, attempt: Attempt, record: ExecutorRecord, fraction: float) -> None:
         """Report what fraction of an attempt's work is done."""
-        self._report(record, lambda engine: engine.on_attempt_progressed(attempt, fraction))
+        self._report(record, lambda core: core.lifecycle.on_attempt_progressed(attempt, fraction))
 
     def report_end(
         self, attempt: Attempt, record: ExecutorRecord, outcome: Outcome, result: bytes | None = None
     ) -> None:
         """Report how an attempt ended."""
 
-        def end_attempt(engine: Engine) -> None:
+        def end_attempt(core: EngineCore) -> None:
             if record.outcome is None:
                 record.outcome = outcome
                 record.outcome_known_at = self._events.now
-            engine.on_attempt_ended(attempt, outcome, result)
+            core.lifecycle.on_attempt_ended(attempt, outcome, result)
 
         self._report(record, end_attempt)
 
-    def _report(self, record: ExecutorRecord, deliver: Callable[[Engine], None]) -> None:
+    def _report(self, record: ExecutorRecord, deliver: Callable[[EngineCore], None]) -> None:
         """Deliver to the process that sent the attempt, if it still runs by then."""
         node = self._nodes[record.node_index]
 
--- a/burlmoor/simulation/node.py
+++ b/burlmoor/simulation/node.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
+from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
 from burlmoor.log_events import ActionFailed, AnsweredAtDeadline, PolicyFailed
 from burlmoor.simulation.records import AnswerRecord, ClientRecord, EndpointNotification, ExecutorRecord
@@ -74,8 +75,8 @@
         self._next_step_at = math.inf
         zone = spec.zones[index % len(spec.zones)]
         settings = replace(spec.settings, node_index=index, zone=zone)
-        self.core = Engine(settings, seed, lambda: events.now, self._on_log_event, self._wake)
-        self.core.connect(self, self)
+        self.core = EngineCore(settings, seed, lambda: events.now, self._on_log_event, self._wake)
+        self.engine = Engine(self.core, self, self)
 
     def start(self) -> None:
         """Start from the endpoint list as it is now, as from a cached one."""
@@ -94,9 +95,9 @@
         if not self.is_alive:
             return
         now = self._events.now
-        if self.core.next_due() <= now:
-            self.core.step()
-        due = self.core.next_due()
+        if self.engine.next_due() <= now:
+            self.engine.step()
+        due = self.engine.next_due()
         if due < math.inf and not now < self._next_step_at <= due:
             self._next_step_at = due
             self._events.schedule(due, self._step)
@@ -119,19 +120,19 @@
             self._recorder.notifications.append(
                 EndpointNotification(self._events.now, self.index, name, state, started_at)
             )
-        self.core.on_endpoint_list(kind, entries)
+        self.core.policy.on_endpoint_list(kind, entries)
         self._wake()
 
     def on_job(self, record: ClientRecord, request: JobRequest) -> None:
         """Admit or reject a client's job."""
-        job = self.core.admit(SimulatedClient(record, self._events), record.request_id, request, None)
+        job = self.engine.admit(SimulatedClient(record, self._events), record.request_id, request, None)
         if job is not None:
             self.jobs[record.request_id] = job
         self._wake()
 
     def on_client_disconnected(self, request_id: str) -> None:
         """Tell the engine that a job's client has disconnected."""
-        self.core.on_client_disconnected(self.jobs[request_id])
+        self.core.lifecycle.on_client_disconnected(self.jobs[request_id])
 
     # --- upstream -------------------------------------------------------------------------------
 
@@ -160,12 +161,12 @@
             record.outcome = attempt.outcome or Outcome.CANCELLED
             record.outcome_known_at = self._events.now
         self._after_delays(1, lambda: self._executors.cancel(attempt))
-        self._after_delays(2, lambda: self.core.on_attempt_cancelled(attempt))
+        self._after_delays(2, lambda: self.core.lifecycle.on_attempt_cancelled(attempt))
 
     def check_health(self, endpoint: str) -> None:
         """Check whether an executor's process runs; the result arrives after two network delays."""
         outcome = Outcome.SERVED if self._executors.is_running(endpoint) else Outcome.UNREACHABLE
-        self._after_delays(2, lambda: self.core.on_health_checked(endpoint, outcome, _HEALTH_CHECK_MS))
+        self._after_delays(2, lambda: self.core.policy.on_health_checked(endpoint, outcome, _HEALTH_CHECK_MS))
 
     def _find_record(self, attempt: Attempt) -> ExecutorRecord:
         return next(
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -14,6 +14,7 @@
 from burlmoor.types.endpoint_list import EndpointState
 
 if TYPE_CHECKING:
+    from burlmoor.engine.job import Attempt
     from burlmoor.policy.model.job import ScheduledJob
 
 
@@ -198,15 +199,15 @@
 
 def _unconfirmed_cancel() -> None:
     """A cancelled attempt counts as over before its endpoint has heard of that."""
-    from burlmoor.engine.attempt_controller import AttemptController  # noqa: PLC0415
+    from burlmoor.upstream.attempts import AttemptRunner  # noqa: PLC0415
 
-    cancel_attempt = AttemptController.cancel_attempt
+    cancel_attempt = AttemptRunner.cancel_attempt
 
-    def cancel_and_end(self: AttemptController, attempt: Any, *rest: Any) -> None:
-        cancel_attempt(self, attempt, *rest)
-        self._end_cancelled(attempt)
+    def cancel_and_end(self: AttemptRunner, attempt: Attempt) -> None:
+        cancel_attempt(self, attempt)
+        self._lifecycle._end_cancelled(attempt)
 
-    AttemptController.cancel_attempt = cancel_and_end  # type: ignore[assignment, method-assign]
+    AttemptRunner.cancel_attempt = cancel_and_end  # type: ignore[method-assign]
 
 
 Sabotages = dict[str, Callable[[], None]]
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -29,11 +29,9 @@
 )
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
-
     from burlmoor.endpoints.directory import EndpointDirectory
     from burlmoor.endpoints.endpoint_table import ListedEndpoint
-    from burlmoor.engine.engine import Engine
+    from burlmoor.engine.core import EngineCore
     from burlmoor.engine.job import Attempt
     from burlmoor.log import EventLogger
     from burlmoor.upstream.connection import PooledConnection
@@ -67,27 +65,29 @@
 class AttemptRunner:
     """Owns every attempt that waits for its 202.
 
-    Each attempt runs as a task of `nursery`. `clock` gives ms.
+    Each attempt runs as a task of `nursery`.
     """
 
     def __init__(
         self,
-        engine: Engine,
+        core: EngineCore,
         directory: EndpointDirectory,
         pool: ConnectionPool,
         nursery: trio.Nursery,
-        clock: Callable[[], float],
         log: EventLogger,
     ) -> None:
-        self._engine = engine
+        self._lifecycle = core.lifecycle
+        self._invariants = core.invariants
         self._directory = directory
         self._pool = pool
         self._nursery = nursery
-        self._clock = clock
+        self._clock = core.clock
         self._log = log
-        self._health_checker = HealthChecker(engine, directory, pool, clock, log)
-        self._in_flight = InFlightAttempts(engine, directory, nursery, log)
-        self._canceller = AttemptCanceller(engine, pool, nursery, log)
+        self._health_checker = HealthChecker(core.policy, directory, pool, core.clock, log)
+        self._in_flight = InFlightAttempts(core.invariants, self._abandon, directory, nursery, log)
+        self._canceller = AttemptCanceller(
+            core.lifecycle, pool, nursery, log, may_cancel=core.settings.limits.may_cancel
+        )
 
     @property
     def in_flight(self) -> int:
@@ -117,10 +117,15 @@
             return
         in_flight.abort()
         if not in_flight.is_written:
-            self._engine.on_attempt_cancelled(attempt)
+            self._lifecycle.on_attempt_cancelled(attempt)
         elif not attempt.has_ended:
             self._canceller.cancel(attempt)
 
+    def _abandon(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> None:
+        """Cancel an attempt that can't be continued from here."""
+        if self._lifecycle.begin_cancellation(attempt, outcome, reason):
+            self.cancel_attempt(attempt)
+
     def check_health(self, endpoint: str) -> None:
         """Start a health check of an endpoint; the engine learns the outcome."""
         self._nursery.start_soon(self._health_checker.check, endpoint)
@@ -133,12 +138,12 @@
                 outcome = await self._exchange(attempt, in_flight)
                 # What is cancelled ends by the endpoint's word, not by the error of its aborted connection.
                 if outcome is not None and not attempt.is_over:
-                    self._engine.on_attempt_ended(attempt, outcome)
+                    self._lifecycle.on_attempt_ended(attempt, outcome)
         except Exception as error:  # noqa: BLE001
             # The boundary of the attempt's task: without this, an error in one attempt would end the node.
             # Whether the job has run is not known.
             self._log(AttemptError(endpoint=attempt.endpoint, error=repr(error)))
-            self._engine.cancel_attempt(attempt, Outcome.RESET, CancelReason.INTERNAL_ERROR)
+            self._abandon(attempt, Outcome.RESET, CancelReason.INTERNAL_ERROR)
         finally:
             self._in_flight.remove(attempt)
 
@@ -179,7 +184,7 @@
             return Outcome.RESET
         is_timeout = isinstance(error, ResponseTimeoutError)
         reason = CancelReason.NO_RESPONSE if is_timeout else CancelReason.INVALID_RESPONSE
-        self._engine.cancel_attempt(attempt, Outcome.RESET, reason)
+        self._abandon(attempt, Outcome.RESET, reason)
         return None
 
     async def _read_response(self, attempt: Attempt, connection: PooledConnection) -> Response:
@@ -242,6 +247,4 @@
         elif self._directory.find_live(attempt.endpoint) != endpoint:
             violated = Invariant.SEND
         if violated is not None:
-            self._engine.invariants.record_violation(
-                violated, job_id=attempt.job.id, endpoint=attempt.endpoint
-            )
+            self._invariants.record_violation(violated, job_id=attempt.job.id, endpoint=attempt.endpoint)
--- a/burlmoor/upstream/cancellation.py
+++ b/burlmoor/upstream/cancellation.py
@@ -10,8 +10,8 @@
 from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
 
 if TYPE_CHECKING:
-    from burlmoor.engine.engine import Engine
     from burlmoor.engine.job import Attempt
+    from burlmoor.engine.job_lifecycle import JobLifecycle
     from burlmoor.log import EventLogger
     from burlmoor.upstream.pool import ConnectionPool
 
@@ -29,8 +29,17 @@
     endpoint whose connections are all taken refuses further ones, and goes on with its jobs.
     """
 
-    def __init__(self, engine: Engine, pool: ConnectionPool, nursery: trio.Nursery, log: EventLogger) -> None:
-        self._engine = engine
+    def __init__(
+        self,
+        lifecycle: JobLifecycle,
+        pool: ConnectionPool,
+        nursery: trio.Nursery,
+        log: EventLogger,
+        *,
+        may_cancel: bool,
+    ) -> None:
+        self._lifecycle = lifecycle
+        self._may_cancel = may_cancel
         self._pool = pool
         self._nursery = nursery
         self._log = log
@@ -44,7 +53,7 @@
 
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt, unless that is under way."""
-        if self._engine.settings.limits.may_cancel and attempt not in self._attempts:
+        if self._may_cancel and attempt not in self._attempts:
             self._attempts.add(attempt)
             self._nursery.start_soon(self._cancel, attempt)
 
@@ -69,7 +78,7 @@
                 return
             is_confirmed = await self._call(attempt, _TIMEOUT_SECONDS, must_connect=True)
         if is_confirmed:
-            self._engine.on_attempt_cancelled(attempt)
+            self._lifecycle.on_attempt_cancelled(attempt)
 
     async def _call(self, attempt: Attempt, timeout_seconds: float, must_connect: bool = False) -> bool:
         """Send one DELETE; whether the endpoint has answered it."""
--- a/burlmoor/upstream/health_check.py
+++ b/burlmoor/upstream/health_check.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from burlmoor.endpoints.directory import EndpointDirectory
-    from burlmoor.engine.engine import Engine
+    from burlmoor.engine.policy_driver import PolicyDriver
     from burlmoor.log import EventLogger
     from burlmoor.upstream.pool import ConnectionPool
 
@@ -28,13 +28,13 @@
 
     def __init__(
         self,
-        engine: Engine,
+        policy: PolicyDriver,
         directory: EndpointDirectory,
         pool: ConnectionPool,
         clock: Callable[[], float],
         log: EventLogger,
     ) -> None:
-        self._engine = engine
+        self._policy = policy
         self._directory = directory
         self._pool = pool
         self._clock = clock
@@ -53,7 +53,7 @@
             # The boundary of the check's task: without this, an error in one check would end the node.
             outcome = Outcome.TIMEOUT
             self._log(AttemptError(endpoint=endpoint, error=repr(error)))
-        self._engine.on_health_checked(endpoint, outcome, self._clock() - started_at)
+        self._policy.on_health_checked(endpoint, outcome, self._clock() - started_at)
 
     async def _request(self, endpoint: str) -> Outcome:
         address = self._directory.address_of(endpoint)
--- a/burlmoor/upstream/in_flight.py
+++ b/burlmoor/upstream/in_flight.py
@@ -13,9 +13,11 @@
 from burlmoor.types.reasons import CancelReason, CloseReason
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
     from burlmoor.endpoints.directory import EndpointDirectory
-    from burlmoor.engine.engine import Engine
     from burlmoor.engine.job import Attempt
+    from burlmoor.invariants import InvariantMonitor
     from burlmoor.log import EventLogger
     from burlmoor.upstream.connection import PooledConnection
 
@@ -46,12 +48,14 @@
 
     def __init__(
         self,
-        engine: Engine,
+        invariants: InvariantMonitor,
+        abandon: Callable[[Attempt, Outcome, CancelReason], None],
         directory: EndpointDirectory,
         nursery: trio.Nursery,
         log: EventLogger,
     ) -> None:
-        self._engine = engine
+        self._invariants = invariants
+        self._abandon = abandon
         self._directory = directory
         self._nursery = nursery
         self._log = log
@@ -91,7 +95,7 @@
             return
         # A request of which not all was written has not run.
         outcome = Outcome.RESET if in_flight.is_written else Outcome.UNREACHABLE
-        self._engine.cancel_attempt(attempt, outcome, CancelReason.ENDPOINT_NOT_LIVE)
+        self._abandon(attempt, outcome, CancelReason.ENDPOINT_NOT_LIVE)
         self._log(
             AttemptWithdrawn(
                 id=attempt.job.id,
@@ -102,6 +106,6 @@
         )
         await trio.sleep(_WITHDRAWN_AFTER_SECONDS - _WITHDRAW_AFTER_SECONDS)
         if self._by_attempt.get(attempt) is in_flight:
-            self._engine.invariants.record_violation(
+            self._invariants.record_violation(
                 Invariant.WITHDRAW, job_id=attempt.job.id, endpoint=attempt.endpoint
             )
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -45,14 +45,14 @@
     async def scenario(harness: NodeHarness) -> None:
         await harness.wait_ready()  # before that nothing is live
         updates: list[EndpointListUpdate] = []
-        on_endpoint_list = harness.node.engine.on_endpoint_list
+        on_endpoint_list = harness.node.core.policy.on_endpoint_list
 
         def record(kind: ListKind, entries: Any) -> None:
             updates.append(EndpointListUpdate(kind, list(entries)))
             on_endpoint_list(kind, updates[-1].entries)
 
-        harness.node.engine.on_endpoint_list = record  # type: ignore[method-assign]
-        before = harness.node.engine.clock()
+        harness.node.core.policy.on_endpoint_list = record  # type: ignore[method-assign]
+        before = harness.node.core.clock()
         await call_admin(harness, "/executors/disable", "e0")
         await call_admin(harness, "/executors/enable", "e0")
         disabled, enabled = (update.entries[0] for update in updates)
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -210,7 +210,7 @@
         await wait_until_sent(harness, "p", "c3", "c1")
         await harness.send_callback("done", "waited")
         assert (await harness.read_response(first)).body == b"waited"
-        await harness.wait_until(lambda: harness.node.engine.deferral is None)
+        await harness.wait_until(lambda: harness.node.core.deferral.queue is None)
         path.write_text("[waiting]\n")
         harness.node.reload(given)
         await submit_deferred(harness, "p2")
@@ -226,7 +226,7 @@
 
 def test_a_dependent_of_a_job_in_the_old_process_is_rejected() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        harness.node.engine.ids_in_other_process.add("p")  # as the handover reports them
+        harness.node.core.jobs.add_ids_in_other_process(["p"])  # as the handover reports them
         answer = await harness.read_response(await submit_deferred(harness, "c", "p"))
         assert answer.status == 503
 
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -31,7 +31,7 @@
     assert harness.started_ids() == ["p", "c"]
     harness.finish_attempt("c")
     assert child.answers == [Served(b"done")]
-    assert harness.engine.open_job_count == 0
+    assert harness.core.jobs.count_open() == 0
 
 
 @pytest.mark.parametrize("how", ["fails", "is rejected", "client disconnects", "reaches its deadline"])
@@ -44,19 +44,21 @@
         harness.submit_deferred(f"c{n}", f"c{n - 1}") for n in range(1, 20)
     ]
     if how == "fails":
-        harness.engine.on_attempt_ended(parent.attempts[-1], Outcome.ERROR)
+        harness.core.lifecycle.on_attempt_ended(parent.attempts[-1], Outcome.ERROR)
     elif how == "is rejected":
         actions: list[Action] = [RejectJob(parent.number)]
-        harness.engine.on_attempt_ended(parent.attempts[-1], Outcome.OVERLOADED)
-        monkeypatch.setattr(harness.engine._policy, "handle", lambda *_: [actions.pop()] if actions else [])
+        harness.core.lifecycle.on_attempt_ended(parent.attempts[-1], Outcome.OVERLOADED)
+        monkeypatch.setattr(
+            harness.core.policy._policy, "handle", lambda *_: [actions.pop()] if actions else []
+        )
     elif how == "client disconnects":
-        harness.engine.on_client_disconnected(parent)
+        harness.core.lifecycle.on_client_disconnected(parent)
     else:
         harness.advance(3000.0)
     harness.advance(50.0)
     for child in children:
         assert child.answer_types() == [DependencyFailed]
-    assert harness.engine.open_job_count == 0
+    assert harness.core.jobs.count_open() == 0
 
 
 def test_a_long_chain_ends_over_several_steps_with_one_answer_for_each_job() -> None:
@@ -65,7 +67,7 @@
     clients = [harness.submit_deferred("c0", "p")] + [
         harness.submit_deferred(f"c{n}", f"c{n - 1}") for n in range(1, 10_000)
     ]
-    harness.engine.on_client_disconnected(parent)
+    harness.core.lifecycle.on_client_disconnected(parent)
     steps = 0
     while any(not client.answers for client in clients):
         answered = sum(bool(client.answers) for client in clients)
@@ -121,7 +123,7 @@
     assert [client.answer_types() for client in clients] == [[], [], [], [Rejected]]
     assert clients[3].answers[0].retry_after_ms > 0.0  # type: ignore[union-attr]
     assert "deferred-full" in harness.logged_events
-    harness.engine.on_client_disconnected(harness.find_job("c0"))
+    harness.core.lifecycle.on_client_disconnected(harness.find_job("c0"))
     late = harness.submit_deferred("late", "p", size_bytes=size_bytes)
     harness.advance(10.0)
     assert late.answers == []
@@ -132,12 +134,12 @@
     harness.submit(request_id="p")
     client = harness.submit_deferred("c", "p")
     assert harness.engine.admit(RecordingResponder(), "c", JobRequest(0, "lookup", 500.0), None) is None
-    harness.engine.on_client_disconnected(harness.find_job("c"))
+    harness.core.lifecycle.on_client_disconnected(harness.find_job("c"))
     harness.finish_attempt("p") if harness.started_attempts else harness.advance(60.0)
     harness.advance(100.0)
     assert client.answers == []
     assert harness.queue.job_count == harness.queue.body_bytes == len(harness.queue.status_by_id) == 0
-    assert harness.engine.open_job_count <= 1
+    assert harness.core.jobs.count_open() <= 1
 
 
 def test_draining_rejects_deferred_jobs_until_it_is_undone() -> None:
@@ -182,7 +184,7 @@
     queue = DeferredJobQueue(
         DeferredOptions(unknown_timeout_ms=100.0), 1000, 1000.0, 1, harness.log, harness.now
     )
-    harness.engine.enable_deferral(queue)
+    harness.core.deferral.enable(queue)
     client = RecordingResponder()
     harness.engine.admit(
         client, "c", JobRequest(0, "lookup", 5000.0, 10.0), None, RunConditions(("p",), 0.0, 1)
@@ -213,16 +215,16 @@
         self.clients[request_id] = client
 
     def disconnect_client(self) -> None:
-        job = self.rng.choice(list(self.harness.engine.jobs))
+        job = self.rng.choice(list(self.harness.core.jobs))
         if not job.is_closed:
             self.clients[job.id].answers.append(Failed())  # stands for the answer that it doesn't get
-        self.harness.engine.on_client_disconnected(job)
+        self.harness.core.lifecycle.on_client_disconnected(job)
 
     def end_attempts(self) -> None:
         for attempt in self.harness.open_attempts():
             if self.rng.random() < 0.5:
                 outcome = self.rng.choice([Outcome.SERVED] * 4 + [Outcome.ERROR, Outcome.OVERLOADED])
-                self.harness.engine.on_attempt_ended(attempt, outcome, b"x")
+                self.harness.core.lifecycle.on_attempt_ended(attempt, outcome, b"x")
 
     def check_order(self) -> None:
         for request_id in self.harness.started_ids():
@@ -232,7 +234,7 @@
     def serve_all(self) -> None:
         for _ in range(200):
             for attempt in self.harness.open_attempts():
-                self.harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"x")
+                self.harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"x")
             self.harness.advance(200.0)
 
 
--- a/tests/deferred/test_release.py
+++ b/tests/deferred/test_release.py
@@ -27,7 +27,7 @@
     job = harness.find_job("c")
     assert harness.started_ids()[-1] == "c"
     assert 2500.0 < job.deadline - harness.now < 3000.0
-    known = harness.engine._policy.context.jobs.by_id[job.number]
+    known = harness.core.policy._policy.context.jobs.by_id[job.number]
     # The latency objective counts from the release: nothing of it was spent on earlier tries.
     assert known.objective_at == pytest.approx(job.admitted_at + known.objective_ms, abs=10.0)
     harness.finish_attempt("c")
@@ -49,20 +49,20 @@
 def test_deferral_credit_grows_with_the_deferral_and_is_bounded() -> None:
     harness = DeferralHarness(full_credit_ms=5000.0)
     requests: list[JobRequest] = []
-    handle = harness.engine._policy.handle
+    handle = harness.core.policy._policy.handle
 
     def spy(now: float, events: Any) -> list[Action]:
         requests.extend(event for event in events if isinstance(event, JobRequest))
         return handle(now, events)
 
-    harness.engine._policy.handle = spy  # type: ignore[method-assign]
+    harness.core.policy._policy.handle = spy  # type: ignore[method-assign]
     for ref, wait in (("a", 1000.0), ("b", 60_000.0)):
         harness.submit_deferred(
             ref, not_before_unix_ms=UNIX_EPOCH_MS + harness.now + wait, timeout_ms=100_000.0
         )
     harness.advance(61_000.0)
     assert [round(request.deferral_credit, 1) for request in requests] == [0.2, 1.0]
-    policy = harness.engine._policy
+    policy = harness.core.policy._policy
     harness.submit(request_id="plain")
     harness.advance(2.0)
     jobs = {job.id: job for job in policy.context.jobs.by_id.values()}
@@ -87,7 +87,7 @@
         harness.submit_deferred(f"h{number}", not_before_unix_ms=due_at, timeout_ms=60_000.0)
     harness.advance(1005.0)
     assert "h29" not in harness.started_ids()  # runnable, and queued behind the others for its release
-    harness.engine.on_client_disconnected(harness.find_job("h29"))
+    harness.core.lifecycle.on_client_disconnected(harness.find_job("h29"))
     harness.submit_deferred(
         "h29", not_before_unix_ms=UNIX_EPOCH_MS + harness.now + 50_000.0, timeout_ms=60_000.0
     )
--- a/tests/deferred/test_status.py
+++ b/tests/deferred/test_status.py
@@ -34,7 +34,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(view)
             await began.wait()
-            harness.engine.on_client_disconnected(harness.find_job("c7"))  # while it is counted
+            harness.core.lifecycle.on_client_disconnected(harness.find_job("c7"))  # while it is counted
             harness.engine.step()
         return seen
 
--- a/tests/downstream/test_other_process.py
+++ b/tests/downstream/test_other_process.py
@@ -45,7 +45,7 @@
 
 def test_a_request_id_in_use_in_the_other_process_is_rejected() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        harness.node.engine.ids_in_other_process.add("a1")
+        harness.node.core.jobs.add_ids_in_other_process(["a1"])
         assert (await harness.read_response(await harness.submit_job("once", "a1"))).status == 400
         assert not harness.jobs
 
--- a/tests/engine/test_cancelling.py
+++ b/tests/engine/test_cancelling.py
@@ -17,7 +17,7 @@
 
 def cancel(harness: EngineHarness, outcome: Outcome = Outcome.RESET) -> None:
     """Cancel the latest attempt, and let its job be retried if that is allowed."""
-    harness.engine.cancel_attempt(harness.started_attempts[-1], outcome, CancelReason.NO_RESPONSE)
+    harness.cancel(harness.started_attempts[-1], outcome, CancelReason.NO_RESPONSE)
     harness.advance(100.0)
 
 
@@ -32,33 +32,33 @@
         assert len(harness.started_attempts) == min(number + 2, allowed)
     first = harness.started_attempts[0]
     assert harness.cancelled_attempts[0] is first
-    harness.engine.on_attempt_cancelled(first)
+    harness.core.lifecycle.on_attempt_cancelled(first)
     assert first.outcome is Outcome.RESET
     harness.advance(100.0)
     assert len(harness.started_attempts) == allowed + 1
     assert len(harness.open_attempts()) == allowed
-    assert harness.engine.invariants.counts() == {}
+    assert harness.core.invariants.counts() == {}
 
 
 def test_a_result_that_comes_before_the_cancel_is_confirmed_serves_the_job() -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     client, attempt = harness.submit_and_start(work_ms=2000.0)
     cancel(harness)
-    assert harness.engine.find_attempt("a1", attempt.endpoint) is attempt
-    harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"late")
-    harness.engine.on_attempt_cancelled(attempt)
+    assert harness.core.jobs.find_attempt("a1", attempt.endpoint) is attempt
+    harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"late")
+    harness.core.lifecycle.on_attempt_cancelled(attempt)
     harness.advance(100.0)
     assert client.answers == [Served(b"late")]
     assert harness.started_attempts == [attempt]
-    assert harness.engine.open_job_ids() == []
+    assert harness.core.jobs.ids() == []
 
 
 def test_a_start_that_is_reported_after_the_cancellation_changes_nothing() -> None:
     harness = EngineHarness(limits=HEDGING)
     _, attempt = harness.submit_and_start(work_ms=2000.0)
-    harness.engine.cancel_attempt(attempt, Outcome.RESET, CancelReason.NO_RESPONSE)
-    harness.engine.on_attempt_started(attempt)
-    harness.engine.on_attempt_progressed(attempt, 0.5)
+    harness.cancel(attempt, Outcome.RESET, CancelReason.NO_RESPONSE)
+    harness.core.lifecycle.on_attempt_started(attempt)
+    harness.core.lifecycle.on_attempt_progressed(attempt, 0.5)
     harness.advance(100.0)
     assert len(harness.started_attempts) == 2
 
@@ -71,7 +71,7 @@
     harness.advance(900.0)
     assert client.answer_types() == [Rejected]
     assert harness.open_attempts() == []
-    assert harness.engine.open_job_ids() == []
+    assert harness.core.jobs.ids() == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.UNREACHABLE])
@@ -93,7 +93,9 @@
     harness.engine.answer_all_by(harness.now + 100.0)
     # In the step of the answer, its attempt has ended and its cancel is only on its way.
     again = StartAttempt(attempt.job.number, other)
-    monkeypatch.setattr(harness.engine._policy, "handle", lambda *_: [again] if attempt.has_ended else [])
+    monkeypatch.setattr(
+        harness.core.policy._policy, "handle", lambda *_: [again] if attempt.has_ended else []
+    )
     harness.advance(200.0)
     assert client.answers == [Failed()]
     assert harness.started_attempts == [attempt]
@@ -102,9 +104,9 @@
 def test_an_attempt_whose_own_time_is_over_counts_as_out() -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     _, attempt = harness.submit_and_start(work_ms=2000.0)
-    harness.engine._deadlines.schedule(harness.now + 10.0, attempt)
+    harness.core.deadlines.schedule(harness.now + 10.0, attempt)
     harness.advance(100.0)
     assert not attempt.has_ended
     assert harness.started_attempts == harness.cancelled_attempts == [attempt]
-    harness.engine.on_attempt_cancelled(attempt)
+    harness.core.lifecycle.on_attempt_cancelled(attempt)
     assert attempt.outcome is Outcome.TIMEOUT
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -25,7 +25,7 @@
 ) -> None:
     harness = EngineHarness()
     client, attempt = harness.submit_and_start(name)
-    harness.engine.on_attempt_ended(attempt, outcome)
+    harness.core.lifecycle.on_attempt_ended(attempt, outcome)
     harness.advance(100.0)
     if name == "once" and outcome in MAY_HAVE_RUN:
         assert client.answers == [Failed()]
@@ -39,14 +39,14 @@
 def test_the_first_result_is_the_answer_and_a_repeated_one_changes_nothing() -> None:
     harness = EngineHarness()
     client, attempt = harness.submit_and_start()
-    assert harness.engine.find_attempt("a1", attempt.endpoint) is attempt
-    assert harness.engine.find_attempt("a1", "other") is None
-    harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"one")
-    harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"two")
-    assert harness.engine.find_attempt("a1", attempt.endpoint) is None
+    assert harness.core.jobs.find_attempt("a1", attempt.endpoint) is attempt
+    assert harness.core.jobs.find_attempt("a1", "other") is None
+    harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"one")
+    harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"two")
+    assert harness.core.jobs.find_attempt("a1", attempt.endpoint) is None
     harness.advance(10_000.0)
     assert client.answers == [Served(b"one")]
-    assert harness.engine.open_job_count == 0
+    assert harness.core.jobs.count_open() == 0
 
 
 @pytest.mark.parametrize(("name", "answer"), [("lookup", Rejected), ("once", Failed)])
@@ -55,7 +55,7 @@
 ) -> None:
     harness = EngineHarness()
     client, attempt = harness.submit_and_start(name, timeout_ms=900.0)
-    harness.engine.on_attempt_started(attempt)
+    harness.core.lifecycle.on_attempt_started(attempt)
     harness.advance(900.0)
     assert client.answer_types() == [answer]
     assert attempt in harness.cancelled_attempts
@@ -76,16 +76,16 @@
     def broken(*_given: Any) -> list[Action]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(harness.engine._policy, "handle", broken)
+    monkeypatch.setattr(harness.core.policy._policy, "handle", broken)
     harness.advance(901.0)
     assert client.answers == [answer]
     assert {"policy-failed", "answered-at-deadline"} <= set(harness.logged_events)
-    assert harness.engine.open_job_count == 0
+    assert harness.core.jobs.count_open() == 0
 
 
 def test_the_policy_rejects_before_the_deadline_and_its_retry_advice_reaches_the_client() -> None:
     harness = EngineHarness()
-    harness.engine.on_endpoint_list(ListKind.SNAPSHOT, [])
+    harness.core.policy.on_endpoint_list(ListKind.SNAPSHOT, [])
     harness.advance(100.0)
     client, _ = harness.submit(timeout_ms=300.0, work_ms=1.0)
     harness.now += 20.0  # steps may come late
@@ -99,7 +99,7 @@
 def test_a_disconnected_client_gets_no_answer_and_its_attempt_is_cancelled() -> None:
     harness = EngineHarness()
     client, attempt = harness.submit_and_start()
-    harness.engine.on_client_disconnected(attempt.job)
+    harness.core.lifecycle.on_client_disconnected(attempt.job)
     harness.advance(10.0)
     assert harness.cancelled_attempts == [attempt]
     harness.advance(6000.0)
@@ -110,7 +110,8 @@
 def test_without_hedging_a_job_is_retried_only_once_its_attempt_is_cancelled(may_hedge: bool) -> None:
     harness = EngineHarness(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=may_hedge))
     _, attempt = harness.submit_and_start(work_ms=2000.0)
-    harness.engine.on_attempt_started(attempt)  # and then nothing: an executor that cannot be reached, say
+    # And then nothing, as of an executor that cannot be reached.
+    harness.core.lifecycle.on_attempt_started(attempt)
     for _ in range(80):
         if not may_hedge and harness.cancelled_attempts:
             break
@@ -120,7 +121,7 @@
         return
     harness.advance(300.0)
     assert (harness.cancelled_attempts[0], harness.started_attempts) == (attempt, [attempt])
-    harness.engine.on_attempt_cancelled(attempt)
+    harness.core.lifecycle.on_attempt_cancelled(attempt)
     harness.advance(100.0)
     assert [each.endpoint == attempt.endpoint for each in harness.started_attempts] == [True, False]
 
@@ -128,13 +129,13 @@
 def test_a_job_that_ends_while_a_cancel_is_under_way_is_forgotten() -> None:
     harness = EngineHarness(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=False))
     client, attempt = harness.submit_and_start(work_ms=2000.0)
-    harness.engine.on_attempt_started(attempt)
+    harness.core.lifecycle.on_attempt_started(attempt)
     while not harness.cancelled_attempts:
         harness.advance(50.0)
     assert not attempt.has_ended
     harness.advance(10_000.0)
     assert len(client.answers) == 1
-    assert harness.engine.open_job_ids() == []
+    assert harness.core.jobs.ids() == []
 
 
 def test_a_request_id_in_use_is_not_admitted_again() -> None:
@@ -149,8 +150,8 @@
     harness = EngineHarness()
     client, attempt = harness.submit_and_start("once")
     rejection: list[Action] = [RejectJob(attempt.job.number, 50.0), FailJob(attempt.job.number)]
-    monkeypatch.setattr(harness.engine._policy, "handle", lambda *_: rejection)
-    harness.engine.on_attempt_progressed(attempt, 0.5)
+    monkeypatch.setattr(harness.core.policy._policy, "handle", lambda *_: rejection)
+    harness.core.lifecycle.on_attempt_progressed(attempt, 0.5)
     harness.advance(10.0)
     assert client.answers == [Failed()]
 
@@ -158,10 +159,10 @@
 def test_an_endpoint_gets_one_attempt_of_a_job(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
-    harness.engine.on_attempt_ended(attempt, Outcome.RESET)
+    harness.core.lifecycle.on_attempt_ended(attempt, Outcome.RESET)
     again: list[Action] = [StartAttempt(attempt.job.number, attempt.endpoint)]
     monkeypatch.setattr(
-        harness.engine._policy,
+        harness.core.policy._policy,
         "handle",
         lambda *_: again.pop() and [StartAttempt(1, attempt.endpoint)] if again else [],
     )
--- a/tests/engine/test_job_log.py
+++ b/tests/engine/test_job_log.py
@@ -19,22 +19,22 @@
 def test_a_job_that_is_served_at_its_first_attempt_is_counted_and_not_logged() -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
-    harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"one")
+    harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"one")
     assert job_lines(harness) == []
-    assert harness.engine.counters.totals() == {"jobs": {"served": 1}}
+    assert harness.core.counters.totals() == {"jobs": {"served": 1}}
 
 
 def test_the_line_of_a_retried_job_has_every_state_change_of_its_attempts() -> None:
     harness = EngineHarness(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=False))
     _, first = harness.submit_and_start()
-    harness.engine.cancel_attempt(first, Outcome.RESET, CancelReason.NO_RESPONSE)
+    harness.cancel(first, Outcome.RESET, CancelReason.NO_RESPONSE)
     harness.advance(40.0)
-    harness.engine.on_attempt_cancelled(first)
+    harness.core.lifecycle.on_attempt_cancelled(first)
     harness.advance(50.0)
     second = harness.started_attempts[-1]
-    harness.engine.on_attempt_started(second)
+    harness.core.lifecycle.on_attempt_started(second)
     harness.advance(5.0)
-    harness.engine.on_attempt_ended(second, Outcome.SERVED, b"two")
+    harness.core.lifecycle.on_attempt_ended(second, Outcome.SERVED, b"two")
     [line] = job_lines(harness)
     assert (line["id"], line["job_class"], line["answer"], line["reason"]) == ("a1", "lookup", "served", None)
     described_first, described_second = line["attempts"]
@@ -44,7 +44,7 @@
     assert described_second["outcome"] == "served"
     assert described_first["ended"] <= described_second["selected"] <= described_second["started"]
     assert described_second["ended"] == line["after_ms"]
-    totals = harness.engine.counters.totals()
+    totals = harness.core.counters.totals()
     assert totals == {"jobs": {"served": 1}, "retries": {"reset": 1}, "cancels": {"no-response": 1}}
 
 
@@ -62,17 +62,17 @@
     harness = EngineHarness()
     _, attempt = harness.submit_and_start(job_class, timeout_ms=900.0)
     if outcome is not None:
-        harness.engine.on_attempt_ended(attempt, outcome)
+        harness.core.lifecycle.on_attempt_ended(attempt, outcome)
     harness.advance(5000.0)
     [line] = job_lines(harness)
     assert (line["answer"], line["reason"]) == (answer, reason)
-    assert harness.engine.counters.totals()["jobs"] == {f"{answer}: {reason}": 1}
+    assert harness.core.counters.totals()["jobs"] == {f"{answer}: {reason}": 1}
 
 
 def test_a_client_that_leaves_is_the_reason_of_its_job_and_of_the_cancel() -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
-    harness.engine.on_client_disconnected(attempt.job)
+    harness.core.lifecycle.on_client_disconnected(attempt.job)
     harness.advance(10.0)
     [line] = job_lines(harness)
     assert (line["answer"], line["reason"]) == ("none", "client-disconnected")
@@ -82,10 +82,10 @@
 def test_changes_of_the_counts_are_taken_once() -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
-    harness.engine.on_attempt_ended(attempt, Outcome.SERVED, b"one")
-    counters = harness.engine.counters
+    harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"one")
+    counters = harness.core.counters
     assert counters.take_changes() == {"jobs": {"served": 1}}
     assert counters.take_changes() == {}
     _, attempt = harness.submit_and_start()
-    harness.engine.on_client_disconnected(attempt.job)
+    harness.core.lifecycle.on_client_disconnected(attempt.job)
     assert counters.take_changes() == {"jobs": {"none: client-disconnected": 1}}
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -177,7 +177,7 @@
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)
         runner = harness.node.attempts
-        attempt = next(iter(harness.node.engine.jobs)).attempts[0]
+        attempt = next(iter(harness.node.core.jobs)).attempts[0]
         await harness.wait_until(lambda: not runner.in_flight)
 
         async def call(*_: object) -> None:
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -47,12 +47,12 @@
             await client.socket_stream.aclose()
         else:  # as a dying process does
             client.reset()
-        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
+        await harness.wait_until(lambda: not harness.node.core.jobs.count_open())
         delayed.released.set()
         await harness.wait_until(lambda: not harness.node.attempts.in_flight)
         assert not harness.jobs
         # Nothing is kept of it either.
-        await harness.wait_until(lambda: not harness.node.engine.open_job_ids())
+        await harness.wait_until(lambda: not harness.node.core.jobs.ids())
 
     run_scenario(scenario, given_settings=given_settings)
 
@@ -66,7 +66,7 @@
         began = trio.current_time()
         await client.socket_stream.send_all(b"x" * byte_count)
         await client.socket_stream.aclose()
-        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
+        await harness.wait_until(lambda: not harness.node.core.jobs.count_open())
         assert trio.current_time() - began < 2.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
 
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -132,7 +132,7 @@
         client = await harness.submit_job()
         await established.wait()
         await client.socket_stream.aclose()
-        await harness.wait_until(lambda: not harness.node.engine.open_job_count)
+        await harness.wait_until(lambda: not harness.node.core.jobs.count_open())
         released.set()
         await harness.wait_until(
             lambda: not harness.node.attempts.in_flight and not harness.node.pool.open_count
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -95,7 +95,7 @@
                 for number in range(6):
                     nursery.start_soon(submit_repeatedly, number)
         # A client that still waits has submitted its job within 0.7 s of SIGTERM, or not at all.
-        assert not harness.node.engine.open_job_count
+        assert not harness.node.core.jobs.count_open()
         assert not harness.node.server.has_unsent
 
     run_scenario(scenario, given_settings=settings_with_deadline(deadline_ms))
--- a/tests/integration/test_shutdown_over_sockets.py
+++ b/tests/integration/test_shutdown_over_sockets.py
@@ -44,7 +44,7 @@
     async def scenario(harness: NodeHarness) -> None:
         client = await harness.submit_job("once", "a1")
         harness.nursery.start_soon(harness.node.shut_down)
-        await harness.wait_until(lambda: harness.node.engine.answer_by < float("inf"))
+        await harness.wait_until(lambda: harness.node.core.deadlines.answer_by < float("inf"))
         for number in range(3):  # one connection carries them all
             await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
             await harness.send_callback("done", "fine")
--- a/tests/support/deferral_harness.py
+++ b/tests/support/deferral_harness.py
@@ -26,7 +26,7 @@
         self.queue = DeferredJobQueue(
             DeferredOptions(**options), max_connections, 1000.0, 1, self.log, self.now, self.unix_now_ms
         )
-        self.engine.enable_deferral(self.queue)
+        self.core.deferral.enable(self.queue)
 
     def unix_now_ms(self) -> float:
         return UNIX_EPOCH_MS + self.now + self.unix_offset_ms
@@ -52,11 +52,11 @@
         """A non-idempotent job that has begun to run."""
         _, job = self.submit("once", request_id=request_id, timeout_ms=timeout_ms)
         self.advance(60.0)
-        self.engine.on_attempt_started(job.attempts[-1])
+        self.core.lifecycle.on_attempt_started(job.attempts[-1])
         return job
 
     def finish_attempt(self, request_id: str, outcome: Outcome = Outcome.SERVED) -> None:
         """End the open attempt of a job."""
         attempt = next(attempt for attempt in self.open_attempts() if attempt.job.id == request_id)
-        self.engine.on_attempt_ended(attempt, outcome, b"done" if outcome is Outcome.SERVED else None)
+        self.core.lifecycle.on_attempt_ended(attempt, outcome, b"done" if outcome is Outcome.SERVED else None)
         self.advance(50.0)
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
+from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
 from burlmoor.types.endpoint_list import ListKind
 from burlmoor.types.events import JobRequest
@@ -14,6 +15,7 @@
     from burlmoor.engine.answers import FinalAnswer
     from burlmoor.engine.job import Attempt, Job
     from burlmoor.log_events import LogEvent
+    from burlmoor.types.reasons import CancelReason
 
 
 class RecordingResponder:
@@ -38,9 +40,9 @@
         self.started_attempts: list[Attempt] = []
         self.cancelled_attempts: list[Attempt] = []
         self.wake_count = 0
-        self.engine = Engine(settings(**settings_changes), 1, lambda: self.now, self.log, self.wake)
-        self.engine.connect(self, self)
-        self.engine.on_endpoint_list(ListKind.CACHED, entries(4))
+        self.core = EngineCore(settings(**settings_changes), 1, lambda: self.now, self.log, self.wake)
+        self.engine = Engine(self.core, upstream=self, discovery=self)
+        self.core.policy.on_endpoint_list(ListKind.CACHED, entries(4))
         self.engine.step()
 
     def log(self, event: LogEvent) -> None:
@@ -59,8 +61,13 @@
     def cancel_attempt(self, attempt: Attempt) -> None:
         self.cancelled_attempts.append(attempt)
 
+    def cancel(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> None:
+        """Cancel an attempt as upstream does where it can't continue it."""
+        if self.core.lifecycle.begin_cancellation(attempt, outcome, reason):
+            self.cancel_attempt(attempt)
+
     def check_health(self, endpoint: str) -> None:
-        self.engine.on_health_checked(endpoint, Outcome.SERVED, 1.0)
+        self.core.policy.on_health_checked(endpoint, Outcome.SERVED, 1.0)
 
     def watch(self) -> None: ...
 
@@ -95,7 +102,7 @@
         return client, job.attempts[-1]
 
     def find_job(self, request_id: str) -> Job:
-        job = self.engine.jobs.find_by_id(request_id)
+        job = self.core.jobs.find_by_id(request_id)
         assert job is not None
         return job
 
--- a/tests/upstream/test_invariants.py
+++ b/tests/upstream/test_invariants.py
@@ -26,7 +26,7 @@
         monkeypatch.setattr(harness.node.directory, "find_live", lambda _: None)
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)
-        return harness.node.engine.invariants.counts()
+        return harness.node.core.invariants.counts()
 
     assert run_scenario(scenario).get("send", 0) > 0
 
@@ -36,8 +36,8 @@
         await harness.wait_ready()
         monkeypatch.setattr(SocketStream, "set_reset_on_close", lambda *_: False)
         harness.open_clients.append(await harness.submit_job())
-        await harness.wait_until(harness.node.engine.invariants.counts)  # it is cancelled after 0.45 s
-        return harness.node.engine.invariants.counts()
+        await harness.wait_until(harness.node.core.invariants.counts)  # it is cancelled after 0.45 s
+        return harness.node.core.invariants.counts()
 
     assert run_scenario(scenario, "hang", "take") == {"close": 1}
 
@@ -52,6 +52,6 @@
         harness.node.directory.disable(name)
         await trio.sleep(0.5)
         monkeypatch.undo()
-        return harness.node.engine.invariants.counts()
+        return harness.node.core.invariants.counts()
 
     assert run_scenario(scenario, "hang") == {"withdraw": 1}
