--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What is measured, a file a question; results stand in docs/measurements.md."""
+"""What is measured, a file a question; results stand in docs/capacity.md."""
--- a/burlmoor/admin/http.py
+++ b/burlmoor/admin/http.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import h11
 import msgspec
 
@@ -27,12 +29,12 @@
         self._body = bytearray()
 
     def receive(self, data: bytes) -> AdminRequest | AdminResponse | None:
-        """Take in bytes; return the call once it is complete, or the response that rejects it."""
+        """Read bytes; return the call once it is complete, or the response that rejects it."""
         try:
             self._http.receive_data(data)
             return self._parse_events()
         except h11.RemoteProtocolError as error:
-            return reject(error.error_status_hint, "not a call")
+            return reject(HTTPStatus(error.error_status_hint), "not a call")
 
     def _parse_events(self) -> AdminRequest | AdminResponse | None:
         while True:
@@ -42,7 +44,7 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > BODY_LIMIT:
-                    return reject(413, "the body is too long")
+                    return reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
             elif isinstance(event, h11.EndOfMessage):
                 assert self._head is not None
                 return self._parse_request(self._head)
@@ -53,15 +55,15 @@
         try:
             path = AdminPath(head.target.split(b"?", 1)[0].decode("ascii", "replace"))
         except ValueError:
-            return reject(404, "no such call")
+            return reject(HTTPStatus.NOT_FOUND, "no such call")
         if head.method != path.method:
-            return reject(405, f"{path.method.decode()} only")
+            return reject(HTTPStatus.METHOD_NOT_ALLOWED, f"{path.method.decode()} only")
         if not path.names_executor:
             return AdminRequest(path)
         try:
             return AdminRequest(path, _EXECUTOR_DECODER.decode(self._body).name)
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            return reject(400, 'the body is not {"name": "ID"}')
+            return reject(HTTPStatus.BAD_REQUEST, 'the body is not {"name": "ID"}')
 
     def encode_response(self, response: AdminResponse) -> bytes:
         """Return the bytes of the response, which closes the connection."""
--- a/burlmoor/admin/overrides.py
+++ b/burlmoor/admin/overrides.py
@@ -25,7 +25,7 @@
 
 
 class OverridesFile:
-    """Owns the file of the overrides; without a path they are kept in memory only, and nothing is read."""
+    """Owns the file of the overrides; without a path they are in memory only, and nothing is read."""
 
     def __init__(self, path: Path | None, log: EventLogger) -> None:
         self._path = path
--- a/burlmoor/admin/requests.py
+++ b/burlmoor/admin/requests.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import Any, NamedTuple, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
 import msgspec
 
+if TYPE_CHECKING:
+    from http import HTTPStatus
+
 
 class AdminPath(StrEnum):
     """The operations, each by the path under which operators call it."""
@@ -59,11 +62,11 @@
 class AdminResponse(NamedTuple):
     """What an operator gets; a subsystem's own status is a plain JSON object."""
 
-    status: int
+    status: HTTPStatus
     body: NodeStatus | AdminError | dict[str, Any]
 
 
-def reject(status: int, error: str) -> AdminResponse:
+def reject(status: HTTPStatus, error: str) -> AdminResponse:
     """Return the response to a call that is not carried out."""
     return AdminResponse(status, AdminError(error))
 
--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 import trio
@@ -17,10 +18,10 @@
 
     from burlmoor.log import EventLogger
 
-_RESPONSE_LIMIT = 1 << 20  # bytes: each executor may be disabled, and is named; memory is taken as needed
+_RESPONSE_LIMIT = 1 << 20  # bytes: each executor may be disabled, and is named; memory is allocated as needed
 _REQUEST_TIMEOUT_SECONDS = 0.7  # for a call to arrive: its response is due within 1 s
 _LINGER_SECONDS = 0.1  # for a response to reach a caller that still writes
-_MAX_CONNECTIONS = 12  # at a time; the oldest makes room
+_MAX_CONNECTIONS = 12  # concurrent; beyond them the oldest is closed
 
 
 class AdminServer:
@@ -59,7 +60,7 @@
             sock.close()
             return
         if len(self._connections) >= _MAX_CONNECTIONS:
-            # Without this, callers that stay silent lock others out: those who had the longest time go first.
+            # Without this, callers that send nothing would lock others out. The oldest one is closed.
             oldest = next(iter(self._connections))
             self._connections.pop(oldest).cancel()
         scope = trio.CancelScope()
@@ -88,7 +89,7 @@
                     return
                 received = connection.receive(stream.inbound.read_all())
         if received is None:
-            received = reject(408, "the call did not come in time")
+            received = reject(HTTPStatus.REQUEST_TIMEOUT, "the call did not come in time")
         elif isinstance(received, AdminRequest):
             received = await self._handler.handle(received)
         stream.send(connection.encode_response(received))
--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 
 from burlmoor.admin.overrides import Overrides, OverridesFile
@@ -25,17 +26,11 @@
 }
 
 StatusProvider = Callable[[], Awaitable[dict[str, Any]]]
+OverrideForwarder = Callable[[AdminRequest], Awaitable[None]]
 
 
 class AdminService:
-    """Owns the overrides file, and whether this process counts as ready.
-
-    Three attributes are set by other parts of the node:
-
-    - `is_serving`: whether this process accepts clients (the handover sets it)
-    - `forward_to_peer`: passes a call that was carried out to the node's other process, if any
-    - `status_providers`: by path, what the subsystems that are on show of themselves
-    """
+    """Owns the overrides file, and whether this process counts as ready."""
 
     def __init__(
         self, directory: EndpointDirectory, drain: DrainController, path: Path | None, log: EventLogger
@@ -45,9 +40,30 @@
         self._file = OverridesFile(path, log)
         self._log = log
         self._has_inherited_drain = False  # whether the drain began before this process did
-        self.is_serving = False
-        self.forward_to_peer: Callable[[AdminRequest], Awaitable[None]] | None = None
-        self.status_providers: dict[str, StatusProvider] = {}
+        self._is_serving = False
+        self._forward_override: OverrideForwarder | None = None
+        self._status_providers: dict[AdminPath, StatusProvider] = {}
+
+    @property
+    def is_serving(self) -> bool:
+        """Whether this process accepts clients."""
+        return self._is_serving
+
+    def on_serving_changed(self, *, is_serving: bool) -> None:
+        """Note whether this process accepts clients, or another process of the node in its place."""
+        self._is_serving = is_serving
+
+    def attach_override_forwarder(self, forward: OverrideForwarder) -> None:
+        """Pass each call that was carried out to the node's other processes from now on."""
+        self._forward_override = forward
+
+    def attach_status_provider(self, path: AdminPath, provider: StatusProvider) -> None:
+        """Show the status of a subsystem that is on, at this path."""
+        self._status_providers[path] = provider
+
+    def detach_status_provider(self, path: AdminPath) -> None:
+        """Show no status at this path any more: the subsystem is off."""
+        self._status_providers.pop(path, None)
 
     async def handle(self, request: AdminRequest) -> AdminResponse:
         """Carry out a call; one that is rejected has changed nothing."""
@@ -56,29 +72,33 @@
         if request.path.is_query:
             return await self._show_subsystem(request.path)
         if request.path.names_executor and not self._directory.is_known(request.name):
-            return reject(404, "no executor has this name")
+            return reject(HTTPStatus.NOT_FOUND, "no executor has this name")
         self.apply(request)
         self._file.save(self.overrides)
         self._log(OverrideApplied(call=request.path, name=request.name))
-        if self.forward_to_peer is not None:
+        if self._forward_override is not None:
             # A success holds for the whole node: the other process may still send jobs, too.
-            await self.forward_to_peer(request)
-        return AdminResponse(200, self._status(self._drain.state is ServiceState.ACCEPTING))
+            await self._forward_override(request)
+        return AdminResponse(
+            HTTPStatus.OK, self._status(is_ready=self._drain.state is ServiceState.ACCEPTING)
+        )
 
     def _check_readiness(self) -> AdminResponse:
         # Without the inherited drain, the upgrade of a drained node would never end: its old process waits
         # until the new one is ready.
         is_drain_expected = self._has_inherited_drain and not self._drain.is_shutting_down
-        is_ready = self.is_serving and (self._drain.state is ServiceState.ACCEPTING or is_drain_expected)
-        return AdminResponse(200 if is_ready else 503, self._status(is_ready))
+        is_ready = self._is_serving and (self._drain.state is ServiceState.ACCEPTING or is_drain_expected)
+        return AdminResponse(
+            HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE, self._status(is_ready=is_ready)
+        )
 
     async def _show_subsystem(self, path: AdminPath) -> AdminResponse:
-        provider = self.status_providers.get(path)
+        provider = self._status_providers.get(path)
         if provider is None:
-            return reject(404, "this is off here")
-        return AdminResponse(200, await provider())
+            return reject(HTTPStatus.NOT_FOUND, "this is off here")
+        return AdminResponse(HTTPStatus.OK, await provider())
 
-    def _status(self, is_ready: bool) -> NodeStatus:
+    def _status(self, *, is_ready: bool) -> NodeStatus:
         disabled = sorted(self._directory.overrides.disabled_since)
         return NodeStatus(is_ready, _STATE_NAMES[self._drain.state], self._drain.is_drained, disabled)
 
--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -73,20 +73,38 @@
     peers: Peers | None = None  # None: nodes don't exchange datagrams
 
 
-def load_config(environment: Mapping[str, str], again: bool = False) -> NodeConfig:
-    """Read and check everything; the environment has precedence over the file.
+def load_config(environment: Mapping[str, str]) -> NodeConfig:
+    """Read and check everything at a start; the environment has precedence over the file.
+
+    Raises:
+        InvalidConfigError: a variable, the file or one of its fields is invalid.
+    """
+    file = _read_file(environment)
+    discovery = environment.get("RELAY_DISCOVERY") or file.discovery
+    return _build_config(environment, file, discovery, environment.get(_LISTENER_VARIABLE))
 
-    Read `again`, while the node runs, the file's discovery has precedence: the environment is as old as the
-    process, and so is the passed listening socket, which is then ignored.
 
-    Raises InvalidConfigError.
+def reload_config(environment: Mapping[str, str]) -> NodeConfig:
+    """Read and check everything while the node runs.
+
+    The file's `discovery` has precedence: the environment is as old as the process, and so is the passed
+    listening socket, which is ignored.
+
+    Raises:
+        InvalidConfigError: a variable, the file or one of its fields is invalid.
     """
     file = _read_file(environment)
+    discovery = file.discovery or environment.get("RELAY_DISCOVERY") or ""
+    return _build_config(environment, file, discovery, passed_listener=None)
+
+
+def _build_config(
+    environment: Mapping[str, str], file: _ConfigFile, discovery: str, passed_listener: str | None
+) -> NodeConfig:
     settings = _parse_settings(file.settings)
     seed = _parse_seed(file.seed)
-    discovery = _select_discovery(environment.get("RELAY_DISCOVERY"), file.discovery, again)
+    _parse_address("discovery", discovery)
     control = environment.get("RELAY_CONTROL") or file.control
-    passed_listener = environment.get(_LISTENER_VARIABLE)
     state_folder = environment.get("TMPDIR")
     return NodeConfig(
         name=environment.get("RELAY_NAME") or file.name or "node",
@@ -97,7 +115,7 @@
         cached_endpoints=file.known,
         settings=settings,
         admin=_parse_address("control", control) if control else None,
-        listener_fd=None if not passed_listener or again else _parse_listener_fd(passed_listener),
+        listener_fd=_parse_listener_fd(passed_listener) if passed_listener else None,
         state_folder=Path(state_folder) if state_folder else None,
         options=load_options(environment),
         peers=_parse_peers(file),
@@ -107,7 +125,8 @@
 def load_options(environment: Mapping[str, str]) -> Options | None:
     """Read the operators' options; None where no file is named.
 
-    Raises InvalidConfigError.
+    Raises:
+        InvalidConfigError: the options file is invalid.
     """
     path = environment.get(_OPTIONS_VARIABLE)
     if not path:
@@ -150,13 +169,6 @@
         raise InvalidConfigError(invalid_value("seed", text, "a hexadecimal number")) from error
 
 
-def _select_discovery(from_environment: str | None, from_file: str, again: bool) -> str:
-    first, second = (from_file, from_environment) if again else (from_environment, from_file)
-    discovery = first or second or ""
-    _parse_address("discovery", discovery)
-    return discovery
-
-
 def _limit_sockets(max_sockets: int) -> int:
     """Return how many descriptors may be used: the configured number, or the process's limit if lower."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/burlmoor/config/options/parser.py
+++ b/burlmoor/config/options/parser.py
@@ -25,14 +25,14 @@
 
 
 def section_types() -> dict[str, type[Section]]:
-    """Return the struct of each section that the file may have, by the section's name."""
+    """Return the struct of each section that the file may contain, by the section's name."""
     found: dict[str, type[Section]] = {}
     for name, optional in typing.get_type_hints(Options).items():
         (found[name],) = (kind for kind in typing.get_args(optional) if kind is not type(None))
     return found
 
 
-def unit_kind(field_type: Any) -> str | None:
+def unit_kind(field_type: object) -> str | None:
     """Return the kind of quantity that a key takes, one of `UNITS`; None for a plain number."""
     info = type_info(field_type)
     return (info.extra or {}).get("unit") if isinstance(info, Metadata) else None
@@ -41,7 +41,8 @@
 def read_options(path: Path) -> Options:
     """Read the options file.
 
-    Raises InvalidOptionsError with every fault of the file.
+    Raises:
+        InvalidOptionsError: the file is invalid; it has every fault.
     """
     try:
         with path.open("rb") as file:
@@ -58,7 +59,8 @@
 def parse_options(text: str, file: str) -> Options:
     """Parse the options file's text; `file` is its name in faults.
 
-    Raises InvalidOptionsError with every fault of the text.
+    Raises:
+        InvalidOptionsError: the text is invalid; it has every fault.
     """
     types = section_types()
     faults: list[ConfigFault] = []
@@ -115,14 +117,14 @@
     return values
 
 
-def _parse_value(text: str, field_type: Any) -> Any:
+def _parse_value(text: str, field_type: type) -> object:
     kind = unit_kind(field_type)
     value = parse_quantity(text, kind) if kind else text
     return msgspec.convert(value, field_type, strict=False)
 
 
 def _describe_value_error(
-    error: ValueError, location: str, text: str, field_type: Any, file: str
+    error: ValueError, location: str, text: str, field_type: type, file: str
 ) -> ConfigFault:
     """Return the fault of a value out of bounds, the bounds in the units that operators write."""
     kind = unit_kind(field_type)
--- a/burlmoor/config/options/sections.py
+++ b/burlmoor/config/options/sections.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import field
 
-from burlmoor.config.options.units import duration, share, size
+from burlmoor.config.options.units import duration, percentage, size
 
 _Count = Annotated[int, msgspec.Meta(ge=1, le=10_000_000)]
 
@@ -23,7 +23,7 @@
     max_jobs: _Count = field(name="jobs", default=10_000)
     max_body_bytes: Annotated[float, size("4 KiB", "64 GiB")] = field(name="held", default=64.0 * 1024**2)
     # Of the clients' connections, how many deferred jobs may hold.
-    connection_share: Annotated[float, share("1 %", "80 %")] = field(name="places", default=0.25)
+    connection_fraction: Annotated[float, percentage("1 %", "80 %")] = field(name="places", default=0.25)
     # Jobs that may wait for one job, and jobs that one job may wait for.
     max_dependents: _Count = field(name="fan-out", default=1000)
     max_dependencies: _Count = field(name="names", default=64)
--- a/burlmoor/config/options/units.py
+++ b/burlmoor/config/options/units.py
@@ -33,17 +33,17 @@
 
 
 def duration(minimum: str, maximum: str) -> msgspec.Meta:
-    """Return the bounds of a duration, kept in ms."""
+    """Return the bounds of a duration, in ms."""
     return _bounds("duration", minimum, maximum)
 
 
 def size(minimum: str, maximum: str) -> msgspec.Meta:
-    """Return the bounds of a size, kept in bytes."""
+    """Return the bounds of a size, in bytes."""
     return _bounds("size", minimum, maximum)
 
 
-def share(minimum: str, maximum: str) -> msgspec.Meta:
-    """Return the bounds of a share, kept as a fraction of one."""
+def percentage(minimum: str, maximum: str) -> msgspec.Meta:
+    """Return the bounds of a percentage, as a fraction of one."""
     return _bounds("share", minimum, maximum)
 
 
@@ -56,7 +56,8 @@
 def parse_quantity(text: str, kind: str) -> float:
     """Return a quantity in ms, in bytes, or as a fraction of one.
 
-    Raises InvalidQuantityError.
+    Raises:
+        InvalidQuantityError: the text is no number with a unit of this kind.
     """
     units = UNITS[kind]
     match = _QUANTITY.fullmatch(text.strip())
--- a/burlmoor/config/settings.py
+++ b/burlmoor/config/settings.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple, TypeVar
+from typing import TYPE_CHECKING, NamedTuple, TypeVar
 
 import msgspec
 
@@ -36,6 +36,16 @@
     from collections.abc import Sequence
 
 _T = TypeVar("_T")
+# Of settings that are absent or null; the platform's page gives them.
+_DEFAULT_LATENCY_OBJECTIVE_MS = 1000.0
+_DEFAULT_DEADLINE_MS = 10_000.0
+_DEFAULT_MAX_ATTEMPTS = 3.0
+_DEFAULT_MAX_RETRY_AFTER_MS = 1000.0
+_DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+_DEFAULT_KEEPALIVE_MS = 30_000.0
+_DEFAULT_INITIAL_CAPACITY = 0.1  # a fraction
+_DEFAULT_OVERLOAD_WINDOW_MS = 1000.0
+_DEFAULT_POLL_INTERVAL_MS = 10_000.0
 _IDEMPOTENCY = {
     "repeatable": Idempotency.IDEMPOTENT,
     "by_key": Idempotency.IDEMPOTENT_WITH_KEY,
@@ -51,8 +61,12 @@
     keepalive_ms: float  # after which an executor's machine closes an idle connection
 
 
-def parse_settings(settings_object: Any) -> NodeSettings:
-    """Return the typed settings; ValueError naming the invalid field."""
+def parse_settings(settings_object: object) -> NodeSettings:
+    """Return the typed settings.
+
+    Raises:
+        msgspec.ValidationError: a field is invalid; the text names it.
+    """
     tables = msgspec.convert(settings_object, SettingsObject)
     limits = tables.limits or LimitsTable()
     specifics = tables.specifics or SpecificsTable()
@@ -73,7 +87,7 @@
         weight_by_work=tables.weight_by == "work",
         over_quota_fraction=_or_default(tables.over_quota_fraction, 1.0),
     )
-    return NodeSettings(policy, keepalive_ms=_or_default(limits.keepalive, 30_000.0))
+    return NodeSettings(policy, keepalive_ms=_or_default(limits.keepalive, _DEFAULT_KEEPALIVE_MS))
 
 
 def _make_classes(tables: SettingsObject, specifics: SpecificsTable) -> tuple[JobClass, ...]:
@@ -89,9 +103,9 @@
     return JobClass(
         name=table.name,
         priority_weight=_or_default(table.priority_weight, 1.0),
-        latency_objective_ms=_or_default(table.latency_objective, 1000.0),
+        latency_objective_ms=_or_default(table.latency_objective, _DEFAULT_LATENCY_OBJECTIVE_MS),
         objective_stretch=_or_default(_item(specifics.class_stretch, index), objective_stretch),
-        deadline_ms=_or_default(table.deadline, 10_000.0),
+        deadline_ms=_or_default(table.deadline, _DEFAULT_DEADLINE_MS),
         idempotency=_IDEMPOTENCY.get(table.idempotency or "", Idempotency.NON_IDEMPOTENT),
         deduplication_scope=_DEDUPLICATION_SCOPES.get(
             table.deduplication_scope or "", DeduplicationScope.CELL
@@ -113,13 +127,13 @@
 
 def _make_limits(table: LimitsTable) -> Limits:
     return Limits(
-        max_attempts=int(_or_default(table.max_attempts, 3.0)),
+        max_attempts=int(_or_default(table.max_attempts, _DEFAULT_MAX_ATTEMPTS)),
         may_cancel=bool(table.may_cancel),
         may_check_health=bool(table.may_check_health),
         may_hedge=bool(table.may_hedge),
         sends_retry_after=bool(table.sends_retry_after),
-        max_retry_after_ms=_or_default(table.max_retry_after, 1000.0),
-        connect_timeout_ms=_or_default(table.connect_timeout, 250.0),
+        max_retry_after_ms=_or_default(table.max_retry_after, _DEFAULT_MAX_RETRY_AFTER_MS),
+        connect_timeout_ms=_or_default(table.connect_timeout, _DEFAULT_CONNECT_TIMEOUT_MS),
     )
 
 
@@ -127,11 +141,11 @@
     return Rules(
         response_slack_ms=_or_default(table.response_slack, 0.0),
         drain_grace_ms=_or_default(table.drain_grace, 0.0),
-        initial_capacity=_or_default(table.initial_capacity, 0.1),
+        initial_capacity=_or_default(table.initial_capacity, _DEFAULT_INITIAL_CAPACITY),
         slow_start_ms=_or_default(table.slow_start, 0.0),
         overload_multiple=_or_default(table.overload_multiple, 1.0),
-        overload_window_ms=_or_default(table.overload_window, 1000.0),
-        poll_interval_ms=_or_default(table.poll_interval, 10_000.0),
+        overload_window_ms=_or_default(table.overload_window, _DEFAULT_OVERLOAD_WINDOW_MS),
+        poll_interval_ms=_or_default(table.poll_interval, _DEFAULT_POLL_INTERVAL_MS),
     )
 
 
--- a/burlmoor/deferred/conditions.py
+++ b/burlmoor/deferred/conditions.py
@@ -1,7 +1,7 @@
 """The codec of the two headers with which a client has its job deferred. No I/O, no clock.
 
-`Run-After: ID[, ID...]` may stand on several lines, as any list (RFC 9110, section 5.6.1: empty elements are
-ignored); `Not-Before: T` is Unix time in ms, once.
+`Run-After: ID[, ID...]` may be given on several lines, as any list (RFC 9110, section 5.6.1: empty elements
+are ignored); `Not-Before: T` is Unix time in ms, once.
 """
 
 from __future__ import annotations
@@ -17,6 +17,9 @@
 
 _RUN_AFTER = b"run-after"
 _NOT_BEFORE = b"not-before"
+# As errors name them.
+_RUN_AFTER_NAME = "Run-After"
+_NOT_BEFORE_NAME = "Not-Before"
 _UNIX_MS = re.compile(r"[0-9]{1,15}")
 
 
@@ -31,7 +34,8 @@
     ) -> RunConditions | None:
         """Return the conditions of a request with a body of this size; None where it has none.
 
-        Raises InvalidConditionError, whose text names the header.
+        Raises:
+            InvalidConditionError: a header is invalid; the text names it.
         """
         run_after = [value for name, value in headers if name == _RUN_AFTER]
         not_before = [value for name, value in headers if name == _NOT_BEFORE]
@@ -45,20 +49,20 @@
         names = (element.strip(" \t") for element in elements)
         dependencies = tuple(dict.fromkeys(name for name in names if name))  # a repeated name counts once
         if not dependencies:
-            raise InvalidConditionError("Run-After", "names no job")
+            raise InvalidConditionError(_RUN_AFTER_NAME, "names no job")
         if not all(REQUEST_ID.fullmatch(name) for name in dependencies):
-            raise InvalidConditionError("Run-After", "is not a list of ids")
+            raise InvalidConditionError(_RUN_AFTER_NAME, "is not a list of ids")
         if request_id in dependencies:
-            raise InvalidConditionError("Run-After", "names the job itself")
+            raise InvalidConditionError(_RUN_AFTER_NAME, "names the job itself")
         if len(dependencies) > self.max_dependencies:
-            raise InvalidConditionError("Run-After", f"names over {self.max_dependencies} jobs")
+            raise InvalidConditionError(_RUN_AFTER_NAME, f"names over {self.max_dependencies} jobs")
         return dependencies
 
 
 def _parse_not_before(values: Sequence[bytes]) -> float:
     if len(values) > 1:
-        raise InvalidConditionError("Not-Before", "is given twice")
+        raise InvalidConditionError(_NOT_BEFORE_NAME, "is given twice")
     text = values[0].decode("latin-1") if values else "0"
     if not _UNIX_MS.fullmatch(text):
-        raise InvalidConditionError("Not-Before", "is not a Unix time in ms")
+        raise InvalidConditionError(_NOT_BEFORE_NAME, "is not a Unix time in ms")
     return float(text)
--- a/burlmoor/deferred/deferred_job.py
+++ b/burlmoor/deferred/deferred_job.py
@@ -15,12 +15,12 @@
 
     DEPENDENCY_OPEN = "jobs"  # a job that it depends on is open
     DEPENDENCY_UNKNOWN = "unknown"  # a job that it depends on has not been admitted here yet
-    NOT_BEFORE = "time"  # its time has not come
+    NOT_BEFORE = "time"  # its not-before time has not passed
     RELEASE_PENDING = "turn"  # all conditions are met, and it is not released yet
     DEPENDENCY_FAILED = "parent"  # a job that it depends on was not served
     CYCLE = "cycle"  # a job that it depends on depends on it
     CAPACITY_REACHED = "full"  # a limit on deferred jobs is reached
-    TOO_LATE = "hopeless"  # what is left of its client's timeout does not suffice for its work
+    TOO_LATE = "hopeless"  # the rest of its client's timeout does not suffice for its work
     DRAINING = "closed"  # the node drains or shuts down
 
 
@@ -35,7 +35,7 @@
     unmet_dependencies: set[str] = field(default_factory=set)  # ids of jobs that have not been served yet
     unknown_dependencies: set[str] = field(default_factory=set)  # those of them not admitted here yet
     end_reason: DeferralReason | None = None
-    is_time_reached: bool = True  # whether its not-before time has come
+    is_time_reached: bool = True  # whether its not-before time has passed
     timers: list[tuple[TimerQueue[DeferredJob], int]] = field(default_factory=list)
 
     @property
--- a/burlmoor/deferred/dependency_graph.py
+++ b/burlmoor/deferred/dependency_graph.py
@@ -1,10 +1,10 @@
 """The graph of which deferred job depends on which: events and times in, ready jobs out. No I/O, no clock.
 
-A job is *open* from its admission until it ends; a deferred job is open too. Of each job that ended it is
-remembered for a while whether it was served. A deferred job is *runnable* once every job that it depends on
-was served and its time has come; its deferral *ends* as soon as one of them has ended otherwise. Both put it
-into a queue of ready jobs that `pop_ready` works off, so that a chain of any length is handled without
-recursion and in pieces.
+A job is *open* from its admission until it ends; a deferred job is open too. The history says for a while
+whether a job that has ended was served. A deferred job is *runnable* once every job that it depends on was
+served and its not-before time has passed; its deferral *ends* as soon as one of them has ended otherwise.
+Both put it into a queue of ready jobs, from which `pop_ready` takes one at a time, so that a chain of any
+length is handled without recursion and in pieces.
 
 Times: `now` is ms on a clock that only goes forward; `unix_now` is Unix time in ms, which may step.
 """
@@ -71,11 +71,11 @@
         for dependent in self._dependents.get(request_id, {}).values():
             dependent.unknown_dependencies.discard(request_id)
 
-    def on_job_ended(self, request_id: str, was_served: bool, now: float) -> None:
+    def on_job_ended(self, request_id: str, now: float, *, was_served: bool) -> None:
         """Note that a job has ended: served, or in any other way, its client's disconnect included."""
         self._open_ids.discard(request_id)
         self.remove(request_id)
-        self._history.record(request_id, was_served, now)
+        self._history.record(request_id, now, was_served=was_served)
         self._trim_history(now)
         for dependent in self._dependents.pop(request_id, {}).values():
             if not was_served:
--- a/burlmoor/deferred/job_history.py
+++ b/burlmoor/deferred/job_history.py
@@ -1,4 +1,4 @@
-"""How the jobs that ended lately have ended."""
+"""How the jobs that ended recently have ended."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     def __contains__(self, request_id: str) -> bool:
         return request_id in self._ended
 
-    def record(self, request_id: str, was_served: bool, now: float) -> None:
+    def record(self, request_id: str, now: float, *, was_served: bool) -> None:
         """Add a job that has ended; the latest end of an id counts."""
         self._ended[request_id] = (now, was_served)
         self._ended.move_to_end(request_id)
--- a/burlmoor/deferred/queue.py
+++ b/burlmoor/deferred/queue.py
@@ -1,4 +1,4 @@
-"""The queue of deferred jobs: takes them in within its limits, and decides which to release and to end.
+"""The queue of deferred jobs: accepts them within its limits, and decides which to release and to end.
 
 It knows no socket and no thread. The engine passes it the time in ms on its own clock; Unix time is read from
 the clock that the queue is given.
@@ -29,8 +29,9 @@
     from burlmoor.log import EventLogger
     from burlmoor.types.events import JobRequest
 
-_MAX_DECISIONS_PER_STEP = 100  # so that a long chain doesn't hold up the event loop
+_MAX_DECISIONS_PER_STEP = 100  # so that a long chain doesn't block the event loop
 _MAX_RETRY_AFTER_MS = 3_600_000.0
+_MIN_RETRY_AFTER_FRACTION = 0.5  # of the longest advice, from which the advice is drawn at random
 _UNIX_CLOCK_CHECK_MS = 1000.0  # after which Unix time is read again while a job waits for it: it may step
 _DEPENDENCY_FAILURES = {
     DeferralReason.DEPENDENCY_FAILED: "a job that this one runs after was not served",
@@ -50,7 +51,7 @@
 
 
 def _graph_limits(options: DeferredOptions, max_connections: int) -> GraphLimits:
-    max_held_connections = max(1, int(max_connections * options.connection_share))
+    max_held_connections = max(1, int(max_connections * options.connection_fraction))
     return GraphLimits(
         max_jobs=min(options.max_jobs, max_held_connections),
         max_dependents=options.max_dependents,
@@ -118,7 +119,7 @@
         self._graph.limits = _graph_limits(options, self._max_connections)
         self._release_queue.bucket = AdaptiveTokenBucket(options.release_rate, options.release_burst, now)
 
-    def set_draining(self, is_draining: bool) -> None:
+    def set_draining(self, *, is_draining: bool) -> None:
         """Set whether the node drains: then all deferrals end, and so do those of new jobs."""
         if is_draining and not self._is_draining and self._entries:
             self._log(DeferralsEnded(jobs=len(self._entries)))
@@ -134,21 +135,21 @@
         """Note that a job has ended with this answer; None if its client has disconnected."""
         self._status.mark_changed(self._graph.dependents_of(request_id))
         was_served = isinstance(answer, Served)
-        self._graph.on_job_ended(request_id, was_served, now)
+        self._graph.on_job_ended(request_id, now, was_served=was_served)
         self._drop_entry(request_id)
         if request_id not in self._released_ids:
             return
         self._released_ids.discard(request_id)
         if was_served or isinstance(answer, Rejected):
-            # Without this, released jobs would crowd one another out: where they are rejected, fewer are
+            # Without this, released jobs would overload the endpoints: where some are rejected, fewer are
             # released at a time.
-            self._release_queue.bucket.adjust_rate(was_served, now)
-            self._window.adjust_size(was_served, now)
+            self._release_queue.bucket.adjust_rate(now, was_served=was_served)
+            self._window.adjust_size(now, was_served=was_served)
 
     def defer(
         self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
-        """Hold a job that was just opened; what becomes of it is returned by `step`, never earlier."""
+        """Hold a job that was just opened; `step` returns the decision on it, never earlier."""
         latest_release_at = deadline - request.work_ms - self._options.min_remaining_ms
         unix_now = self._unix_clock()
         exceeds_bytes = self.body_bytes + conditions.size_bytes > self._options.max_body_bytes
@@ -195,7 +196,7 @@
             answer = self._final_answer(job, unix_now)
             decisions.append(EndedJob(job.id, answer))
             self.rejected_count += 1
-            # Noted here, not once the engine has answered: so a long chain ends at once, not a job a step.
+            # Noted here, not once the engine has answered: so a long chain ends at once, not one job a step.
             self.on_job_ended(job.id, answer, now)
 
     def _release_jobs(
@@ -217,7 +218,7 @@
     def _has_releasable_job(self) -> bool:
         """Drop what has ended from the head of the release queue; return whether a job is left."""
         while (job := self._release_queue.first()) is not None:
-            # A job may be submitted again under its id while what it was before still stands in the queue.
+            # A job may be submitted again under its id while its earlier entry is still in the queue.
             entry = self._entries.get(job.id)
             if entry is not None and entry.job is job and job.end_reason is None:
                 return True
@@ -235,7 +236,7 @@
     def _final_answer(self, job: DeferredJob, unix_now: float) -> FinalAnswer:
         if job.end_reason in _DEPENDENCY_FAILURES:
             return DependencyFailed(_DEPENDENCY_FAILURES[job.end_reason])
-        retry_after_ms = self._max_retry_after_ms * self._rng.uniform(0.5, 1.0)
+        retry_after_ms = self._max_retry_after_ms * self._rng.uniform(_MIN_RETRY_AFTER_FRACTION, 1.0)
         if job.end_reason is DeferralReason.TOO_LATE and job.not_before_unix_ms > unix_now:
             # Before its time the job can't run here either.
             retry_after_ms = min(_MAX_RETRY_AFTER_MS, job.not_before_unix_ms - unix_now)
--- a/burlmoor/deferred/rate_control.py
+++ b/burlmoor/deferred/rate_control.py
@@ -1,8 +1,8 @@
 """How fast runnable jobs are released, so that they don't overload the executors. No I/O, no clock.
 
 A job is released while endpoints are known to have free slots, within a congestion window, and otherwise by a
-token bucket. So a thundering herd that meets idle endpoints fills them and no more, and under full load
-deferred jobs are still released at a steady rate.
+token bucket. So a thundering herd fills idle endpoints and no more, and under full load deferred jobs are
+still released at a steady rate.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class AdaptiveTokenBucket:
-    """Tokens that fill at `rate` a second up to `burst`; the rate follows what becomes of released jobs.
+    """Tokens that fill at `rate` a second up to `burst`; the rate follows the answers of released jobs.
 
-    It goes up evenly with each released job that was served and down by a factor with each that was rejected
+    It rises evenly with each released job that was served and falls by a factor with each that was rejected
     (additive increase, multiplicative decrease: Chiu and Jain, 1989), between a tenth of the full rate and
     all of it. Times are in ms.
     """
@@ -39,13 +39,13 @@
     def take_token(self, now: float) -> bool:
         """Take a token; return whether there was one."""
         self._fill(now)
-        # Without the tolerance, what rounding leaves under a whole token would delay a release.
+        # Without the tolerance, a rounding error below one token would delay a release.
         if self._tokens < 1.0 - _ROUNDING_TOLERANCE:
             return False
         self._tokens = max(0.0, self._tokens - 1.0)
         return True
 
-    def adjust_rate(self, was_served: bool, now: float) -> None:
+    def adjust_rate(self, now: float, *, was_served: bool) -> None:
         """Adjust the rate to a released job that was served, or rejected."""
         self._fill(now)
         if was_served:
@@ -70,8 +70,8 @@
 class CongestionWindow:
     """How many released jobs may be open at once where endpoints seem to have free slots.
 
-    What a node takes for free slots is shared with other nodes and may be old. So the window grows by one
-    with each job served until the first rejection, then by one a window, and halves after a rejection
+    The free slots that a node sees are shared with other nodes, and may be out of date. So the window grows
+    by one with each job served until the first rejection, then by one a window, and halves after a rejection
     (RFC 5681, sections 3.1 and 3.2, with jobs for segments). Rejections within 200 ms count once.
     """
 
@@ -80,7 +80,7 @@
         self._slow_start_threshold = math.inf
         self._decreased_at = -math.inf
 
-    def adjust_size(self, was_served: bool, now: float) -> None:
+    def adjust_size(self, now: float, *, was_served: bool) -> None:
         """Adjust the window to a released job that was served, or rejected."""
         if was_served:
             increase = 1.0 if self.size < self._slow_start_threshold else 1.0 / self.size
--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
+from burlmoor.admin.requests import AdminPath
 from burlmoor.deferred.conditions import ConditionParser
 from burlmoor.deferred.queue import DeferredJobQueue
 from burlmoor.deferred.status import build_status
@@ -15,8 +16,6 @@
     from burlmoor.engine.core import EngineCore
     from burlmoor.log import EventLogger
 
-STATUS_PATH = "/waiting"
-
 
 class DeferredService:
     """Turns deferral on and off; turned off, no new job is deferred and those deferred already stay so."""
@@ -53,20 +52,20 @@
         )
         self._core.deferral.enable(self.queue)
         self._server.on_draining = self._on_draining
-        self._admin.status_providers[STATUS_PATH] = self._status
+        self._admin.attach_status_provider(AdminPath.DEFERRED_JOBS, self._status)
 
     def _on_draining(self, is_draining: bool) -> None:
         """Pass a change of the drain state on; disconnect a queue that is turned off and empty."""
         if self.queue is None:
             return
-        self.queue.set_draining(is_draining)
+        self.queue.set_draining(is_draining=is_draining)
         if is_draining:
             self._core.wake()
         if self._server.parse_conditions is None and not self.queue.job_count:
             self.queue = None
             self._core.deferral.disable()
             self._server.on_draining = None
-            self._admin.status_providers.pop(STATUS_PATH, None)
+            self._admin.detach_status_provider(AdminPath.DEFERRED_JOBS)
 
     async def _status(self) -> dict[str, Any]:
         assert self.queue is not None
--- a/burlmoor/early_signals.py
+++ b/burlmoor/early_signals.py
@@ -1,8 +1,8 @@
 """Signals that reach the process while no service catches them: during its start, and at its very end.
 
 Imported before anything else, since the rest of the program takes a while to import and SIGHUP would end
-the process until then. What comes before the interpreter runs this is up to the command that starts the
-process: the deploy file lets it ignore SIGHUP.
+the process until then. Until the interpreter runs this, the command that starts the process has to ignore
+SIGHUP, as the deploy file has it.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
         self._is_reload_requested = True
 
     def _on_end(self, _number: int, _frame: FrameType | None) -> None:
-        # A process that starts has taken nothing; one that has ended its service is about to end.
+        # A process that starts has admitted nothing; one that has ended its service is about to exit.
         if self._is_starting:
             os._exit(0)
 
@@ -44,7 +44,7 @@
             signal.signal(number, signal.SIG_IGN)
 
     def on_configuration_read(self) -> None:
-        """Note that the configuration is read now: what was requested before is done with it."""
+        """Note that the configuration is read now: a reload that was requested before is done with it."""
         self._is_reload_requested = False
 
     def on_service_catches(self) -> bool:
--- a/burlmoor/engine/core.py
+++ b/burlmoor/engine/core.py
@@ -22,7 +22,7 @@
 
 
 class EngineCore:
-    """Builds and holds the state of the engine; whoever reports something is given the part that owns it.
+    """Builds and holds the state of the engine; each reporter is given the part that owns what it reports.
 
     `clock` gives ms; `wake` is called when `Engine.next_due` may return an earlier time than before.
     """
--- a/burlmoor/engine/deadlines.py
+++ b/burlmoor/engine/deadlines.py
@@ -13,7 +13,9 @@
 
 
 class DeadlineQueue:
-    """Computes deadlines, and returns jobs and attempts once theirs have passed; times in ms on the engine's clock.
+    """Computes deadlines, and returns jobs and attempts once theirs have passed.
+
+    Times are in ms on the engine's clock.
 
     Entries with the same deadline come out in the order in which they were scheduled.
     """
--- a/burlmoor/engine/deferral.py
+++ b/burlmoor/engine/deferral.py
@@ -47,8 +47,8 @@
 class JobDeferral(Protocol):
     """A queue of deferred jobs.
 
-    It is notified of every job, deferred or not, and decides in `step`, never earlier, which of the deferred ones
-    to release or end. Times are in ms on the engine's clock.
+    It is notified of every job, deferred or not, and decides in `step`, never earlier, which of the deferred
+    jobs to release or to end. Times are in ms on the engine's clock.
     """
 
     @property
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -113,7 +113,7 @@
         return max(due, earliest)
 
     def step(self) -> None:
-        """Expire what is due, hand the policy the events so far and carry out its actions."""
+        """Expire deadlines, hand the policy the events so far and carry out its actions."""
         now = self._stepped_at = self._clock()
         expired_jobs = self._attempts.expire(now)
         self._deferral_controller.step(now)
--- a/burlmoor/lifecycle/connection_limits.py
+++ b/burlmoor/lifecycle/connection_limits.py
@@ -12,7 +12,7 @@
 # and a dozen that the process has open; never more than half.
 _RESERVED_SOCKETS = 64
 _MIN_SOCKETS = 64
-_UPSTREAM_SHARE = 0.3  # of the rest: an attempt holds a connection only until its 202
+_UPSTREAM_FRACTION = 0.3  # of the rest: an attempt holds a connection only until its 202
 _MIN_CONNECTIONS = 8  # in each direction, that a process may always have during a handover
 
 
@@ -27,7 +27,7 @@
     """Divide the descriptors that the node may use between the two directions."""
     available = max(_MIN_SOCKETS, max_sockets)
     available -= min(_RESERVED_SOCKETS, available // 2)
-    upstream = int(available * _UPSTREAM_SHARE)
+    upstream = int(available * _UPSTREAM_FRACTION)
     return SocketBudget(available - upstream, upstream)
 
 
@@ -40,12 +40,12 @@
         self._node_limits = SocketBudget(server.max_connections, pool.max_connections)
 
     def reserve(self, downstream: int, upstream: int) -> None:
-        """Leave out what the other process has open."""
+        """Subtract the connections that the other process has open."""
         self._server.max_connections = max(_MIN_CONNECTIONS, self._node_limits.downstream - downstream)
         self._pool.max_connections = max(_MIN_CONNECTIONS, self._node_limits.upstream - upstream)
 
     def freeze_upstream(self) -> None:
-        """Open no more connections to executors than there are: the rest is the other process's."""
+        """Open no more connections to executors than there are: the rest is for the other process."""
         self._pool.max_connections = self._pool.open_count
 
     def restore(self) -> None:
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: a node finishes what it has admitted before it ends."""
+"""Graceful shutdown: a node finishes the jobs that it has admitted before it ends."""
 
 from __future__ import annotations
 
@@ -6,16 +6,14 @@
 
 import trio
 
-from burlmoor.downstream.drain import DrainController, ServiceState
+from burlmoor.downstream.drain import ServiceState
 from burlmoor.log_events import ShutdownFinished, ShutdownStarted
 
 if TYPE_CHECKING:
-    from burlmoor.clock import Clock
+    from burlmoor.lifecycle.components import NodeComponents
     from burlmoor.lifecycle.handover import Handover
-    from burlmoor.lifecycle.hold_ups import HoldUpMonitor
-    from burlmoor.lifecycle.parts import NodeParts
+    from burlmoor.lifecycle.stall_monitor import StallMonitor
     from burlmoor.log import EventLogger
-    from burlmoor.upstream.attempts import AttemptRunner
 
 # After SIGTERM: a job that is admitted later than this may be open when SIGKILL comes.
 _ARRIVAL_SECONDS = 0.7
@@ -27,62 +25,63 @@
 
     def __init__(
         self,
-        parts: NodeParts,
-        attempts: AttemptRunner,
-        drain: DrainController,
+        components: NodeComponents,
         handover: Handover,
-        clock: Clock,
-        hold_ups: HoldUpMonitor,
+        stall_monitor: StallMonitor,
         log: EventLogger,
     ) -> None:
-        self._parts = parts
-        self._attempts = attempts
-        self._drain = drain
+        self._attempts = components.attempts
+        self._clock = components.clock
+        self._core = components.core
+        self._drain = components.drain
+        self._engine = components.engine
+        self._server = components.server
         self._handover = handover
-        self._clock = clock
-        self._hold_ups = hold_ups
+        self._stall_monitor = stall_monitor
         self._log = log
 
     async def run(self) -> None:
-        """Return once all that was admitted is answered and every answer has been sent."""
-        core, engine = self._parts.core, self._parts.engine
-        # Without this, a process that was stopped when the signal came would be killed with jobs open: the
+        """Return once all admitted jobs are answered and every answer has been sent."""
+        # Without this, a process that was stalled when the signal arrived would be killed with jobs open: the
         # platform counts from the signal.
-        seconds_ago = self._hold_ups.seconds_held_up()
-        self._log(ShutdownStarted(open_jobs=core.jobs.count_open(), stalled_seconds=round(seconds_ago, 2)))
+        seconds_ago = self._stall_monitor.seconds_stalled()
+        self._log(
+            ShutdownStarted(open_jobs=self._core.jobs.count_open(), stalled_seconds=round(seconds_ago, 2))
+        )
         self._drain.begin_shutdown(seconds_ago)
         answered_by = self._clock() + 1000.0 * (self._drain.answer_within_seconds - seconds_ago)
         if self._handover.has_handed_over:
-            # Clients come to the successor; SIGKILL would lose what is still open here by then.
-            engine.answer_all_by(answered_by)
+            # Clients connect to the successor; SIGKILL would lose what is still open here by then.
+            self._engine.answer_all_by(answered_by)
         else:
             late_from = self._clock() + 1000.0 * (_ARRIVAL_SECONDS - seconds_ago)
             await trio.sleep(max(0.0, _ARRIVAL_SECONDS - seconds_ago))
-            # Without this, SIGKILL would lose what came late and is not answered by then (rule 1).
-            engine.answer_all_by(answered_by, received_after=late_from)
+            # Without this, SIGKILL would lose jobs that were admitted late and are not answered by then.
+            self._engine.answer_all_by(answered_by, received_after=late_from)
             while self._drain.state < ServiceState.REJECTING:  # noqa: ASYNC110 - the state follows from the time
                 await trio.sleep(_POLL_SECONDS)
         await self._finish_work()
         self._handover.close()
-        self._log(ShutdownFinished(violations=core.invariants.counts(), counts=core.counters.totals()))
+        self._log(
+            ShutdownFinished(violations=self._core.invariants.counts(), counts=self._core.counters.totals())
+        )
 
     async def _finish_work(self) -> None:
-        # Call-backs for what is open still come in, so the node listens until the last job is answered.
-        # An answer counts by its last byte: what a slow client has not read yet is not cut off.
+        # Call-backs for open jobs still arrive, so the node listens until the last job is answered.
+        # An answer counts by its last byte: one that a slow client has not read yet is not cut off.
         while self._has_unfinished_work:
             if not self._handover.has_handed_over:
                 # Idle connections are closed only now that new clients are sent elsewhere.
-                self._parts.server.close_idle()
+                self._server.close_idle()
             await trio.sleep(_POLL_SECONDS)
 
     @property
     def _has_unfinished_work(self) -> bool:
-        """Whether this process still owes an answer, a cancellation or a message."""
-        server = self._parts.server
+        """Whether an answer, a cancellation or a message of this process is still pending."""
         return bool(
-            self._parts.core.jobs.count_open()
+            self._core.jobs.count_open()
             or self._attempts.open_cancel_calls
-            or server.has_unsent
-            or server.has_partial_requests
+            or self._server.has_unsent
+            or self._server.has_partial_requests
             or self._handover.has_unsent
         )
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -25,7 +25,7 @@
 
     from burlmoor.log import EventLogger
 
-_MAX_QUEUED_DATAGRAMS = 2048  # a peer that reads none of so many is as good as gone
+_MAX_QUEUED_DATAGRAMS = 2048  # a peer that reads none of so many counts as gone
 _MAX_PENDING_REQUESTS = 1024
 _MAX_PATH_BYTES = 100  # that the kernel takes of a Unix socket's path
 _BACKLOG = 4
@@ -40,13 +40,13 @@
 
 
 class HandoverChannelObserver(Protocol):
-    """Is told what the process at the other end of a channel does."""
+    """Is notified of what the process at the other end of a channel does."""
 
     def on_message(self, channel: HandoverChannel, message: Message, sock: socket.socket | None) -> None:
         """Handle a message, perhaps with a connection, which the observer then owns."""
 
     def on_channel_lost(self, channel: HandoverChannel) -> None:
-        """Handle the end of the channel: this process goes on alone."""
+        """Handle the end of the channel: this process continues alone."""
 
 
 class _OutgoingDatagram(NamedTuple):
@@ -55,7 +55,7 @@
 
 
 class HandoverChannel:
-    """Owns the socket to the other process, what waits to go out on it and the requests under way.
+    """Owns the socket to the other process, the datagrams that wait to be sent and the open requests.
 
     One datagram carries one message or fragment, so a peer that dies at any point leaves no half of one.
     """
@@ -85,11 +85,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether something still waits to go out."""
+        """Whether a datagram has not been sent yet."""
         return self.is_connected and bool(self._send_queue)
 
     def send(self, message: Message, sock: socket.socket | None = None) -> bool:
-        """Send a message, with a connection that becomes the peer's; False where it can't go."""
+        """Send a message, with a connection that becomes the peer's; False where it can't be sent."""
         if self._sock is None or len(self._send_queue) >= _MAX_QUEUED_DATAGRAMS:
             return False
         try:
@@ -171,7 +171,7 @@
         except (OSError, trio.ClosedResourceError):
             pass  # the peer is gone, or this side has closed the channel
         except Exception as error:  # noqa: BLE001
-            # Without this, a peer of another build, or a fault here, would end the node: it goes on alone.
+            # Without this, a peer of another build, or a fault here, would end the node: it continues alone.
             self._log(HandoverFailed(error=repr(error)))
         finally:
             self.close()
@@ -211,7 +211,7 @@
     def close(self) -> None:
         """Close the channel.
 
-        Requests under way count as acknowledged, since the peer has nothing to carry out any more.
+        Open requests count as acknowledged, since the peer has nothing to carry out any more.
         """
         sock, self._sock = self._sock, None
         if sock is None:
--- a/burlmoor/lifecycle/handover_messages.py
+++ b/burlmoor/lifecycle/handover_messages.py
@@ -43,7 +43,7 @@
 
 
 class JobOpened(msgspec.Struct, tag="Opened"):
-    """Predecessor to successor: a job was admitted whose request was half read when the handover began."""
+    """Predecessor to successor: a job was admitted whose request was partly read when the handover began."""
 
     request_id: str = msgspec.field(name="id")
 
@@ -70,7 +70,7 @@
 
 
 class PassedConnection(msgspec.Struct, tag="Client"):
-    """Predecessor to successor, with its descriptor: a client's connection that lies between requests."""
+    """Predecessor to successor, with its descriptor: a client's idle connection."""
 
     has_been_used: bool = msgspec.field(name="used")
     age_seconds: float = msgspec.field(name="age")  # since the accept
--- /dev/null
+++ b/burlmoor/lifecycle/node_builder.py
@@ -0,0 +1,130 @@
+"""The composition root: builds the components of a node from its configuration, each one complete."""
+
+from __future__ import annotations
+
+import random
+from typing import TYPE_CHECKING
+
+import trio
+
+from burlmoor.admin.server import AdminServer
+from burlmoor.admin.service import AdminService
+from burlmoor.clock import Clock
+from burlmoor.discovery.client import DiscoveryClient
+from burlmoor.discovery.list_lease import ListLease
+from burlmoor.discovery.schedule import WatchSchedule
+from burlmoor.downstream.drain import DrainController, kill_after_seconds
+from burlmoor.downstream.server import DownstreamServer
+from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.engine.core import EngineCore
+from burlmoor.engine.engine import Engine
+from burlmoor.lifecycle.components import NodeComponents
+from burlmoor.lifecycle.connection_limits import divide_sockets
+from burlmoor.lifecycle.engine_loop import EngineLoop
+from burlmoor.lifecycle.state_files import StateFiles
+from burlmoor.transport.sockets import adopt_listening_socket, bind_socket
+from burlmoor.upstream.attempts import AttemptRunner
+from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectionPool
+
+if TYPE_CHECKING:
+    import socket
+
+    from burlmoor.config.node_config import NodeConfig
+    from burlmoor.log import EventLogger
+
+_DISCOVERY_CONNECTIONS = 4
+_MAX_LIST_BYTES = 4 << 20  # over 8,000 executors, indented; memory is allocated as a list needs it
+_IDLE_FRACTION = 0.4  # of the time after which an executor's machine closes an idle connection
+_DISCOVERY_SEED_OFFSET = 1  # from the node's seed: the engine draws from that one
+
+
+def build_components(config: NodeConfig, nursery: trio.Nursery, log: EventLogger) -> NodeComponents:
+    """Build a node's components; binds the listening socket, and starts nothing.
+
+    Raises:
+        OSError: the node can't bind its address.
+    """
+    policy_settings = config.settings.policy
+    clock = Clock()
+    engine_loop = EngineLoop(clock)
+    core = EngineCore(policy_settings, config.seed, clock, log, engine_loop.wake)
+    sockets = divide_sockets(config.max_sockets)
+    pool = _build_pool(config, core, sockets.upstream)
+    lease = ListLease(has_agent=not policy_settings.must_poll)
+    directory = EndpointDirectory(
+        core.policy, pool, clock.from_unix, log, lambda: lease.is_valid(trio.current_time())
+    )
+    attempts = AttemptRunner(core, directory, pool, nursery, log)
+    discovery_pool = _build_discovery_pool(config, pool)
+    discovery = DiscoveryClient(
+        directory, discovery_pool, config.discovery, _build_watch_schedule(config), lease, log
+    )
+    engine = Engine(core, upstream=attempts, discovery=discovery)
+    drain = DrainController(kill_after_seconds(each.deadline_ms / 1000.0 for each in policy_settings.classes))
+    listener = _build_listener(config)
+    server = DownstreamServer(
+        core,
+        engine,
+        [each.name for each in policy_settings.classes],
+        listener,
+        sockets.downstream,
+        drain,
+        nursery,
+        log,
+    )
+    admin = AdminService(directory, drain, state_files(config).overrides, log)
+    return NodeComponents(
+        clock=clock,
+        core=core,
+        engine=engine,
+        engine_loop=engine_loop,
+        attempts=attempts,
+        pool=pool,
+        directory=directory,
+        discovery=discovery,
+        discovery_pool=discovery_pool,
+        drain=drain,
+        listener=listener,
+        server=server,
+        admin=admin,
+        admin_server=AdminServer(admin, config.admin, nursery, log) if config.admin else None,
+    )
+
+
+def state_files(config: NodeConfig) -> StateFiles:
+    """Return the paths of this node's files."""
+    return StateFiles(config.state_folder, config.name)
+
+
+def _build_pool(config: NodeConfig, core: EngineCore, max_connections: int) -> ConnectionPool:
+    settings = config.settings
+    return ConnectionPool(
+        settings.keepalive_ms / 1000.0 * _IDLE_FRACTION,
+        settings.policy.limits.connect_timeout_ms / 1000.0,
+        max_connections,
+        reuse_delay_seconds=REUSE_DELAY_SECONDS,
+        invariants=core.invariants,
+        counters=core.counters,
+    )
+
+
+def _build_discovery_pool(config: NodeConfig, pool: ConnectionPool) -> ConnectionPool:
+    # Discovery has connections of its own: attempts that hang must not keep watch events from arriving.
+    timeout_seconds = config.settings.policy.limits.connect_timeout_ms / 1000.0
+    return ConnectionPool(pool.idle_limit_seconds, timeout_seconds, _DISCOVERY_CONNECTIONS, _MAX_LIST_BYTES)
+
+
+def _build_watch_schedule(config: NodeConfig) -> WatchSchedule:
+    policy_settings = config.settings.policy
+    return WatchSchedule(
+        policy_settings.node_count,
+        policy_settings.rules.poll_interval_ms / 1000.0,
+        not policy_settings.must_poll,
+        random.Random(config.seed + _DISCOVERY_SEED_OFFSET),
+    )
+
+
+def _build_listener(config: NodeConfig) -> socket.socket:
+    if config.listener_fd is None:
+        return bind_socket(config.listen)
+    return adopt_listening_socket(config.listener_fd)
--- /dev/null
+++ b/burlmoor/lifecycle/peer_forwarder.py
@@ -0,0 +1,74 @@
+"""Forwards call-backs and overrides to the node's other processes, and awaits their acknowledgement."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from burlmoor.lifecycle.handover_messages import Acknowledged, ApplyOverride, ForwardedCallback
+
+if TYPE_CHECKING:
+    from burlmoor.admin.requests import AdminRequest
+    from burlmoor.lifecycle.handover_channel import HandoverChannel
+    from burlmoor.lifecycle.handover_predecessor import PredecessorRole
+    from burlmoor.lifecycle.handover_successor import SuccessorRole
+
+_CALLBACK_TIMEOUT_SECONDS = 0.7
+_RELAYED_CALLBACK_TIMEOUT_SECONDS = 0.3
+_OVERRIDE_TIMEOUT_SECONDS = 0.1
+
+
+class PeerForwarder:
+    """Sends to the predecessor and to the successor, whichever of them are connected.
+
+    It is the downstream server's `CallbackForwarder` while there is one.
+    """
+
+    def __init__(self, successor_role: SuccessorRole, predecessor_role: PredecessorRole) -> None:
+        self._successor_role = successor_role
+        self._predecessor_role = predecessor_role
+
+    @property
+    def has_peers(self) -> bool:
+        """Whether another process of this node is connected."""
+        return bool(self._connected_channels())
+
+    def has_peers_beside(self, channel: HandoverChannel) -> bool:
+        """Return whether a process other than the one at the end of this channel is connected."""
+        return bool(self._connected_channels(excluded=channel))
+
+    async def forward_callback(self, body: bytes) -> bool:
+        """Forward a call-back for a job that is unknown here; whether it was acknowledged."""
+        return await _forward_to(self._connected_channels(), body, _CALLBACK_TIMEOUT_SECONDS)
+
+    async def relay_callback(self, sender: HandoverChannel, number: int, body: bytes) -> None:
+        """Forward a call-back from one of the other processes to the one beyond this.
+
+        Without this, results would be lost where a third process starts before the first has ended.
+        """
+        others = self._connected_channels(excluded=sender)
+        if await _forward_to(others, body, _RELAYED_CALLBACK_TIMEOUT_SECONDS):
+            sender.send(Acknowledged(number))
+
+    async def forward_override(self, call: AdminRequest) -> None:
+        """Apply an operator's call at the other processes too, so that it holds for the whole node."""
+        for channel in self._connected_channels():
+            await channel.request(
+                lambda number: ApplyOverride(number, call.path, call.name), _OVERRIDE_TIMEOUT_SECONDS
+            )
+
+    def _connected_channels(self, excluded: HandoverChannel | None = None) -> list[HandoverChannel]:
+        channels = (self._successor_role.channel, self._predecessor_role.channel)
+        return [
+            channel
+            for channel in channels
+            if channel is not None and channel is not excluded and channel.is_connected
+        ]
+
+
+async def _forward_to(channels: list[HandoverChannel], body: bytes, timeout_seconds: float) -> bool:
+    """Forward a call-back to each of these in turn; whether all have acknowledged it."""
+    acknowledged = [
+        await channel.request(lambda number: ForwardedCallback(number, body), timeout_seconds)
+        for channel in channels
+    ]
+    return all(acknowledged)
--- a/burlmoor/lifecycle/process.py
+++ b/burlmoor/lifecycle/process.py
@@ -14,6 +14,10 @@
 from burlmoor.lifecycle.node import Node
 from burlmoor.log import EventLog
 
+# Of the three generations; fewer collections than by default, since most objects here are freed by reference
+# counting.
+_COLLECTION_THRESHOLDS = (20_000, 20, 20)
+
 
 async def _serve(config: node_config.NodeConfig, log: EventLog) -> None:
     # The signals are caught before the node listens: uncaught, SIGHUP would end it with all its jobs.
@@ -32,7 +36,7 @@
     """Exempt all that is built so far from garbage collection, which keeps its pauses short."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20_000, 20, 20)
+    gc.set_threshold(*_COLLECTION_THRESHOLDS)
 
 
 def main() -> int:
--- a/burlmoor/lifecycle/reload.py
+++ b/burlmoor/lifecycle/reload.py
@@ -12,7 +12,7 @@
 
     from burlmoor.discovery.client import DiscoveryClient
     from burlmoor.endpoints.directory import EndpointDirectory
-    from burlmoor.log import EventLog
+    from burlmoor.log import EventLogger
 
 # Fields of the configuration that take effect at a start only, by the names that the log gives them.
 _RESTART_FIELDS = {
@@ -33,7 +33,7 @@
         config: node_config.NodeConfig,
         directory: EndpointDirectory,
         discovery: DiscoveryClient,
-        log: EventLog,
+        log: EventLogger,
     ) -> None:
         self._config = config
         self._directory = directory
@@ -43,7 +43,7 @@
     def reload(self, environment: Mapping[str, str]) -> node_config.NodeConfig | None:
         """Return the new configuration; None where it is invalid: then the old one stays in force."""
         try:
-            new = node_config.load_config(environment, again=True)
+            new = node_config.reload_config(environment)
         except Exception as error:  # noqa: BLE001
             # Without this, an invalid configuration would end the node.
             self._log(ReloadFailed(error=str(error)))
--- /dev/null
+++ b/burlmoor/lifecycle/state_transfer.py
@@ -0,0 +1,41 @@
+"""What a process passes to its successor: overrides, endpoint list, statistics and open jobs."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from burlmoor.lifecycle.handover_messages import Snapshot
+
+if TYPE_CHECKING:
+    from burlmoor.lifecycle.components import NodeComponents
+
+
+class StateTransfer:
+    """Takes the snapshot of this process's state, and restores that of the process before it."""
+
+    def __init__(self, components: NodeComponents) -> None:
+        self._admin = components.admin
+        self._core = components.core
+        self._directory = components.directory
+        self._engine = components.engine
+        self._pool = components.pool
+        self._server = components.server
+
+    def take_snapshot(self) -> Snapshot:
+        """Return the state that a successor continues from."""
+        return Snapshot(
+            overrides=self._admin.overrides,
+            endpoints=self._directory.snapshot(),
+            statistics=self._core.policy.take_statistics_snapshot(self._core.clock()),
+            job_ids=self._core.jobs.ids(),
+            downstream=len(self._server.connections),
+            upstream=self._pool.open_count,
+        )
+
+    def restore(self, snapshot: Snapshot) -> None:
+        """Continue from the predecessor's state."""
+        self._admin.replace(snapshot.overrides)
+        self._directory.restore(snapshot.endpoints)
+        self._engine.step()  # the policy gets the list first: statistics are restored for its endpoints
+        self._core.policy.restore_statistics_snapshot(snapshot.statistics, self._core.clock())
+        self._core.jobs.add_ids_in_other_process(snapshot.job_ids)
--- a/burlmoor/membership/codec.py
+++ b/burlmoor/membership/codec.py
@@ -42,11 +42,23 @@
         self.name = name
 
 
+class DatagramField(enum.Enum):
+    """The part of a datagram that is invalid."""
+
+    LENGTH = "length"
+    MAGIC_AND_VERSION = "magic_and_version"
+    CHECKSUM = "checksum"
+    BODY = "body"
+    NAME_LENGTH = "name_length"
+    STATE_NAME = "state_name"
+    STATE_COUNT = "state_count"
+
+
 class InvalidDatagramError(BurlmoorError, ValueError):
     """A datagram is not a valid message; says which field, its value, and what is allowed."""
 
-    def __init__(self, field: str, value: object, allowed: str) -> None:
-        super().__init__(f"invalid datagram: {field} is {value!r}, expected {allowed}")
+    def __init__(self, field: DatagramField, value: object, allowed: str) -> None:
+        super().__init__(f"invalid datagram: {field.value} is {value!r}, expected {allowed}")
         self.field = field
         self.value = value
         self.allowed = allowed
@@ -84,6 +96,18 @@
     return bytes([len(data)]) + data
 
 
+class EncodedMessage(NamedTuple):
+    """A datagram, and how many of its message's states it carries."""
+
+    datagram: bytes
+    state_count: int
+
+
+class _DecodedName(NamedTuple):
+    name: str
+    next_offset: int  # of the bytes behind it
+
+
 def _encode_state(state: MemberState) -> bytes:
     host, port = state.address
     return _encode_name(state.name) + _STATE.pack(
@@ -91,10 +115,11 @@
     )
 
 
-def encode(message: Message) -> tuple[bytes, int]:
-    """Encode a message; returns the datagram and how many of the states, from the first on, fit into it.
+def encode(message: Message) -> EncodedMessage:
+    """Encode a message, with as many of its states, from the first on, as fit into the datagram.
 
-    Raises `InvalidNodeNameError` for a name that is empty or too long.
+    Raises:
+        InvalidNodeNameError: a name is empty or too long.
     """
     data = _HEADER.pack(_MAGIC, _VERSION, message.kind, message.sequence_number, message.digest)
     data += _encode_name(message.node_to_ping) if message.node_to_ping else b"\0"
@@ -105,7 +130,7 @@
             break
         data += encoded
         count += 1
-    return data + _CHECKSUM.pack(zlib.crc32(data)), count
+    return EncodedMessage(data + _CHECKSUM.pack(zlib.crc32(data)), count)
 
 
 def split_into_messages(
@@ -116,7 +141,7 @@
     remaining = list(states)
     while remaining or not messages:
         message = Message(kind, sequence_number, digest, (sender, *remaining))
-        _, count = encode(message)
+        count = encode(message).state_count
         messages.append(message._replace(members=message.members[:count]))
         if count < _MIN_STATES_PER_PIECE:
             break
@@ -125,17 +150,23 @@
 
 
 def decode(data: bytes) -> Message:
-    """Decode a datagram; raises `InvalidDatagramError` for anything but a whole message of this version."""
+    """Decode a datagram.
+
+    Raises:
+        InvalidDatagramError: the datagram is anything but a complete message of this version.
+    """
     if not _MIN_DATAGRAM_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         allowed = f"{_MIN_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES} bytes"
-        raise InvalidDatagramError("length", len(data), allowed)
+        raise InvalidDatagramError(DatagramField.LENGTH, len(data), allowed)
     magic, version, kind, sequence_number, digest = _HEADER.unpack_from(data)
     if (magic, version) != (_MAGIC, _VERSION):
-        raise InvalidDatagramError("magic_and_version", (magic, version), f"{_MAGIC} and {_VERSION}")
+        raise InvalidDatagramError(
+            DatagramField.MAGIC_AND_VERSION, (magic, version), f"{_MAGIC} and {_VERSION}"
+        )
     body = data[: -_CHECKSUM.size]
     (checksum,) = _CHECKSUM.unpack(data[-_CHECKSUM.size :])
     if zlib.crc32(body) != checksum:
-        raise InvalidDatagramError("checksum", checksum, "the CRC-32 of the bytes before it")
+        raise InvalidDatagramError(DatagramField.CHECKSUM, checksum, "the CRC-32 of the bytes before it")
     try:
         node_to_ping, offset = _decode_name(body, _HEADER.size)
         members = _decode_states(body, offset)
@@ -143,16 +174,17 @@
     except InvalidDatagramError:
         raise
     except (struct.error, IndexError, ValueError) as error:
-        raise InvalidDatagramError("body", body, "whole and known values") from error
+        raise InvalidDatagramError(DatagramField.BODY, body, "complete and known values") from error
 
 
-def _decode_name(data: bytes, offset: int) -> tuple[str, int]:
-    """Decode a name; returns it and the offset of what follows."""
+def _decode_name(data: bytes, offset: int) -> _DecodedName:
     length = data[offset]
     end = offset + 1 + length
     if length > MAX_NAME_BYTES or end > len(data):
-        raise InvalidDatagramError("name_length", length, f"at most {MAX_NAME_BYTES} and what is left")
-    return data[offset + 1 : end].decode(), end
+        raise InvalidDatagramError(
+            DatagramField.NAME_LENGTH, length, f"at most {MAX_NAME_BYTES} and the bytes that remain"
+        )
+    return _DecodedName(data[offset + 1 : end].decode(), end)
 
 
 def _decode_states(data: bytes, offset: int) -> tuple[MemberState, ...]:
@@ -161,11 +193,11 @@
     while offset < len(data):
         name, offset = _decode_name(data, offset)
         if not name:
-            raise InvalidDatagramError("state_name", name, f"1 to {MAX_NAME_BYTES} bytes")
+            raise InvalidDatagramError(DatagramField.STATE_NAME, name, f"1 to {MAX_NAME_BYTES} bytes")
         host, port, generation, nonce, incarnation, status = _STATE.unpack_from(data, offset)
         offset += _STATE.size
         address = (socket.inet_ntoa(host), port)
         states.append(MemberState(name, address, generation, nonce, incarnation, MemberStatus(status)))
     if not states:
-        raise InvalidDatagramError("state_count", 0, "1 at least")
+        raise InvalidDatagramError(DatagramField.STATE_COUNT, 0, "1 at least")
     return tuple(states)
--- a/burlmoor/membership/failure_detector.py
+++ b/burlmoor/membership/failure_detector.py
@@ -125,7 +125,7 @@
         return self._dissemination.compose(name, MessageKind.PING, self._sequence_number)
 
     def _ping_absent(self) -> list[Datagram]:
-        """Ping nodes that are absent: they may have returned, or may never have heard of this node."""
+        """Ping nodes that are absent: they may have returned, or may not know of this node yet."""
         absent = self._table.absent_names()
         if not absent:
             return []
--- a/burlmoor/membership/gossip_queue.py
+++ b/burlmoor/membership/gossip_queue.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from burlmoor.membership.member import MemberState, MemberStatus
 
@@ -10,6 +10,11 @@
     from collections.abc import Callable, Iterable
 
 
+class _Urgency(NamedTuple):
+    is_routine: bool
+    transmissions: int
+
+
 class GossipQueue:
     """Owns the transmission count of each member's latest state until it has been sent often enough."""
 
@@ -30,12 +35,12 @@
         Suspicions and refutations go before members that merely exist; then those transmitted least.
         """
 
-        def urgency(name: str) -> tuple[bool, int]:
+        def sort_key(name: str) -> _Urgency:
             state = state_of(name)
             is_routine = state.status is MemberStatus.ALIVE and state.incarnation == 0
-            return is_routine, self._transmissions[name]
+            return _Urgency(is_routine, self._transmissions[name])
 
-        return sorted(self._transmissions, key=urgency)[:count]
+        return sorted(self._transmissions, key=sort_key)[:count]
 
     def count_transmissions(self, names: Iterable[str]) -> None:
         """Record that these members' states were sent once more."""
--- a/burlmoor/membership/local_member.py
+++ b/burlmoor/membership/local_member.py
@@ -18,7 +18,7 @@
 
     def __init__(self, state: MemberState, health: LocalHealth) -> None:
         self.state = state
-        self.is_name_contested = False  # whether another process claims this name again and again
+        self.is_name_contested = False  # whether another process repeatedly claims this name
         self._health = health
         self._generation_raised_at: list[float] = []
 
--- a/burlmoor/membership/member.py
+++ b/burlmoor/membership/member.py
@@ -26,6 +26,22 @@
     LEFT = 3  # it has announced that it shuts down
 
 
+class Precedence(NamedTuple):
+    """The sort key of the states of one member."""
+
+    generation: int
+    nonce: int
+    incarnation: int
+    status: MemberStatus
+
+
+class ProcessPrecedence(NamedTuple):
+    """The part of the precedence that identifies a member's process."""
+
+    generation: int
+    nonce: int
+
+
 class MemberState(NamedTuple):
     """One member's state as some node believes it.
 
@@ -44,14 +60,14 @@
     status: MemberStatus
 
     @property
-    def precedence(self) -> tuple[int, int, int, int]:
+    def precedence(self) -> Precedence:
         """The sort key of states of one member: the state with the higher one holds."""
-        return self.generation, self.nonce, self.incarnation, self.status
+        return Precedence(self.generation, self.nonce, self.incarnation, self.status)
 
     @property
-    def process_precedence(self) -> tuple[int, int]:
-        """The part of the precedence that identifies the process: its generation and nonce."""
-        return self.precedence[:2]
+    def process_precedence(self) -> ProcessPrecedence:
+        """The part of the precedence that identifies the process."""
+        return ProcessPrecedence(self.generation, self.nonce)
 
     @property
     def is_member(self) -> bool:
--- a/burlmoor/membership/suspicion.py
+++ b/burlmoor/membership/suspicion.py
@@ -38,7 +38,7 @@
         self._suspicions.pop(name, None)
 
     def restart_all(self, now: float) -> None:
-        """Start all timers anew."""
+        """Restart all timers."""
         for suspicion in self._suspicions.values():
             suspicion.started_at = now
 
--- a/burlmoor/membership/swim.py
+++ b/burlmoor/membership/swim.py
@@ -33,6 +33,9 @@
     from collections.abc import Mapping
 
 
+_NONCE_LIMIT = 0x10000  # a nonce is drawn from 1 to this, excluded
+
+
 class Membership:
     """One node's membership protocol. It learns of nodes that are not `configured` from those that are."""
 
@@ -45,7 +48,7 @@
         rng: random.Random,
         parameters: ProtocolParameters = DEFAULT_PARAMETERS,
     ) -> None:
-        state = MemberState(name, address, generation, rng.randrange(1, 0x10000), 0, MemberStatus.ALIVE)
+        state = MemberState(name, address, generation, rng.randrange(1, _NONCE_LIMIT), 0, MemberStatus.ALIVE)
         others = {other: where for other, where in configured.items() if other != name}
         gossip_queue = GossipQueue()
         self.health = LocalHealth()
@@ -65,7 +68,7 @@
 
     @property
     def is_name_contested(self) -> bool:
-        """Whether another process claims this node's name again and again."""
+        """Whether another process repeatedly claims this node's name."""
         return self._table.local.is_name_contested
 
     def view(self, now: float) -> MembershipView:
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -50,8 +50,10 @@
 
     on_job_ended = DependencyGraph.on_job_ended
 
-    def on_job_ended_as_served(self: DependencyGraph, request_id: str, was_served: bool, now: float) -> None:
-        on_job_ended(self, request_id, True, now)
+    def on_job_ended_as_served(
+        self: DependencyGraph, request_id: str, now: float, *, was_served: bool
+    ) -> None:
+        on_job_ended(self, request_id, now, was_served=True)
 
     DependencyGraph.on_job_ended = on_job_ended_as_served  # type: ignore[method-assign]
 
--- a/burlmoor/types/settings.py
+++ b/burlmoor/types/settings.py
@@ -38,14 +38,14 @@
     """One class of requests."""
 
     name: str
-    priority_weight: float = 1.0  # what a job served in time is worth, beside other classes
-    latency_objective_ms: float = 1000.0  # a job served within this earns its full weight
+    priority_weight: float = 1.0  # of a job served in time, relative to other classes
+    latency_objective_ms: float = 1000.0  # a job served within this yields its full weight
     objective_stretch: float = 0.0  # the objective grows by this multiple of the job's own work
     deadline_ms: float = 10_000.0  # how long a client waits in all, over its retries
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ms: float = 0.0  # from the first attempt that may have run
-    late_fraction: float = 0.0  # of its weight that a job served after the objective earns
+    late_fraction: float = 0.0  # of its weight that a job served after the objective yields
     required_kind: str | None = None  # the only kind of executor that runs it
     priority: int = 0  # at executors that serve their queue by priority
 
@@ -73,24 +73,28 @@
 
     @property
     def max_open_attempts(self) -> int:
-        """How many attempts of one job may be out at a time."""
+        """How many attempts of one job may be open at once."""
         return 2 if self.may_hedge else 1
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the four rules that every node has to keep by itself."""
+    """The figures of the rules that every node has to keep by itself."""
 
     response_slack_ms: float = 0.0  # how long after the client's deadline an answer still counts
     drain_grace_ms: float = 1000.0  # within which sends to a draining or removed endpoint have to stop
     initial_capacity: float = 0.2  # the fraction of its capacity that a started executor has at least
     slow_start_ms: float = 10_000.0  # after which it has all of it
-    overload_multiple: float = 2.0  # more than this many times its present capacity,
-    overload_window_ms: float = 2000.0  # kept up for this long, brings down an executor in slow start
+    overload_multiple: float = 2.0  # a load of more than this many times its present capacity,
+    overload_window_ms: float = 2000.0  # for this long, brings down an executor in slow start
     poll_interval_ms: float = 10_000.0  # within which a node without a watch has to fetch the list
 
     def check(self) -> None:
-        """Raise InvalidSettingError for the first time that is negative, under its name in the settings."""
+        """Check the times.
+
+        Raises:
+            InvalidSettingError: a time is negative; the first one, under the name that errors have for it.
+        """
         times_ms = {
             "answer_slack": self.response_slack_ms,
             "drain_grace": self.drain_grace_ms,
@@ -100,7 +104,8 @@
         }
         for name, time_ms in times_ms.items():
             if time_ms < 0.0:
-                raise InvalidSettingError(f"rules.{name}", "a time is negative")
+                field = f"rules.{name}"
+                raise InvalidSettingError(field, "a time is negative")
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a node is told at its start."""
+    """All settings of one node, as its configuration gives them."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -142,9 +147,14 @@
     over_quota_fraction: float = 1.0  # of its weight that a job over its tenant's quota has
 
     def check(self) -> None:
-        """Raise InvalidSettingError for the first setting that is invalid."""
+        """Check all settings.
+
+        Raises:
+            InvalidSettingError: a setting is invalid; the first one.
+        """
         if not self.classes:
-            raise InvalidSettingError("classes", "at least one class is needed")
+            field = "classes"
+            raise InvalidSettingError(field, "at least one class is needed")
         for job_class in self.classes:
             times_ms = (
                 job_class.latency_objective_ms,
@@ -153,7 +163,9 @@
                 job_class.objective_stretch,
             )
             if min(times_ms) < 0.0:
-                raise InvalidSettingError(f"classes.{job_class.name}", "a time is negative")
+                field = f"classes.{job_class.name}"
+                raise InvalidSettingError(field, "a time is negative")
         self.rules.check()
         if self.tick_ms <= 0.0:
-            raise InvalidSettingError("tick", "must be above 0")
+            field = "tick"
+            raise InvalidSettingError(field, "must be above 0")
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -13,14 +13,14 @@
 from burlmoor.types.endpoint_list import EndpointState, ListKind
 from burlmoor.types.events import EndpointListUpdate
 from tests.support.admin_client import call_admin, get_readiness_status, serve_job
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
     from pathlib import Path
 
 
-def test_a_disabled_executor_gets_no_job_whatever_is_listed() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_disabled_executor_gets_no_job_whatever_is_listed() -> None:
+    async with open_node_harness() as harness:
         assert (await call_admin(harness, "/executors/disable", "nobody"))[0] == 404
         assert (await call_admin(harness, "/executors/enable", "nobody"))[0] == 404
         for _ in range(2):  # disabled twice, one call enables it
@@ -32,27 +32,25 @@
         for hosts in (*listed, listed[0]):
             seq += 1
             await harness.publish(seq, **hosts)
-            await harness.wait_until(lambda seq=seq: harness.node.directory.version == seq)  # type: ignore[misc]
+            await harness.wait_until(lambda seq=seq: harness.components.directory.version == seq)  # type: ignore[misc]
             assert {await serve_job(harness, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
         assert (await call_admin(harness, "/executors/enable", "e0"))[1]["out"] == []
-        assert harness.node.directory.find_live("e0") is not None
+        assert harness.components.directory.find_live("e0") is not None
 
-    run_scenario(scenario)
 
-
-def test_an_enabled_executor_counts_as_newly_started_even_where_the_list_lags() -> None:
+async def test_an_enabled_executor_counts_as_newly_started_even_where_the_list_lags() -> None:
     # Protocol rule 4: it was restarted while it was disabled; at once under full load, it would fail.
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness() as harness:
         await harness.wait_ready()  # before that nothing is live
         updates: list[EndpointListUpdate] = []
-        on_endpoint_list = harness.node.core.policy.on_endpoint_list
+        on_endpoint_list = harness.components.core.policy.on_endpoint_list
 
         def record(kind: ListKind, entries: Any) -> None:
             updates.append(EndpointListUpdate(kind, list(entries)))
             on_endpoint_list(kind, updates[-1].entries)
 
-        harness.node.core.policy.on_endpoint_list = record  # type: ignore[method-assign]
-        before = harness.node.core.clock()
+        harness.components.core.policy.on_endpoint_list = record  # type: ignore[method-assign]
+        before = harness.components.core.clock()
         await call_admin(harness, "/executors/disable", "e0")
         await call_admin(harness, "/executors/enable", "e0")
         disabled, enabled = (update.entries[0] for update in updates)
@@ -60,17 +58,15 @@
         assert (enabled.endpoint, enabled.state) == ("e0", EndpointState.LIVE)
         assert enabled.started_at >= before
         await harness.publish(2, e0="active", e1="active")  # with the old start
-        await harness.wait_until(lambda: harness.node.directory.version == 2)
+        await harness.wait_until(lambda: harness.components.directory.version == 2)
         assert updates[-1].entries[0].started_at == enabled.started_at
 
-    run_scenario(scenario)
-
 
-def test_an_attempt_that_is_still_connecting_does_not_reach_a_disabled_executor(
+async def test_an_attempt_that_is_still_connecting_does_not_reach_a_disabled_executor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        acquire = harness.node.pool.acquire
+    async with open_node_harness() as harness:
+        acquire = harness.components.pool.acquire
         disabled: list[str] = []
 
         async def disable_while_connecting(address: str) -> Any:
@@ -80,18 +76,17 @@
                 assert (await call_admin(harness, "/executors/disable", disabled[0]))[0] == 200
             return connection
 
-        monkeypatch.setattr(harness.node.pool, "acquire", disable_while_connecting)
+        monkeypatch.setattr(harness.components.pool, "acquire", disable_while_connecting)
         assert await serve_job(harness, "a1") != disabled[0]
 
-    run_scenario(scenario)
-
 
-def test_silent_and_incomplete_calls_do_not_delay_others() -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        assert harness.node.admin_server is not None
+async def test_silent_and_incomplete_calls_do_not_delay_others() -> None:
+    async with open_node_harness() as harness:
+        assert harness.components.admin_server is not None
         await harness.wait_ready()
         silent = [
-            HttpStream(await trio.open_tcp_stream(*harness.node.admin_server.address)) for _ in range(40)
+            HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
+            for _ in range(40)
         ]
         for wire in silent[::2]:
             await wire.socket_stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
@@ -101,42 +96,36 @@
         for wire in silent:
             await wire.read()  # closed, or answered that the call did not come in time
         assert trio.current_time() - began < 3.0
-        assert harness.node.directory.overrides.disabled_since == {}
+        assert harness.components.directory.overrides.disabled_since == {}
 
-    run_scenario(scenario)
 
-
-def test_an_exception_in_a_call_ends_only_that_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        assert harness.node.admin_server is not None
+async def test_an_exception_in_a_call_ends_only_that_call(monkeypatch: pytest.MonkeyPatch) -> None:
+    lines: list[str] = []
+    async with open_node_harness(lines=lines) as harness:
+        assert harness.components.admin_server is not None
         await harness.wait_ready()
         with monkeypatch.context() as patch:
-            patch.setattr(harness.node.drain, "begin_drain", lambda: 1 / 0)
-            wire = HttpStream(await trio.open_tcp_stream(*harness.node.admin_server.address))
+            patch.setattr(harness.components.drain, "begin_drain", lambda: 1 / 0)
+            wire = HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
             await wire.write("POST /drain HTTP/1.1", Host="node")
             assert await wire.read() is None
         assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
-
-    lines: list[str] = []
-    run_scenario(scenario, lines=lines)
     assert "admin-connection-failed" in lines[-1]
 
 
-def test_a_forwarded_override_is_applied_and_an_unknown_one_ignored() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_forwarded_override_is_applied_and_an_unknown_one_ignored() -> None:
+    async with open_node_harness() as harness:
         await harness.wait_ready()
-        harness.node.admin.apply_forwarded("/executors/disable", "e0")
-        before = harness.node.admin.overrides
+        harness.components.admin.apply_forwarded("/executors/disable", "e0")
+        before = harness.components.admin.overrides
         assert list(before.endpoints.disabled_since) == ["e0"]
-        harness.node.admin.apply_forwarded("/of/a/later/release", "e1")
-        assert harness.node.admin.overrides == before
-        assert harness.node.directory.find_live("e1") is not None
-
-    run_scenario(scenario)
+        harness.components.admin.apply_forwarded("/of/a/later/release", "e1")
+        assert harness.components.admin.overrides == before
+        assert harness.components.directory.find_live("e1") is not None
 
 
-def test_a_drain_rejects_new_jobs_within_four_seconds_and_ends_at_once() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_drain_rejects_new_jobs_within_four_seconds_and_ends_at_once() -> None:
+    async with open_node_harness() as harness:
         open_job = await harness.submit_job("once", "a1", 5000)
         idle = await harness.submit_job("once", "a2")
         await harness.wait_until(lambda: len(harness.jobs) == 2)
@@ -156,7 +145,7 @@
         began = trio.current_time()
         assert await idle.read() is None  # closed while idle
         assert trio.current_time() - began < 3.0
-        await harness.wait_until(lambda: harness.node.drain.state is ServiceState.REJECTING)
+        await harness.wait_until(lambda: harness.components.drain.state is ServiceState.REJECTING)
         assert (await harness.read_response(await harness.submit_job("once", "a4"))).status == 503
         await harness.send_callback("done", "fine", job=1 - number)  # it listens for call-backs all the while
         answer = await harness.read_response(open_job)
@@ -168,30 +157,25 @@
         await harness.send_callback("done", "fine")
         assert "connection" not in (await harness.read_response(wire)).headers
 
-    run_scenario(scenario)
-
 
-def test_a_drain_and_a_shutdown_share_one_service_state(autojump_clock: trio.testing.MockClock) -> None:
-    async def scenario() -> None:
-        drain = DrainController()
-        drain.begin_drain()
-        states.append(drain.state)
-        await trio.sleep(1.0)
-        states.append(drain.state)
-        drain.end_drain()
-        states.append(drain.state)
-        drain.begin_drain()
-        drain.begin_shutdown()
+async def test_a_drain_and_a_shutdown_share_one_service_state(autojump_clock: trio.testing.MockClock) -> None:
+    states: list[ServiceState] = []
+    drain = DrainController()
+    drain.begin_drain()
+    states.append(drain.state)
+    await trio.sleep(1.0)
+    states.append(drain.state)
+    drain.end_drain()
+    states.append(drain.state)
+    drain.begin_drain()
+    drain.begin_shutdown()
+    await trio.sleep(1.0)
+    drain.end_drain()  # does not end the shutdown
+    states.append(drain.state)
+    drain.begin_shutdown()
+    for _ in range(2):
         await trio.sleep(1.0)
-        drain.end_drain()  # does not end the shutdown
         states.append(drain.state)
-        drain.begin_shutdown()
-        for _ in range(2):
-            await trio.sleep(1.0)
-            states.append(drain.state)
-
-    states: list[ServiceState] = []
-    trio.run(scenario, clock=autojump_clock)
     assert states == [
         ServiceState.UNREADY,
         ServiceState.CLOSING,
@@ -203,33 +187,28 @@
 
 
 @pytest.mark.parametrize("is_damaged", [False, True])
-def test_overrides_outlive_the_process_unless_their_file_is_damaged(is_damaged: bool, tmp_path: Path) -> None:
-    async def override(harness: NodeHarness) -> None:
+async def test_overrides_outlive_the_process_unless_their_file_is_damaged(
+    is_damaged: bool, tmp_path: Path
+) -> None:
+    async with open_node_harness(state_folder=tmp_path) as harness:
         await call_admin(harness, "/executors/disable", "e0")
         await call_admin(harness, "/drain")
-
-    async def check(harness: NodeHarness) -> None:
-        # Nothing is live before discovery has answered.
-        await harness.wait_until(harness.node.discovery.first_contact.is_set)
-        assert (harness.node.directory.find_live("e0") is None) is not is_damaged
-        assert harness.node.drain.is_drained is not is_damaged
-
-    run_scenario(override, state_folder=tmp_path)
     (file,) = tmp_path.iterdir()
     if is_damaged:
         file.write_bytes(file.read_bytes()[:-9])
     lines: list[str] = []
-    run_scenario(check, state_folder=tmp_path, lines=lines)
+    async with open_node_harness(state_folder=tmp_path, lines=lines) as harness:
+        # Nothing is live before discovery has answered.
+        await harness.wait_until(harness.components.discovery.first_contact.is_set)
+        assert (harness.components.directory.find_live("e0") is None) is not is_damaged
+        assert harness.components.drain.is_drained is not is_damaged
     assert ("override-load-failed" in "".join(lines)) is is_damaged
 
 
-def test_a_node_accepts_from_a_passed_listening_socket() -> None:
+async def test_a_node_accepts_from_a_passed_listening_socket() -> None:
+    lines: list[str] = []
     with socket.create_server(("127.0.0.1", 0)) as listener:
-
-        async def scenario(harness: NodeHarness) -> None:
+        async with open_node_harness(listener_fd=listener.dup().detach(), lines=lines) as harness:
             harness.address = listener.getsockname()
             assert await get_readiness_status(harness) == 200
-
-        lines: list[str] = []
-        run_scenario(scenario, listener_fd=listener.dup().detach(), lines=lines)
-        assert "handover-unavailable" in lines[-1]  # no state folder, so no handover channel
+    assert "handover-unavailable" in lines[-1]  # no state folder, so no handover channel
--- a/tests/config/options/test_options.py
+++ b/tests/config/options/test_options.py
@@ -27,7 +27,7 @@
         "[waiting]\nheld = 2 MiB\nlongest = 1.5 min\nplaces = 40 %\njobs = 7\n", "f"
     ).waiting
     assert waiting == DeferredOptions(
-        max_body_bytes=2.0 * 1024**2, max_deferral_ms=90_000.0, connection_share=0.4, max_jobs=7
+        max_body_bytes=2.0 * 1024**2, max_deferral_ms=90_000.0, connection_fraction=0.4, max_jobs=7
     )
 
 
--- a/tests/deferred/test_dependency_graph.py
+++ b/tests/deferred/test_dependency_graph.py
@@ -25,7 +25,7 @@
         if job.end_reason is None:
             graph.remove(job.id)
         else:
-            graph.on_job_ended(job.id, False, now)
+            graph.on_job_ended(job.id, now, was_served=False)
     return done
 
 
@@ -46,7 +46,7 @@
     graph.on_job_opened("0")
     for number in range(1, 10_000):
         defer(graph, str(number), str(number - 1))
-    graph.on_job_ended("0", False, 1.0)
+    graph.on_job_ended("0", 1.0, was_served=False)
     done = drain(graph, 1.0)
     assert [request_id for request_id, _ in done] == [str(number) for number in range(1, 10_000)]
     assert {reason for _, reason in done} == {DeferralReason.DEPENDENCY_FAILED}
@@ -78,15 +78,15 @@
     defer(graph, "left", "top")
     defer(graph, "right", "top")
     defer(graph, "bottom", "left", "right")
-    graph.on_job_ended("top", True, 1.0)
+    graph.on_job_ended("top", 1.0, was_served=True)
     assert drain(graph, 1.0) == [("left", None), ("right", None)]
-    graph.on_job_ended("left", True, 2.0)
+    graph.on_job_ended("left", 2.0, was_served=True)
     assert drain(graph, 2.0) == []
-    graph.on_job_ended("right", True, 3.0)
+    graph.on_job_ended("right", 3.0, was_served=True)
     assert drain(graph, 3.0) == [("bottom", None)]
 
 
-def test_an_unknown_dependency_may_come_later_and_otherwise_ends_the_deferral() -> None:
+def test_an_unknown_dependency_may_be_admitted_later_and_otherwise_ends_the_deferral() -> None:
     graph = DependencyGraph(LIMITS)
     defer(graph, "early", "parent")
     defer(graph, "lost", "nobody")
@@ -95,7 +95,7 @@
     assert graph.jobs["early"].reason.value == "jobs"
     assert graph.next_due(1.0, UNIX_EPOCH_MS) == 2000.0
     assert drain(graph, 2000.0) == [("lost", DeferralReason.DEPENDENCY_UNKNOWN)]
-    graph.on_job_ended("parent", True, 2100.0)
+    graph.on_job_ended("parent", 2100.0, was_served=True)
     assert drain(graph, 2100.0) == [("early", None)]
 
 
@@ -103,11 +103,11 @@
 def test_how_a_job_ended_is_remembered_for_a_while(served: bool, reason: DeferralReason | None) -> None:
     graph = DependencyGraph(GraphLimits(10, 10, 2000.0, history_ms=5000.0, history_size=2))
     graph.on_job_opened("parent")
-    graph.on_job_ended("parent", served, 0.0)
+    graph.on_job_ended("parent", 0.0, was_served=served)
     defer(graph, "soon", "parent", now=4000.0)
     assert drain(graph, 4000.0) == [("soon", reason)]
     defer(graph, "late", "parent", now=5001.0)
-    assert drain(graph, 5001.0) == []  # forgotten: waits as for one that was never heard of
+    assert drain(graph, 5001.0) == []  # forgotten: it waits as for an unknown job
     assert drain(graph, 7001.0) == [("late", DeferralReason.DEPENDENCY_UNKNOWN)]
 
 
@@ -115,7 +115,7 @@
     graph = DependencyGraph(GraphLimits(10, 10, 2000.0, history_ms=1e9, history_size=100))
     for number in range(1000):
         graph.on_job_opened(str(number))
-        graph.on_job_ended(str(number), True, float(number))
+        graph.on_job_ended(str(number), float(number), was_served=True)
     assert graph.history_length == 100
 
 
@@ -126,7 +126,7 @@
     for request_id in "abc":
         defer(graph, request_id, "parent")
     assert drain(graph, 0.0) == [("c", DeferralReason.CAPACITY_REACHED)]
-    graph.on_job_ended("a", False, 1.0)
+    graph.on_job_ended("a", 1.0, was_served=False)
     defer(graph, "d", "parent", now=1.0)
     assert drain(graph, 1.0) == []
 
@@ -143,7 +143,7 @@
     defer(graph, "a", not_before_unix_ms=UNIX_EPOCH_MS + 5000.0, latest_release_at=60_000.0)
     defer(graph, "b", not_before_unix_ms=UNIX_EPOCH_MS + 5000.0, latest_release_at=8000.0)
     assert graph.next_due(0.0, UNIX_EPOCH_MS) == 5000.0
-    # Set back by an hour: its time has not come, and its client's runs out all the same.
+    # Set back by an hour: its not-before time has not passed, and its client times out nevertheless.
     assert drain(graph, 5000.0, UNIX_EPOCH_MS - 3_600_000.0) == []
     assert drain(graph, 8000.0, UNIX_EPOCH_MS - 3_597_000.0) == [("b", DeferralReason.TOO_LATE)]
     # Set right again, and beyond: it is free at once.
@@ -151,11 +151,11 @@
     assert drain(graph, 9000.0, UNIX_EPOCH_MS + 9000.0) == [("a", None)]
 
 
-def test_nothing_is_kept_of_jobs_that_end_early() -> None:
+def test_no_state_is_kept_of_jobs_that_end_early() -> None:
     graph = DependencyGraph(LIMITS)
     for number in range(5000):
         defer(graph, str(number), "nobody", not_before_unix_ms=UNIX_EPOCH_MS + 9000.0)
-        graph.on_job_ended(str(number), False, 0.0)
+        graph.on_job_ended(str(number), 0.0, was_served=False)
     assert not graph._dependents
     assert not graph.jobs
     assert len(graph._latest_release_timers._heap) < 200
@@ -179,5 +179,5 @@
     defer(graph, "c", *names)
     for name in names:
         assert drain(graph, 1.0) == []
-        graph.on_job_ended(name, True, 1.0)
+        graph.on_job_ended(name, 1.0, was_served=True)
     assert drain(graph, 1.0) == [("c", None)]
--- a/tests/deferred/test_dependency_graph_model.py
+++ b/tests/deferred/test_dependency_graph_model.py
@@ -21,7 +21,7 @@
 
 @dataclass
 class NaiveModel:
-    """The same rules, computed anew from all that has happened."""
+    """The same rules, computed from all events so far."""
 
     states: dict[str, str] = field(default_factory=dict)  # open, deferred, served or failed
     conditions: dict[str, Conditions] = field(default_factory=dict)
@@ -108,12 +108,12 @@
 
     def end_job(self, request_id: str, was_served: bool) -> None:
         if self.model.states.get(request_id) == "open":
-            self.graph.on_job_ended(request_id, was_served, self.now)
+            self.graph.on_job_ended(request_id, self.now, was_served=was_served)
             self.model.states[request_id] = "served" if was_served else "failed"
 
     def disconnect_client(self, request_id: str) -> None:
         if self.model.states.get(request_id) in ("open", "deferred"):
-            self.graph.on_job_ended(request_id, False, self.now)
+            self.graph.on_job_ended(request_id, self.now, was_served=False)
             self.model.states[request_id] = "failed"
 
     def settle(self) -> None:
--- a/tests/deferred/test_handover.py
+++ b/tests/deferred/test_handover.py
@@ -7,43 +7,37 @@
 import trio
 
 from tests.support.deferral_over_sockets import submit_deferred, wait_until_sent
-from tests.support.handover_harness import HandoverHarness, open_handover_harness
+from tests.support.handover_harness import open_handover_harness
 
 if TYPE_CHECKING:
     from pathlib import Path
 
 
-def test_deferred_jobs_stay_with_their_process_and_are_answered_in_time(tmp_path: Path) -> None:
-    async def scenario(harness: HandoverHarness) -> None:
-        old = await harness.start_process()
-        await old.wait_ready()
-        parent, child = await submit_deferred(harness, "p1"), await submit_deferred(harness, "c1", "p1")
-        await wait_until_sent(harness, "p1")
-        lasting, stays = await submit_deferred(harness, "p2"), await submit_deferred(harness, "c2", "p2")
-        await wait_until_sent(harness, "p1", "p2")
-        new = await harness.start_process()
-        await new.wait_ready()
-        # Its parent is at the old process, so it is rejected soon.
-        assert (await harness.read_response(await submit_deferred(harness, "c3", "p1"))).status == 503
-        assert await harness.send_callback("started", job=0) == 204
-        assert await harness.send_callback("done", "parent", job=0) == 204
-        assert (await harness.read_response(parent)).body == b"parent"
-        await wait_until_sent(harness, "p1", "p2", "c1")
-        assert await harness.send_callback("done", "child") == 204
-        assert (await harness.read_response(child)).body == b"child"
-        await harness.send_callback("started", job=1)
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(old.stop)
-            assert (await harness.read_response(stays)).status in (424, 503)
-            assert (await harness.read_response(lasting)).status == 502
-        await new.stop()
-
-    async def run() -> None:
-        with trio.fail_after(60.0):
-            async with open_handover_harness(tmp_path) as harness:
-                options = tmp_path / "options.ini"
-                options.write_text("[waiting]\nunknown = 300 ms\n")
-                harness.environment["BURLMOOR_OPTIONS"] = str(options)
-                await scenario(harness)
-
-    trio.run(run)
+async def test_deferred_jobs_stay_with_their_process_and_are_answered_in_time(tmp_path: Path) -> None:
+    with trio.fail_after(60.0):
+        async with open_handover_harness(tmp_path) as harness:
+            options = tmp_path / "options.ini"
+            options.write_text("[waiting]\nunknown = 300 ms\n")
+            harness.environment["BURLMOOR_OPTIONS"] = str(options)
+            old = await harness.start_process()
+            await old.wait_ready()
+            parent, child = await submit_deferred(harness, "p1"), await submit_deferred(harness, "c1", "p1")
+            await wait_until_sent(harness, "p1")
+            lasting, stays = await submit_deferred(harness, "p2"), await submit_deferred(harness, "c2", "p2")
+            await wait_until_sent(harness, "p1", "p2")
+            new = await harness.start_process()
+            await new.wait_ready()
+            # Its parent is at the old process, so it is rejected soon.
+            assert (await harness.read_response(await submit_deferred(harness, "c3", "p1"))).status == 503
+            assert await harness.send_callback("started", job=0) == 204
+            assert await harness.send_callback("done", "parent", job=0) == 204
+            assert (await harness.read_response(parent)).body == b"parent"
+            await wait_until_sent(harness, "p1", "p2", "c1")
+            assert await harness.send_callback("done", "child") == 204
+            assert (await harness.read_response(child)).body == b"child"
+            await harness.send_callback("started", job=1)
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(old.stop)
+                assert (await harness.read_response(stays)).status in (424, 503)
+                assert (await harness.read_response(lasting)).status == 502
+            await new.stop()
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -11,26 +11,24 @@
 
 from burlmoor.config.options import DeferredOptions, Options
 from burlmoor.testbed.node_process import send_http_request
-from tests.support import node_harness
 from tests.support.configuration import write_config
 from tests.support.deferral_over_sockets import (
     fetch_status,
-    run_scenario_with_deferral,
+    open_deferral_harness,
     submit_deferred,
     wait_until_deferred,
     wait_until_sent,
     wait_until_status,
 )
+from tests.support.node_harness import open_node_harness
 from tests.support.polling import poll_until
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from tests.support.node_harness import NodeHarness
 
-
-def test_a_deferred_job_is_sent_after_its_parent_without_its_condition_headers() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_deferred_job_is_sent_after_its_parent_without_its_condition_headers() -> None:
+    async with open_deferral_harness() as harness:
         parent, child = await submit_deferred(harness, "p"), await submit_deferred(harness, "c", "p")
         await wait_until_sent(harness, "p")
         await wait_until_deferred(harness, 1)
@@ -44,24 +42,22 @@
         assert (await harness.read_response(child)).body == b"child"
         await wait_until_deferred(harness, 0)
 
-    run_scenario_with_deferral(scenario)
-
 
-def test_without_the_options_section_the_condition_headers_mean_nothing() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_without_the_options_section_the_condition_headers_mean_nothing() -> None:
+    async with open_node_harness() as harness:
         wire = await submit_deferred(harness, "c", "p", Not_Before="never")
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("done", "at once")
         assert (await harness.read_response(wire)).body == b"at once"
-        assert harness.node.admin_server is not None
-        assert (await send_http_request(harness.node.admin_server.address, "GET", "/waiting")).status == 404
-
-    node_harness.run_scenario(scenario)
+        assert harness.components.admin_server is not None
+        assert (
+            await send_http_request(harness.components.admin_server.address, "GET", "/waiting")
+        ).status == 404
 
 
 @pytest.mark.parametrize("how", ["failed", "lost", "leaves"])
-def test_dependents_of_a_job_that_was_not_served_get_424_at_once(how: str) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_dependents_of_a_job_that_was_not_served_get_424_at_once(how: str) -> None:
+    async with open_deferral_harness() as harness:
         parent, child = await submit_deferred(harness, "p"), await submit_deferred(harness, "c", "p")
         grandchild = await submit_deferred(harness, "g", "c")
         await wait_until_deferred(harness, 2)
@@ -78,21 +74,17 @@
         assert late.status == 424
         await wait_until_sent(harness, "p")
 
-    run_scenario_with_deferral(scenario)
-
 
-def test_a_job_with_an_unknown_dependency_is_rejected_after_the_timeout() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_job_with_an_unknown_dependency_is_rejected_after_the_timeout() -> None:
+    async with open_deferral_harness() as harness:
         refused = await harness.read_response(await submit_deferred(harness, "c", "nobody"))
         assert refused.status == 503
         assert float(refused.headers["retry-after"]) > 0.0
         assert not harness.jobs
 
-    run_scenario_with_deferral(scenario)
 
-
-def test_parent_and_child_may_come_on_one_connection() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_parent_and_child_may_use_one_connection() -> None:
+    async with open_deferral_harness() as harness:
         wire = await submit_deferred(harness, "p")
         await submit_deferred(harness, "c", "p", wire=wire)  # written before the parent's answer
         await wait_until_sent(harness, "p")
@@ -107,25 +99,23 @@
         assert (await harness.read_response(wire)).status == 503
         await wait_until_sent(harness, "p", "c", "p2")
 
-    run_scenario_with_deferral(scenario)
-
 
 @pytest.mark.parametrize(
     "head", [{"Run_After": "c"}, {"Run_After": "a b"}, {"Run_After": ","}, {"Not_Before": "soon"}]
 )
-def test_an_invalid_condition_gets_400_with_one_line_that_names_the_header(head: dict[str, str]) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_an_invalid_condition_gets_400_with_one_line_that_names_the_header(
+    head: dict[str, str],
+) -> None:
+    async with open_deferral_harness() as harness:
         answer = await harness.read_response(await submit_deferred(harness, "c", wire=None, **head))
         assert answer.status == 400
         assert next(iter(head)).replace("_", "-").encode() in answer.body
         assert len(answer.body.splitlines()) == 1
         assert not harness.jobs
 
-    run_scenario_with_deferral(scenario)
 
-
-def test_the_id_of_a_deferred_job_is_in_use_until_its_client_disconnects() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_the_id_of_a_deferred_job_is_in_use_until_its_client_disconnects() -> None:
+    async with open_deferral_harness() as harness:
         await submit_deferred(harness, "p")
         child = await submit_deferred(harness, "c", "p")
         await wait_until_deferred(harness, 1)
@@ -139,14 +129,12 @@
         await harness.send_callback("done", "again")
         assert (await harness.read_response(again)).body == b"again"
 
-    run_scenario_with_deferral(scenario)
-
 
-def test_deferred_jobs_leave_connections_for_other_jobs_and_call_backs() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_deferred_jobs_leave_connections_for_other_jobs_and_call_backs() -> None:
+    async with open_deferral_harness(sockets=256) as harness:
         await submit_deferred(harness, "p")
         await wait_until_sent(harness, "p")
-        size = harness.node.server.max_connections
+        size = harness.components.server.max_connections
         wires = [await submit_deferred(harness, f"c{number}", "p") for number in range(size // 2)]
         await wait_until_status(harness, lambda status: status["turned_away"] >= size // 2 - size // 4)
         assert (await fetch_status(harness))["waiting"] == size // 4
@@ -158,18 +146,16 @@
         statuses = [(await harness.read_response(wire)).status for wire in wires]
         assert sorted(set(statuses)) == [424, 503]
 
-    run_scenario_with_deferral(scenario, sockets=256)
-
 
 @pytest.mark.parametrize("how", ["drain", "stop"])
-def test_deferred_jobs_are_rejected_when_the_node_drains_or_shuts_down(how: str) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_deferred_jobs_are_rejected_when_the_node_drains_or_shuts_down(how: str) -> None:
+    async with open_deferral_harness() as harness:
         await submit_deferred(harness, "p")
         child = await submit_deferred(harness, "c", "p")
         await wait_until_deferred(harness, 1)
         await wait_until_sent(harness, "p")
         if how == "drain":
-            harness.node.drain.begin_drain()
+            harness.components.drain.begin_drain()
         else:
             harness.node._nursery.start_soon(harness.node.shut_down)
         answer = await harness.read_response(child)
@@ -179,13 +165,11 @@
             await harness.send_callback("done")
             await harness.wait_until(lambda: harness.has_node_ended)
 
-    run_scenario_with_deferral(scenario)
-
 
-def test_options_hold_from_sighup_on_and_invalid_ones_change_nothing(tmp_path: Path) -> None:
+async def test_options_hold_from_sighup_on_and_invalid_ones_change_nothing(tmp_path: Path) -> None:
     lines: list[str] = []
-
-    async def scenario(harness: NodeHarness) -> None:
+    options = Options(waiting=DeferredOptions())
+    async with open_node_harness(options=options, lines=lines) as harness:
         path = tmp_path / "options.ini"
         given = {
             **write_config(tmp_path, discovery=harness.node._config.discovery),
@@ -210,58 +194,50 @@
         await wait_until_sent(harness, "p", "c3", "c1")
         await harness.send_callback("done", "waited")
         assert (await harness.read_response(first)).body == b"waited"
-        await harness.wait_until(lambda: harness.node.core.deferral.queue is None)
+        await harness.wait_until(lambda: harness.components.core.deferral.queue is None)
         path.write_text("[waiting]\n")
         harness.node.reload(given)
         await submit_deferred(harness, "p2")
         await submit_deferred(harness, "c4", "p2")
         await wait_until_deferred(harness, 1)
-
-    options = Options(waiting=DeferredOptions())
-    node_harness.run_scenario(scenario, options=options, lines=lines)
     failed = [json.loads(line) for line in lines if "reload-failed" in line]
     assert len(failed) == 1
     assert "jobs" in failed[0]["error"]
 
 
-def test_a_dependent_of_a_job_in_the_old_process_is_rejected() -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        harness.node.core.jobs.add_ids_in_other_process(["p"])  # as the handover reports them
+async def test_a_dependent_of_a_job_in_the_old_process_is_rejected() -> None:
+    async with open_deferral_harness() as harness:
+        harness.components.core.jobs.add_ids_in_other_process(["p"])  # as the handover reports them
         answer = await harness.read_response(await submit_deferred(harness, "c", "p"))
         assert answer.status == 503
 
-    run_scenario_with_deferral(scenario)
-
 
-def test_a_node_with_deferred_jobs_answers_them_on_sigterm(tmp_path: Path) -> None:
+async def test_a_node_with_deferred_jobs_answers_them_on_sigterm(tmp_path: Path) -> None:
     from burlmoor.testbed.job_classes import JOB_CLASSES  # noqa: PLC0415
     from burlmoor.testbed.local_cluster import executor_specs, local_cluster, new_request  # noqa: PLC0415
 
-    async def run() -> None:
-        with trio.fail_after(60.0):
-            async with (
-                local_cluster(tmp_path, executor_specs(2), options="[waiting]\n") as cluster,
-                trio.open_nursery() as nursery,
-            ):
-                clients, confirm = cluster.clients[0], JOB_CLASSES[2]
-                parent = new_request("p", confirm, 4300.0)
-                child = new_request("c", confirm, 10.0, timeout_ms=30_000.0, run_after=("p",))
-
-                async def has_started() -> bool:
-                    return bool(cluster.event_record.started_attempts_by_id())
-
-                async def are_answered() -> bool:
-                    return bool(parent.answer_count and child.answer_count)
-
-                cluster.executors["s-000"].set_slowdown(1.6)  # the parent runs for 3.4 s
-                for request in (parent, child):
-                    nursery.start_soon(clients.send, request)
-                await poll_until(has_started)
-                cluster.nodes[0].send_signal(signal.SIGTERM)
-                assert cluster.nodes[0].process is not None
-                assert await cluster.nodes[0].process.wait() == 0
-                await poll_until(are_answered)
-                assert child.status == 503
-                assert set(cluster.event_record.started_attempts_by_id()) == {"p"}
-
-    trio.run(run)
+    with trio.fail_after(60.0):
+        async with (
+            local_cluster(tmp_path, executor_specs(2), options="[waiting]\n") as cluster,
+            trio.open_nursery() as nursery,
+        ):
+            clients, confirm = cluster.clients[0], JOB_CLASSES[2]
+            parent = new_request("p", confirm, 4300.0)
+            child = new_request("c", confirm, 10.0, timeout_ms=30_000.0, run_after=("p",))
+
+            async def has_started() -> bool:
+                return bool(cluster.event_record.started_attempts_by_id())
+
+            async def are_answered() -> bool:
+                return bool(parent.answer_count and child.answer_count)
+
+            cluster.executors["s-000"].set_slowdown(1.6)  # the parent runs for 3.4 s
+            for request in (parent, child):
+                nursery.start_soon(clients.send, request)
+            await poll_until(has_started)
+            cluster.nodes[0].send_signal(signal.SIGTERM)
+            assert cluster.nodes[0].process is not None
+            assert await cluster.nodes[0].process.wait() == 0
+            await poll_until(are_answered)
+            assert child.status == 503
+            assert set(cluster.event_record.started_attempts_by_id()) == {"p"}
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -146,13 +146,13 @@
     harness = DeferralHarness()
     harness.submit(request_id="p")
     child, grandchild = harness.submit_deferred("c", "p"), harness.submit_deferred("g", "c")
-    harness.queue.set_draining(True)
+    harness.queue.set_draining(is_draining=True)
     harness.advance(10.0)
     assert child.answer_types() == grandchild.answer_types() == [Rejected]
     late = harness.submit_deferred("late", "p")
     harness.advance(10.0)
     assert late.answer_types() == [Rejected]
-    harness.queue.set_draining(False)
+    harness.queue.set_draining(is_draining=False)
     again = harness.submit_deferred("again", "p")
     harness.advance(10.0)
     assert again.answers == []
@@ -270,7 +270,7 @@
     assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [ReleasedJob]
 
 
-def test_a_fault_of_the_queue_rejects_the_deferred_jobs_and_the_engine_goes_on(
+def test_a_fault_of_the_queue_rejects_the_deferred_jobs_and_the_engine_continues(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = DeferralHarness()
--- a/tests/deferred/test_status.py
+++ b/tests/deferred/test_status.py
@@ -10,7 +10,7 @@
 from tests.support.deferral_harness import UNIX_EPOCH_MS, DeferralHarness
 
 
-def test_the_status_counts_by_class_and_reason_of_one_moment() -> None:
+async def test_the_status_counts_by_class_and_reason_of_one_moment() -> None:
     harness = DeferralHarness(max_jobs=100_000, max_dependents=100_000)
     harness.submit(request_id="p", job_class="once")
     for number in range(5000):
@@ -20,25 +20,21 @@
     harness.advance(10.0)
     harness.engine.step()
 
-    async def look() -> dict[str, Any]:
-        seen: dict[str, Any] = {}
-        began = trio.Event()
+    seen: dict[str, Any] = {}
+    began = trio.Event()
 
-        def clock() -> float:
-            began.set()
-            return harness.now
+    def clock() -> float:
+        began.set()
+        return harness.now
 
-        async def view() -> None:
-            seen.update(await build_status(harness.queue, clock))
+    async def fetch_status() -> None:
+        seen.update(await build_status(harness.queue, clock))
 
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(view)
-            await began.wait()
-            harness.core.lifecycle.on_client_disconnected(harness.find_job("c7"))  # while it is counted
-            harness.engine.step()
-        return seen
-
-    seen = trio.run(look)
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(fetch_status)
+        await began.wait()
+        harness.core.lifecycle.on_client_disconnected(harness.find_job("c7"))  # while it is counted
+        harness.engine.step()
     assert seen["waiting"] == 5002
     assert seen["by_class"]["lookup"]["waiting"] == 5000
     assert seen["by_reason"] == {"jobs": 5000, "time": 1, "unknown": 1}
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -63,7 +63,7 @@
         await harness.publish(
             6, fault == "moved", e0="leaving", **({"e1": "active"} if fault == "moved" else {})
         )
-        await harness.wait_until(lambda: harness.node.directory.find_live("e0") is None)
+        await harness.wait_until(lambda: harness.components.directory.find_live("e0") is None)
         assert trio.current_time() < started_at + deadline_seconds
         harness.is_discovery_silent = False
         await check_all_jobs_go_to_e1(harness)
@@ -113,11 +113,11 @@
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await harness.open_watches.pop().write("HTTP/1.1 200 OK", body)
         await harness.wait_until(lambda: any(event in line for line in lines))
-        assert harness.node.directory.version == 1
-        assert harness.node.directory.find_live("e0")
-        assert harness.node.directory.find_live("e1")
+        assert harness.components.directory.version == 1
+        assert harness.components.directory.find_live("e0")
+        assert harness.components.directory.find_live("e1")
         await harness.publish(10, e0="leaving", e1="active")
-        await harness.wait_until(lambda: harness.node.directory.version == 10)
+        await harness.wait_until(lambda: harness.components.directory.version == 10)
 
     lines: list[str] = []
     run_scenario(scenario, lines=lines)
@@ -137,8 +137,8 @@
         ]
         await harness.wait_until(lambda: harness.open_watches)
         await harness.open_watches.pop().write("HTTP/1.1 200 OK", json.dumps(published).encode())
-        await harness.wait_until(lambda: harness.node.directory.version == 7)
-        assert [harness.node.directory.find_live(f"e{number}") is not None for number in range(4)] == [
+        await harness.wait_until(lambda: harness.components.directory.version == 7)
+        assert [harness.components.directory.find_live(f"e{number}") is not None for number in range(4)] == [
             False,
             True,
             False,
@@ -169,12 +169,12 @@
         assert len(body) > 256 * 1024
         await harness.wait_until(lambda: harness.open_watches)
         await harness.open_watches.pop().write("HTTP/1.1 200 OK", body)
-        await harness.wait_until(lambda: harness.node.directory.version == 7)
+        await harness.wait_until(lambda: harness.components.directory.version == 7)
         await harness.publish(8, False, e0="leaving")
-        await harness.wait_until(lambda: harness.node.directory.find_live("e0") is None)
+        await harness.wait_until(lambda: harness.components.directory.find_live("e0") is None)
         await check_all_jobs_go_to_e1(harness)
         disabled = {f"executor-{number:06d}": 1.0 for number in range(MANY_ENDPOINTS)}
-        harness.node.directory.set_overrides(EndpointOverrides(disabled_since=disabled))
+        harness.components.directory.set_overrides(EndpointOverrides(disabled_since=disabled))
         _, response = await call_admin(harness, "/ready", method="GET")
         assert response["out"] == sorted(disabled)
 
--- a/tests/engine/test_cancelling.py
+++ b/tests/engine/test_cancelling.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(("limits", "allowed"), [(NO_HEDGING, 1), (HEDGING, 2)])
-def test_no_more_attempts_are_out_than_allowed_and_the_next_follows_a_confirmed_cancel(
+def test_no_more_attempts_are_open_than_allowed_and_the_next_follows_a_confirmed_cancellation(
     limits: Limits, allowed: int
 ) -> None:
     harness = EngineHarness(limits=limits)
@@ -40,7 +40,7 @@
     assert harness.core.invariants.counts() == {}
 
 
-def test_a_result_that_comes_before_the_cancel_is_confirmed_serves_the_job() -> None:
+def test_a_result_that_arrives_before_the_cancellation_is_confirmed_serves_the_job() -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     client, attempt = harness.submit_and_start(work_ms=2000.0)
     cancel(harness)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.UNREACHABLE])
-def test_a_non_idempotent_job_does_not_wait_for_the_cancel(outcome: Outcome) -> None:
+def test_a_non_idempotent_job_does_not_wait_for_the_cancellationlation(outcome: Outcome) -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     client, attempt = harness.submit_and_start("once")
     cancel(harness, outcome)
@@ -101,7 +101,7 @@
     assert harness.started_attempts == [attempt]
 
 
-def test_an_attempt_whose_own_time_is_over_counts_as_out() -> None:
+def test_an_attempt_past_its_own_deadline_counts_as_open() -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     _, attempt = harness.submit_and_start(work_ms=2000.0)
     harness.core.deadlines.schedule(harness.now + 10.0, attempt)
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -88,7 +88,7 @@
     harness.core.policy.on_endpoint_list(ListKind.SNAPSHOT, [])
     harness.advance(100.0)
     client, _ = harness.submit(timeout_ms=300.0, work_ms=1.0)
-    harness.now += 20.0  # steps may come late
+    harness.now += 20.0  # steps may be late
     harness.engine.step()
     harness.advance(300.0)
     assert client.answer_types() == [Rejected]
@@ -126,7 +126,7 @@
     assert [each.endpoint == attempt.endpoint for each in harness.started_attempts] == [True, False]
 
 
-def test_a_job_that_ends_while_a_cancel_is_under_way_is_forgotten() -> None:
+def test_a_job_that_ends_while_a_cancellation_is_pending_is_forgotten() -> None:
     harness = EngineHarness(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=False))
     client, attempt = harness.submit_and_start(work_ms=2000.0)
     harness.core.lifecycle.on_attempt_started(attempt)
--- a/tests/engine/test_job_log.py
+++ b/tests/engine/test_job_log.py
@@ -1,4 +1,4 @@
-"""What the log says of jobs that did not go the plain way, and the counts by reason."""
+"""The log lines of jobs that needed more than their first attempt, and the counts by reason."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     assert harness.core.counters.totals()["jobs"] == {f"{answer}: {reason}": 1}
 
 
-def test_a_client_that_leaves_is_the_reason_of_its_job_and_of_the_cancel() -> None:
+def test_a_client_that_disconnects_is_the_reason_for_the_end_of_its_job_and_the_cancellation() -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_client_disconnected(attempt.job)
--- a/tests/golden/test_takeover.py
+++ b/tests/golden/test_takeover.py
@@ -84,20 +84,14 @@
     return {"hello": hello, "accepting": accepting}
 
 
-def test_a_process_hands_over_to_one_of_the_release(tmp_path: Path) -> None:
-    async def story() -> None:
-        async with open_handover_harness(tmp_path) as made:
-            said = await hand_over(made)
-        assert shape(said["snapshot"]) == shape(recorded("snapshot"))
-        assert said["holds"] == recorded("holds")
+async def test_a_process_hands_over_to_one_of_the_release(tmp_path: Path) -> None:
+    async with open_handover_harness(tmp_path) as made:
+        said = await hand_over(made)
+    assert shape(said["snapshot"]) == shape(recorded("snapshot"))
+    assert said["holds"] == recorded("holds")
 
-    trio.run(story)
 
-
-def test_a_process_takes_over_from_one_of_the_release(tmp_path: Path) -> None:
-    async def story() -> None:
-        async with open_handover_harness(tmp_path) as made:
-            said = await take_over(made)
-        assert said == {"hello": recorded("hello"), "accepting": recorded("accepting")}
-
-    trio.run(story)
+async def test_a_process_takes_over_from_one_of_the_release(tmp_path: Path) -> None:
+    async with open_handover_harness(tmp_path) as made:
+        said = await take_over(made)
+    assert said == {"hello": recorded("hello"), "accepting": recorded("accepting")}
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -154,7 +154,7 @@
         client = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs)
         if act == "take":
-            await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+            await harness.wait_until(lambda: not harness.components.attempts.in_flight)
         await client.socket_stream.aclose()
         await harness.wait_until(
             lambda: harness.cancelled_attempts if act == "take" else harness.unanswered_connection_count
@@ -176,8 +176,8 @@
     async def scenario(harness: NodeHarness) -> None:
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)
-        runner = harness.node.attempts
-        attempt = next(iter(harness.node.core.jobs)).attempts[0]
+        runner = harness.components.attempts
+        attempt = next(iter(harness.components.core.jobs)).attempts[0]
         await harness.wait_until(lambda: not runner.in_flight)
 
         async def call(*_: object) -> None:
@@ -186,7 +186,7 @@
             raise ConnectError("127.0.0.1:1", fault)
 
         if fault != "none":
-            monkeypatch.setattr(harness.node.pool, "call", call)
+            monkeypatch.setattr(harness.components.pool, "call", call)
         runner.cancel_attempt(attempt)
         await harness.wait_until(lambda: not runner.open_cancel_calls)
         assert attempt.has_ended is is_cancelled
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that leave, or write on, while their jobs are open: rows of `docs/endings.md`."""
+"""Clients that leave, or write on, while their jobs are open: rows of `docs/races.md`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting_count = 0
         self.released = trio.Event()
-        acquire = harness.node.pool.acquire
+        acquire = harness.components.pool.acquire
 
         async def acquire_later(address: str) -> PooledConnection:
             connection = await acquire(address)
@@ -31,7 +31,7 @@
             await self.released.wait()
             return connection
 
-        monkeypatch.setattr(harness.node.pool, "acquire", acquire_later)
+        monkeypatch.setattr(harness.components.pool, "acquire", acquire_later)
 
 
 @pytest.mark.parametrize("given_settings", [SETTINGS_OBJECT, NO_CANCEL])
@@ -47,12 +47,12 @@
             await client.socket_stream.aclose()
         else:  # as a dying process does
             client.reset()
-        await harness.wait_until(lambda: not harness.node.core.jobs.count_open())
+        await harness.wait_until(lambda: not harness.components.core.jobs.count_open())
         delayed.released.set()
-        await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+        await harness.wait_until(lambda: not harness.components.attempts.in_flight)
         assert not harness.jobs
         # Nothing is kept of it either.
-        await harness.wait_until(lambda: not harness.node.core.jobs.ids())
+        await harness.wait_until(lambda: not harness.components.core.jobs.ids())
 
     run_scenario(scenario, given_settings=given_settings)
 
@@ -66,7 +66,7 @@
         began = trio.current_time()
         await client.socket_stream.send_all(b"x" * byte_count)
         await client.socket_stream.aclose()
-        await harness.wait_until(lambda: not harness.node.core.jobs.count_open())
+        await harness.wait_until(lambda: not harness.components.core.jobs.count_open())
         assert trio.current_time() - began < 2.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
 
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -21,7 +21,7 @@
         for client in active:
             assert (await harness.read_response(client)).status == 200
         silent = [await harness.connect_client() for _ in range(100)]
-        await harness.wait_until(lambda: len(harness.node.server.connections) > 40)
+        await harness.wait_until(lambda: len(harness.components.server.connections) > 40)
         for number, client in enumerate(active):
             await harness.send_job(client, "once", f"b{number}")
         await harness.wait_until(lambda: len(harness.jobs) == 6)
@@ -38,7 +38,7 @@
             await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
             await harness.send_callback("done", "fine")
             assert (await harness.read_response(clients[-1])).status == 200
-        await harness.wait_until(lambda: len(harness.node.server.connections) < 20)
+        await harness.wait_until(lambda: len(harness.components.server.connections) < 20)
         assert await clients[0].read() is None
         await harness.send_job(clients[-1], "once", "b")
         await harness.wait_until(lambda: len(harness.jobs) == 31)
--- a/tests/integration/test_endpoint_changes.py
+++ b/tests/integration/test_endpoint_changes.py
@@ -46,7 +46,7 @@
 
 def test_a_drain_during_the_connect_fails_the_send_precondition(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(harness: NodeHarness) -> None:
-        acquire = harness.node.pool.acquire
+        acquire = harness.components.pool.acquire
         drained: list[str] = []  # addresses
 
         async def drain_while_connecting(address: str) -> PooledConnection:
@@ -59,7 +59,7 @@
                 await harness.wait_until(lambda: len(harness.discovery_paths) > calls)
             return connection
 
-        monkeypatch.setattr(harness.node.pool, "acquire", drain_while_connecting)
+        monkeypatch.setattr(harness.components.pool, "acquire", drain_while_connecting)
         client = await harness.submit_job("once")
         await harness.wait_until(lambda: harness.jobs)
         assert harness.addresses[harness.jobs[0][0]] != drained[0]
@@ -78,8 +78,8 @@
         await harness.wait_until(lambda: harness.open_watches)
         await harness.open_watches.pop().write("HTTP/1.1 200 OK", b"[]")
         await harness.publish(9, e1="active")
-        await harness.wait_until(lambda: harness.node.directory.version == 9)
-        assert harness.node.directory.find_live("e0") is None
+        await harness.wait_until(lambda: harness.components.directory.version == 9)
+        assert harness.components.directory.find_live("e0") is None
 
     lines: list[str] = []
     run_scenario(scenario, lines=lines)
@@ -93,9 +93,9 @@
         client = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs and harness.open_watches)
         if phase == "after failures":
-            harness.node.discovery._schedule.failures = 9
+            harness.components.discovery._schedule.failures = 9
             await harness.open_watches.pop().write("HTTP/1.1 503 Busy")
-            await harness.wait_until(lambda: harness.node.discovery._schedule.failures == 10)
+            await harness.wait_until(lambda: harness.components.discovery._schedule.failures == 10)
         old_watches = harness.open_watches
         harness.discovery_paths = []
         harness.open_watches = []
@@ -113,8 +113,8 @@
         await harness.publish(3, e0="active", e1="active")
         await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
         assert harness.discovery_paths[1] == "/registry/instances?after=3&wait_ms=1000"
-        assert harness.node.directory.find_live("e0") is None
-        assert harness.node.directory.find_live("e1") is not None
+        assert harness.components.directory.find_live("e0") is None
+        assert harness.components.directory.find_live("e1") is not None
         await harness.send_callback("done", "kept")
         assert (await harness.read_response(client)).body == b"kept"
 
@@ -129,7 +129,7 @@
         invalid.write_text(text)
         harness.node.reload({"RELAY_CONFIG": str(invalid)})
         await harness.publish(9, e1="active")  # the old watch goes on
-        await harness.wait_until(lambda: harness.node.directory.version == 9)
+        await harness.wait_until(lambda: harness.components.directory.version == 9)
 
     lines: list[str] = []
     run_scenario(scenario, lines=lines)
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -1,4 +1,4 @@
-"""Responses of executors that are late, invalid, doubled or missing: rows of `docs/endings.md`."""
+"""Responses of executors that are late, invalid, doubled or missing: rows of `docs/races.md`."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 def test_a_late_second_response_is_not_taken_for_the_next_jobs() -> None:
     # It says that the job never ran: a non-idempotent job would be sent again.
     async def scenario(harness: NodeHarness) -> None:
-        harness.node.pool._reuse_delay_seconds = 10.0  # as if no time passed
+        harness.components.pool._reuse_delay_seconds = 10.0  # as if no time passed
         await harness.publish(2, False, e1="leaving")
-        await harness.wait_until(lambda: harness.node.directory.find_live("e1") is None)
+        await harness.wait_until(lambda: harness.components.directory.find_live("e1") is None)
         for number, ref in enumerate(("a1", "a2")):
             harness.open_clients.append(await harness.submit_job("once", ref))
             await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
-            await harness.wait_until(lambda: not harness.node.attempts.in_flight)
+            await harness.wait_until(lambda: not harness.components.attempts.in_flight)
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(harness.open_clients[-1])).body == b"fine"
         assert harness.find_attempts("a2") == [1]
@@ -34,7 +34,7 @@
 
 def test_an_idle_connection_with_a_second_response_is_not_reused() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        pool, address = harness.node.pool, harness.addresses["e0"]
+        pool, address = harness.components.pool, harness.addresses["e0"]
         connection = await pool.acquire(address)
         pool.return_connection(connection)
         assert await pool.acquire(address) is not connection
@@ -75,7 +75,7 @@
         answer = await harness.read_response(client)
         assert (answer.status, answer.body == b"second") == (status, attempt_count == 2)
         assert len(harness.jobs) == attempt_count
-        assert not harness.node.attempts.in_flight
+        assert not harness.components.attempts.in_flight
 
     run_scenario(scenario, f"bytes:{response}")
 
@@ -132,10 +132,10 @@
         client = await harness.submit_job()
         await established.wait()
         await client.socket_stream.aclose()
-        await harness.wait_until(lambda: not harness.node.core.jobs.count_open())
+        await harness.wait_until(lambda: not harness.components.core.jobs.count_open())
         released.set()
         await harness.wait_until(
-            lambda: not harness.node.attempts.in_flight and not harness.node.pool.open_count
+            lambda: not harness.components.attempts.in_flight and not harness.components.pool.open_count
         )
         assert not harness.jobs
 
@@ -146,7 +146,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(harness: NodeHarness) -> int:
-        monkeypatch.setattr(harness.node.pool, "acquire", lambda _address: 1 // 0)
+        monkeypatch.setattr(harness.components.pool, "acquire", lambda _address: 1 // 0)
         return (await harness.read_response(await harness.submit_job("once", timeout_ms=800))).status
 
     lines: list[str] = []
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Idle connections and whole nodes that are closed while requests arrive: rows of `docs/endings.md`."""
+"""Idle connections and whole nodes that are closed while requests arrive: rows of `docs/races.md`."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(client)).body == b"fine"
-        admit = harness.node.engine.admit
+        admit = harness.components.engine.admit
 
         def record_and_admit(*arguments: Any) -> Any:
             admitted.append(arguments[1])
             return admit(*arguments)
 
-        monkeypatch.setattr(harness.node.engine, "admit", record_and_admit)
+        monkeypatch.setattr(harness.components.engine, "admit", record_and_admit)
 
         def close_idle_and_receive(stream: SocketStream) -> bool | None:
             # The socket is readable and its task about to read when the sweep closes idle connections.
             monkeypatch.setattr(SocketStream, "receive_now", receive_now)
-            harness.node.server.close_idle()
+            harness.components.server.close_idle()
             return receive_now(stream)
 
         monkeypatch.setattr(SocketStream, "receive_now", close_idle_and_receive)
@@ -95,8 +95,8 @@
                 for number in range(6):
                     nursery.start_soon(submit_repeatedly, number)
         # A client that still waits has submitted its job within 0.7 s of SIGTERM, or not at all.
-        assert not harness.node.core.jobs.count_open()
-        assert not harness.node.server.has_unsent
+        assert not harness.components.core.jobs.count_open()
+        assert not harness.components.server.has_unsent
 
     run_scenario(scenario, given_settings=settings_with_deadline(deadline_ms))
     assert all(at < killed_after_seconds for at in late_answers)
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("descriptors", [64, 80, 128, 200, 1024])
 def test_the_connection_limits_fit_into_the_descriptors(descriptors: int) -> None:
     async def scenario(harness: NodeHarness) -> int:
-        node = harness.node
+        node = harness.components
         return node.server.max_connections + node.pool.max_connections + node.discovery_pool.max_connections
 
     # Operators' calls; standard streams, the event loop's own, two that listen, one being accepted.
--- a/tests/integration/test_shutdown_over_sockets.py
+++ b/tests/integration/test_shutdown_over_sockets.py
@@ -17,7 +17,7 @@
         idle = await harness.connect_client()
         await harness.wait_until(lambda: harness.jobs)
         harness.nursery.start_soon(harness.node.shut_down)
-        await harness.wait_until(lambda: harness.node.drain.is_shutting_down)
+        await harness.wait_until(lambda: harness.components.drain.is_shutting_down)
         ready = await harness.connect_client()
         await ready.write("GET /health/ready HTTP/1.1", Host="node")
         assert (await harness.read_response(ready)).status == 503
@@ -27,7 +27,7 @@
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         for job in (0, 1):
             await harness.send_callback("started", job=job)
-        await harness.wait_until(lambda: harness.node.drain.state is ServiceState.REJECTING)
+        await harness.wait_until(lambda: harness.components.drain.state is ServiceState.REJECTING)
         late = await harness.submit_job(request_id="a3")
         assert (await harness.read_response(late)).status == 503
         for job, client in ((0, first), (1, idle)):
@@ -44,7 +44,7 @@
     async def scenario(harness: NodeHarness) -> None:
         client = await harness.submit_job("once", "a1")
         harness.nursery.start_soon(harness.node.shut_down)
-        await harness.wait_until(lambda: harness.node.core.deadlines.answer_by < float("inf"))
+        await harness.wait_until(lambda: harness.components.core.deadlines.answer_by < float("inf"))
         for number in range(3):  # one connection carries them all
             await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
             await harness.send_callback("done", "fine")
@@ -62,14 +62,14 @@
 
 def test_a_stopping_node_does_not_cut_off_a_slow_reader() -> None:
     async def scenario(harness: NodeHarness) -> None:
-        harness.node.server._listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        harness.components.server._listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client = await harness.connect_client(receive_buffer=4096)
         await harness.send_job(client)
         await harness.wait_until(lambda: harness.jobs)
         harness.nursery.start_soon(harness.node.shut_down)
-        await harness.wait_until(lambda: harness.node.drain.is_shutting_down)
+        await harness.wait_until(lambda: harness.components.drain.is_shutting_down)
         await harness.send_callback("done", "x" * 60_000)
-        assert harness.node.server.has_unsent
+        assert harness.components.server.has_unsent
         with trio.move_on_after(1.0):
             await harness.wait_until(lambda: harness.has_node_ended)
         assert len((await harness.read_response(client)).body) == 60_000
--- a/tests/integration/test_signals.py
+++ b/tests/integration/test_signals.py
@@ -53,14 +53,10 @@
 
 
 @pytest.mark.parametrize("series", [[signal.SIGHUP], [signal.SIGHUP, signal.SIGTERM, signal.SIGINT]])
-def test_a_process_starts_and_ends_as_it_should_under_a_series_of_signals(
+async def test_a_process_starts_and_ends_as_it_should_under_a_series_of_signals(
     tmp_path: Path, series: list[signal.Signals]
 ) -> None:
-    async def run() -> None:
-        with trio.fail_after(60.0):
-            await run_under_signals()
-
-    async def run_under_signals() -> None:
+    with trio.fail_after(60.0):
         async with local_cluster(tmp_path, executor_specs(3), start=False) as cluster:
             node = cluster.nodes[0]
             node.command = run_line()
@@ -71,5 +67,3 @@
                 assert count_served(cluster, "aa") == 10
                 nursery.start_soon(send_series, cluster, series)
                 assert await node.stop() == 0
-
-    trio.run(run)
--- a/tests/integration/test_simultaneous_attempts.py
+++ b/tests/integration/test_simultaneous_attempts.py
@@ -44,9 +44,10 @@
 
 
 def cancel_reasons(cluster: LocalCluster) -> set[str]:
-    """Why the node has given attempts up, by its log."""
+    """Why the node has cancelled attempts, by its log."""
     lines = [line for line in cluster.nodes[0].log if line["event"] == "job-ended"]
-    return {attempt["cancel"] for line in lines for attempt in line["attempts"] if "cancel" in attempt}
+    attempts = [attempt for line in lines for attempt in line["attempts"]]
+    return {attempt["cancel_reason"] for attempt in attempts if "cancel_reason" in attempt}
 
 
 async def send_long_jobs(cluster: LocalCluster, job_class: JobClass = SEARCH) -> None:
--- a/tests/integration/test_upstream_connections.py
+++ b/tests/integration/test_upstream_connections.py
@@ -34,7 +34,7 @@
 def test_a_reused_connection_that_broke_shortens_the_idle_time_of_others() -> None:
     # Without this, each connection that a peer had dropped early and unseen would lose the job written to it.
     async def scenario(harness: NodeHarness) -> None:
-        pool = harness.node.pool
+        pool = harness.components.pool
         address = harness.addresses["e0"]
         first = await pool.acquire(address)
         second = await pool.acquire(address)
@@ -59,7 +59,7 @@
 
     async def scenario(harness: NodeHarness) -> None:
         client = await harness.submit_job()
-        await harness.wait_until(lambda: harness.jobs and not harness.node.attempts.in_flight)
+        await harness.wait_until(lambda: harness.jobs and not harness.components.attempts.in_flight)
         for connection in harness.executor_connections:
             await connection.socket_stream.aclose()
         await client.socket_stream.aclose()
--- a/tests/lifecycle/test_connection_limits.py
+++ b/tests/lifecycle/test_connection_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from burlmoor.lifecycle.connection_limits import SharedConnectionLimits, SocketBudget, divide_sockets
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 
 @pytest.mark.parametrize(
@@ -21,9 +21,9 @@
     assert divide_sockets(max_sockets) == budget
 
 
-def test_a_process_leaves_out_what_the_other_has_open_but_keeps_a_minimum() -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        server, pool = harness.node.server, harness.node.pool
+async def test_a_process_leaves_out_what_the_other_has_open_but_keeps_a_minimum() -> None:
+    async with open_node_harness() as harness:
+        server, pool = harness.components.server, harness.components.pool
         limits = SharedConnectionLimits(server, pool)
         limits.reserve(downstream=72, upstream=88)
         assert (server.max_connections, pool.max_connections) == (600, 200)
@@ -33,5 +33,3 @@
         assert (server.max_connections, pool.max_connections) == (8, 0)
         limits.restore()
         assert (server.max_connections, pool.max_connections) == (672, 288)
-
-    run_scenario(scenario)
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -37,114 +37,103 @@
     assert (await harness.read_response(client)).body == b"fine"
 
 
-def test_a_new_process_takes_over_without_a_client_noticing(tmp_path: Path) -> None:
-    async def scenario() -> None:
-        async with open_handover_harness(tmp_path) as harness:
-            old = await harness.start_process()
-            await old.wait_ready()
-            used = await harness.submit_job("once", "a1")
-            await harness.wait_until(lambda: harness.jobs)
-            assert await harness.send_callback("done", "one") == 204
-            assert (await harness.read_response(used)).body == b"one"
-            waiting = await harness.submit_job("once", "a2", PATIENT_MS)
-            await harness.wait_until(lambda: len(harness.jobs) == 2)
-            partial = await harness.connect_client()
-            await partial.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
-            silent = await harness.connect_client()
-            assert (await old.call("/executors/disable", "e0")).status == 200
-
-            new = await harness.start_process()
-            await new.wait_ready()
-            assert await get_readiness_status(harness) == 200
-            assert (await old.call("/ready")).status == 503
-            await assert_overrides_hold_at_both(old, new)
-
-            # The job is the old process's, its call-back comes to the new one.
-            assert await harness.send_callback("started", job=1) == 204
-            assert await harness.send_callback("done", "two", job=1) == 204
-            answer = await harness.read_response(waiting)
-            assert (answer.status, answer.body, answer.headers.get("connection")) == (200, b"two", None)
-            later = await harness.submit_job("once", "a4")
-            await harness.wait_until(lambda: len(harness.jobs) == 3)
-            old.process.send_signal(signal.SIGTERM)
-            rest = b"Request-Timeout-Ms: %d\r\nContent-Length: 0\r\n\r\n" % PATIENT_MS
-            await partial.socket_stream.send_all(rest)
-            await harness.wait_until(lambda: len(harness.jobs) == 4)
-            assert {name for name, _ in harness.jobs[2:]} == {"e1"}
-            for job in (2, 3):
-                await harness.send_callback("done", "on", job=job)
-            for client in (later, partial):
-                assert (await harness.read_response(client)).body == b"on"
-            with trio.fail_after(3.0):
-                assert await old.process.wait() == 0
-            # Every connection that was open goes on at the new process.
-            for number, client in enumerate((used, waiting, partial, silent, later)):
-                await assert_served(harness, client, f"b{number}")
-            await new.stop()
-
-    trio.run(scenario)
-
-
-def test_a_drained_node_is_upgraded_twice_while_the_first_process_still_has_a_job(tmp_path: Path) -> None:
-    async def scenario() -> None:
-        async with open_handover_harness(tmp_path) as harness:
-            first = await harness.start_process()
-            await first.wait_ready()
-            client = await harness.submit_job("once", "a1", PATIENT_MS)
-            await harness.wait_until(lambda: harness.jobs)
-            second = await harness.start_process()
-            await second.wait_ready()
-            assert (await second.call("/drain")).status == 200
-            third = await harness.start_process()
-            # This process is ready, and its old one may go; the node is drained all the same.
-            await third.wait_ready()
-            assert await get_readiness_status(harness) == 503
-            # The result comes to the third process, for a job of the first.
-            assert await harness.send_callback("done", "far") == 204
-            assert (await harness.read_response(client)).body == b"far"
-            assert (await third.call("/undrain")).status == 200
-            assert await get_readiness_status(harness) == 200
-            for process in (first, second, third):
-                await process.stop()
-
-    trio.run(scenario)
-
-
-def test_a_new_process_that_fails_changes_nothing(tmp_path: Path) -> None:
-    async def scenario() -> None:
-        async with open_handover_harness(tmp_path) as harness:
-            old = await harness.start_process()
-            await old.wait_ready()
-            broken = await harness.start_process(RELAY_LISTEN="nowhere")
-            assert await broken.process.wait() == 2
-            # One that is killed after it took over: the old process takes clients again.
-            killed = await harness.start_process()
-            await killed.wait_ready()
-            killed.process.kill()
-            await old.wait_ready()
-            assert await serve_job(harness, "a1") in ("e0", "e1")
-            await old.stop()
-
-    trio.run(scenario)
-
-
-def test_a_new_process_sends_nothing_on_a_list_that_its_predecessor_may_not_use_any_more(
+async def test_a_new_process_takes_over_without_a_client_noticing(tmp_path: Path) -> None:
+    async with open_handover_harness(tmp_path) as harness:
+        old = await harness.start_process()
+        await old.wait_ready()
+        used = await harness.submit_job("once", "a1")
+        await harness.wait_until(lambda: harness.jobs)
+        assert await harness.send_callback("done", "one") == 204
+        assert (await harness.read_response(used)).body == b"one"
+        waiting = await harness.submit_job("once", "a2", PATIENT_MS)
+        await harness.wait_until(lambda: len(harness.jobs) == 2)
+        partial = await harness.connect_client()
+        await partial.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
+        silent = await harness.connect_client()
+        assert (await old.call("/executors/disable", "e0")).status == 200
+
+        new = await harness.start_process()
+        await new.wait_ready()
+        assert await get_readiness_status(harness) == 200
+        assert (await old.call("/ready")).status == 503
+        await assert_overrides_hold_at_both(old, new)
+
+        # The job is the old process's, its call-back comes to the new one.
+        assert await harness.send_callback("started", job=1) == 204
+        assert await harness.send_callback("done", "two", job=1) == 204
+        answer = await harness.read_response(waiting)
+        assert (answer.status, answer.body, answer.headers.get("connection")) == (200, b"two", None)
+        later = await harness.submit_job("once", "a4")
+        await harness.wait_until(lambda: len(harness.jobs) == 3)
+        old.process.send_signal(signal.SIGTERM)
+        rest = b"Request-Timeout-Ms: %d\r\nContent-Length: 0\r\n\r\n" % PATIENT_MS
+        await partial.socket_stream.send_all(rest)
+        await harness.wait_until(lambda: len(harness.jobs) == 4)
+        assert {name for name, _ in harness.jobs[2:]} == {"e1"}
+        for job in (2, 3):
+            await harness.send_callback("done", "on", job=job)
+        for client in (later, partial):
+            assert (await harness.read_response(client)).body == b"on"
+        with trio.fail_after(3.0):
+            assert await old.process.wait() == 0
+        # Every connection that was open is served by the new process.
+        for number, client in enumerate((used, waiting, partial, silent, later)):
+            await assert_served(harness, client, f"b{number}")
+        await new.stop()
+
+
+async def test_a_drained_node_is_upgraded_twice_while_the_first_process_still_has_a_job(
+    tmp_path: Path,
+) -> None:
+    async with open_handover_harness(tmp_path) as harness:
+        first = await harness.start_process()
+        await first.wait_ready()
+        client = await harness.submit_job("once", "a1", PATIENT_MS)
+        await harness.wait_until(lambda: harness.jobs)
+        second = await harness.start_process()
+        await second.wait_ready()
+        assert (await second.call("/drain")).status == 200
+        third = await harness.start_process()
+        # This process is ready, and its predecessor may end; the node is still drained.
+        await third.wait_ready()
+        assert await get_readiness_status(harness) == 503
+        # The result comes to the third process, for a job of the first.
+        assert await harness.send_callback("done", "far") == 204
+        assert (await harness.read_response(client)).body == b"far"
+        assert (await third.call("/undrain")).status == 200
+        assert await get_readiness_status(harness) == 200
+        for process in (first, second, third):
+            await process.stop()
+
+
+async def test_a_new_process_that_fails_changes_nothing(tmp_path: Path) -> None:
+    async with open_handover_harness(tmp_path) as harness:
+        old = await harness.start_process()
+        await old.wait_ready()
+        broken = await harness.start_process(RELAY_LISTEN="nowhere")
+        assert await broken.process.wait() == 2
+        # One that is killed after it took over: the old process takes clients again.
+        killed = await harness.start_process()
+        await killed.wait_ready()
+        killed.process.kill()
+        await old.wait_ready()
+        assert await serve_job(harness, "a1") in ("e0", "e1")
+        await old.stop()
+
+
+async def test_a_new_process_sends_nothing_on_a_list_that_its_predecessor_may_not_use_any_more(
     tmp_path: Path,
 ) -> None:
     """Discovery is silent for longer than 6 s, before and after the handover."""
-
-    async def scenario() -> None:
-        async with open_handover_harness(tmp_path) as harness:
-            old = await harness.start_process()
-            await old.wait_ready()
-            harness.is_discovery_silent = True
-            await trio.sleep(8.0)
-            new = await harness.start_process()
-            await new.wait_ready()
-            clients = [await harness.submit_job("once", f"a{number}", 1500) for number in range(5)]
-            for client in clients:
-                assert (await harness.read_response(client)).status == 503
-            assert not harness.jobs
-            await new.stop()
-
-    trio.run(scenario)
+    async with open_handover_harness(tmp_path) as harness:
+        old = await harness.start_process()
+        await old.wait_ready()
+        harness.is_discovery_silent = True
+        await trio.sleep(8.0)
+        new = await harness.start_process()
+        await new.wait_ready()
+        clients = [await harness.submit_job("once", f"a{number}", 1500) for number in range(5)]
+        for client in clients:
+            assert (await harness.read_response(client)).status == 503
+        assert not harness.jobs
+        await new.stop()
--- a/tests/lifecycle/test_handover_channel.py
+++ b/tests/lifecycle/test_handover_channel.py
@@ -12,7 +12,7 @@
 from burlmoor.lifecycle.handover_channel import connect, listen
 from burlmoor.lifecycle.handover_messages import Hello
 from tests.support.admin_client import call_admin, get_readiness_status, serve_job
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -28,48 +28,43 @@
         b"x" * 200_000,
     ],
 )
-def test_an_invalid_first_message_ends_the_channel_and_nothing_else(
+async def test_an_invalid_first_message_ends_the_channel_and_nothing_else(
     first_message: bytes, tmp_path: Path
 ) -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        socket_path = tmp_path / "n0.link"
-        await harness.wait_until(socket_path.exists)
-        for _ in range(2):
-            peer = connect(socket_path)
-            assert peer is not None
-            if first_message:
-                peer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
-                peer.send(first_message)
-                await trio.to_thread.run_sync(peer.recv, 100)  # ended by the node
-            peer.close()
-        assert await serve_job(harness, "a1") in ("e0", "e1")
-        assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
-
     with socket.create_server(("127.0.0.1", 0)) as listener:
-
-        async def run(harness: NodeHarness) -> None:
+        descriptor = listener.dup().detach()
+        async with open_node_harness(listener_fd=descriptor, state_folder=tmp_path) as harness:
             harness.address = listener.getsockname()
-            await scenario(harness)
+            socket_path = tmp_path / "n0.link"
+            await harness.wait_until(socket_path.exists)
+            for _ in range(2):
+                peer = connect(socket_path)
+                assert peer is not None
+                if first_message:
+                    peer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
+                    peer.send(first_message)
+                    await trio.to_thread.run_sync(peer.recv, 100)  # ended by the node
+                peer.close()
+            assert await serve_job(harness, "a1") in ("e0", "e1")
+            assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
 
-        run_scenario(run, listener_fd=listener.dup().detach(), state_folder=tmp_path)
 
-
-@pytest.mark.parametrize("predecessor", ["stale", "mute", "gone"])
-def test_a_node_starts_alone_without_a_predecessor_that_answers(predecessor: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("predecessor", ["stale", "hangs", "gone"])
+async def test_a_node_starts_alone_without_a_predecessor_that_answers(
+    predecessor: str, tmp_path: Path
+) -> None:
     old = listen(tmp_path / "n0.link")
     if predecessor == "stale":
         old.close()
-
-    async def scenario(harness: NodeHarness) -> None:
-        harness.address = listener.getsockname()
-        if predecessor == "gone":
-            peer = await trio.to_thread.run_sync(lambda: old.accept()[0])
-            peer.close()
-        await harness.wait_until(lambda: harness.node.admin.is_serving)
-        assert await get_readiness_status(harness) == 200
-
+    else:
+        old.setblocking(True)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        if predecessor != "stale":
-            old.setblocking(True)
-        run_scenario(scenario, listener_fd=listener.dup().detach(), state_folder=tmp_path)
-        old.close()
+        descriptor = listener.dup().detach()
+        async with open_node_harness(listener_fd=descriptor, state_folder=tmp_path) as harness:
+            harness.address = listener.getsockname()
+            if predecessor == "gone":
+                peer = await trio.to_thread.run_sync(lambda: old.accept()[0])
+                peer.close()
+            await harness.wait_until(lambda: harness.components.admin.is_serving)
+            assert await get_readiness_status(harness) == 200
+    old.close()
--- a/tests/lifecycle/test_handover_codec.py
+++ b/tests/lifecycle/test_handover_codec.py
@@ -24,7 +24,7 @@
     assert decoder.decode(encode_datagrams(JobOpened("a1"))[0]) == JobOpened("a1")
 
 
-def test_a_message_over_the_limit_is_neither_sent_nor_put_together() -> None:
+def test_a_message_over_the_limit_is_neither_sent_nor_reassembled() -> None:
     with pytest.raises(MessageTooLongError):
         encode_datagrams(ForwardedCallback(7, b"x" * (17 << 20)))
     decoder = MessageDecoder()
--- a/tests/lifecycle/test_handover_message_sizes.py
+++ b/tests/lifecycle/test_handover_message_sizes.py
@@ -15,7 +15,7 @@
 from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
 
 
-def test_a_handover_message_may_be_far_longer_than_a_datagram() -> None:
+async def test_a_handover_message_may_be_far_longer_than_a_datagram() -> None:
     hosts = {
         "hosts": [
             {"host": f"executor-{number:06d}", "dial": f"127.0.0.1:{number + 1}"} for number in range(5000)
@@ -40,21 +40,18 @@
 
         def on_channel_lost(self, peer: HandoverChannel) -> None: ...
 
-    async def scenario() -> None:
-        async with trio.open_nursery() as nursery:
-            ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-            here, there = Receiver(), Receiver()
-            peers = [
-                HandoverChannel(sock, side, nursery, print)
-                for sock, side in zip(ends, (here, there), strict=True)
-            ]
-            nursery.start_soon(peers[1].run)
-            assert peers[0].send(snapshot)
-            assert peers[0].send(Accepting())
-            with trio.fail_after(10.0):
-                await there.is_complete.wait()
-            assert there.received == [snapshot, Accepting()]
-            for peer in peers:
-                peer.close()
-
-    trio.run(scenario)
+    async with trio.open_nursery() as nursery:
+        ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        here, there = Receiver(), Receiver()
+        peers = [
+            HandoverChannel(sock, side, nursery, print)
+            for sock, side in zip(ends, (here, there), strict=True)
+        ]
+        nursery.start_soon(peers[1].run)
+        assert peers[0].send(snapshot)
+        assert peers[0].send(Accepting())
+        with trio.fail_after(10.0):
+            await there.is_complete.wait()
+        assert there.received == [snapshot, Accepting()]
+        for peer in peers:
+            peer.close()
--- a/tests/simulation/test_disconnects.py
+++ b/tests/simulation/test_disconnects.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from burlmoor.engine.engine import Engine
+from burlmoor.engine.job_lifecycle import JobLifecycle
 from burlmoor.simulation.audit import audit
 from burlmoor.simulation.cluster import SimulatedCluster
 from burlmoor.types.outcome import Outcome
@@ -47,7 +47,7 @@
 
 
 def test_the_audit_detects_nodes_that_ignore_disconnects(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Engine, "on_client_disconnected", lambda _self, _job: None)
+    monkeypatch.setattr(JobLifecycle, "on_client_disconnected", lambda _self, _job: None)
     assert any("after its client had disconnected" in line for line in audit(run_with_disconnects()))
 
 
--- a/tests/support/admin_client.py
+++ b/tests/support/admin_client.py
@@ -17,8 +17,8 @@
     harness: NodeHarness, path: str, name: str = "", method: str = "POST"
 ) -> tuple[int, dict[str, Any]]:
     """Make one admin call; return the response's status and JSON body."""
-    assert harness.node.admin_server is not None
-    wire = HttpStream(await trio.open_tcp_stream(*harness.node.admin_server.address))
+    assert harness.components.admin_server is not None
+    wire = HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
     body = json.dumps({"name": name}).encode() if name else b""
     await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
     answer = await harness.read_response(wire)
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -3,27 +3,28 @@
 from __future__ import annotations
 
 import json
+from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, Any
 
 import trio
 
 from burlmoor.config.options import DeferredOptions, Options
 from burlmoor.testbed.node_process import send_http_request
-from tests.support import node_harness
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
+    from collections.abc import AsyncIterator, Callable
 
     from burlmoor.testbed.http_stream import HttpStream
     from tests.support.node_harness import NodeHarness
 
 
-def run_scenario_with_deferral(
-    scenario: Callable[[NodeHarness], Awaitable[Any]], sockets: int = 1024, **deferred_options: Any
-) -> Any:
-    """Run a scenario against a node that defers jobs."""
+@asynccontextmanager
+async def open_deferral_harness(sockets: int = 1024, **deferred_options: Any) -> AsyncIterator[NodeHarness]:
+    """A node that defers jobs."""
     options = Options(waiting=DeferredOptions(**{"unknown_timeout_ms": 300.0, **deferred_options}))
-    return node_harness.run_scenario(scenario, options=options, sockets=sockets)
+    async with open_node_harness(options=options, sockets=sockets) as harness:
+        yield harness
 
 
 async def submit_deferred(
@@ -53,8 +54,8 @@
 
 async def fetch_status(harness: NodeHarness) -> dict[str, Any]:
     """The admin server's status of the deferred jobs."""
-    assert harness.node.admin_server is not None
-    answer = await send_http_request(harness.node.admin_server.address, "GET", "/waiting")
+    assert harness.components.admin_server is not None
+    answer = await send_http_request(harness.components.admin_server.address, "GET", "/waiting")
     assert answer.status == 200
     status: dict[str, Any] = json.loads(answer.body)
     return status
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -22,7 +22,10 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable
 
+    from burlmoor.lifecycle.components import NodeComponents
+
 _LISTEN_POLL_SECONDS = 0.01
+_SCENARIO_SECONDS = 20.0  # that the whole use of one harness may take
 
 
 class NodeHarness:
@@ -52,6 +55,11 @@
         self.is_discovery_silent = False  # whether watches get no response even when their wait is over
         self._changed = trio.Event()
 
+    @property
+    def components(self) -> NodeComponents:
+        """The components of the node."""
+        return self.node.components
+
     def notify(self) -> None:
         """Let those that wait look again: a peer has seen something."""
         self._changed.set()
@@ -212,7 +220,7 @@
     given_settings: dict[str, Any] = SETTINGS_OBJECT,
     **more: Any,
 ) -> AsyncIterator[NodeHarness]:
-    """A node that knows two live executors, e0 and e1, which answer as `script` says."""
+    """A node that knows two live executors, e0 and e1, which answer as `script` says; 20 s at most."""
 
     class Sink:
         def write(self, line: bytes) -> None:
@@ -221,37 +229,37 @@
 
         def flush(self) -> None: ...
 
-    async with trio.open_nursery() as nursery:
-        harness = NodeHarness(list(script), nursery)
-        for name in ("e0", "e1"):
-            await harness.start_executor(name)
-        discovery = await harness.start_discovery()
-        known = msgspec.convert(harness.endpoint_list(1, e0="active", e1="active"), DiscoveredList)
-        more = {"admin": ("127.0.0.1", 0), **more}
-        settings = parse_settings(given_settings)
-        config = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, settings, **more)
-
-        async def run(task_status: trio.TaskStatus[None]) -> None:
-            # A nursery of its own: a node that ends cancels its nursery, and must not end the scenario.
-            async with trio.open_nursery() as inner:
-                harness.node = Node(config, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
-                harness.address = harness.node.server.address
-                harness.node.start()
-                task_status.started()
-            harness.has_node_ended = True
-            harness.notify()
-
-        await nursery.start(run)
-        yield harness
-        nursery.cancel_scope.cancel()
+    with trio.fail_after(_SCENARIO_SECONDS):
+        async with trio.open_nursery() as nursery:
+            harness = NodeHarness(list(script), nursery)
+            for name in ("e0", "e1"):
+                await harness.start_executor(name)
+            discovery = await harness.start_discovery()
+            known = msgspec.convert(harness.endpoint_list(1, e0="active", e1="active"), DiscoveredList)
+            more = {"admin": ("127.0.0.1", 0), **more}
+            settings = parse_settings(given_settings)
+            config = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, settings, **more)
+
+            async def run(task_status: trio.TaskStatus[None]) -> None:
+                # A nursery of its own: a node that ends cancels its nursery, and must not end the scenario.
+                async with trio.open_nursery() as inner:
+                    harness.node = Node(config, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
+                    harness.address = harness.components.server.address
+                    harness.node.start()
+                    task_status.started()
+                harness.has_node_ended = True
+                harness.notify()
+
+            await nursery.start(run)
+            yield harness
+            nursery.cancel_scope.cancel()
 
 
 def run_scenario(scenario: Callable[[NodeHarness], Awaitable[Any]], *script: str, **given: Any) -> Any:
     """Run a scenario against a node, 20 s at most; what it returns."""
 
     async def run() -> Any:
-        with trio.fail_after(20.0):
-            async with open_node_harness(*script, **given) as harness:
-                return await scenario(harness)
+        async with open_node_harness(*script, **given) as harness:
+            return await scenario(harness)
 
     return trio.run(run)
--- a/tests/upstream/test_cancellation.py
+++ b/tests/upstream/test_cancellation.py
@@ -71,7 +71,7 @@
         answer = await harness.read_response(client)
         assert answer.status == 503
         assert len(harness.jobs) == 1
-        await harness.wait_until(lambda: not harness.node.attempts._canceller._attempts)
+        await harness.wait_until(lambda: not harness.components.attempts._canceller._attempts)
         return client
 
     run_scenario(scenario, "hang", given_settings=settings_with(SecondCopies=False))
--- a/tests/upstream/test_invariants.py
+++ b/tests/upstream/test_invariants.py
@@ -18,15 +18,15 @@
 def test_a_send_without_its_precondition_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(harness: NodeHarness) -> dict[str, int]:
         await harness.wait_ready()
-        table = harness.node.directory._table
+        table = harness.components.directory._table
         monkeypatch.setattr(
             attempts, "check_send_precondition", lambda attempt, _: table.get(attempt.endpoint)
         )
         monkeypatch.setattr(attempts, "recheck_send_precondition", lambda *_: None)
-        monkeypatch.setattr(harness.node.directory, "find_live", lambda _: None)
+        monkeypatch.setattr(harness.components.directory, "find_live", lambda _: None)
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)
-        return harness.node.core.invariants.counts()
+        return harness.components.core.invariants.counts()
 
     assert run_scenario(scenario).get("send", 0) > 0
 
@@ -36,8 +36,8 @@
         await harness.wait_ready()
         monkeypatch.setattr(SocketStream, "set_reset_on_close", lambda *_: False)
         harness.open_clients.append(await harness.submit_job())
-        await harness.wait_until(harness.node.core.invariants.counts)  # it is cancelled after 0.45 s
-        return harness.node.core.invariants.counts()
+        await harness.wait_until(harness.components.core.invariants.counts)  # it is cancelled after 0.45 s
+        return harness.components.core.invariants.counts()
 
     assert run_scenario(scenario, "hang", "take") == {"close": 1}
 
@@ -49,9 +49,9 @@
         await harness.wait_until(lambda: harness.jobs)
         name = harness.jobs[0][0]
         monkeypatch.setattr(InFlightAttempt, "abort", lambda _: None)
-        harness.node.directory.disable(name)
+        harness.components.directory.disable(name)
         await trio.sleep(0.5)
         monkeypatch.undo()
-        return harness.node.core.invariants.counts()
+        return harness.components.core.invariants.counts()
 
     assert run_scenario(scenario, "hang") == {"withdraw": 1}
