--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -14,6 +14,7 @@
     from pathlib import Path
 
     from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.log import EventLogger
 
 # As the operators' page gives them.
@@ -38,9 +39,15 @@
     """
 
     def __init__(
-        self, directory: EndpointDirectory, drain: DrainController, path: Path | None, log: EventLogger
+        self,
+        directory: EndpointDirectory,
+        endpoint_updater: EndpointListUpdater,
+        drain: DrainController,
+        path: Path | None,
+        log: EventLogger,
     ) -> None:
         self._directory = directory
+        self._endpoint_updater = endpoint_updater
         self._drain = drain
         self._file = OverridesFile(path, log)
         self._log = log
@@ -86,9 +93,9 @@
         """Set an override, whether the endpoint list has the executor or not; queries change nothing."""
         match request.path:
             case AdminPath.DISABLE_EXECUTOR:
-                self._directory.disable(request.name)
+                self._endpoint_updater.disable(request.name)
             case AdminPath.ENABLE_EXECUTOR:
-                self._directory.enable(request.name)
+                self._endpoint_updater.enable(request.name)
             case AdminPath.DRAIN:
                 self._has_inherited_drain = False
                 self._drain.begin_drain()
@@ -112,7 +119,7 @@
 
     def replace(self, overrides: Overrides) -> None:
         """Replace all overrides; a drain among them counts as inherited."""
-        self._directory.set_overrides(overrides.endpoints)
+        self._endpoint_updater.set_overrides(overrides.endpoints)
         self._has_inherited_drain = overrides.is_drained
         if overrides.is_drained:
             self._drain.begin_drain()
--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -1,8 +1,9 @@
-"""The client of the discovery service: makes the calls that the schedule says are next, one at a time."""
+"""The client of the discovery service: makes the calls of the schedule, one at a time."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from http import HTTPStatus
+from typing import TYPE_CHECKING, NamedTuple
 
 import trio
 
@@ -15,23 +16,30 @@
 if TYPE_CHECKING:
     from burlmoor.discovery.list_lease import ListLease
     from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.log import EventLogger
     from burlmoor.upstream.pool import ConnectionPool
 
 _PATH = b"/registry/instances"
-_STATUS_OK = 200
 
 
 class UnexpectedStatusError(BurlmoorError):
-    """Discovery has answered with another status than 200."""
+    """Discovery has answered with another status than 200 OK."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}, expected 200")
         self.status = status
 
 
+class _CallOutcome(NamedTuple):
+    """How a call ended; `error` is the text for the log, empty if none is logged."""
+
+    result: CallResult
+    error: str = ""
+
+
 class DiscoveryClient:
-    """Owns the calls to discovery and hands each list to the directory.
+    """Owns the calls to discovery and has each list applied to the directory.
 
     Whatever goes wrong with a call, the node continues with the list that it has while the lease on it lasts.
     """
@@ -39,6 +47,7 @@
     def __init__(
         self,
         directory: EndpointDirectory,
+        endpoint_updater: EndpointListUpdater,
         pool: ConnectionPool,
         address: str,
         schedule: WatchSchedule,
@@ -46,6 +55,7 @@
         log: EventLogger,
     ) -> None:
         self._directory = directory
+        self._endpoint_updater = endpoint_updater
         self._pool = pool
         self._address = address
         self._schedule = schedule
@@ -77,20 +87,20 @@
     async def run(self) -> None:
         """Watch until cancelled."""
         now = trio.current_time()
-        self._schedule.on_start(now, self._directory.version is not None)
+        self._schedule.on_start(now, has_list=self._directory.version is not None)
         self._lease.on_start(now)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._suspend_expired_list)
             await self._call_forever()
 
     async def _suspend_expired_list(self) -> None:
-        """Suspend the list whenever its lease expires, so that the policy selects no endpoint for nothing."""
+        """Suspend the list whenever its lease expires, so that the policy selects no endpoint in vain."""
         while True:
             self._lease_changed = trio.Event()
             with trio.move_on_at(self._lease.expires_at()):
                 await self._lease_changed.wait()
                 continue
-            self._directory.suspend(round(self._schedule.age_seconds(trio.current_time()), 2))
+            self._endpoint_updater.suspend(round(self._schedule.age_seconds(trio.current_time()), 2))
             await self._lease_changed.wait()
 
     async def _call_forever(self) -> None:
@@ -100,54 +110,52 @@
                 await self._make_call(self._schedule.next_call())
 
     async def _make_call(self, call: DiscoveryCall) -> None:
-        """Make one call and take in its outcome."""
+        """Make one call and handle its outcome."""
         started_at = trio.current_time()
         failures_before = self._schedule.failures
         age_before = self._schedule.age_seconds(started_at)
         self._schedule.on_call_started(started_at)
         self._lease.on_call_started(started_at, 0.0 if call.is_full_list else call.wait_seconds)
-        result, error = await self._apply_response_to(call)
+        outcome = await self._apply_response_to(call)
         now = trio.current_time()
-        self._lease.on_call_ended(result, now)
-        # Whether it failed since a partition that held it back has healed, the next call has to show soon.
-        is_retried_soon = self._lease.awaits_second_failure
-        self._schedule.on_call_ended(CallResult.UNREACHABLE if is_retried_soon else result, now)
+        self._lease.on_call_ended(outcome.result, now)
+        self._schedule.on_call_ended(outcome.result, now, must_retry_soon=self._lease.awaits_second_failure)
         self._lease_changed.set()
         if self._lease.is_valid(now):
-            self._directory.resume()
+            self._endpoint_updater.resume()
         if self._lease.is_confirmed:
             self.first_contact.set()
-        if result is CallResult.ANSWERED:
+        if outcome.result is CallResult.ANSWERED:
             self._on_answer(failures_before, age_before)
         else:
-            self._on_failure(result, error, now)
+            self._on_failure(outcome, now)
 
-    async def _apply_response_to(self, call: DiscoveryCall) -> tuple[CallResult, str]:
-        """Make one call and apply its response; how it ended, and the error's text."""
+    async def _apply_response_to(self, call: DiscoveryCall) -> _CallOutcome:
+        """Make one call, apply its response, and return how it ended."""
         try:
             with trio.fail_after(call.timeout_seconds):
                 body = await self._request(call)
-            self._directory.apply_response(body)
+            self._endpoint_updater.apply_response(body)
         except trio.TooSlowError:
-            return CallResult.TIMED_OUT, ""
+            return _CallOutcome(CallResult.TIMED_OUT)
         except (InvalidEndpointListError, ResponseTooLongError) as error:
-            return CallResult.INVALID, str(error)
+            return _CallOutcome(CallResult.INVALID, str(error))
         except UnexpectedStatusError as error:
-            return CallResult.REJECTED, repr(error)
+            return _CallOutcome(CallResult.REJECTED, repr(error))
         except Exception as error:  # noqa: BLE001
             # The boundary of the watch's task: without this, one failed call would end the node.
-            is_alive = is_sign_of_peer(error)
-            return (CallResult.FAILED if is_alive else CallResult.UNREACHABLE), repr(error)
-        return CallResult.ANSWERED, ""
+            result = CallResult.FAILED if is_sign_of_peer(error) else CallResult.UNREACHABLE
+            return _CallOutcome(result, repr(error))
+        return _CallOutcome(CallResult.ANSWERED)
 
     async def _request(self, call: DiscoveryCall) -> bytes:
-        """Send the request; the body of the response."""
+        """Send the request, and return the body of the response."""
         version = self._directory.version
         path = _PATH
         if not call.is_full_list and version is not None:
             path = b"%s?after=%d&wait_ms=%d" % (_PATH, version, round(call.wait_seconds * 1000.0))
         response = await self._pool.call(self._address, b"GET", path)
-        if response.status != _STATUS_OK:
+        if response.status != HTTPStatus.OK:
             raise UnexpectedStatusError(response.status)
         return response.body
 
@@ -162,13 +170,13 @@
             )
         self._is_stale_logged = False
 
-    def _on_failure(self, result: CallResult, error: str, now: float) -> None:
+    def _on_failure(self, outcome: _CallOutcome, now: float) -> None:
         failures = self._schedule.failures
         age = round(self._schedule.age_seconds(now), 2)
-        if result is CallResult.TIMED_OUT:
+        if outcome.result is CallResult.TIMED_OUT:
             self._log(WatchTimedOut(failures=failures, age_seconds=age))
         else:
-            self._log(DiscoveryFailed(error=error, failures=failures))
+            self._log(DiscoveryFailed(error=outcome.error, failures=failures))
         if now >= self._schedule.notification_deadline() and not self._is_stale_logged:
             self._is_stale_logged = True
             self._log(EndpointListStale(age_seconds=age))
--- a/burlmoor/discovery/list_lease.py
+++ b/burlmoor/discovery/list_lease.py
@@ -1,26 +1,26 @@
 """The lease on the endpoint list: until when a node may use the list that it has, where discovery is polled.
 
 Pure: no socket and no clock; times are in seconds. Discovery may change the list at any moment, and a node
-counts as notified of a change at the latest `NOTIFICATION_SECONDS` later, whether or not it has heard of it.
-So whatever it has heard is good for that long and no longer. The lease is checked whenever something is sent:
-a process that was held up must not act before a timer has told it that time has passed.
+counts as notified of a change at the latest `NOTIFICATION_SECONDS` later, whether or not the change has
+arrived. So a list is valid for that long after discovery last confirmed it. The lease is checked whenever
+something is sent: a process that was stalled must not send before a timer shows that time has passed.
 
 What renews the lease:
 
-- an answer; one that comes late counts from its call's start, since a process that was held up reads it late;
+- an answer; a late one counts from its call's start, since a process that was stalled reads it late;
 - a response with another status, or with no list: discovery can be reached, and is taken to be down.
-  Nothing counts as notified while it is. One that has too many callers rejects calls in the same way, after
-  the same time, so a node can't tell the two apart (docs/watch-design.md);
+  Nothing counts as notified while it is. An overloaded discovery rejects calls in the same way, after the
+  same time, so a node can't tell the two apart (docs/watch-design.md);
 - a call that is refused or reset, for the same reason.
 
 What does not renew it:
 
-- silence: a node that is cut off looks the same as one whose discovery hangs;
+- silence: to a node, a partition looks the same as a discovery that hangs;
 - a refusal or reset after a silence: it may be one that a partition has held back. The second in a row does;
 - anything but an answer once the lease has expired.
 
 A process that has just started was given a list of unknown age. It has no lease until discovery has answered
-with a list, whatever else it hears: that discovery is down now says nothing of what was announced before.
+with a list: that discovery is down now shows nothing of what was announced before.
 
 Where lists are pushed, the agent is on this machine; it is silent while discovery is down, and the list stays
 valid.
@@ -32,39 +32,42 @@
 
 from burlmoor.discovery.schedule import NOTIFICATION_SECONDS, CallResult
 
-# How long a process that has just started waits for discovery before it does without: a first call may stand
-# in discovery's queue for 2 s, and a fleet's first calls are spread over 2.5 s.
+# How long a process that has just started waits for discovery before it starts without it: a first call may
+# be queued for 2 s, and a fleet's first calls are spread over 2.5 s.
 FIRST_CONTACT_SECONDS = 5.0
 _ADDRESS_CHANGE_SECONDS = 4.0  # after a new address of discovery, until its changes count as notified
-_ANSWER_ALLOWANCE_SECONDS = 0.5  # beyond a call's wait; what is read later may have been written long before
-_QUEUE_ALLOWANCE_SECONDS = 2.5  # the same for a call that stood in discovery's queue until it was rejected
+_ANSWER_ALLOWANCE_SECONDS = 0.5  # beyond a call's wait; an answer read later may be old
+_QUEUE_ALLOWANCE_SECONDS = 2.5  # the same for a call that was queued until discovery rejected it
 _SILENT_RESULTS = frozenset((CallResult.TIMED_OUT, CallResult.UNREACHABLE))
 
 
 class ListLease:
-    """Owns until when the endpoint list may be used."""
+    """Owns until when the endpoint list may be used.
 
-    def __init__(self, has_agent: bool) -> None:
+    `has_agent` is whether lists are pushed, by an agent on this machine: then the lease never expires.
+    """
+
+    def __init__(self, *, has_agent: bool) -> None:
         self._has_agent = has_agent
         self.is_confirmed = False  # whether this process has had a lease
         self._expires_at = math.inf
         self._call_started_at = 0.0
-        self._call_wait = 0.0
+        self._call_wait_seconds = 0.0
         self._failures = 0  # in a row
         # How many failures in a row show that discovery is down; infinite where only an answer helps.
         self._failures_needed = math.inf
 
     def on_start(self, now: float) -> None:
-        """Take note that the calls begin now."""
+        """Note that the calls begin now."""
         self._expires_at = now + FIRST_CONTACT_SECONDS
 
     def on_call_started(self, now: float, wait_seconds: float) -> None:
-        """Take note that a call is made now, which discovery may hold back for so long."""
+        """Note that a call is made now, whose answer discovery may delay by `wait_seconds`."""
         self._call_started_at = now
-        self._call_wait = wait_seconds
+        self._call_wait_seconds = wait_seconds
 
     def on_call_ended(self, result: CallResult, now: float) -> None:
-        """Take in how the last call ended."""
+        """Renew the lease if the end of the last call confirms the list."""
         if result is CallResult.ANSWERED:
             self._renew(now, _ANSWER_ALLOWANCE_SECONDS)
         elif result in _SILENT_RESULTS:
@@ -86,21 +89,21 @@
             self._renew(now, _QUEUE_ALLOWANCE_SECONDS)
 
     def _renew(self, now: float, allowance_seconds: float) -> None:
-        """Renew the lease by what has come now, unless it came so late that it may be old."""
-        latest = self._call_started_at + self._call_wait + allowance_seconds
-        heard_at = now if now <= latest else self._call_started_at
+        """Renew the lease from now, or from the call's start if the response is late."""
+        latest = self._call_started_at + self._call_wait_seconds + allowance_seconds
+        confirmed_at = now if now <= latest else self._call_started_at
         self.is_confirmed = True
-        self._expires_at = heard_at + NOTIFICATION_SECONDS
+        self._expires_at = confirmed_at + NOTIFICATION_SECONDS
         self._failures = 0
         self._failures_needed = math.inf if self._has_agent else 1
 
     @property
     def awaits_second_failure(self) -> bool:
-        """Whether the last call may have failed since a partition has healed: the next one shows more."""
+        """Whether the last call may have failed only because a partition healed; the next one will show."""
         return self._failures == 1 and self._failures_needed > 1
 
     def on_address_changed(self, now: float) -> None:
-        """Take note that discovery is at another address, whose changes count as notified sooner."""
+        """Shorten the lease: discovery is at another address, whose changes count as notified sooner."""
         self._expires_at = min(self._expires_at, now + _ADDRESS_CHANGE_SECONDS)
 
     def is_valid(self, now: float) -> bool:
@@ -108,5 +111,5 @@
         return self._has_agent or (self.is_confirmed and now < self._expires_at)
 
     def expires_at(self) -> float:
-        """Return when the list has to be suspended unless something renews the lease before."""
+        """Return when the list has to be suspended unless the lease is renewed before."""
         return math.inf if self._has_agent else self._expires_at
--- a/burlmoor/discovery/schedule.py
+++ b/burlmoor/discovery/schedule.py
@@ -1,6 +1,6 @@
 """The schedule of calls to discovery: when the next is made, what for, and when its answer is overdue.
 
-Pure: no socket and no clock. It is fed how each call ended and says what the next one is. All times are in
+Pure: no socket and no clock. It is notified how each call ended and returns the next one. All times are in
 seconds. A *watch* is a long poll: discovery answers it once something has changed, or when its wait is over.
 
 How the constants follow from the protocol (docs/watch-design.md). Each change of the list has a notification
@@ -10,26 +10,26 @@
 - a call that failed, was rejected or timed out: `NOTIFICATION_SECONDS` after discovery had the change and
   could be reached.
 
-A node sees neither moment. Both may lie as early as the start of the call, so the deadline is counted from
-there, and the next call's answer has to arrive by then. A new call may stand in discovery's queue for
+A node observes neither moment. The earliest is the start of the call, so the deadline is counted from there,
+and the next call's answer has to arrive by then. A new call may be in discovery's queue for
 `_QUEUE_TIMEOUT_SECONDS` before it is answered or fails. So, however a call ends,
 
     from its start to the start of the next: at most NOTIFICATION_SECONDS - _QUEUE_TIMEOUT_SECONDS = 4.0
 
-What a call itself takes of these 4.0 is not available for jitter, which spreads a fleet's next calls:
+The duration of a call is not available for jitter, which spreads a fleet's next calls:
 
     a call that times out in the queue (queue timeout 2.0, wait 0.1, allowance 0.5) leaves 1.4
     a watch that falls silent (wait 1.0, allowance 0.5) leaves 2.5
 
 A silent watch looks like one without changes: an answer that is overdue is the only sign. A call that
-continues from an answer stands in no queue and costs discovery nothing, so the wait may be short. A node that
-has just started uses its old list only once discovery was heard of (`list_lease.py`); after a failed call it
-is held to its list for `_FAILED_CALL_FACTOR` times what the settings give for polling, if that is less.
+continues from an answer is not queued and costs discovery nothing, so the wait may be short. A node that has
+just started uses its old list only once discovery has answered (`list_lease.py`); after a failed call the
+deadline is `_FAILED_CALL_FACTOR` times the poll interval of the settings, if that is less.
 
 Where lists are pushed, the address is that of an agent on this machine, which answers at once and at no cost.
 The node counts as notified of what the agent has, watch or no watch, so there is no jitter and no growing
-backoff: a call that went wrong is made anew well within the drain rule's 250 ms, and until the agent answers
-again, its calls wait no longer than that either.
+backoff: a failed call is repeated well within the drain rule's 250 ms, and until the agent answers again, its
+calls wait no longer than that either.
 """
 
 from __future__ import annotations
@@ -43,20 +43,20 @@
 
 NOTIFICATION_SECONDS = 6.0
 _WATCH_WAIT_SECONDS = 1.0
-_OVERDUE_ALLOWANCE_SECONDS = 0.5  # beyond what discovery may take, until an answer is overdue
-_QUEUE_TIMEOUT_SECONDS = 2.0  # how long a new call stands in discovery's queue at most before it fails there
-_CALL_COST_SECONDS = 0.2  # what discovery is assumed to need for one new call
-# A process sends nothing before its first call, so that one is spread over no longer than a fleet's calls
-# need: 4 s of work (200 nodes at 0.02 s, 40 at 0.1 s), of which no call may wait for over 2 s.
+_OVERDUE_ALLOWANCE_SECONDS = 0.5  # beyond the time that discovery may take, until an answer is overdue
+_QUEUE_TIMEOUT_SECONDS = 2.0  # after which a new call fails in discovery's queue
+_CALL_COST_SECONDS = 0.2  # of discovery's time, for one new call
+# A process sends nothing before its first call, so the first calls are spread over no longer than a fleet's
+# calls need: 4 s of work, of which no call may wait for over 2 s.
 _MAX_FIRST_JITTER_SECONDS = 2.5
-# Before a new call where no connection came up: discovery has not seen the last one, and a node that was cut
-# off has to hear from it soon after the partition heals.
+# Before a new call where no connection was established: discovery has not seen the last one, and a node that
+# was partitioned needs an answer soon after the partition heals.
 _MIN_RECONNECT_SECONDS, _MAX_RECONNECT_SECONDS = 0.05, 0.25
 _MIN_BACKOFF_SECONDS = 0.1  # before the first call after a failure, where a fleet's calls fit at once
 _MAX_BACKOFF_SECONDS = 2.0
 _MAX_BACKOFF_DOUBLINGS = 16
-_MIN_JITTER_FRACTION = 0.25  # of the jitter passes before the first call after a failure
-_FAILED_CALL_FACTOR = 4.0  # on the time that the settings give for polling, after a failed call
+_MIN_JITTER_FRACTION = 0.25  # of the jitter, before the first call after a failure
+_FAILED_CALL_FACTOR = 4.0  # times the poll interval: the notification deadline after a failed call
 _RECOVERY_WAIT_SECONDS = 0.1  # a watch's wait after a failure: whether calls are answered shows soon
 _AGENT_RETRY_SECONDS = 0.1  # before a new call to an agent, where one has failed
 _AGENT_ALLOWANCE_SECONDS = 0.1  # until an agent's answer is overdue, while it is silent
@@ -66,8 +66,8 @@
     """How a call to discovery ended."""
 
     ANSWERED = enum.auto()  # with a list
-    TIMED_OUT = enum.auto()  # nothing came in time
-    UNREACHABLE = enum.auto()  # no connection came up, or it broke without a sign of discovery
+    TIMED_OUT = enum.auto()  # no answer in time
+    UNREACHABLE = enum.auto()  # no connection was established, or it broke without a sign of discovery
     FAILED = enum.auto()  # refused or reset
     REJECTED = enum.auto()  # answered with another status than 200
     INVALID = enum.auto()  # answered with something that is no list
@@ -83,14 +83,14 @@
 
 
 class WatchSchedule:
-    """Owns what is known of the watch: `next_call` says what to call next, `on_call_ended` takes the outcome.
+    """Schedules the calls: `next_call` returns the next one, `on_call_ended` handles how one ended.
 
-    `poll_interval_seconds` is how long the settings let a node go without polling, `has_agent` whether lists
-    are pushed, so that the calls go to an agent on this machine.
+    `poll_interval_seconds` is the longest time between two polls, by the settings; `has_agent` is whether
+    lists are pushed, so that the calls go to an agent on this machine.
     """
 
     def __init__(
-        self, node_count: int, poll_interval_seconds: float, has_agent: bool, rng: random.Random
+        self, node_count: int, poll_interval_seconds: float, rng: random.Random, *, has_agent: bool
     ) -> None:
         self._has_agent = has_agent
         self._rng = rng
@@ -100,26 +100,25 @@
         # every call there waits until it fails, and prompt retries keep it full. Where a fleet's calls fit
         # into the queue timeout there is none.
         fleet_seconds = min(NOTIFICATION_SECONDS, _CALL_COST_SECONDS * node_count)
-        self.max_jitter_seconds = 0.0 if has_agent else max(0.0, fleet_seconds - _QUEUE_TIMEOUT_SECONDS)
-        self.max_first_jitter_seconds = min(self.max_jitter_seconds, _MAX_FIRST_JITTER_SECONDS)
+        self._max_jitter_seconds = 0.0 if has_agent else max(0.0, fleet_seconds - _QUEUE_TIMEOUT_SECONDS)
+        self._max_first_jitter_seconds = min(self._max_jitter_seconds, _MAX_FIRST_JITTER_SECONDS)
         self.failures = 0  # calls in a row that did not bring a list
         self._is_full_list_wanted = False  # with the next call
         self._was_full_list_requested = False  # by the last call
         self._next_start = 0.0
-        self._is_continued = (
-            False  # whether the last call was answered, so that the next one continues from it
-        )
+        self._is_continued = False  # whether the next call continues from an answer to the last one
         self._is_recovering = False  # whether calls have failed since the last answer
         self._notification_deadline = math.inf
         self._last_start = 0.0
         self._last_answer = 0.0
 
-    def on_start(self, now: float, has_list: bool) -> None:
+    def on_start(self, now: float, *, has_list: bool) -> None:
         """Schedule the first call; a node without an old list asks for the full one at once."""
         self._is_full_list_wanted = not has_list
         self._is_recovering = has_list  # so that the first call is answered soon, changes or not
         self._last_answer = now
-        self._next_start = now + (self._rng.uniform(0.0, self.max_first_jitter_seconds) if has_list else 0.0)
+        first_jitter = self._rng.uniform(0.0, self._max_first_jitter_seconds) if has_list else 0.0
+        self._next_start = now + first_jitter
 
     def next_call(self) -> DiscoveryCall:
         """Return the next call. A watch without changes is answered when its wait is over."""
@@ -138,12 +137,15 @@
         return _QUEUE_TIMEOUT_SECONDS + _OVERDUE_ALLOWANCE_SECONDS
 
     def on_call_started(self, now: float) -> None:
-        """Take note that the next call is made now."""
+        """Note that the next call is made now."""
         self._last_start = now
         self._was_full_list_requested = self._is_full_list_wanted
 
-    def on_call_ended(self, result: CallResult, now: float) -> None:
-        """Take in how the last call ended, and schedule the next."""
+    def on_call_ended(self, result: CallResult, now: float, *, must_retry_soon: bool = False) -> None:
+        """Schedule the next call by how the last one ended.
+
+        With `must_retry_soon` a failed call is repeated as soon as one that found discovery unreachable.
+        """
         self._is_continued = result is CallResult.ANSWERED
         if result is CallResult.ANSWERED:
             self._on_answer(now)
@@ -155,10 +157,10 @@
         self._notification_deadline = min(self._notification_deadline, self._last_start + allowance)
         if self._has_agent:
             self._next_start = now + (0.0 if is_timeout else _AGENT_RETRY_SECONDS)
-        elif result is CallResult.UNREACHABLE:
+        elif must_retry_soon or result is CallResult.UNREACHABLE:
             self._next_start = now + self._rng.uniform(_MIN_RECONNECT_SECONDS, _MAX_RECONNECT_SECONDS)
         else:
-            self._next_start = now + self._retry_delay(is_timeout, allowance, now)
+            self._next_start = now + self._retry_delay(allowance, now, is_timeout=is_timeout)
 
     def _on_answer(self, now: float) -> None:
         self.failures = 0
@@ -169,28 +171,28 @@
         # A full list that was wanted only after this call had started is still to come.
         self._is_full_list_wanted = self._is_full_list_wanted and not self._was_full_list_requested
 
-    def _retry_delay(self, is_timeout: bool, allowance: float, now: float) -> float:
+    def _retry_delay(self, allowance: float, now: float, *, is_timeout: bool) -> float:
         """Draw the backoff with jitter before the next call, so that it still meets its deadline."""
         if is_timeout:
             # Silence is no sign that discovery is overloaded, so a small fleet calls again at once.
             backoff = least = 0.0
         else:
             backoff = self._backoff()
-            least = max(0.5 * backoff, _MIN_JITTER_FRACTION * self.max_jitter_seconds)
+            least = max(0.5 * backoff, _MIN_JITTER_FRACTION * self._max_jitter_seconds)
         latest = self._notification_deadline - _QUEUE_TIMEOUT_SECONDS
         if latest - now <= least:
-            # Too late for what came first: meet the deadline of what has come since this call was made.
+            # Too late for the earliest change: meet the deadline of those since this call was made.
             latest = self._last_start + allowance - _QUEUE_TIMEOUT_SECONDS
-        # Without the lower bound, a call whose deadline has passed would be made again and again at once.
+        # Without the lower bound, a call whose deadline has passed would be repeated at once without end.
         most = max(min(least, 0.5 * _MIN_BACKOFF_SECONDS), latest - now)
-        return self._rng.uniform(min(least, most), min(max(backoff, self.max_jitter_seconds), most))
+        return self._rng.uniform(min(least, most), min(max(backoff, self._max_jitter_seconds), most))
 
     def _backoff(self) -> float:
         doublings = min(self.failures - 1, _MAX_BACKOFF_DOUBLINGS)
         return min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2.0**doublings)
 
     def notification_deadline(self) -> float:
-        """Return when the node counts as notified of what it may have missed; infinite if that is nothing."""
+        """Return when the node counts as notified of what it may have missed; infinity if that is nothing."""
         return self._notification_deadline
 
     def age_seconds(self, now: float) -> float:
--- a/burlmoor/endpoints/__init__.py
+++ b/burlmoor/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: its entries and addresses, slow-start budgets and key affinity."""
+"""Discovery's endpoint list as this node has it: entries, addresses, administrative overrides."""
--- a/burlmoor/endpoints/discovered_list.py
+++ b/burlmoor/endpoints/discovered_list.py
@@ -28,7 +28,7 @@
 
     @property
     def state(self) -> EndpointState:
-        """What the list says of the endpoint."""
+        """The endpoint's state according to the list."""
         return _STATE_OF_HEALTH.get(self.health, EndpointState.GONE)
 
     def with_state(self, state: EndpointState) -> DiscoveredEndpoint:
--- a/burlmoor/endpoints/endpoint_table.py
+++ b/burlmoor/endpoints/endpoint_table.py
@@ -17,7 +17,7 @@
 
 
 class MergedList(NamedTuple):
-    """The outcome of a merge."""
+    """The result of a merge."""
 
     entries: list[DiscoveredEndpoint]  # the list's entries as they now hold
     stale_addresses: list[str]  # whose idle connections belong to processes that are gone
@@ -39,24 +39,24 @@
         return name in self._listed
 
     def live_names(self) -> set[str]:
-        """Return the names of the endpoints that the list has as live."""
+        """Return the names of the endpoints that are live according to the list."""
         return {name for name, endpoint in self._listed.items() if endpoint.state is EndpointState.LIVE}
 
     def snapshot(self) -> DiscoveredList | None:
         """Return the list as this node has it, complete; None before the first one."""
         if self.version is None:
             return None
-        return DiscoveredList(self.version, True, list(self.entries.values()))
+        return DiscoveredList(self.version, is_complete=True, endpoints=list(self.entries.values()))
 
     def merge(self, update: DiscoveredList) -> MergedList:
-        """Merge a list: a complete one replaces what is known, another one only the entries that it has."""
+        """Merge a list: a complete one replaces all known entries, a partial one only those that it has."""
         stale_addresses = self._remove_unlisted(update) if update.is_complete else []
         is_older = self.version is not None and update.version < self.version
         entries = []
         for received in update.endpoints:
             known = self._listed.get(received.name)
             entry = self._keep_drain(received, known) if is_older else received
-            # One that is gone keeps its address, so that what it still holds can be cancelled there.
+            # One that is gone keeps its address, so that its attempts can still be cancelled there.
             address = entry.address or (known.address if known else "")
             listed = ListedEndpoint(address, entry.state, entry.started_unix_ms)
             if known is not None and _is_other_process(known, listed):
@@ -68,7 +68,7 @@
         return MergedList(entries, stale_addresses)
 
     def _remove_unlisted(self, update: DiscoveredList) -> list[str]:
-        """Remove what a complete list doesn't have; the addresses of what was removed."""
+        """Remove the endpoints that a complete list doesn't have, and return their addresses."""
         names = {entry.name for entry in update.endpoints}
         removed = [name for name in self._listed if name not in names]
         for name in removed:
--- a/burlmoor/endpoints/interfaces.py
+++ b/burlmoor/endpoints/interfaces.py
@@ -1,4 +1,4 @@
-"""What the endpoint directory requires of the parts around it."""
+"""What the updater of the endpoint list requires of the parts around it."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class EndpointListObserver(Protocol):
-    """Learns of each update of the endpoint list."""
+    """Is notified of each update of the endpoint list."""
 
     def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None:
-        """Take in an update: entries with the administrative overrides laid over them."""
+        """Handle an update: entries with the administrative overrides laid over them."""
 
 
 class LivenessObserver(Protocol):
-    """Learns which endpoints may not be sent new work any more."""
+    """Is notified which endpoints may not be sent new work any more."""
 
     def on_endpoints_not_live(self, names: frozenset[str]) -> None:
-        """Take in that these endpoints were live until now: they drain, are gone, or were disabled."""
+        """Handle that these endpoints, live until now, are draining, gone, or disabled."""
 
 
 class IdleConnections(Protocol):
--- /dev/null
+++ b/burlmoor/endpoints/list_updater.py
@@ -0,0 +1,185 @@
+"""Applies lists, overrides and suspensions to the endpoint directory, and reports each change."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.endpoints.list_validation import InvalidEndpointListError, decode_list, validate_entries
+from burlmoor.log_events import (
+    EndpointListInvalidEntries,
+    EndpointListResumed,
+    EndpointListSuspended,
+    EndpointsDraining,
+)
+from burlmoor.types.endpoint_list import ListKind
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.endpoints.interfaces import EndpointListObserver, IdleConnections, LivenessObserver
+    from burlmoor.endpoints.overrides import EndpointOverrides
+    from burlmoor.log import EventLogger
+
+_MAX_LOGGED_NAMES = 8  # of endpoints in one log line
+
+
+class EndpointListUpdater:
+    """Makes every change of the endpoint directory.
+
+    Reports the changed entries to `list_observer`, and the endpoints that stop being live to
+    `liveness_observer`.
+    """
+
+    def __init__(
+        self,
+        directory: EndpointDirectory,
+        list_observer: EndpointListObserver,
+        liveness_observer: LivenessObserver,
+        connections: IdleConnections,
+        log: EventLogger,
+    ) -> None:
+        self._directory = directory
+        self._table = directory.table
+        self._list_observer = list_observer
+        self._liveness_observer = liveness_observer
+        self._connections = connections
+        self._log = log
+        self._is_suspension_logged = False
+
+    # --- administrative overrides -----------------------------------------------------------------
+
+    def disable(self, name: str) -> None:
+        """Send no new work to this endpoint until it is enabled again; repeated, it changes nothing."""
+        was_live = self._directory.find_reported_live(name) is not None
+        if self._directory.overrides.disable(name, _unix_ms()):
+            self._report([name])
+            if was_live:
+                self._report_not_live({name})
+
+    def enable(self, name: str) -> None:
+        """Apply the list's state to this endpoint again; repeated, it changes nothing."""
+        entry = self._table.entries.get(name)
+        listed_start_unix_ms = entry.started_unix_ms if entry else None
+        if not self._directory.overrides.enable(name, listed_start_unix_ms, _unix_ms()):
+            return
+        if entry is not None:
+            # An idle connection may belong to an earlier process, and would lose the next job written to it.
+            self._connections.close_idle_to(entry.address)
+        self._report([name])
+
+    def set_overrides(self, overrides: EndpointOverrides) -> None:
+        """Replace all overrides."""
+        names = self._directory.overrides.names() | overrides.names()
+        live_before = {name for name in names if self._directory.find_reported_live(name) is not None}
+        self._directory.replace_overrides(overrides)
+        self._report(names)
+        self._report_not_live(live_before)
+
+    # --- suspension -------------------------------------------------------------------------------
+
+    def suspend(self, age_seconds: float) -> None:
+        """Send no new work until the list is resumed; it was last confirmed `age_seconds` ago."""
+        if self._is_suspension_logged:
+            return
+        self._is_suspension_logged = True
+        self._log(EndpointListSuspended(age_seconds=age_seconds, version=self._table.version))
+        if self._directory.is_suspended:
+            return  # from the start
+        live_before = self._directory.reported_live_names()
+        self._directory.set_suspended(is_suspended=True)
+        self._report(list(self._table.entries))
+        self._report_not_live(live_before)
+
+    def resume(self) -> None:
+        """Send new work again: there is a lease on the list."""
+        if not self._directory.is_suspended:
+            return
+        self._directory.set_suspended(is_suspended=False)
+        self._report(list(self._table.entries))
+        if self._is_suspension_logged:
+            self._is_suspension_logged = False
+            self._log(EndpointListResumed(version=self._table.version))
+
+    # --- lists ------------------------------------------------------------------------------------
+
+    def load_cached(self, cached: DiscoveredList | None) -> None:
+        """Load the list as this node last had it, which may be stale (None: there is none).
+
+        Without a lease on it no endpoint is live until `resume`.
+        """
+        self._directory.set_suspended(is_suspended=not self._directory.has_lease())
+        entries = [] if cached is None else self._merge(cached)
+        self._report_entries(ListKind.CACHED, entries)
+
+    def restore(self, from_predecessor: DiscoveredList | None) -> None:
+        """Apply the list of the process before this one, which is newer than the cached one."""
+        if from_predecessor is not None:
+            live_before = self._directory.reported_live_names()
+            entries = self._merge(from_predecessor)
+            self._report_entries(ListKind.SNAPSHOT, entries)
+            self._report_not_live(live_before)
+
+    def apply_response(self, body: bytes) -> None:
+        """Apply a response of the discovery service.
+
+        Raises InvalidEndpointListError, and changes nothing, if it is no list. Single invalid entries are
+        logged and skipped.
+        """
+        received = decode_list(body)
+        live_before = self._table.live_names()
+        if received.is_complete and not received.endpoints and live_before:
+            # A discovery service that has just started knows no endpoint. Following it would stop all work,
+            # and endpoints that are really gone refuse connections anyway.
+            raise InvalidEndpointListError(
+                field="hosts", value=received.endpoints, problem="empty, though executors were listed"
+            )
+        validated = validate_entries(received.endpoints, self._table.entries)
+        if validated.invalid:
+            first = validated.invalid[0]
+            self._log(EndpointListInvalidEntries(error=str(first), count=len(validated.invalid)))
+        entries = self._merge(DiscoveredList(received.version, received.is_complete, validated.valid))
+        self._log_draining(live_before - self._table.live_names())
+        if received.is_complete or entries:
+            kind = ListKind.SNAPSHOT if received.is_complete else ListKind.DELTA
+            self._report_entries(kind, entries)
+            self._report_not_live(live_before)
+
+    def _merge(self, update: DiscoveredList) -> list[DiscoveredEndpoint]:
+        """Merge a list with the known endpoints, and return its entries as they now hold."""
+        merged = self._table.merge(update)
+        for address in merged.stale_addresses:
+            self._connections.close_idle_to(address)
+        return merged.entries
+
+    # --- reports ----------------------------------------------------------------------------------
+
+    def _report(self, names: Iterable[str]) -> None:
+        """Report the entries of those of these endpoints that are listed."""
+        entries = [self._table.entries[name] for name in names if name in self._table]
+        if entries:
+            self._report_entries(ListKind.DELTA, entries)
+
+    def _report_entries(self, kind: ListKind, entries: list[DiscoveredEndpoint]) -> None:
+        self._list_observer.on_endpoint_list(kind, self._directory.policy_entries(entries))
+
+    def _report_not_live(self, live_before: set[str]) -> None:
+        """Report those of these endpoints that are not live any more."""
+        names = frozenset(name for name in live_before if self._directory.find_reported_live(name) is None)
+        if names:
+            self._liveness_observer.on_endpoints_not_live(names)
+
+    def _log_draining(self, no_longer_live: set[str]) -> None:
+        if no_longer_live:
+            names = sorted(no_longer_live)
+            self._log(
+                EndpointsDraining(
+                    count=len(names), names=names[:_MAX_LOGGED_NAMES], version=self._table.version
+                )
+            )
+
+
+def _unix_ms() -> float:
+    return time.time() * 1000.0
--- a/burlmoor/endpoints/list_validation.py
+++ b/burlmoor/endpoints/list_validation.py
@@ -1,4 +1,4 @@
-"""Validation of the discovery service's responses: what is no list, and which entries are invalid."""
+"""Validation of the discovery service's responses: lists that are unusable, and single invalid entries."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """A response of the discovery service that is no usable list.
 
     `field` is the path of the invalid field in the response (`body` where that is no list at all), `value`
-    what stood there (the start of the body where the field's value is not known), `problem` what is wrong.
+    its value (the start of the body where that is not known), `problem` what is wrong.
     """
 
     def __init__(self, field: str, value: object, problem: str) -> None:
@@ -50,14 +50,14 @@
 
 
 def decode_list(body: bytes) -> DiscoveredList:
-    """Decode a response; InvalidEndpointListError naming the field if it is no list."""
+    """Decode a response; raises InvalidEndpointListError, with the field, if it is no list."""
     try:
         decoded = _DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         problem, _, path = str(error).partition(_PATH_MARK)
         raise InvalidEndpointListError(path.rstrip("`") or "body", body[:_EXCERPT_BYTES], problem) from error
     if decoded is None:
-        raise InvalidEndpointListError("body", None, "not a list")
+        raise InvalidEndpointListError(field="body", value=None, problem="not a list")
     return decoded
 
 
@@ -88,13 +88,19 @@
     return ValidatedEntries(list(selected.values()), invalid)
 
 
-def _precedence(entry: DiscoveredEndpoint) -> tuple[float, bool]:
-    """Order entries of one endpoint: the later start holds, and of equal starts the one that drains."""
-    return entry.started_unix_ms, entry.state is not EndpointState.LIVE
+class _Precedence(NamedTuple):
+    """Orders entries of one endpoint: the later start holds, and of equal starts the one that drains."""
+
+    started_unix_ms: float
+    is_draining: bool
+
+
+def _precedence(entry: DiscoveredEndpoint) -> _Precedence:
+    return _Precedence(entry.started_unix_ms, entry.state is not EndpointState.LIVE)
 
 
 def _find_problem(entry: DiscoveredEndpoint, known: Mapping[str, DiscoveredEndpoint]) -> InvalidEntry | None:
-    """Find the first invalid field of an entry that is to get jobs."""
+    """Find the first invalid field of a live entry."""
     if not entry.name:
         return InvalidEntry("host", "empty")
     if not entry.weight >= 0.0:  # NaN compares false, too
--- a/burlmoor/endpoints/overrides.py
+++ b/burlmoor/endpoints/overrides.py
@@ -8,7 +8,7 @@
 
 
 class EndpointOverrides(msgspec.Struct):
-    """What operators have set of endpoints, by name; times are Unix times in ms.
+    """The administrative overrides of endpoints, by name; times are Unix times in ms.
 
     Stored in the overrides file and handed over to the next process: the encoded names stay.
     """
@@ -35,7 +35,7 @@
         return True
 
     def enable(self, name: str, listed_start_unix_ms: float | None, now_unix_ms: float) -> bool:
-        """Enable an endpoint again, which the list has as started then (None: it is not listed).
+        """Enable an endpoint again, whose listed start is `listed_start_unix_ms` (None: it is not listed).
 
         False, and nothing changed, if it is not disabled.
         """
@@ -43,17 +43,17 @@
         if disabled_since is None:
             return False
         if listed_start_unix_ms is None or listed_start_unix_ms < disabled_since:
-            # Without this, slow start (rule 4) would be left out for a process that was restarted while it
-            # was disabled: the list has the new start only later.
+            # Without this, slow start would be left out for a process that was restarted while it was
+            # disabled: the list has the new start only later.
             self.enabled_since[name] = now_unix_ms
         return True
 
     def effective_state(self, name: str, state: EndpointState) -> EndpointState:
-        """Return the state that holds for the policy, given the list's."""
+        """Return the state that holds for the policy, given the state in the list."""
         if state is EndpointState.LIVE and self.is_disabled(name):
             return EndpointState.DRAINING
         return state
 
     def effective_start(self, name: str, listed_start_unix_ms: float) -> float:
-        """Return the start from which slow start counts, given the list's."""
+        """Return the start from which slow start counts, given the start in the list."""
         return max(listed_start_unix_ms, self.enabled_since.get(name, 0.0))
--- a/burlmoor/engine/job.py
+++ b/burlmoor/engine/job.py
@@ -4,7 +4,8 @@
 outcome. The policy has its own view of the same job, in `burlmoor.policy.model`, with what it decides by:
 priority, expected times, cached keys. The two views share the numbers of jobs and attempts, and no object.
 
-`JobLifecycle` makes the transitions; `upstream` notes what it has written and received of an attempt.
+`JobLifecycle` makes the transitions; `upstream` records what it has written and received of an attempt
+(`record_address`, `record_written`, `record_accepted`).
 """
 
 from __future__ import annotations
@@ -53,6 +54,18 @@
         """Whether nothing more is to be done for it but to cancel it."""
         return self.has_ended or self.is_cancelling
 
+    def record_address(self, address: str) -> None:
+        """Note the `host:port` to which upstream begins to send the request."""
+        self.address = address
+
+    def record_written(self, now: float) -> None:
+        """Note that upstream has written the last byte of the request."""
+        self.written_at = now
+
+    def record_accepted(self, now: float) -> None:
+        """Note that upstream has received the endpoint's 202."""
+        self.accepted_at = now
+
     def start(self, now: float) -> None:
         """Note that the endpoint runs the job; the first report counts."""
         if self.started_at is None:
--- a/burlmoor/lifecycle/handover_successor.py
+++ b/burlmoor/lifecycle/handover_successor.py
@@ -52,7 +52,7 @@
     def on_snapshot(self, snapshot: Snapshot) -> None:
         """Go on from the predecessor's state."""
         self._parts.admin.replace(snapshot.overrides)
-        self._parts.directory.restore(snapshot.endpoints)
+        self._parts.endpoint_updater.restore(snapshot.endpoints)
         core = self._parts.core
         self._parts.engine.step()  # the policy gets the list first: statistics are restored for its endpoints
         core.policy.restore_statistics_snapshot(snapshot.statistics, core.clock())
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -19,6 +19,7 @@
 from burlmoor.downstream.drain import DrainController, kill_after_seconds
 from burlmoor.downstream.server import DownstreamServer
 from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
 from burlmoor.lifecycle.connection_limits import divide_sockets
@@ -30,7 +31,12 @@
 from burlmoor.log_events import Counts
 from burlmoor.transport.sockets import adopt_listening_socket, bind_socket, start_listening
 from burlmoor.upstream.attempts import AttemptRunner
+from burlmoor.upstream.cancellation import AttemptCanceller
+from burlmoor.upstream.health_check import HealthChecker
+from burlmoor.upstream.in_flight import InFlightAttempts
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectionPool
+from burlmoor.upstream.request_sender import RequestSender
+from burlmoor.upstream.withdrawal import AttemptWithdrawal
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Mapping
@@ -69,10 +75,9 @@
         self.core = EngineCore(policy, config.seed, self._clock, log, self._wake)
         self.pool = self._build_pool(sockets.upstream)
         self._lease = ListLease(has_agent=not policy.must_poll)
-        self.directory = EndpointDirectory(
-            self.core.policy, self.pool, self._clock.from_unix, log, self._may_use_list
-        )
-        self.attempts = AttemptRunner(self.core, self.directory, self.pool, nursery, log)
+        self.directory = EndpointDirectory(self._clock.from_unix, self._may_use_list)
+        self.attempts = self._build_attempt_runner()
+        self.endpoint_updater = self._build_endpoint_updater()
         self.discovery_pool = self._build_discovery_pool()
         self.discovery = self._build_discovery_client()
         self.engine = Engine(self.core, self.attempts, self.discovery)
@@ -80,14 +85,18 @@
         fd = config.listener_fd
         self._listener = bind_socket(config.listen) if fd is None else adopt_listening_socket(fd)
         self.server = self._build_server(sockets.downstream)
-        self.admin = AdminService(self.directory, self.drain, self._state_path("by-hand"), log)
-        self._parts = NodeParts(self.core, self.engine, self.server, self.pool, self.directory, self.admin)
+        self.admin = AdminService(
+            self.directory, self.endpoint_updater, self.drain, self._state_path("by-hand"), log
+        )
+        self._parts = NodeParts(
+            self.core, self.engine, self.server, self.pool, self.directory, self.endpoint_updater, self.admin
+        )
         self.handover = self._build_handover()
         self._hold_ups = HoldUpMonitor()
         self._shutdown = GracefulShutdown(
             self._parts, self.attempts, self.drain, self.handover, self._clock, self._hold_ups, log
         )
-        self._reloader = ConfigReloader(config, self.directory, self.discovery, log)
+        self._reloader = ConfigReloader(config, self.directory, self.endpoint_updater, self.discovery, log)
         self._deferred: DeferredService | None = None
         self.admin_server = AdminServer(self.admin, config.admin, nursery, log) if config.admin else None
 
@@ -104,6 +113,27 @@
             counters=self.core.counters,
         )
 
+    def _build_attempt_runner(self) -> AttemptRunner:
+        core, nursery, log = self.core, self._nursery, self._log
+        may_cancel = core.settings.limits.may_cancel
+        return AttemptRunner(
+            lifecycle=core.lifecycle,
+            in_flight=InFlightAttempts(),
+            sender=RequestSender(self.directory, self.pool, core.invariants, self._clock),
+            canceller=AttemptCanceller(core.lifecycle, self.pool, nursery, log, may_cancel=may_cancel),
+            health_checker=HealthChecker(core.policy, self.directory, self.pool, self._clock, log),
+            pool=self.pool,
+            nursery=nursery,
+            clock=self._clock,
+            log=log,
+        )
+
+    def _build_endpoint_updater(self) -> EndpointListUpdater:
+        withdrawal = AttemptWithdrawal(
+            self.attempts, self.directory, self.core.invariants, self._nursery, self._log
+        )
+        return EndpointListUpdater(self.directory, self.core.policy, withdrawal, self.pool, self._log)
+
     def _build_discovery_pool(self) -> ConnectionPool:
         # Discovery has connections of its own: attempts that hang must not keep watch events from coming.
         timeout_seconds = self._config.settings.policy.limits.connect_timeout_ms / 1000.0
@@ -116,11 +146,12 @@
         schedule = WatchSchedule(
             policy.node_count,
             policy.rules.poll_interval_ms / 1000.0,
-            not policy.must_poll,
             random.Random(self._config.seed + _DISCOVERY_SEED_OFFSET),
+            has_agent=not policy.must_poll,
         )
         return DiscoveryClient(
             self.directory,
+            self.endpoint_updater,
             self.discovery_pool,
             self._config.discovery,
             schedule,
@@ -169,7 +200,7 @@
 
     def start(self) -> None:
         """Load what is kept in files, and start all that runs for as long as the node does."""
-        self.directory.load_cached(self._config.cached_endpoints)
+        self.endpoint_updater.load_cached(self._config.cached_endpoints)
         self.admin.load()
         self._apply_options(self._config.options)
         tasks = (
--- a/burlmoor/lifecycle/parts.py
+++ b/burlmoor/lifecycle/parts.py
@@ -9,6 +9,7 @@
     from burlmoor.admin.service import AdminService
     from burlmoor.downstream.server import DownstreamServer
     from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.engine.core import EngineCore
     from burlmoor.engine.engine import Engine
     from burlmoor.upstream.pool import ConnectionPool
@@ -23,4 +24,5 @@
     server: DownstreamServer
     pool: ConnectionPool
     directory: EndpointDirectory
+    endpoint_updater: EndpointListUpdater
     admin: AdminService
--- a/burlmoor/lifecycle/reload.py
+++ b/burlmoor/lifecycle/reload.py
@@ -12,6 +12,7 @@
 
     from burlmoor.discovery.client import DiscoveryClient
     from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.log import EventLog
 
 # Fields of the configuration that take effect at a start only, by the names that the log gives them.
@@ -32,11 +33,13 @@
         self,
         config: node_config.NodeConfig,
         directory: EndpointDirectory,
+        endpoint_updater: EndpointListUpdater,
         discovery: DiscoveryClient,
         log: EventLog,
     ) -> None:
         self._config = config
         self._directory = directory
+        self._endpoint_updater = endpoint_updater
         self._discovery = discovery
         self._log = log
 
@@ -50,7 +53,7 @@
             return None
         # The cached list is older than what discovery has sent since.
         if self._directory.version is None and new.cached_endpoints is not None:
-            self._directory.load_cached(new.cached_endpoints)
+            self._endpoint_updater.load_cached(new.cached_endpoints)
         self._discovery.set_address(new.discovery)
         self._log(Reloaded(discovery=new.discovery, needs_restart=self._fields_that_need_restart(new)))
         return new
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -173,7 +173,7 @@
     from burlmoor.endpoints.directory import EndpointDirectory  # noqa: PLC0415
 
     EndpointDirectory._effective_state = lambda self, entry: EndpointState.LIVE  # type: ignore[method-assign]
-    EndpointDirectory.find_live = lambda self, name: self._table.get(name)  # type: ignore[method-assign]
+    EndpointDirectory.find_live = lambda self, name: self.table.get(name)  # type: ignore[method-assign]
 
 
 def _keep_sent() -> None:
@@ -191,7 +191,7 @@
     build = ListLease.__init__
 
     def build_confirmed(self: ListLease, has_agent: bool) -> None:
-        build(self, has_agent)
+        build(self, has_agent=has_agent)
         self.is_confirmed = True
 
     ListLease.__init__ = build_confirmed  # type: ignore[method-assign]
--- a/burlmoor/upstream/__init__.py
+++ b/burlmoor/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The executors' side: the connection pool and the attempts that it carries."""
+"""The executors' side: the connection pool, the attempts sent over it, and their cancellation."""
--- a/burlmoor/upstream/cancellation.py
+++ b/burlmoor/upstream/cancellation.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 import trio
@@ -15,18 +16,17 @@
     from burlmoor.log import EventLogger
     from burlmoor.upstream.pool import ConnectionPool
 
-_FIRST_TIMEOUT_SECONDS = 0.45  # on a connection that may have fallen silent
-_TIMEOUT_SECONDS = 2.0  # of the calls after it, on new connections, and where nothing waits for the call
-_FIRST_PAUSE_SECONDS = 0.1  # between two calls; it doubles
+_FIRST_TIMEOUT_SECONDS = 0.45  # of the first call, whose pooled connection may have fallen silent
+_TIMEOUT_SECONDS = 2.0  # of the calls after it, on new connections, and where no confirmation is awaited
+_FIRST_PAUSE_SECONDS = 0.1  # between two calls; doubled after each
 _MAX_PAUSE_SECONDS = 1.0
-_STATUS_SERVER_ERROR = 500
 
 
 class AttemptCanceller:
-    """Owns the DELETE calls. Where settings allow no cancellation, none is made.
+    """Owns the DELETE calls; makes none unless `may_cancel`.
 
-    The engine learns of a cancellation once the endpoint has answered. A refused connection is no answer: an
-    endpoint whose connections are all taken refuses further ones, and goes on with its jobs.
+    A cancellation is reported to the engine once the endpoint has answered. A refused connection is no
+    answer: an endpoint whose connections are all in use refuses further ones, and continues its jobs.
     """
 
     def __init__(
@@ -43,8 +43,8 @@
         self._pool = pool
         self._nursery = nursery
         self._log = log
-        self._attempts: set[Attempt] = set()  # being cancelled
-        self._paused_count = 0  # of these, between two calls
+        self._attempts: set[Attempt] = set()  # whose cancellation is not confirmed
+        self._paused_count = 0  # how many of them are between two calls
 
     @property
     def open_calls(self) -> int:
@@ -52,7 +52,7 @@
         return len(self._attempts) - self._paused_count
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt, unless that is under way."""
+        """Start to cancel an attempt, unless that has begun before."""
         if self._may_cancel and attempt not in self._attempts:
             self._attempts.add(attempt)
             self._nursery.start_soon(self._cancel, attempt)
@@ -70,7 +70,7 @@
         is_awaited = not attempt.has_ended
         is_confirmed = await self._call(attempt, _FIRST_TIMEOUT_SECONDS if is_awaited else _TIMEOUT_SECONDS)
         pause = _FIRST_PAUSE_SECONDS
-        # What has ended by another way is not waited for: one call is enough, lest its executor run in vain.
+        # An attempt that has ended gets one call, so that its executor stops; no confirmation is needed.
         while not (is_confirmed or attempt.has_ended):
             await self._pause(pause)
             pause = min(2.0 * pause, _MAX_PAUSE_SECONDS)
@@ -80,13 +80,13 @@
         if is_confirmed:
             self._lifecycle.on_attempt_cancelled(attempt)
 
-    async def _call(self, attempt: Attempt, timeout_seconds: float, must_connect: bool = False) -> bool:
-        """Send one DELETE; whether the endpoint has answered it."""
+    async def _call(self, attempt: Attempt, timeout_seconds: float, *, must_connect: bool = False) -> bool:
+        """Send one DELETE; return whether the endpoint has answered it."""
         path = f"/jobs/{attempt.job.id}".encode()
         try:
             with trio.move_on_after(timeout_seconds):
-                response = await self._pool.call(attempt.address, b"DELETE", path, must_connect)
-                return response.status < _STATUS_SERVER_ERROR
+                response = await self._pool.call(attempt.address, b"DELETE", path, must_connect=must_connect)
+                return response.status < HTTPStatus.INTERNAL_SERVER_ERROR
         except (ConnectError, RequestNotSentError, BrokenResponseError):
             return False  # whether it has arrived is not known
         return False
--- a/burlmoor/upstream/connection.py
+++ b/burlmoor/upstream/connection.py
@@ -16,13 +16,13 @@
     """What a connection requires of its pool."""
 
     def return_connection(self, connection: PooledConnection) -> None:
-        """Take back a connection that can carry another request."""
+        """Add a connection that can carry another request to the idle ones."""
 
     def on_connection_closed(self, reason: CloseReason) -> None:
-        """Take note that one connection less is open, and why."""
+        """Count a connection that was closed, by the reason."""
 
     def on_request_not_withdrawn(self, address: str) -> None:
-        """Take note that a connection was closed whose unanswered request may still be delivered."""
+        """Handle that a connection was closed whose unanswered request may still be delivered."""
 
 
 class PooledConnection:
@@ -36,7 +36,7 @@
         self.address = address
         self._stream = stream
         self._http = HttpClientConnection(address, body_limit)
-        self._has_open_request = False  # whether a request was begun whose response is not complete
+        self._has_open_request = False  # whether a response is awaited that is not complete
         # From the start, since the process may be killed at any moment.
         self._resets_on_close = stream.set_reset_on_close(True)
         self.is_reused = False  # whether it has carried a request before this one
@@ -77,7 +77,7 @@
             raise
 
     def release(self) -> None:
-        """Give the connection back after a complete response, or close it if it can carry no more."""
+        """Return the connection to the pool after a complete response, or close it if it can't be reused."""
         if self._http.prepare_next_request():
             self._pool.return_connection(self)
         else:
@@ -91,8 +91,8 @@
         """Close the connection; repeated, it changes nothing.
 
         A request that has no complete response is withdrawn: what is not delivered yet never will be. Without
-        this, an executor that was cut off would get it once it can be reached again, when it may drain, when
-        the job may run elsewhere, and when its client has long had its answer.
+        this, an executor that was partitioned would receive it once it is reachable again, when it may drain,
+        the job may run elsewhere, or the client may have its answer.
         """
         if not self._stream.is_closed:
             if not self._has_open_request:
--- a/burlmoor/upstream/errors.py
+++ b/burlmoor/upstream/errors.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a connection to an endpoint, by what it says of the request."""
+"""Errors on a connection to an endpoint, by what they show of the request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ConnectError(BurlmoorError):
-    """No connection came up, so nothing of the request has been sent."""
+    """No connection was established, so nothing of the request has been sent."""
 
     def __init__(self, address: str, reason: str) -> None:
         super().__init__(f"{address}: {reason}")
@@ -49,7 +49,7 @@
 
 
 class ResponseTimeoutError(BrokenResponseError):
-    """No response came in time."""
+    """No response arrived in time."""
 
     def __init__(self, timeout_seconds: float) -> None:
         super().__init__(f"no response came within {timeout_seconds} s")
@@ -62,7 +62,7 @@
 def is_sign_of_peer(error: BaseException) -> bool:
     """Return whether an error shows that the peer's machine can be reached.
 
-    It does where the peer has refused, reset or answered something. What the own machine reports of a
+    It does where the peer has refused, reset or answered something. What the local machine reports of a
     connection that is silent (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH), or of itself, does not.
     """
     cause: BaseException | None = error
--- a/burlmoor/upstream/health_check.py
+++ b/burlmoor/upstream/health_check.py
@@ -1,7 +1,8 @@
-"""Health checks of endpoints that the policy asks for."""
+"""Health checks of endpoints, which the policy requests."""
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 import trio
@@ -9,7 +10,7 @@
 from burlmoor.log_events import AttemptError
 from burlmoor.types.outcome import Outcome
 from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
-from burlmoor.upstream.outcome import STATUS_OK, outcome_of
+from burlmoor.upstream.outcome import outcome_of
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -24,7 +25,7 @@
 
 
 class HealthChecker:
-    """Makes health checks and reports their outcomes to the engine. `clock` gives ms."""
+    """Makes health checks and reports their outcomes to the policy. `clock` gives ms."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         self._log = log
 
     async def check(self, endpoint: str) -> None:
-        """Check an endpoint once; the engine gets the outcome and the time that it took in ms."""
+        """Check an endpoint once, and report the outcome and the time that it took in ms."""
         started_at = self._clock()
         try:
             outcome = await self._request(endpoint)
@@ -61,5 +62,5 @@
             return Outcome.UNREACHABLE
         with trio.move_on_after(_TIMEOUT_SECONDS):
             response = await self._pool.call(address, b"GET", _PATH)
-            return Outcome.SERVED if response.status == STATUS_OK else outcome_of(response)
+            return Outcome.SERVED if response.status == HTTPStatus.OK else outcome_of(response)
         return Outcome.TIMEOUT
--- a/burlmoor/upstream/http.py
+++ b/burlmoor/upstream/http.py
@@ -1,4 +1,4 @@
-"""The client's side of an HTTP connection as a state machine over h11, for endpoints and for discovery.
+"""The client's side of an HTTP connection as a state machine over h11, to endpoints and to discovery.
 
 Knows no socket and no clock.
 """
@@ -43,7 +43,7 @@
     def encode_request(
         self, method: bytes, path: bytes, headers: Iterable[tuple[str, str]] = (), body: bytes = b""
     ) -> bytes:
-        """Encode a request; its bytes are to be sent next."""
+        """Encode a request, whose bytes are to be sent next."""
         self._response_head = None
         self._body = bytearray()
         fields = [("Host", self._host), *headers]
@@ -55,7 +55,7 @@
         return data + (self._http.send(_END_OF_MESSAGE) or b"")
 
     def receive(self, data: bytes) -> Response | None:
-        """Take in bytes (none: the connection has ended); the response once it is complete.
+        """Handle received bytes (none: the connection has ended); return the response once it is complete.
 
         Raises BrokenResponseError if the connection ended before that, or if the bytes are invalid.
         """
@@ -87,7 +87,7 @@
             raise ResponseTooLongError(self._body_limit)
 
     def prepare_next_request(self) -> bool:
-        """Make ready for another request; False if the connection cannot carry one."""
+        """Prepare for another request; return False if the connection cannot carry one."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             return not self._http.trailing_data[0]
--- a/burlmoor/upstream/outcome.py
+++ b/burlmoor/upstream/outcome.py
@@ -1,7 +1,8 @@
-"""What an endpoint's response says of the job."""
+"""The outcome of an attempt by its endpoint's response."""
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 from burlmoor.types.outcome import Outcome
@@ -9,9 +10,7 @@
 if TYPE_CHECKING:
     from burlmoor.upstream.http import Response
 
-STATUS_OK = 200
-STATUS_ACCEPTED = 202
-_MAY_BE_UNSTARTED = (503, 504)
+_MAY_BE_UNSTARTED = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
 def outcome_of(response: Response) -> Outcome:
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to endpoints; discovery's connections have one of their own."""
+"""The pool of connections to endpoints; the connections to discovery have a pool of their own."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     from burlmoor.upstream.http import Response
 
 _RESPONSE_LIMIT_BYTES = 256 * 1024  # an executor's body holds 64 KiB at most
-# Seconds after a request is written in which a connection breaks that its peer had closed before.
+# A connection that breaks within this time of its reuse counts as closed by its peer before.
 _STALE_BREAK_SECONDS = 0.25
-# Seconds in which a second response to what a connection last carried may still arrive.
+# Within this time, a second response to the last request may still arrive on a connection.
 REUSE_DELAY_SECONDS = 0.05
-_SHORTENED_SECONDS = 30.0  # for which a stale connection shortens the time that others may lie idle
+_SHORTENED_SECONDS = 30.0  # for which a stale connection shortens the idle limit of the others
 
 
 class ConnectionPool:
     """Owns the idle connections by address, the freshest last, and counts all open ones.
 
-    `reuse_delay_seconds` is the least time that a connection lies idle before it carries the next request,
-    `idle_limit_seconds` the most.
+    A connection carries its next request after it has been idle for at least `reuse_delay_seconds` and at
+    most `idle_limit_seconds`.
     """
 
     def __init__(
@@ -63,18 +63,18 @@
 
     @property
     def is_reuse_risky(self) -> bool:
-        """Whether a pooled connection has lately turned out to be closed by its peer."""
+        """Whether a pooled connection has recently turned out to be closed by its peer."""
         return trio.current_time() < self._shortened_until
 
     def _max_idle_seconds(self) -> float:
-        """Return how long a connection may have lain idle and be used again."""
+        """Return how long a connection may have been idle and still be reused."""
         return self._shortened_limit_seconds if self.is_reuse_risky else self.idle_limit_seconds
 
     def on_connection_broken(self, connection: PooledConnection) -> None:
-        """Take in that a connection broke before its response: if it was reused, keep others for less time.
+        """Keep idle connections for less time if one broke before its response that was reused.
 
         Without this, peers that drop idle connections sooner than the settings say, and don't show it, would
-        lose request after request: what is written to such a connection counts as perhaps run.
+        lose request after request: a request written to such a connection may have run.
         """
         now = trio.current_time()
         if connection.is_reused and now < connection.reused_at + _STALE_BREAK_SECONDS:
@@ -85,7 +85,7 @@
     # --- use --------------------------------------------------------------------------------------
 
     async def acquire(self, address: str) -> PooledConnection:
-        """Take the freshest idle connection or open one; ConnectError if none comes up in time."""
+        """Take the freshest idle connection or open one; ConnectError if none is established in time."""
         return self._take_idle(address) or await self.connect(address)
 
     def _take_idle(self, address: str) -> PooledConnection | None:
@@ -93,7 +93,7 @@
         idle = self._idle.get(address, [])
         for connection in idle[::-1]:
             if now < connection.idle_since + self._reuse_delay_seconds:
-                # Without this, a second response to the last request would be taken for this one's (rule 2).
+                # Without this, a second response to the last request would be taken for this one's.
                 continue
             idle.remove(connection)
             if not _close_if_unusable(connection, now - self._max_idle_seconds()):
@@ -103,7 +103,7 @@
         return None
 
     async def connect(self, address: str) -> PooledConnection:
-        """Open a connection, whatever is idle; ConnectError if it does not come up in time."""
+        """Open a connection, whatever is idle; ConnectError if it is not established in time."""
         if self.open_count >= self.max_connections and not self.close_oldest_idle():
             raise ConnectError(address, "every connection is busy")
         self.open_count += 1
@@ -124,8 +124,8 @@
                 self.open_count -= 1
         return PooledConnection(self, address, stream, self._response_limit_bytes)
 
-    async def call(self, address: str, method: bytes, path: bytes, must_connect: bool = False) -> Response:
-        """Send a request without a body that is idempotent; its complete response.
+    async def call(self, address: str, method: bytes, path: bytes, *, must_connect: bool = False) -> Response:
+        """Send an idempotent request without a body, and return its complete response.
 
         Raises ConnectError, RequestNotSentError or BrokenResponseError.
         """
@@ -145,17 +145,17 @@
         return response
 
     def return_connection(self, connection: PooledConnection) -> None:
-        """Take back a connection that has carried its response and can carry another request."""
+        """Add a connection that has received its response to the idle ones."""
         connection.idle_since = trio.current_time()
         self._idle.setdefault(connection.address, []).append(connection)
 
     def on_connection_closed(self, reason: CloseReason) -> None:
-        """Take note that one connection less is open, and why."""
+        """Count a connection that was closed, by the reason."""
         self.open_count -= 1
         self._counters.count(CounterGroup.ENDPOINT_CLOSES, reason.value)
 
     def on_request_not_withdrawn(self, address: str) -> None:
-        """Take note that a connection was closed whose unanswered request may still be delivered."""
+        """Count a violation: a connection was closed whose unanswered request may still be delivered."""
         if self._invariants is not None:
             self._invariants.record_violation(Invariant.CLOSE, address=address)
 
@@ -172,7 +172,7 @@
         return True
 
     def close_expired(self) -> None:
-        """Close what has been idle for too long, or was closed by its peer."""
+        """Close the connections that have been idle for too long, or were closed by their peer."""
         expired_since = trio.current_time() - self.idle_limit_seconds
         for address, idle in list(self._idle.items()):
             remaining = [each for each in idle if not _close_if_unusable(each, expired_since)]
@@ -188,9 +188,9 @@
 
 
 def _close_if_unusable(connection: PooledConnection, expired_since: float) -> bool:
-    """Close an idle connection that no request may be written to any more; whether it was one.
+    """Close an idle connection that may not be reused; return whether it was one.
 
-    What is written to a connection that its peer has closed would end as a reset.
+    A request written to a connection that its peer has closed would end as a reset.
     """
     if connection.idle_since <= expired_since:
         connection.close(CloseReason.IDLE)
--- /dev/null
+++ b/burlmoor/upstream/request_sender.py
@@ -0,0 +1,113 @@
+"""Sends the request of an attempt: takes a connection, checks the send precondition and writes."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+from burlmoor.invariants import Invariant
+from burlmoor.types.reasons import CloseReason
+from burlmoor.upstream.errors import RequestNotSentError
+from burlmoor.upstream.send_precondition import check_send_precondition, recheck_send_precondition
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.endpoints.endpoint_table import ListedEndpoint
+    from burlmoor.engine.job import Attempt
+    from burlmoor.invariants import InvariantMonitor
+    from burlmoor.upstream.connection import PooledConnection
+    from burlmoor.upstream.in_flight import InFlightAttempt
+    from burlmoor.upstream.pool import ConnectionPool
+
+
+class RequestPayload(Protocol):
+    """What an attempt passes on of its job's request, unchanged."""
+
+    @property
+    def method(self) -> bytes:
+        """The HTTP method."""
+
+    @property
+    def path(self) -> bytes:
+        """The path with its query."""
+
+    @property
+    def body(self) -> bytes:
+        """The body, perhaps empty."""
+
+    @property
+    def idempotency_key(self) -> str:
+        """The key by which executors recognise a repeated request; empty if there is none."""
+
+
+class RequestSender:
+    """Writes the request of each attempt to a connection. `clock` gives ms."""
+
+    def __init__(
+        self,
+        directory: EndpointDirectory,
+        pool: ConnectionPool,
+        invariants: InvariantMonitor,
+        clock: Callable[[], float],
+    ) -> None:
+        self._directory = directory
+        self._pool = pool
+        self._invariants = invariants
+        self._clock = clock
+
+    async def send(self, attempt: Attempt, in_flight: InFlightAttempt) -> PooledConnection:
+        """Write the complete request, and return the connection that its response will arrive on.
+
+        Raises SendPreconditionError, ConnectError or RequestNotSentError; then the request has not run.
+        """
+        # On a pooled connection that turns out to be dead a non-idempotent job would be lost.
+        must_connect = attempt.job.is_non_idempotent and self._pool.is_reuse_risky
+        while True:
+            endpoint = check_send_precondition(attempt, self._directory)
+            open_connection = self._pool.connect if must_connect else self._pool.acquire
+            connection = await open_connection(endpoint.address)
+            try:
+                # All may have changed during the connect. Nothing suspends from here to the first byte.
+                recheck_send_precondition(attempt, self._directory, endpoint)
+                await self._write(attempt, endpoint, connection, in_flight)
+            except RequestNotSentError:
+                connection.close(CloseReason.BROKEN)
+                if must_connect or not connection.is_reused:
+                    raise
+                # An idle connection that had gone stale: the request was not sent, so it may be sent again.
+                must_connect = True
+                continue
+            except BaseException:
+                connection.close(CloseReason.ATTEMPT_CANCELLED)
+                raise
+            return connection
+
+    async def _write(
+        self,
+        attempt: Attempt,
+        endpoint: ListedEndpoint,
+        connection: PooledConnection,
+        in_flight: InFlightAttempt,
+    ) -> None:
+        self._verify_send(attempt, endpoint)
+        in_flight.connection = connection
+        attempt.record_address(endpoint.address)
+        payload: RequestPayload = attempt.job.payload
+        timeout_ms = max(1, int(attempt.deadline - self._clock()))
+        headers = [("Request-Id", attempt.job.id), ("Request-Timeout-Ms", str(timeout_ms))]
+        if payload.idempotency_key:
+            headers.append(("Idempotency-Key", payload.idempotency_key))
+        await connection.write(payload.method, payload.path, headers, payload.body)
+        in_flight.is_written = True
+        attempt.record_written(self._clock())
+
+    def _verify_send(self, attempt: Attempt, endpoint: ListedEndpoint) -> None:
+        """Count a violation if the request is written although the precondition does not hold now."""
+        violated: Invariant | None = None
+        if attempt.job.is_closed:
+            violated = Invariant.START
+        elif self._directory.find_live(attempt.endpoint) != endpoint:
+            violated = Invariant.SEND
+        if violated is not None:
+            self._invariants.record_violation(violated, job_id=attempt.job.id, endpoint=attempt.endpoint)
--- a/burlmoor/upstream/send_precondition.py
+++ b/burlmoor/upstream/send_precondition.py
@@ -22,16 +22,16 @@
 
 
 def check_send_precondition(attempt: Attempt, directory: EndpointDirectory) -> ListedEndpoint:
-    """Check that an attempt may be sent now; the endpoint that it is to be sent to.
+    """Check that an attempt may be sent now, and return the endpoint that it is to be sent to.
 
     Three things must hold, else SendPreconditionError is raised:
 
-    - The job is open and its client connected. Without this, executors would work for clients that have left
-      (also where the settings bar cancellation, so that nothing else stops an attempt that waits for a
-      connection), and a hedged request could be sent for a job that is answered already (rule 1).
+    - The job is open and its client connected. Without this, executors would work for clients that have
+      disconnected (also where the settings bar cancellation, so that nothing else stops an attempt that waits
+      for a connection), and a hedged request could be sent for a job that has its final answer.
     - The attempt is not over: it has neither ended nor been cancelled.
     - The endpoint is live: neither draining, nor gone, nor disabled by an override. Without this, an endpoint
-      would get work after the node was notified that it drains (the drain rule, rule 3).
+      would get work after the node was notified that it drains (the drain rule).
 
     No other task may run between this check and the first byte: the caller must not suspend in between.
     """
@@ -46,6 +46,6 @@
 def recheck_send_precondition(
     attempt: Attempt, directory: EndpointDirectory, connected_to: ListedEndpoint
 ) -> None:
-    """Check again once a connection is up, and that it leads to the same process of the endpoint."""
+    """Check again once connected, and that the connection leads to the same process of the endpoint."""
     if check_send_precondition(attempt, directory) != connected_to:
         raise SendPreconditionError(attempt, "the endpoint is another process now")
--- /dev/null
+++ b/burlmoor/upstream/withdrawal.py
@@ -0,0 +1,75 @@
+"""Withdraws the attempts that wait for their 202 at an endpoint that has stopped being live."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import trio
+
+from burlmoor.invariants import Invariant
+from burlmoor.log_events import AttemptWithdrawn
+from burlmoor.types.outcome import Outcome
+from burlmoor.types.reasons import CancelReason
+
+if TYPE_CHECKING:
+    from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.engine.job import Attempt
+    from burlmoor.invariants import InvariantMonitor
+    from burlmoor.log import EventLogger
+    from burlmoor.upstream.attempts import AttemptRunner
+
+# From the notification that an endpoint drains until its unaccepted attempts are withdrawn. The drain rule
+# allows 0.25 s, of which the event loop may be stalled for 0.15 s.
+_WITHDRAW_AFTER_SECONDS = 0.1
+# The same, until one that still waits counts as a violation.
+_VIOLATION_AFTER_SECONDS = 0.25
+
+
+class AttemptWithdrawal:
+    """Cancels attempts that their endpoint, which is not live any more, has not accepted.
+
+    Without this, a request that a partition holds back would arrive at an endpoint that drains.
+    """
+
+    def __init__(
+        self,
+        attempts: AttemptRunner,
+        directory: EndpointDirectory,
+        invariants: InvariantMonitor,
+        nursery: trio.Nursery,
+        log: EventLogger,
+    ) -> None:
+        self._attempts = attempts
+        self._directory = directory
+        self._invariants = invariants
+        self._nursery = nursery
+        self._log = log
+
+    def on_endpoints_not_live(self, names: frozenset[str]) -> None:
+        """Withdraw the attempts at these endpoints that are not accepted soon."""
+        for attempt in self._attempts.in_flight:
+            if attempt.endpoint in names:
+                self._nursery.start_soon(self._withdraw_unaccepted, attempt)
+
+    async def _withdraw_unaccepted(self, attempt: Attempt) -> None:
+        """Withdraw an attempt unless its endpoint accepts it within the grace period, or is live again."""
+        await trio.sleep(_WITHDRAW_AFTER_SECONDS)
+        in_flight = self._attempts.in_flight.find(attempt)
+        if in_flight is None or attempt.is_cancelling or self._directory.find_live(attempt.endpoint):
+            return
+        # A request of which not all was written has not run.
+        outcome = Outcome.RESET if in_flight.is_written else Outcome.UNREACHABLE
+        self._attempts.abandon(attempt, outcome, CancelReason.ENDPOINT_NOT_LIVE)
+        self._log(
+            AttemptWithdrawn(
+                id=attempt.job.id,
+                endpoint=attempt.endpoint,
+                attempt=attempt.number,
+                written=in_flight.is_written,
+            )
+        )
+        await trio.sleep(_VIOLATION_AFTER_SECONDS - _WITHDRAW_AFTER_SECONDS)
+        if self._attempts.in_flight.find(attempt) is in_flight:
+            self._invariants.record_violation(
+                Invariant.WITHDRAW, job_id=attempt.job.id, endpoint=attempt.endpoint
+            )
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -12,7 +12,7 @@
 from burlmoor.endpoints.overrides import EndpointOverrides
 from tests.support.admin_client import call_admin
 from tests.support.configuration import SETTINGS_OBJECT, write_config
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import NodeHarness, open_node_harness
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -30,50 +30,53 @@
         assert (await harness.read_response(client)).status == 200
 
 
+async def break_watch(harness: NodeHarness, fault: str, tmp_path: Path) -> float:
+    """Break the open watch; returns in how many seconds the node counts as notified of what it missed."""
+    watch = harness.open_watches.pop()
+    wait_seconds = float(harness.discovery_paths[-1].partition("wait_ms=")[2]) / 1000.0
+    if fault == "reset":
+        await watch.socket_stream.aclose()
+    elif fault == "down":
+        await watch.write("HTTP/1.1 503 Busy")
+        for _ in range(2):
+            await harness.wait_until(lambda: harness.open_watches)
+            await harness.open_watches.pop().write("HTTP/1.1 503 Busy")
+        return 10.0
+    elif fault == "address change":
+        harness.node.reload(write_config(tmp_path, discovery=await harness.start_discovery()))
+        return 4.0
+    return max(6.0, wait_seconds + 2.0)
+
+
 @pytest.mark.parametrize("settings", [SETTINGS_OBJECT, PUSHED], ids=["asked", "pushed"])
-@pytest.mark.parametrize("fault", ["silent", "reset", "down", "moved"])
-def test_a_drain_takes_effect_in_time_whatever_breaks_the_watch(
+@pytest.mark.parametrize("fault", ["silent", "reset", "down", "address change"])
+async def test_a_drain_takes_effect_in_time_whatever_breaks_the_watch(
     fault: str, settings: dict[str, Any], tmp_path: Path
 ) -> None:
     # A silent watch looks like one without changes. The notification deadline of what it missed is 6 s after
-    # it fell silent, or 2 s after its call's wait is over, if that is later; of what an agent learns, the
+    # it fell silent, or 2 s after its call's wait is over, if that is later; of what an agent receives, the
     # moment in which it answers again.
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness(given_settings=settings) as harness:
         await harness.publish(5, e0="active", e1="active")
         await harness.wait_until(lambda: harness.open_watches)
         harness.is_discovery_silent = True
-        watch = harness.open_watches.pop()
         started_at = trio.current_time()
-        deadline_seconds = max(
-            6.0, float(harness.discovery_paths[-1].partition("wait_ms=")[2]) / 1000.0 + 2.0
-        )
-        if fault == "reset":
-            await watch.socket_stream.aclose()
-        elif fault == "down":
-            await watch.write("HTTP/1.1 503 Busy")
-            for _ in range(2):
-                await harness.wait_until(lambda: harness.open_watches)
-                await harness.open_watches.pop().write("HTTP/1.1 503 Busy")
-            deadline_seconds = 10.0
-        elif fault == "moved":
-            deadline_seconds = 4.0
-            harness.node.reload(write_config(tmp_path, discovery=await harness.start_discovery()))
+        deadline_seconds = await break_watch(harness, fault, tmp_path)
         calls = len(harness.discovery_paths)
         await harness.wait_until(lambda: len(harness.discovery_paths) > calls and harness.open_watches)
-        await harness.publish(
-            6, fault == "moved", e0="leaving", **({"e1": "active"} if fault == "moved" else {})
-        )
+        if fault == "address change":
+            await harness.publish(6, e0="leaving", e1="active")
+        else:
+            await harness.publish(6, is_complete=False, e0="leaving")
         await harness.wait_until(lambda: harness.node.directory.find_live("e0") is None)
         assert trio.current_time() < started_at + deadline_seconds
         harness.is_discovery_silent = False
         await check_all_jobs_go_to_e1(harness)
 
-    run_scenario(scenario, given_settings=settings)
-
 
-def test_a_silent_agent_is_called_often_enough_for_the_drain_rule() -> None:
-    # The node counts as notified of what the agent learns meanwhile once the agent answers again.
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_silent_agent_is_called_often_enough_for_the_drain_rule() -> None:
+    # The node counts as notified of what the agent receives meanwhile once the agent answers again.
+    async with open_node_harness(given_settings=PUSHED) as harness:
         harness.is_discovery_silent = True
         await harness.wait_until(lambda: len(harness.discovery_paths) > 5)
         gaps = []
@@ -85,8 +88,6 @@
             gaps.append(trio.current_time() - since)
         assert sorted(gaps)[1] < 0.3  # the machine may be busy for a call or two
 
-    run_scenario(scenario, given_settings=PUSHED)
-
 
 INVALID_LISTS = [
     (b"{", "discovery-failed", "body: "),
@@ -103,13 +104,14 @@
 
 
 @pytest.mark.parametrize(("body", "event", "field"), INVALID_LISTS)
-def test_an_invalid_list_changes_nothing_and_does_not_stop_the_watch(
+async def test_an_invalid_list_changes_nothing_and_does_not_stop_the_watch(
     body: bytes, event: str, field: str
 ) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+    lines: list[str] = []
+    async with open_node_harness(lines=lines) as harness:
         await harness.wait_ready()
         await harness.wait_until(lambda: harness.open_watches)
-        # The node reads no more than it will hold.
+        # The node reads no more than a list may have.
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await harness.open_watches.pop().write("HTTP/1.1 200 OK", body)
         await harness.wait_until(lambda: any(event in line for line in lines))
@@ -118,17 +120,15 @@
         assert harness.node.directory.find_live("e1")
         await harness.publish(10, e0="leaving", e1="active")
         await harness.wait_until(lambda: harness.node.directory.version == 10)
-
-    lines: list[str] = []
-    run_scenario(scenario, lines=lines)
     errors = [line["error"] for line in map(json.loads, lines) if line["event"] == event]
     assert len(errors) == 1
     assert field in errors[0]
 
 
-def test_an_invalid_entry_neither_hides_a_drain_nor_undoes_one() -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        published = harness.endpoint_list(7, True, e0="leaving", e1="active")
+async def test_an_invalid_entry_neither_hides_a_drain_nor_undoes_one() -> None:
+    lines: list[str] = []
+    async with open_node_harness(lines=lines) as harness:
+        published = harness.endpoint_list(7, e0="leaving", e1="active")
         duplicate = {**published["hosts"][0], "health": "active"}
         published["hosts"] += [
             duplicate,
@@ -144,9 +144,6 @@
             False,
             False,
         ]
-
-    lines: list[str] = []
-    run_scenario(scenario, lines=lines)
     invalid = next(
         line for line in map(json.loads, lines) if line["event"] == "endpoint-list-invalid-entries"
     )
@@ -157,9 +154,9 @@
 MANY_ENDPOINTS = 1200
 
 
-def test_a_long_list_is_applied_and_updated_and_all_of_it_may_be_disabled() -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        published = harness.endpoint_list(7, True, e0="active", e1="active")
+async def test_a_long_list_is_applied_and_updated_and_all_of_it_may_be_disabled() -> None:
+    async with open_node_harness() as harness:
+        published = harness.endpoint_list(7, e0="active", e1="active")
         draining = {**published["hosts"][0], "health": "leaving"}
         published["hosts"] += [
             {**draining, "host": f"executor-{number:06d}", "dial": f"127.0.3.{number % 250}:8081"}
@@ -170,12 +167,10 @@
         await harness.wait_until(lambda: harness.open_watches)
         await harness.open_watches.pop().write("HTTP/1.1 200 OK", body)
         await harness.wait_until(lambda: harness.node.directory.version == 7)
-        await harness.publish(8, False, e0="leaving")
+        await harness.publish(8, is_complete=False, e0="leaving")
         await harness.wait_until(lambda: harness.node.directory.find_live("e0") is None)
         await check_all_jobs_go_to_e1(harness)
         disabled = {f"executor-{number:06d}": 1.0 for number in range(MANY_ENDPOINTS)}
-        harness.node.directory.set_overrides(EndpointOverrides(disabled_since=disabled))
+        harness.node.endpoint_updater.set_overrides(EndpointOverrides(disabled_since=disabled))
         _, response = await call_admin(harness, "/ready", method="GET")
         assert response["out"] == sorted(disabled)
-
-    run_scenario(scenario)
--- a/tests/discovery/test_list_lease.py
+++ b/tests/discovery/test_list_lease.py
@@ -1,4 +1,4 @@
-"""The lease on the endpoint list: until when it may be used, whatever the order in which calls end."""
+"""The lease on the endpoint list: until when it may be used, in whatever order calls end."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def make_calls(lease: ListLease, *calls: Call) -> float:
-    """Make calls from the time 0 on, one after the other; when the last one ended."""
+    """Make calls from the time 0 on, one after the other, and return when the last one ended."""
     lease.on_start(0.0)
     now = 0.0
     for pause, lasts, result in calls:
@@ -47,7 +47,7 @@
 
 
 def last_evidence(calls: list[Call]) -> float:
-    """Return the latest moment for which some call shows that nothing had to be known that is not."""
+    """Return the latest moment at which, as some call shows, the node was notified of every change."""
     evidence, now = -math.inf, 0.0
     failed_in_a_row = 0
     has_been_silent = False  # since the last evidence
@@ -116,11 +116,11 @@
         ([UP, *[CUT_OFF] * 4, REFUSED, REFUSED, REJECTED_LATE], False),  # expired: only an answer helps
         ([UP, *[CUT_OFF] * 4, Call(0.1, 0.1, INVALID)], False),
         ([UP, *[CUT_OFF] * 4, REFUSED, UP], True),
-        ([UP, Call(0.0, 9.0, ANSWERED)], False),  # the process was held up, and reads an old answer
+        ([UP, Call(0.0, 9.0, ANSWERED)], False),  # the process was stalled, and reads an old answer
         ([UP, Call(0.0, 9.0, REJECTED)], False),
     ],
 )
-def test_what_renews_the_lease(made: list[Call], is_valid: bool) -> None:
+def test_what_renews_the_lease(made: list[Call], *, is_valid: bool) -> None:
     lease = ListLease(has_agent=False)
     now = make_calls(lease, *made)
     assert lease.is_valid(now) is is_valid
@@ -165,5 +165,5 @@
         (ConnectError("a", "every connection is busy"), False),
     ],
 )
-def test_only_what_the_peer_sent_is_a_sign_of_it(error: BaseException, is_sign: bool) -> None:
+def test_only_what_the_peer_sent_is_a_sign_of_it(error: BaseException, *, is_sign: bool) -> None:
     assert is_sign_of_peer(error) is is_sign
--- a/tests/discovery/test_notification_deadlines.py
+++ b/tests/discovery/test_notification_deadlines.py
@@ -1,4 +1,4 @@
-"""No change of the list arrives later than the drain rule allows, whatever befalls the watch."""
+"""No change of the list arrives later than the drain rule allows, whatever faults the watch has."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
         lambda offsets: [15.0 * number + offset for number, offset in enumerate(offsets)]
     ),
     resets=st.lists(st.floats(0.0, 30.0), max_size=2),
-    # An agent that is silent for less than its watch's wait is not known to be.
+    # A silence of an agent that is shorter than its watch's wait is not noticed.
     outages=st.lists(st.tuples(st.floats(0.0, 30.0), st.floats(2.0, 8.0)), max_size=1),
-    moves=st.lists(st.floats(0.0, 30.0), max_size=1),
+    address_changes=st.lists(st.floats(0.0, 30.0), max_size=1),
     invalid=st.lists(st.floats(0.0, 30.0), max_size=2),
-    # In less than the queue timeout no call gets through the queue.
+    # A poll interval below the queue timeout would end before any queued call.
     poll_interval=st.sampled_from([QUEUE_TIMEOUT, 3.0, 10.0, 60.0]),
     seed=st.integers(0, 1000),
 )
@@ -46,19 +46,19 @@
 
 
 def backoff_grows_to_a_fleets_jitter(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The backoff that was at fault: it grew to the jitter of a whole fleet."""
+    """The backoff grows to the jitter of a whole fleet."""
 
-    def late(self: WatchSchedule, result: CallResult, now: float) -> None:
+    def schedule_late(self: WatchSchedule, result: CallResult, now: float) -> None:
         on_call_ended(self, result, now)
         if self.failures > 2:
             self._next_start = now + self._rng.uniform(4.0, 8.0)
 
     on_call_ended = WatchSchedule.on_call_ended
-    monkeypatch.setattr(WatchSchedule, "on_call_ended", late)
+    monkeypatch.setattr(WatchSchedule, "on_call_ended", schedule_late)
 
 
 def watch_times_out_at_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The wait that was at fault: its end and the allowance add up to the notification deadline."""
+    """The end of the wait and the allowance add up to the notification deadline."""
     monkeypatch.setattr(schedule, "_WATCH_WAIT_SECONDS", 8.0)
     monkeypatch.setattr(schedule, "_OVERDUE_ALLOWANCE_SECONDS", 2.0)
 
@@ -79,10 +79,11 @@
     ],
 )
 def test_a_fault_in_the_schedule_is_noticed(
+    monkeypatch: pytest.MonkeyPatch,
     mutation: Callable[[pytest.MonkeyPatch], None],
+    *,
     has_agent: bool,
     outage: tuple[float, float] | None,
-    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def world(nodes: int, seed: int) -> World:
         return World(
@@ -92,7 +93,7 @@
             silences=[] if outage and not has_agent else [9.5],
             resets=[],
             outages=[outage] if outage else [],
-            moves=[],
+            address_changes=[],
             invalid=[],
             poll_interval=10.0,
             seed=seed,
--- a/tests/discovery/test_schedule.py
+++ b/tests/discovery/test_schedule.py
@@ -6,7 +6,7 @@
 import random
 from collections import deque
 from itertools import pairwise
-from typing import TYPE_CHECKING, Any, cast
+from typing import TYPE_CHECKING, Any, NamedTuple, cast
 
 import pytest
 import trio
@@ -17,6 +17,7 @@
 from burlmoor.discovery.schedule import CallResult, WatchSchedule
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.discovered_list import DiscoveredList
+from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.upstream.errors import ConnectionEndedError
 from tests.discovery.watch_simulation import DRAIN_RULE, QUEUE_TIMEOUT, new_schedule
 
@@ -25,13 +26,15 @@
     from burlmoor.upstream.http import Response
 
 
-def answer_in_turn(
-    schedules: list[WatchSchedule], starts: list[float], call_seconds: float
-) -> tuple[list[float], int]:
-    """Play a discovery that answers one call at a time; when it answered each node, and the failed calls.
+class FleetAnswers(NamedTuple):
+    """How a discovery has answered a fleet of nodes."""
 
-    A call that would stand in the queue for too long fails.
-    """
+    answered_at: list[float]  # by node, in the order of the answers
+    failed_calls: int
+
+
+def answer_in_turn(schedules: list[WatchSchedule], starts: list[float], call_seconds: float) -> FleetAnswers:
+    """Simulate a discovery that answers one call at a time; a call that is queued for too long fails."""
     calls = [(start, number) for number, start in enumerate(starts)]
     failed = 0
     free_at = 0.0
@@ -53,33 +56,33 @@
             heapq.heappush(calls, (schedules[number].next_call().start_at, number))
         else:
             queue.append(heapq.heappop(calls))
-    return answered, failed
+    return FleetAnswers(answered, failed)
 
 
-def start_together(nodes: int, call_seconds: float, seed: int) -> tuple[float, int]:
-    """When the last of a fleet that starts as one has been answered, and how many calls failed."""
+def start_together(nodes: int, call_seconds: float, seed: int) -> FleetAnswers:
+    """Start a fleet at once, and return its answers."""
     schedules = [new_schedule(nodes, f"{seed}/{number}") for number in range(nodes)]
     for schedule in schedules:
-        schedule.on_start(0.0, True)
+        schedule.on_start(0.0, has_list=True)
     starts = [schedule.next_call().start_at for schedule in schedules]
-    answered, failed = answer_in_turn(schedules, starts, call_seconds)
-    assert len(answered) == nodes
-    return max(answered), failed
+    answers = answer_in_turn(schedules, starts, call_seconds)
+    assert len(answers.answered_at) == nodes
+    return answers
 
 
 def test_a_fleet_that_starts_at_once_is_answered_in_time_by_a_discovery_that_answers_in_turn() -> None:
     for nodes, call_seconds in ((5, 0.2), (40, 0.1), (182, 0.0225), (200, 0.02)):
         for seed in range(8):
-            last, failed = start_together(nodes, call_seconds, seed)
-            assert last <= 6.0 + DRAIN_RULE
-            assert failed == 0
+            answers = start_together(nodes, call_seconds, seed)
+            assert max(answers.answered_at) <= 6.0 + DRAIN_RULE
+            assert answers.failed_calls == 0
 
 
-def test_a_fleet_gets_through_to_a_discovery_that_needs_longer_than_the_notification_deadline() -> None:
+def test_a_fleet_is_answered_by_a_discovery_that_needs_longer_than_the_notification_deadline() -> None:
     for seed in range(8):
-        last, failed = start_together(40, 0.2, seed)  # 8 s of work
-        assert last < 12.0
-        assert failed < 40
+        answers = start_together(40, 0.2, seed)  # 8 s of work
+        assert max(answers.answered_at) < 12.0
+        assert answers.failed_calls < 40
 
 
 def test_a_fleet_whose_watches_fall_silent_at_once_is_answered_before_the_notification_deadline() -> None:
@@ -89,7 +92,7 @@
             schedules, starts = [], []
             for number in range(nodes):
                 schedule = new_schedule(nodes, f"{seed}/{number}")
-                schedule.on_start(0.0, True)
+                schedule.on_start(0.0, has_list=True)
                 # Every watch is somewhere in its second when all fall silent.
                 called_at = rng.uniform(0.0, 1.0)
                 schedule.on_call_started(called_at - 2.0)
@@ -99,13 +102,13 @@
                 schedule.on_call_ended(CallResult.TIMED_OUT, timed_out_at)
                 schedules.append(schedule)
                 starts.append(schedule.next_call().start_at)
-            answered, _ = answer_in_turn(schedules, starts, call_seconds)
-            assert max(answered) <= 1.0 + 6.0 + DRAIN_RULE, (nodes, seed)
+            answers = answer_in_turn(schedules, starts, call_seconds)
+            assert max(answers.answered_at) <= 1.0 + 6.0 + DRAIN_RULE, (nodes, seed)
 
 
 def test_a_fleet_whose_calls_fit_into_the_queue_timeout_calls_at_once() -> None:
     schedule = new_schedule(4)
-    schedule.on_start(5.0, True)
+    schedule.on_start(5.0, has_list=True)
     assert schedule.next_call().start_at == 5.0
     for failures, least, most in ((1, 0.05, 0.1), (9, 1.0, 2.0)):
         schedule.failures = failures - 1
@@ -121,7 +124,7 @@
     failure_allowance = min(6.0, 4.0 * poll_interval)
     for seed in range(50):
         schedule = new_schedule(4000, seed, poll_interval=poll_interval)
-        schedule.on_start(0.0, True)
+        schedule.on_start(0.0, has_list=True)
         # Whatever the settings: nothing is sent before the first call has shown that discovery is there.
         assert schedule.next_call().start_at <= 2.5
         now = 0.0
@@ -133,15 +136,14 @@
             allowance = 6.0 if result is CallResult.TIMED_OUT else failure_allowance
             next_start = schedule.next_call().start_at
             assert next_start <= max(now + allowance - 2.0, ended + 0.05)
-            assert (
-                result is CallResult.TIMED_OUT or next_start >= ended + 0.025
-            )  # not again and again at once
+            # No call is repeated at once without end.
+            assert result is CallResult.TIMED_OUT or next_start >= ended + 0.025
             now = next_start
 
 
 def fail_calls_until(back_at: float, schedule: WatchSchedule, rng: random.Random) -> None:
     """Fail all calls of a node until discovery is back: refused at once, or timed out."""
-    schedule.on_start(0.0, True)
+    schedule.on_start(0.0, has_list=True)
     schedule.on_call_started(0.0)
     schedule.on_call_ended(CallResult.FAILED, rng.uniform(0.0, 0.5))
     while (now := schedule.next_call().start_at) < back_at:
@@ -151,7 +153,7 @@
         schedule.on_call_ended(result, now + timed_out * schedule.next_call().timeout_seconds)
 
 
-def test_a_fleet_that_could_not_reach_discovery_is_answered_before_the_notification_deadline() -> None:
+def test_a_fleet_that_was_partitioned_from_discovery_is_answered_before_the_notification_deadline() -> None:
     for nodes, call_seconds in ((5, 0.2), (20, 0.2), (30, 0.1), (200, 0.02), (230, 0.015)):
         for seed in range(4):
             rng = random.Random(seed)
@@ -160,8 +162,8 @@
             for schedule in schedules:
                 fail_calls_until(back_at, schedule, rng)
             starts = [schedule.next_call().start_at for schedule in schedules]
-            answered, _ = answer_in_turn(schedules, starts, call_seconds)
-            assert max(answered) <= back_at + 6.0 + DRAIN_RULE, (nodes, seed)
+            answers = answer_in_turn(schedules, starts, call_seconds)
+            assert max(answers.answered_at) <= back_at + 6.0 + DRAIN_RULE, (nodes, seed)
 
 
 class Observer:
@@ -183,29 +185,28 @@
     """Stand in for the log."""
 
 
-def test_calls_are_spread_at_the_start_and_after_each_failure() -> None:
+async def test_calls_are_spread_at_the_start_and_after_each_failure(
+    autojump_clock: trio.testing.MockClock,
+) -> None:
     discovery = BusyDiscovery()
-
-    async def story() -> float:
-        directory = EndpointDirectory(Observer(), cast("Any", None), lambda unix_ms: unix_ms, discard)
-        directory.load_cached(DiscoveredList(41))  # a list, if an old one
-        client = DiscoveryClient(
-            directory,
-            cast("Any", discovery),
-            "127.0.0.1:1",
-            new_schedule(200, 3),
-            ListLease(has_agent=False),
-            discard,
-        )
-        started = trio.current_time()
-        with trio.move_on_after(20.0):
-            await client.run()
-        return started
-
-    started = trio.run(story, clock=trio.testing.MockClock(autojump_threshold=0))
-    calls = [called_at - started for called_at in discovery.called_at]
+    directory = EndpointDirectory(from_unix=lambda unix_ms: unix_ms, has_lease=lambda: True)
+    updater = EndpointListUpdater(directory, Observer(), cast("Any", None), cast("Any", None), discard)
+    updater.load_cached(DiscoveredList(41))  # a list, if an old one
+    client = DiscoveryClient(
+        directory,
+        updater,
+        cast("Any", discovery),
+        "127.0.0.1:1",
+        new_schedule(200, 3),
+        ListLease(has_agent=False),
+        discard,
+    )
+    started_at = trio.current_time()
+    with trio.move_on_after(20.0):
+        await client.run()
+    calls = [called_at - started_at for called_at in discovery.called_at]
     assert calls[0] > 0.1
-    # Where one was made at once and then every two seconds: over ten.
+    # A node that called at once and then every two seconds would have made over ten calls.
     assert 4 <= len(calls) <= 10
     pauses = [later - earlier for earlier, later in pairwise(calls)]
     assert pauses[0] <= 0.25  # the second shows whether discovery is down, or only the first was held back
--- a/tests/discovery/test_watch_mutations.py
+++ b/tests/discovery/test_watch_mutations.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
-from typing import Any, cast
+from typing import Any, NamedTuple, cast
 
 import pytest
 
 from burlmoor.discovery import schedule
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.testbed.mutations import OF_WATCH
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
 from tests.discovery.watch_simulation import DRAIN_RULE, World, worst_lateness
@@ -22,7 +23,7 @@
         silences=[9.5],
         resets=[],
         outages=[(15.0, 4.0)],
-        moves=[],
+        address_changes=[],
         invalid=[],
         poll_interval=10.0,
         seed=seed,
@@ -50,12 +51,20 @@
         self.states += [entry.state for entry in entries]
 
 
-def load_draining() -> tuple[bool, list[EndpointState]]:
-    """Whether an endpoint that drains may be sent work, and the state that the policy learns of it."""
+class DrainingEndpoint(NamedTuple):
+    """How a directory has an endpoint that drains."""
+
+    is_sent_work: bool
+    reported_states: list[EndpointState]  # to the policy
+
+
+def load_draining() -> DrainingEndpoint:
     observer = Observer()
-    directory = EndpointDirectory(observer, cast("Any", None), lambda unix_ms: unix_ms, print)
-    directory.load_cached(DiscoveredList(1, True, [DiscoveredEndpoint("e0", "h:1", health="leaving")]))
-    return directory.find_live("e0") is not None, observer.states
+    directory = EndpointDirectory(from_unix=lambda unix_ms: unix_ms, has_lease=lambda: True)
+    updater = EndpointListUpdater(directory, observer, cast("Any", None), cast("Any", None), print)
+    draining = DiscoveredEndpoint("e0", "h:1", health="leaving")
+    updater.load_cached(DiscoveredList(1, is_complete=True, endpoints=[draining]))
+    return DrainingEndpoint(directory.find_live("e0") is not None, observer.states)
 
 
 def test_the_undrained_mutation_lets_a_draining_endpoint_get_work(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/discovery/watch_simulation.py
+++ b/tests/discovery/watch_simulation.py
@@ -1,4 +1,4 @@
-"""One node's watch under a fake clock: what befalls it, and how late a change arrives at most."""
+"""One node's watch under a fake clock: its faults, and how late a change arrives at most."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 
 def new_schedule(
-    nodes: int, seed: object = 1, has_agent: bool = False, poll_interval: float = 10.0
+    nodes: int, seed: object = 1, *, has_agent: bool = False, poll_interval: float = 10.0
 ) -> WatchSchedule:
-    return WatchSchedule(nodes, poll_interval, has_agent, random.Random(f"{seed}"))
+    """Build the schedule of one node of a fleet of so many."""
+    return WatchSchedule(nodes, poll_interval, random.Random(f"{seed}"), has_agent=has_agent)
 
 
 class World(NamedTuple):
-    """What befalls one node's watch, in seconds."""
+    """The events that affect one node's watch; times in seconds."""
 
     nodes: int
     has_agent: bool
     changes: list[float]  # when discovery has a change: an endpoint is to drain
-    silences: list[float]  # the watch that is open then is lost without a sign
+    silences: list[float]  # the watch that is open then falls silent
     resets: list[float]
     outages: list[tuple[float, float]]  # since when, for how long
-    moves: list[float]  # discovery moves to another address
+    address_changes: list[float]  # discovery is at another address from then on
     invalid: list[float]  # an answer at that time, or the next one, is no list
     poll_interval: float
     seed: int
@@ -41,24 +42,34 @@
     wait_over_at: float
 
 
+class CallEnd(NamedTuple):
+    """How a call ends, when, and since when its watch is silent (None: it is not)."""
+
+    result: CallResult
+    at: float
+    silent_since: float | None = None
+
+
 class WatchSimulation:
-    """Plays one world. `lateness` is how long after its deadline a change arrived at most."""
+    """Simulates one world. `lateness` is how long after its deadline a change arrived at most."""
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.schedule = new_schedule(world.nodes, world.seed, world.has_agent, world.poll_interval)
+        self.schedule = new_schedule(
+            world.nodes, world.seed, has_agent=world.has_agent, poll_interval=world.poll_interval
+        )
         self.rng = random.Random(world.seed)
         self.changes = sorted(world.changes)
         self.silences = sorted(world.silences)
         self.resets = sorted(world.resets)
-        self.moves = sorted(world.moves)
+        self.address_changes = sorted(world.address_changes)
         self.outages = [(since, since + lasts) for since, lasts in world.outages]
         # What an agent sends as an invalid list it may not send again.
         self.invalid = [] if world.has_agent else sorted(world.invalid)
         self.now = 0.0
         self.received = 0  # how many of the changes
         self.lateness = 0.0
-        self.moved_at = -math.inf
+        self.address_changed_at = -math.inf
         self.last_answer = -math.inf
         self.last_call = -math.inf
         # Since the last answer: whether a call failed as discovery was down, and whether any call failed.
@@ -67,8 +78,8 @@
         self.silent_watch: SilentWatch | None = None
 
     def run(self) -> float:
-        """Play the world to its end; the lateness."""
-        self.schedule.on_start(0.0, True)
+        """Simulate the world to its end, and return the lateness."""
+        self.schedule.on_start(0.0, has_list=True)
         while self.now < _END:
             self._make_call(self.schedule.next_call())
         return self.lateness
@@ -82,28 +93,28 @@
         self.schedule.on_call_started(self.now)
         self.last_call = self.now
         answer = begins if call.is_full_list else min(self._next_change(begins), begins + call.wait_seconds)
-        # A call that opens a watch anew does not fail as well, nor one of many in its queue: a second try
-        # would be late.
+        # A call that opens a new watch after a failure does not fail too, nor one of many that are queued:
+        # another retry would be late.
         is_spared = not continues and (self.has_missed_call or self.world.nodes > 10)
-        self._drop_past_faults(answer, is_spared)
-        result, ended, silent_since = self._outcome(call, answer, is_spared)
-        if self.moves and self.moves[0] < ended:
-            self._move()
+        self._drop_past_faults(answer, is_spared=is_spared)
+        end = self._find_end(call, answer, is_spared=is_spared)
+        if self.address_changes and self.address_changes[0] < end.at:
+            self._change_address()
             return
-        if silent_since is not None and self.silent_watch is None:
-            self.silent_watch = SilentWatch(silent_since, self.now + call.wait_seconds)
-        if result is CallResult.ANSWERED:
+        if end.silent_since is not None and self.silent_watch is None:
+            self.silent_watch = SilentWatch(end.silent_since, self.now + call.wait_seconds)
+        if end.result is CallResult.ANSWERED:
             self._on_answer(answer)
         else:
             self.has_met_outage = self.has_met_outage or self._outage_during(answer) is not None
             self.has_missed_call = True
-        self.now = ended
-        self.schedule.on_call_ended(result, ended)
+        self.now = end.at
+        self.schedule.on_call_ended(end.result, end.at)
 
     def _next_change(self, begins: float) -> float:
         return max(begins, self.changes[self.received]) if self.received < len(self.changes) else math.inf
 
-    def _drop_past_faults(self, answer: float, is_spared: bool) -> None:
+    def _drop_past_faults(self, answer: float, *, is_spared: bool) -> None:
         for faults in (self.resets, self.silences):
             while faults and (faults[0] < self.now or (is_spared and faults[0] < answer)):
                 faults.pop(0)
@@ -111,29 +122,27 @@
     def _outage_during(self, answer: float) -> tuple[float, float] | None:
         return next((each for each in self.outages if each[0] < answer and self.now < each[1]), None)
 
-    def _outcome(
-        self, call: DiscoveryCall, answer: float, is_spared: bool
-    ) -> tuple[CallResult, float, float | None]:
-        """How the call ends, when, and since when its watch is silent."""
+    def _find_end(self, call: DiscoveryCall, answer: float, *, is_spared: bool) -> CallEnd:
+        """Find how the call ends."""
         outage = self._outage_during(answer)
         times_out_at = self.now + call.timeout_seconds
         if outage is not None and self.world.has_agent:
-            return CallResult.TIMED_OUT, times_out_at, None
+            return CallEnd(CallResult.TIMED_OUT, times_out_at)
         if outage is not None:
             fails_after = self.rng.uniform(0.01, QUEUE_TIMEOUT)
-            return CallResult.FAILED, max(self.now + fails_after, outage[0]), None
+            return CallEnd(CallResult.FAILED, max(self.now + fails_after, outage[0]))
         if self.silences and self.silences[0] < answer:
-            return CallResult.TIMED_OUT, times_out_at, self.silences[0]
+            return CallEnd(CallResult.TIMED_OUT, times_out_at, self.silences[0])
         if self.resets and self.resets[0] < answer:
-            return CallResult.FAILED, max(self.now, self.resets[0]), None
+            return CallEnd(CallResult.FAILED, max(self.now, self.resets[0]))
         if self.invalid and self.invalid[0] <= answer and not is_spared:
             self.invalid.pop(0)
-            return CallResult.INVALID, answer, None
+            return CallEnd(CallResult.INVALID, answer)
         assert answer - self.now <= call.timeout_seconds  # an answer in time never times out
-        return CallResult.ANSWERED, answer, None
+        return CallEnd(CallResult.ANSWERED, answer)
 
-    def _move(self) -> None:
-        self.moved_at = self.now = max(self.now, self.moves.pop(0))
+    def _change_address(self) -> None:
+        self.address_changed_at = self.now = max(self.now, self.address_changes.pop(0))
         self.schedule.on_address_changed(self.now)
         self.silent_watch = None
         self.last_answer = -math.inf
@@ -155,34 +164,36 @@
         outage_end = next((end for since, end in self.outages if since <= change < end), None)
         if self.world.has_agent:
             return self._agent_deadline(change, outage_end)
-        # Whatever else is allowed: 6 s after discovery had it and could be reached for as long.
-        reachable = max(self.moved_at, change)
+        # In any case: 6 s after discovery had it and could be reached for as long.
+        reachable = max(self.address_changed_at, change)
         for since, end in self.outages:
             reachable = end if since < reachable + 6.0 and end > reachable else reachable
         if self.silent_watch and not self.has_met_outage and outage_end is None:
-            return max(self.moved_at + 4.0, change, min(reachable, self.silent_watch.since) + 6.0)
+            return max(self.address_changed_at + 4.0, change, min(reachable, self.silent_watch.since) + 6.0)
         interval = self.world.poll_interval
         last = self.last_call + interval * (4.0 if self.has_met_outage else 1.0)
         returns = (end + interval for since, end in self.outages if since <= self.now + interval)
-        deadline = max(self.moved_at + 4.0, change + interval, last, *returns)
+        deadline = max(self.address_changed_at + 4.0, change + interval, last, *returns)
         return min(deadline, reachable + 6.0) if self.has_missed_call else deadline
 
     def _agent_deadline(self, change: float, outage_end: float | None) -> float:
-        # An agent that falls silent within the rule's 250 ms, just after a reset, is not heard.
+        # A change is missed at an agent that falls silent within the rule's 250 ms, just after a reset.
         unheard = (
             end
             for since, end in self.outages
             if since <= change + DRAIN_RULE and change < end and self.has_missed_call
         )
-        deadline = max(self.moved_at + 4.0, next(unheard, change) if outage_end is None else outage_end)
+        deadline = max(
+            self.address_changed_at + 4.0, next(unheard, change) if outage_end is None else outage_end
+        )
         watch = self.silent_watch
         if watch and change >= watch.since:
             deadline = max(deadline, watch.since + 6.0, watch.wait_over_at + 2.0)
-            # Nor one that falls silent before the watch's silence has shown.
+            # So is one at an agent that falls silent before the watch's silence is noticed.
             deadline = max([deadline, *(end for since, end in self.outages if since < deadline < end)])
         return deadline
 
 
 def worst_lateness(world: World) -> float:
-    """How long after its deadline a change arrives at most; what arrives in time counts as 0."""
+    """Return how long after its deadline a change arrives at most; 0 if all arrive in time."""
     return WatchSimulation(world).run()
--- a/tests/endpoints/test_endpoint_table.py
+++ b/tests/endpoints/test_endpoint_table.py
@@ -17,7 +17,7 @@
 
 def table_with(version: int, *entries: DiscoveredEndpoint) -> EndpointTable:
     table = EndpointTable()
-    table.merge(DiscoveredList(version, True, list(entries)))
+    table.merge(DiscoveredList(version, is_complete=True, endpoints=list(entries)))
     return table
 
 
@@ -29,17 +29,20 @@
 
 def test_a_complete_list_removes_what_it_does_not_have_and_a_partial_one_does_not() -> None:
     table = table_with(1, entry("e0"), entry("e1"))
-    assert table.merge(DiscoveredList(2, False, [entry("e2")])).stale_addresses == []
+    assert table.merge(DiscoveredList(2, is_complete=False, endpoints=[entry("e2")])).stale_addresses == []
     assert table.live_names() == {"e0", "e1", "e2"}
-    assert table.merge(DiscoveredList(3, True, [entry("e2")])).stale_addresses == ["127.0.0.1:9"] * 2
+    assert (
+        table.merge(DiscoveredList(3, is_complete=True, endpoints=[entry("e2")])).stale_addresses
+        == ["127.0.0.1:9"] * 2
+    )
     assert table.live_names() == {"e2"}
-    assert table.snapshot() == DiscoveredList(3, True, [entry("e2")])
+    assert table.snapshot() == DiscoveredList(3, is_complete=True, endpoints=[entry("e2")])
 
 
 @pytest.mark.parametrize("health", ["leaving", "left"])
 def test_a_list_of_an_older_version_does_not_undo_a_drain(health: str) -> None:
     table = table_with(5, entry("e0", health), entry("e1"))
-    merged = table.merge(DiscoveredList(4, True, [entry("e0"), entry("e1")]))
+    merged = table.merge(DiscoveredList(4, is_complete=True, endpoints=[entry("e0"), entry("e1")]))
     assert [each.health for each in merged.entries] == [health, "active"]
     assert table.live_names() == {"e1"}
     assert table.version == 4
@@ -47,22 +50,25 @@
 
 def test_a_list_of_the_same_version_or_of_a_new_process_ends_a_drain() -> None:
     table = table_with(5, entry("e0", "leaving"))
-    table.merge(DiscoveredList(4, False, [entry("e0", started=6.0)]))
+    table.merge(DiscoveredList(4, is_complete=False, endpoints=[entry("e0", started=6.0)]))
     assert state_of(table, "e0") is EndpointState.LIVE
     table = table_with(5, entry("e0", "leaving"))
-    table.merge(DiscoveredList(5, False, [entry("e0")]))
+    table.merge(DiscoveredList(5, is_complete=False, endpoints=[entry("e0")]))
     assert state_of(table, "e0") is EndpointState.LIVE
 
 
-def test_a_process_that_was_replaced_or_moved_leaves_stale_connections() -> None:
+def test_a_process_that_was_replaced_or_has_another_address_has_stale_connections() -> None:
     table = table_with(1, entry("e0"), entry("e1"), entry("e2"))
     changed = [entry("e0", started=6.0), entry("e1", address="127.0.0.1:10"), entry("e2", "leaving")]
-    assert table.merge(DiscoveredList(2, False, changed)).stale_addresses == ["127.0.0.1:9"] * 2
+    assert (
+        table.merge(DiscoveredList(2, is_complete=False, endpoints=changed)).stale_addresses
+        == ["127.0.0.1:9"] * 2
+    )
 
 
-def test_an_endpoint_that_is_gone_keeps_its_address_and_an_unknown_word_counts_as_gone() -> None:
+def test_an_endpoint_that_is_gone_keeps_its_address_and_an_unknown_health_counts_as_gone() -> None:
     table = table_with(1, entry("e0"))
-    table.merge(DiscoveredList(2, False, [entry("e0", "resting", address="")]))
+    table.merge(DiscoveredList(2, is_complete=False, endpoints=[entry("e0", "resting", address="")]))
     endpoint = table.get("e0")
     assert endpoint is not None
     assert (endpoint.address, endpoint.state) == ("127.0.0.1:9", EndpointState.GONE)
--- a/tests/endpoints/test_list_validation.py
+++ b/tests/endpoints/test_list_validation.py
@@ -1,4 +1,4 @@
-"""Validation of discovery's responses: errors name the field, and one invalid entry spoils no other."""
+"""Validation of discovery's responses: errors name the field, and one invalid entry affects no other."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         (b'{"seq": 1, "hosts": [{"host": "\xff"}]}', "body", None),
     ],
 )
-def test_an_error_names_the_field_and_is_both_a_value_error_and_our_own(
+def test_an_error_names_the_field_and_is_a_value_error_and_a_burlmoor_error(
     body: bytes, field: str, value: object
 ) -> None:
     with pytest.raises(InvalidEndpointListError) as raised:
@@ -38,7 +38,7 @@
         b' "block": 2, "health": "active", "share": 0.5, "born_ms": 7}]}'
     )
     expected = DiscoveredEndpoint("e0", "h:1", "a", "big", 2, "active", 0.5, 7.0)
-    assert decode_list(body) == DiscoveredList(4, False, [expected])
+    assert decode_list(body) == DiscoveredList(4, is_complete=False, endpoints=[expected])
 
 
 def endpoint(name: str, health: str = "active", **fields: object) -> DiscoveredEndpoint:
@@ -63,14 +63,14 @@
     assert [problem.field for problem in validated.invalid] == [field]
 
 
-def test_an_invalid_entry_of_a_known_endpoint_leaves_what_is_known() -> None:
+def test_an_invalid_entry_of_a_known_endpoint_keeps_the_known_entry() -> None:
     known = endpoint("e0", "leaving")
     validated = validate_entries([endpoint("e0", weight=-1.0)], {"e0": known})
     assert validated.valid == [known]
     assert validate_entries([endpoint("e0", address="")], {"e0": known}).invalid == []
 
 
-def test_an_invalid_entry_that_drains_is_followed_all_the_same() -> None:
+def test_an_entry_that_drains_is_applied_even_if_it_is_invalid() -> None:
     draining = endpoint("e0", "leaving", weight=-1.0, address="nowhere")
     assert validate_entries([draining], {}) == ([draining], [])
 
--- a/tests/endpoints/test_suspension.py
+++ b/tests/endpoints/test_suspension.py
@@ -1,4 +1,4 @@
-"""A suspended endpoint list: nothing is live until it is resumed, and drains are taken in meanwhile."""
+"""A suspended endpoint list: nothing is live until it is resumed, and drains are applied meanwhile."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.log_events import EndpointListResumed, EndpointListSuspended
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
 
@@ -14,7 +15,7 @@
 
 
 class Observer:
-    """Keeps the last state of each endpoint that the policy was told, and what stopped being live."""
+    """Records the last state reported of each endpoint, and which endpoints stopped being live."""
 
     def __init__(self) -> None:
         self.states: dict[str, EndpointState] = {}
@@ -32,19 +33,19 @@
 def test_nothing_is_live_while_the_list_is_suspended() -> None:
     observer = Observer()
     events: list[LogEvent] = []
-    directory = EndpointDirectory(observer, observer, lambda unix_ms: unix_ms, events.append)
-    directory.observe_liveness(observer)
+    directory = EndpointDirectory(from_unix=lambda unix_ms: unix_ms, has_lease=lambda: True)
+    updater = EndpointListUpdater(directory, observer, observer, observer, events.append)
     entries = [DiscoveredEndpoint(name, "127.0.0.1:9", health="active") for name in ("e0", "e1", "e2")]
-    directory.load_cached(DiscoveredList(1, True, entries))
-    directory.disable("e2")
+    updater.load_cached(DiscoveredList(1, is_complete=True, endpoints=entries))
+    updater.disable("e2")
     assert observer.not_live == [frozenset({"e2"})]
     for _ in range(2):  # twice changes nothing
-        directory.suspend(7.5)
+        updater.suspend(7.5)
     assert observer.not_live[1:] == [frozenset({"e0", "e1"})]
     assert set(observer.states.values()) == {EndpointState.DRAINING}
     assert not any(directory.find_live(name) for name in ("e0", "e1", "e2"))
-    directory.apply_response(b'{"seq":2,"whole":false,"hosts":[{"host":"e0","health":"leaving"}]}')
-    directory.resume()
+    updater.apply_response(b'{"seq":2,"whole":false,"hosts":[{"host":"e0","health":"leaving"}]}')
+    updater.resume()
     assert directory.find_live("e0") is None
     assert directory.find_live("e1") is not None
     assert directory.find_live("e2") is None
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -1,9 +1,8 @@
-"""Attempts over sockets: what an executor answers, and how attempts are retried, cancelled and timed out."""
+"""Attempts over sockets: the executor's response, and how attempts are retried, cancelled and timed out."""
 
 from __future__ import annotations
 
 from functools import partial
-from typing import TYPE_CHECKING
 
 import pytest
 import trio
@@ -11,15 +10,12 @@
 from burlmoor.types.outcome import Outcome
 from burlmoor.upstream.errors import BrokenResponseError, ConnectError
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import NodeHarness, open_node_harness
 
-if TYPE_CHECKING:
-    from burlmoor.testbed.http_stream import HttpMessage
 
-
-def is_last_job(harness: NodeHarness, ref: str) -> bool:
-    """Whether the last job that executors have got is this one."""
-    return bool(harness.jobs) and harness.jobs[-1][1].headers["request-id"] == ref
+def is_last_job(harness: NodeHarness, request_id: str) -> bool:
+    """Whether the last job that executors have received is this one."""
+    return bool(harness.jobs) and harness.jobs[-1][1].headers["request-id"] == request_id
 
 
 @pytest.mark.parametrize(
@@ -37,19 +33,16 @@
         ("lookup", "503", 200, 2),
     ],
 )
-def test_the_response_of_an_executor_decides_whether_its_job_is_retried(
+async def test_the_response_of_an_executor_decides_whether_its_job_is_retried(
     name: str, act: str, status: int, attempts: int
 ) -> None:
-    async def scenario(harness: NodeHarness) -> HttpMessage:
+    async with open_node_harness(act) as harness:
         client = await harness.submit_job(name)
         await harness.wait_until(lambda: len(harness.jobs) == attempts)
         if status == 200 and act != "early":
             assert await harness.send_callback("done", "result") in (200, 204)
         answer = await harness.read_response(client)
         assert len(harness.jobs) == attempts
-        return answer
-
-    answer = run_scenario(scenario, act)
     assert answer.status == status
     if status == 200:
         assert answer.body == (b"early" if act == "early" else b"result")
@@ -58,11 +51,11 @@
 @pytest.mark.parametrize(
     ("state", "status", "attempts"), [("failed", 502, 1), ("lost", 502, 1), ("returned", 200, 2)]
 )
-def test_call_backs_end_attempts_as_responses_do(state: str, status: int, attempts: int) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_call_backs_end_attempts_as_responses_do(state: str, status: int, attempts: int) -> None:
+    async with open_node_harness() as harness:
         client = await harness.submit_job("once")
         await harness.wait_until(lambda: len(harness.jobs) == 1)
-        for _ in range(2):  # each may come twice
+        for _ in range(2):  # each may arrive twice
             assert await harness.send_callback("started", job=0) == 204
             assert await harness.send_callback(state, job=0) == 204
         if attempts == 2:
@@ -71,28 +64,24 @@
         assert (await harness.read_response(client)).status == status
         assert len(harness.jobs) == attempts
 
-    run_scenario(scenario)
-
 
-def test_a_request_is_passed_on_unchanged_and_connections_are_reused() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_request_is_passed_on_unchanged_and_connections_are_reused() -> None:
+    async with open_node_harness() as harness:
         client = await harness.connect_client()
-        for ref in ("a1", "a2", "a3", "a4", "a5"):
-            await harness.send_job(client, request_id=ref)
-            await harness.wait_until(partial(is_last_job, harness, ref))
-            await harness.send_callback("done", ref)
-            assert (await harness.read_response(client)).body == ref.encode()
+        for request_id in ("a1", "a2", "a3", "a4", "a5"):
+            await harness.send_job(client, request_id=request_id)
+            await harness.wait_until(partial(is_last_job, harness, request_id))
+            await harness.send_callback("done", request_id)
+            assert (await harness.read_response(client)).body == request_id.encode()
             await trio.sleep(2.0 * REUSE_DELAY_SECONDS)  # a connection is not used again before
         _, job = harness.jobs[0]
         assert (job.start_line, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
         assert 0 < int(job.headers["request-timeout-ms"]) <= 3000
         assert harness.executor_connection_count <= 2
 
-    run_scenario(scenario)
 
-
-def test_an_idempotency_key_is_sent_with_each_attempt_of_its_job() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_an_idempotency_key_is_sent_with_each_attempt_of_its_job() -> None:
+    async with open_node_harness("reset") as harness:
         client = await harness.submit_job("keyed")
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         await harness.send_callback("done", "second")
@@ -104,11 +93,9 @@
         await harness.send_callback("done")
         assert (await harness.read_response(client)).status == 200
 
-    run_scenario(scenario, "reset")
-
 
-def test_a_job_whose_connection_was_refused_is_retried() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_job_whose_connection_was_refused_is_retried() -> None:
+    async with open_node_harness() as harness:
         addresses = dict(harness.addresses)
         harness.addresses["e0"] = "127.0.0.1:9"  # where nothing listens
         await harness.publish(2, e0="active", e1="left")
@@ -121,11 +108,9 @@
         await harness.send_callback("done")
         assert (await harness.read_response(client)).status == 200
 
-    run_scenario(scenario)
 
-
-def test_a_job_on_a_silent_connection_is_retried_elsewhere_in_time() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_job_on_a_silent_connection_is_retried_elsewhere_in_time() -> None:
+    async with open_node_harness("hang") as harness:
         client = await harness.submit_job(timeout_ms=2000)
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         # The silent connection is closed, which cancels the attempt that it carried.
@@ -134,23 +119,19 @@
         answer = await harness.read_response(client)
         assert (answer.status, answer.body) == (200, b"fine")
 
-    run_scenario(scenario, "hang")
-
 
-def test_an_attempt_at_a_silent_executor_times_out_by_the_deadline() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_an_attempt_at_a_silent_executor_times_out_by_the_deadline() -> None:
+    async with open_node_harness("hang") as harness:
         client = await harness.submit_job("once", timeout_ms=600)
         started_at = trio.current_time()
         assert (await harness.read_response(client)).status == 502
         assert trio.current_time() - started_at < 5.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)
 
-    run_scenario(scenario, "hang")
-
 
 @pytest.mark.parametrize("act", ["take", "hang"])
-def test_the_attempt_of_a_client_that_leaves_is_cancelled(act: str) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_the_attempt_of_a_client_that_disconnects_is_cancelled(act: str) -> None:
+    async with open_node_harness(act) as harness:
         client = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs)
         if act == "take":
@@ -162,28 +143,26 @@
         if act == "take":
             assert harness.cancelled_attempts == [(harness.jobs[0][0], "/jobs/a1")]
 
-    run_scenario(scenario, act)
-
 
 @pytest.mark.parametrize(
     ("fault", "is_cancelled"), [("none", True), ("refused", False), ("timed out", False), ("broken", False)]
 )
-def test_an_attempt_is_cancelled_once_its_endpoint_has_confirmed_that(
-    fault: str, is_cancelled: bool, monkeypatch: pytest.MonkeyPatch
+async def test_an_attempt_is_cancelled_once_its_endpoint_has_confirmed_that(
+    monkeypatch: pytest.MonkeyPatch, fault: str, *, is_cancelled: bool
 ) -> None:
-    # Until then, a retry elsewhere would be a hedged request, also where the settings bar those. An executor
-    # whose connections are all taken refuses further ones, too.
-    async def scenario(harness: NodeHarness) -> None:
+    # Until then, a retry elsewhere would be a hedged request, even where the settings bar those. An executor
+    # whose connections are all in use refuses further ones, too.
+    async with open_node_harness() as harness:
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)
         runner = harness.node.attempts
         attempt = next(iter(harness.node.core.jobs)).attempts[0]
         await harness.wait_until(lambda: not runner.in_flight)
 
-        async def call(*_: object) -> None:
+        async def call(*_: object, **__: object) -> None:
             if fault == "broken":
-                raise BrokenResponseError("reset")
-            raise ConnectError("127.0.0.1:1", fault)
+                raise BrokenResponseError(reason="reset")
+            raise ConnectError(address="127.0.0.1:1", reason=fault)
 
         if fault != "none":
             monkeypatch.setattr(harness.node.pool, "call", call)
@@ -191,5 +170,3 @@
         await harness.wait_until(lambda: not runner.open_cancel_calls)
         assert attempt.has_ended is is_cancelled
         assert attempt.outcome is (Outcome.CANCELLED if is_cancelled else None)
-
-    run_scenario(scenario)
--- a/tests/upstream/test_cancellation.py
+++ b/tests/upstream/test_cancellation.py
@@ -8,32 +8,30 @@
 from burlmoor.upstream.http import Response
 from burlmoor.upstream.pool import ConnectionPool
 from tests.support.configuration import SETTINGS_OBJECT
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
     import pytest
 
-    from burlmoor.testbed.http_stream import HttpStream
-
 
 def settings_with(**limits: bool) -> dict[str, Any]:
     return {**SETTINGS_OBJECT, "Limits": {**SETTINGS_OBJECT["Limits"], **limits}}
 
 
 def let_cancels_fail(monkeypatch: pytest.MonkeyPatch, *failures: Exception | int) -> list[bool]:
-    """Let the first DELETE calls fail so, or be answered with this status; whether each connected anew."""
+    """Let the first DELETE calls fail so, or return this status; returns whether each had to connect."""
     remaining = list(failures)
     connected: list[bool] = []
     real_call = ConnectionPool.call
 
     async def call(
-        pool: ConnectionPool, address: str, method: bytes, path: bytes, must_connect: bool = False
+        pool: ConnectionPool, address: str, method: bytes, path: bytes, *, must_connect: bool = False
     ) -> Response:
         if method != b"DELETE":
-            return await real_call(pool, address, method, path, must_connect)
+            return await real_call(pool, address, method, path, must_connect=must_connect)
         connected.append(must_connect)
         if not remaining:
-            return await real_call(pool, address, method, path, must_connect)
+            return await real_call(pool, address, method, path, must_connect=must_connect)
         failure = remaining.pop(0)
         if isinstance(failure, int):
             return Response(failure, {}, b"")
@@ -43,49 +41,46 @@
     return connected
 
 
-def test_a_cancel_is_repeated_on_new_connections_until_it_is_answered(
+async def test_a_cancel_is_repeated_on_new_connections_until_it_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     failures = (BrokenResponseError("reset"), ConnectError("a", "refused"), 503)
     connected = let_cancels_fail(monkeypatch, *failures)
 
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness("hang", "take", given_settings=settings_with(SecondCopies=False)) as harness:
         await harness.wait_ready()
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)  # it is cancelled after 0.45 s
         await harness.wait_until(lambda: len(harness.jobs) == 2)
-        # The job goes elsewhere only after the executor has heard that it is cancelled there.
+        # The job is retried elsewhere only after the executor has answered the cancellation.
         assert harness.cancelled_attempts == [(harness.jobs[0][0], "/jobs/a1")]
         assert harness.jobs[1][0] != harness.jobs[0][0]
-
-    run_scenario(scenario, "hang", "take", given_settings=settings_with(SecondCopies=False))
     assert connected == [False, True, True, True]
 
 
-def test_a_cancel_that_is_not_confirmed_ends_with_its_job(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_cancel_that_is_not_confirmed_ends_with_its_job(monkeypatch: pytest.MonkeyPatch) -> None:
     connected = let_cancels_fail(monkeypatch, *[ConnectError("a", "timed out")] * 100)
 
-    async def scenario(harness: NodeHarness) -> HttpStream:
+    async with open_node_harness("hang", given_settings=settings_with(SecondCopies=False)) as harness:
         await harness.wait_ready()
         client = await harness.submit_job(timeout_ms=1200)
         answer = await harness.read_response(client)
         assert answer.status == 503
         assert len(harness.jobs) == 1
         await harness.wait_until(lambda: not harness.node.attempts._canceller._attempts)
-        return client
-
-    run_scenario(scenario, "hang", given_settings=settings_with(SecondCopies=False))
     assert 1 < len(connected) < 10
 
 
-def test_nothing_is_cancelled_at_endpoints_where_settings_bar_it(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_nothing_is_cancelled_at_endpoints_where_settings_bar_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     connected = let_cancels_fail(monkeypatch)
 
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness(
+        "hang", given_settings=settings_with(SecondCopies=False, Cancel=False)
+    ) as harness:
         await harness.wait_ready()
         client = await harness.submit_job(timeout_ms=1200)
         assert (await harness.read_response(client)).status == 503
         assert len(harness.jobs) == 1
-
-    run_scenario(scenario, "hang", given_settings=settings_with(SecondCopies=False, Cancel=False))
     assert connected == []
--- a/tests/upstream/test_http.py
+++ b/tests/upstream/test_http.py
@@ -42,7 +42,7 @@
     ],
 )  # fmt: skip
 def test_a_complete_response_is_read(
-    step: int, data: bytes, status: int, body: bytes, is_reusable: bool
+    step: int, data: bytes, status: int, body: bytes, *, is_reusable: bool
 ) -> None:
     http = connection_after_request()
     response = receive_in_steps(http, data, step)
--- a/tests/upstream/test_invariants.py
+++ b/tests/upstream/test_invariants.py
@@ -1,4 +1,4 @@
-"""What is checked at run time shows where a guard is missing."""
+"""The invariants that are checked at run time count a send, a close or a withdrawal that breaks a rule."""
 
 from __future__ import annotations
 
@@ -7,51 +7,49 @@
 import trio
 
 from burlmoor.transport.stream import SocketStream
-from burlmoor.upstream import attempts
+from burlmoor.upstream import request_sender
 from burlmoor.upstream.in_flight import InFlightAttempt
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
     import pytest
 
 
-def test_a_send_without_its_precondition_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(harness: NodeHarness) -> dict[str, int]:
+async def test_a_send_without_its_precondition_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with open_node_harness() as harness:
         await harness.wait_ready()
-        table = harness.node.directory._table
+        table = harness.node.directory.table
         monkeypatch.setattr(
-            attempts, "check_send_precondition", lambda attempt, _: table.get(attempt.endpoint)
+            request_sender, "check_send_precondition", lambda attempt, _: table.get(attempt.endpoint)
         )
-        monkeypatch.setattr(attempts, "recheck_send_precondition", lambda *_: None)
+        monkeypatch.setattr(request_sender, "recheck_send_precondition", lambda *_: None)
         monkeypatch.setattr(harness.node.directory, "find_live", lambda _: None)
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)
-        return harness.node.core.invariants.counts()
+        assert harness.node.core.invariants.counts().get("send", 0) > 0
 
-    assert run_scenario(scenario).get("send", 0) > 0
 
-
-def test_a_connection_that_cannot_be_reset_counts_as_not_withdrawn(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(harness: NodeHarness) -> dict[str, int]:
+async def test_a_connection_that_cannot_be_reset_counts_as_not_withdrawn(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async with open_node_harness("hang", "take") as harness:
         await harness.wait_ready()
         monkeypatch.setattr(SocketStream, "set_reset_on_close", lambda *_: False)
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(harness.node.core.invariants.counts)  # it is cancelled after 0.45 s
-        return harness.node.core.invariants.counts()
-
-    assert run_scenario(scenario, "hang", "take") == {"close": 1}
+        assert harness.node.core.invariants.counts() == {"close": 1}
 
 
-def test_an_attempt_that_stays_at_a_draining_endpoint_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(harness: NodeHarness) -> dict[str, int]:
+async def test_an_attempt_that_stays_at_a_draining_endpoint_is_counted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async with open_node_harness("hang") as harness:
         await harness.wait_ready()
         harness.open_clients.append(await harness.submit_job("once"))
         await harness.wait_until(lambda: harness.jobs)
         name = harness.jobs[0][0]
         monkeypatch.setattr(InFlightAttempt, "abort", lambda _: None)
-        harness.node.directory.disable(name)
+        harness.node.endpoint_updater.disable(name)
         await trio.sleep(0.5)
         monkeypatch.undo()
-        return harness.node.core.invariants.counts()
-
-    assert run_scenario(scenario, "hang") == {"withdraw": 1}
+        assert harness.node.core.invariants.counts() == {"withdraw": 1}
--- a/tests/upstream/test_send_precondition.py
+++ b/tests/upstream/test_send_precondition.py
@@ -8,6 +8,7 @@
 
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
+from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.engine.job import Attempt, Job
 from burlmoor.errors import BurlmoorError
 from burlmoor.types.outcome import Outcome
@@ -24,10 +25,12 @@
 
 
 class Peers:
-    """The directory's observer and the idle connections, without effect."""
+    """The observers of the endpoint list and the idle connections, without effect."""
 
     def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None: ...
 
+    def on_endpoints_not_live(self, names: frozenset[str]) -> None: ...
+
     def close_idle_to(self, address: str) -> None: ...
 
 
@@ -35,14 +38,24 @@
     """One attempt at one live endpoint."""
 
     def __init__(self) -> None:
-        self.directory = EndpointDirectory(Peers(), Peers(), lambda unix_ms: unix_ms, print)
+        self.directory = EndpointDirectory(from_unix=lambda unix_ms: unix_ms, has_lease=lambda: True)
+        self.updater = EndpointListUpdater(self.directory, Peers(), Peers(), Peers(), print)
         self.publish("active")
-        self.job = Job("a1", 1, cast("Any", None), "lookup", None, 0.0, 1000.0, False)
+        self.job = Job(
+            id="a1",
+            number=1,
+            responder=cast("Any", None),
+            class_name="lookup",
+            payload=None,
+            received_at=0.0,
+            deadline=1000.0,
+            is_non_idempotent=False,
+        )
         self.attempt = Attempt(self.job, 0, "e0", 0.0, 1000.0)
 
     def publish(self, health: str, started_unix_ms: float = 1.0) -> None:
         entry = DiscoveredEndpoint("e0", "127.0.0.1:9", health=health, started_unix_ms=started_unix_ms)
-        self.directory.load_cached(DiscoveredList(1, True, [entry]))
+        self.updater.load_cached(DiscoveredList(1, is_complete=True, endpoints=[entry]))
 
 
 def end_job(setting: Setting) -> None:
@@ -58,11 +71,11 @@
 
 
 def remove(setting: Setting) -> None:
-    setting.directory.load_cached(DiscoveredList(2, True, []))
+    setting.updater.load_cached(DiscoveredList(2, is_complete=True, endpoints=[]))
 
 
 def disable(setting: Setting) -> None:
-    setting.directory.disable("e0")
+    setting.updater.disable("e0")
 
 
 def replace_process(setting: Setting) -> None:
