--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -1,22 +1,21 @@
 """Deployments over sockets: each pair of values of any two settings is tested in at least one scenario.
 
 One node and two scripted executors. The first response is the scenario's; to all later attempts executors
-answer with 202, and with a call-back that the job is done. Checked from outside: how often each job was sent,
-and which answer its client got.
+answer with 202, and with a call-back that the job is done. Observed at clients and executors: how often each
+job was sent, and which answer its client received.
 """
 
 from __future__ import annotations
 
 import random
 from collections import Counter
-from functools import partial
 from itertools import combinations, product
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import pytest
 
 from tests.support.configuration import SETTINGS_OBJECT
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import NodeHarness, open_node_harness
 
 if TYPE_CHECKING:
     from burlmoor.testbed.http_stream import HttpMessage
@@ -96,27 +95,36 @@
         await harness.send_callback("done", f"by {number}", job=number)
 
 
-async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> tuple[HttpMessage, int]:
-    """Submit one job; its client's answer, and how many attempts were sent."""
+class Outcome(NamedTuple):
+    """What the client and the executors have observed of one job."""
+
+    answer: HttpMessage
+    attempt_count: int
+
+
+async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> Outcome:
+    """Submit one job, and wait for its answer and its call-backs."""
     client = await harness.submit_job(row["kind"], "a1", timeout_ms=1500)
     finished: list[int] = []
     harness.nursery.start_soon(finish_jobs, harness, row, finished)
     answer = await harness.read_response(client)
     await harness.wait_until(lambda: len(harness.jobs) <= len(finished))
-    return answer, Counter(message.headers["request-id"] for _, message in harness.jobs)["a1"]
+    attempts = Counter(message.headers["request-id"] for _, message in harness.jobs)
+    return Outcome(answer, attempts["a1"])
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: "-".join(str(value) for value in row.values()))
-def test_each_job_gets_one_answer_and_only_the_attempts_that_its_class_allows(row: dict[str, Any]) -> None:
-    answer, attempts = run_scenario(
-        partial(submit_and_finish, row), row["act"], given_settings=settings_object(row)
-    )
+async def test_each_job_gets_one_answer_and_only_the_attempts_that_its_class_allows(
+    row: dict[str, Any],
+) -> None:
+    async with open_node_harness(row["act"], given_settings=settings_object(row)) as harness:
+        answer, attempt_count = await submit_and_finish(row, harness)
     is_unstarted = row["act"] in ("full", "late")  # proved: a retry is allowed whatever the job's class
     must_be_served = row["act"] == "take" or (is_unstarted and row["cap"] > 1)
-    assert 1 <= attempts <= row["cap"]
+    assert 1 <= attempt_count <= row["cap"]
     assert answer.status in ({200} if must_be_served else {200, 429, 502, 503, 504})
     if row["kind"] == "once" and row["act"] not in ("take", "full", "late"):
-        assert attempts == 1
+        assert attempt_count == 1
         assert answer.status in (502, 504)
     if answer.status == 200:
         assert answer.body == f"by {1 if row['act'] != 'take' else 0}".encode()
--- a/tests/integration/test_endpoint_changes.py
+++ b/tests/integration/test_endpoint_changes.py
@@ -9,7 +9,7 @@
 import trio
 
 from tests.support.configuration import write_config
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -17,35 +17,33 @@
     from burlmoor.upstream.connection import PooledConnection
 
 
-def test_no_job_is_sent_to_a_draining_endpoint() -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        await harness.publish(2, False, e0="leaving")
+async def test_no_job_is_sent_to_a_draining_endpoint() -> None:
+    async with open_node_harness() as harness:
+        await harness.publish(2, is_complete=False, e0="leaving")
         last = "/registry/instances?after=2&wait_ms=1000"
         await harness.wait_until(lambda: harness.discovery_paths[-1] == last)
         # The first call is answered soon in any case: the node waits for it before it accepts clients.
         assert harness.discovery_paths[0] == "/registry/instances?after=1&wait_ms=100"
         assert set(harness.discovery_paths[1:-1]) <= {"/registry/instances?after=1&wait_ms=1000"}
-        clients = [await harness.submit_job("once", f"a{ref}") for ref in range(3)]
+        clients = [await harness.submit_job("once", f"a{number}") for number in range(3)]
         await harness.wait_until(lambda: len(harness.jobs) == len(clients))
         assert {name for name, _ in harness.jobs} == {"e1"}
 
-    run_scenario(scenario)
 
-
-def test_a_rejection_comes_at_once_with_retry_after() -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        await harness.publish(2, False, e0="leaving", e1="leaving")
+async def test_a_rejection_comes_at_once_with_retry_after() -> None:
+    async with open_node_harness() as harness:
+        await harness.publish(2, is_complete=False, e0="leaving", e1="leaving")
         await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
         rejection = await harness.read_response(await harness.submit_job(timeout_ms=300))
         assert rejection.status == 503
         assert 0.0 < float(rejection.headers["retry-after"]) <= 1.0  # the most that the settings allow
         assert not harness.jobs
 
-    run_scenario(scenario)
-
 
-def test_a_drain_during_the_connect_fails_the_send_precondition(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_drain_during_the_connect_fails_the_send_precondition(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async with open_node_harness() as harness:
         acquire = harness.node.pool.acquire
         drained: list[str] = []  # addresses
 
@@ -55,7 +53,7 @@
                 drained.append(address)
                 name = next(name for name, listed in harness.addresses.items() if listed == address)
                 calls = len(harness.discovery_paths)
-                await harness.publish(2, False, **{name: "leaving"})
+                await harness.publish(2, is_complete=False, **{name: "leaving"})
                 await harness.wait_until(lambda: len(harness.discovery_paths) > calls)
             return connection
 
@@ -66,11 +64,10 @@
         await harness.send_callback("done")
         assert (await harness.read_response(client)).status == 200
 
-    run_scenario(scenario)
-
 
-def test_discovery_is_called_again_after_each_failure() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_discovery_is_called_again_after_each_failure() -> None:
+    lines: list[str] = []
+    async with open_node_harness(lines=lines) as harness:
         await harness.wait_until(lambda: harness.open_watches)
         await harness.open_watches.pop().socket_stream.aclose()
         await harness.wait_until(lambda: harness.open_watches)
@@ -80,16 +77,15 @@
         await harness.publish(9, e1="active")
         await harness.wait_until(lambda: harness.node.directory.version == 9)
         assert harness.node.directory.find_live("e0") is None
-
-    lines: list[str] = []
-    run_scenario(scenario, lines=lines)
     assert sum("discovery-failed" in line for line in lines) == 3
 
 
 @pytest.mark.parametrize("phase", ["for an answer", "after failures"])
-def test_discovery_at_a_new_address_is_asked_for_the_full_list_at_once(phase: str, tmp_path: Path) -> None:
-    async def scenario(harness: NodeHarness) -> None:
-        await harness.publish(5, False, e0="leaving")
+async def test_the_full_list_is_fetched_at_once_from_discovery_at_a_new_address(
+    phase: str, tmp_path: Path
+) -> None:
+    async with open_node_harness() as harness:
+        await harness.publish(5, is_complete=False, e0="leaving")
         client = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs and harness.open_watches)
         if phase == "after failures":
@@ -118,19 +114,15 @@
         await harness.send_callback("done", "kept")
         assert (await harness.read_response(client)).body == b"kept"
 
-    run_scenario(scenario)
-
 
 @pytest.mark.parametrize("text", ["", "{", '{"settings": {}, "discovery": 7}', "[" * 100_000])
-def test_an_invalid_configuration_leaves_the_old_one(text: str, tmp_path: Path) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_an_invalid_configuration_changes_nothing(text: str, tmp_path: Path) -> None:
+    lines: list[str] = []
+    async with open_node_harness(lines=lines) as harness:
         await harness.wait_until(lambda: lines)  # it has started
         invalid = tmp_path / "bad.json"
         invalid.write_text(text)
         harness.node.reload({"RELAY_CONFIG": str(invalid)})
-        await harness.publish(9, e1="active")  # the old watch goes on
+        await harness.publish(9, e1="active")  # the watch continues
         await harness.wait_until(lambda: harness.node.directory.version == 9)
-
-    lines: list[str] = []
-    run_scenario(scenario, lines=lines)
     assert [json.loads(line)["event"] for line in lines] == ["started", "reload-failed", "endpoints-draining"]
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -1,4 +1,4 @@
-"""Responses of executors that are late, invalid, doubled or missing: rows of `docs/endings.md`."""
+"""Responses of executors that are late, invalid, repeated or missing: rows of `docs/endings.md`."""
 
 from __future__ import annotations
 
@@ -9,31 +9,29 @@
 
 from burlmoor.transport.sockets import connect
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
     from burlmoor.transport.stream import SocketStream
 
 
-def test_a_late_second_response_is_not_taken_for_the_next_jobs() -> None:
+async def test_a_late_second_response_is_not_taken_for_the_next_jobs() -> None:
     # It says that the job never ran: a non-idempotent job would be sent again.
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness("stray") as harness:
         harness.node.pool._reuse_delay_seconds = 10.0  # as if no time passed
-        await harness.publish(2, False, e1="leaving")
+        await harness.publish(2, is_complete=False, e1="leaving")
         await harness.wait_until(lambda: harness.node.directory.find_live("e1") is None)
-        for number, ref in enumerate(("a1", "a2")):
-            harness.open_clients.append(await harness.submit_job("once", ref))
+        for number, request_id in enumerate(("a1", "a2")):
+            harness.open_clients.append(await harness.submit_job("once", request_id))
             await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
             await harness.wait_until(lambda: not harness.node.attempts.in_flight)
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(harness.open_clients[-1])).body == b"fine"
         assert harness.find_attempts("a2") == [1]
 
-    run_scenario(scenario, "stray")
 
-
-def test_an_idle_connection_with_a_second_response_is_not_reused() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_an_idle_connection_with_a_second_response_is_not_reused() -> None:
+    async with open_node_harness() as harness:
         pool, address = harness.node.pool, harness.addresses["e0"]
         connection = await pool.acquire(address)
         pool.return_connection(connection)
@@ -43,8 +41,6 @@
         await harness.wait_until(lambda: not connection.is_reusable())
         assert await pool.acquire(address) is not connection
 
-    run_scenario(scenario)
-
 
 PARTIAL_STATUS_LINE = "HTTP/1.1 202 Acc"
 INVALID_RESPONSES = [
@@ -64,10 +60,10 @@
 @pytest.mark.parametrize(
     ("name", "status", "attempt_count"), [("once", 502, 1), ("lookup", 200, 2), ("keyed", 200, 2)]
 )
-def test_an_invalid_response_ends_its_attempt_as_possibly_executed(
+async def test_an_invalid_response_ends_its_attempt_as_possibly_executed(
     name: str, status: int, attempt_count: int, response: str
 ) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness(f"bytes:{response}") as harness:
         client = await harness.submit_job(name)
         await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
         if attempt_count == 2:
@@ -77,29 +73,25 @@
         assert len(harness.jobs) == attempt_count
         assert not harness.node.attempts.in_flight
 
-    run_scenario(scenario, f"bytes:{response}")
-
 
 @pytest.mark.parametrize(("name", "attempt_count"), [("lookup", 2), ("keyed", 2), ("once", 1)])
 @pytest.mark.parametrize("response", [PARTIAL_STATUS_LINE, ""])
-def test_a_response_that_never_ends_delays_only_non_idempotent_jobs(
+async def test_a_response_that_never_ends_delays_only_non_idempotent_jobs(
     name: str, attempt_count: int, response: str
 ) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness(f"bytes:{response}|") as harness:
         client = await harness.submit_job(name, timeout_ms=1500)
         await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
         if attempt_count == 2:
             await harness.send_callback("done", "second")
         answer = await harness.read_response(client)
         assert (answer.status, len(harness.jobs)) == ((200, 2) if attempt_count == 2 else (502, 1))
-        await harness.wait_until(lambda: harness.unanswered_connection_count)  # the connection is not kept
-
-    run_scenario(scenario, f"bytes:{response}|")
+        await harness.wait_until(lambda: harness.unanswered_connection_count)  # the connection is closed
 
 
 @pytest.mark.parametrize("name", ["lookup", "keyed", "once"])
-def test_the_late_result_of_a_cancelled_attempt_is_accepted_and_changes_nothing(name: str) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_the_late_result_of_a_cancelled_attempt_is_accepted_and_changes_nothing(name: str) -> None:
+    async with open_node_harness() as harness:
         client = await harness.submit_job(name, timeout_ms=400)
         await harness.wait_until(lambda: harness.jobs)
         answer = await harness.read_response(client)  # its deadline: the attempt is cancelled
@@ -112,13 +104,11 @@
         await harness.send_callback("done", "fine", job=harness.find_attempts("b1")[0])
         assert (await harness.read_response(other)).body == b"fine"
 
-    run_scenario(scenario)
-
 
-def test_a_connection_established_after_its_cancellation_carries_nothing_and_is_not_counted(
+async def test_a_connection_established_after_its_cancellation_carries_nothing_and_is_not_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness() as harness:
         established = trio.Event()
         released = trio.Event()
 
@@ -139,16 +129,13 @@
         )
         assert not harness.jobs
 
-    run_scenario(scenario)
 
-
-def test_an_attempt_whose_task_fails_still_ends_and_its_client_is_answered(
+async def test_an_attempt_whose_task_fails_still_ends_and_its_client_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def scenario(harness: NodeHarness) -> int:
-        monkeypatch.setattr(harness.node.pool, "acquire", lambda _address: 1 // 0)
-        return (await harness.read_response(await harness.submit_job("once", timeout_ms=800))).status
-
     lines: list[str] = []
-    assert run_scenario(scenario, lines=lines) == 502  # whether it was executed is not known
+    async with open_node_harness(lines=lines) as harness:
+        monkeypatch.setattr(harness.node.pool, "acquire", lambda _address: 1 // 0)
+        answer = await harness.read_response(await harness.submit_job("once", timeout_ms=800))
+        assert answer.status == 502  # whether it was executed is not known
     assert any("attempt-error" in line for line in lines)
--- a/tests/integration/test_list_lease.py
+++ b/tests/integration/test_list_lease.py
@@ -1,13 +1,13 @@
-"""The endpoint list over processes: until when a node may send on it, whatever keeps it from hearing more.
+"""The endpoint list over processes: until when a node may send on it without contact with discovery.
 
-In each scenario two of three executors leave while the node hears nothing of it. From 6 s after that it
-counts as notified, so nothing may reach them.
+In each scenario two of three executors are listed as gone while the node is not notified. From 6 s after that
+it counts as notified, so nothing may reach them.
 """
 
 from __future__ import annotations
 
 import signal
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import pytest
 import trio
@@ -18,7 +18,7 @@
     announce_departures,
     count_served,
     late_attempts,
-    run_with_links,
+    open_linked_cluster,
     send_jobs,
 )
 
@@ -29,13 +29,22 @@
 
 NOTIFIED_AFTER_MS = 6000.0
 GRACE_MS = 250.0 + 150.0  # of the drain rule, and for a loaded machine
-LARGE_FLEET = 200  # nodes, of whose calls to discovery many may come at once
+LARGE_FLEET = 200  # nodes, which may call discovery simultaneously
 
 
-def test_a_node_that_was_cut_off_sends_nothing_on_its_old_list_once_the_partition_heals(
+async def kill_before_departures(cluster: LocalCluster) -> dict[str, Any]:
+    """Kill the node, then list two executors as gone; returns the list that the node had."""
+    node = cluster.nodes[0]
+    old_list = cluster.discovery.full_list(node.name)
+    await node.kill()
+    announce_departures(cluster)
+    return old_list
+
+
+async def test_a_node_that_was_partitioned_sends_nothing_on_its_old_list_once_the_partition_heals(
     tmp_path: Path,
 ) -> None:
-    async def isolate(cluster: LocalCluster) -> None:
+    async with open_linked_cluster(tmp_path) as cluster:
         await send_jobs(cluster, SEARCH, "aa", 20)
         links = cluster.links_of(cluster.nodes[0].name)
         for link in links:
@@ -50,31 +59,24 @@
         assert not late_attempts(cluster, healed_ms)
         assert count_served(cluster, "bb") > 30, "the node has to serve again at once"
 
-    run_with_links(tmp_path, isolate)
-
 
 @pytest.mark.parametrize("nodes", [4, LARGE_FLEET])
-def test_a_new_process_sends_nothing_on_a_list_that_was_kept_before_servers_left(
+async def test_a_new_process_sends_nothing_on_a_list_that_was_cached_before_executors_were_gone(
     tmp_path: Path, nodes: int
 ) -> None:
-    async def restart(cluster: LocalCluster) -> None:
-        node = cluster.nodes[0]
-        old_list = cluster.discovery.full_list(node.name)
-        await node.kill()
-        announce_departures(cluster)
+    async with open_linked_cluster(tmp_path, Balancers=nodes) as cluster:
+        old_list = await kill_before_departures(cluster)
         started_ms = now_ms()
-        await cluster.start_node(node, old_list)
+        await cluster.start_node(cluster.nodes[0], old_list)
         await send_jobs(cluster, SEARCH, "bb", 60, interval=0.03)
         assert not late_attempts(cluster, started_ms)
         assert count_served(cluster, "bb") > 30
 
-    run_with_links(tmp_path, restart, Balancers=nodes)
-
 
-def test_a_process_that_was_held_up_sends_nothing_on_the_list_of_before(tmp_path: Path) -> None:
-    """It is stopped for 8 s, cut off from discovery, and jobs wait for it when it runs again."""
+async def test_a_process_that_was_stalled_sends_nothing_on_its_old_list(tmp_path: Path) -> None:
+    """It is stopped for 8 s and partitioned from discovery; jobs wait for it when it runs again."""
 
-    async def hold_up(cluster: LocalCluster) -> None:
+    async with open_linked_cluster(tmp_path) as cluster:
         node = cluster.nodes[0]
         await send_jobs(cluster, SEARCH, "aa", 20)
         cluster.discovery_link_of(node.name).cut()
@@ -92,14 +94,14 @@
         await send_jobs(cluster, SEARCH, "cc", 60, 0.03)
         assert count_served(cluster, "cc") > 30
 
-    run_with_links(tmp_path, hold_up)
-
 
 @pytest.mark.parametrize("nodes", [4, LARGE_FLEET])
-def test_a_reset_that_ends_a_silence_is_no_sign_that_discovery_is_down(tmp_path: Path, nodes: int) -> None:
-    """The partition ends before the node counts as notified; what it held back is reset."""
+async def test_a_reset_that_ends_a_silence_is_no_sign_that_discovery_is_down(
+    tmp_path: Path, nodes: int
+) -> None:
+    """The partition ends before the node counts as notified, and the call that it held back is reset."""
 
-    async def cut_shortly(cluster: LocalCluster) -> None:
+    async with open_linked_cluster(tmp_path, Balancers=nodes) as cluster:
         await send_jobs(cluster, SEARCH, "aa", 20)
         link = cluster.discovery_link_of(cluster.nodes[0].name)
         link.cut()
@@ -108,21 +110,19 @@
         await trio.sleep(4.5)
         link.heal()
         await trio.sleep(0.02)
-        link.cut()  # the reset is all that the node hears
+        link.cut()  # the reset is all that the node receives
         await trio.sleep((notified_ms + GRACE_MS - now_ms()) / 1000.0)
         await send_jobs(cluster, SEARCH, "bb", 60, 0.03)
         assert not late_attempts(cluster, notified_ms + GRACE_MS)
 
-    run_with_links(tmp_path, cut_shortly, Balancers=nodes)
-
 
 @pytest.mark.parametrize("delay_seconds", [0.0, 0.05])
-def test_the_list_goes_on_while_discovery_rejects_calls_after_some_time(
+async def test_the_list_stays_valid_while_discovery_rejects_calls_after_some_time(
     tmp_path: Path, delay_seconds: float
 ) -> None:
-    """That is what discovery does while it is down, on the platform's large days; also in another zone."""
+    """Discovery does so while it is down, on the platform's large days; also from another zone."""
 
-    async def reject(cluster: LocalCluster) -> None:
+    async with open_linked_cluster(tmp_path) as cluster:
         link = cluster.discovery_link_of(cluster.nodes[0].name)
         link.set_delay(delay_seconds)
         link.handshake_seconds = delay_seconds
@@ -141,34 +141,27 @@
         assert count_served(cluster, "cc") > 30
         assert not late_attempts(cluster, notified_ms + GRACE_MS)
 
-    run_with_links(tmp_path, reject)
 
+async def test_the_list_stays_valid_while_discovery_refuses_calls(tmp_path: Path) -> None:
+    """Discovery is down, so nothing counts as notified: without its list, the node would serve no client."""
 
-def test_the_list_goes_on_while_discovery_refuses_calls(tmp_path: Path) -> None:
-    """Discovery is down, so nothing counts as notified: a node that stopped would serve nobody."""
-
-    async def refuse(cluster: LocalCluster) -> None:
+    async with open_linked_cluster(tmp_path) as cluster:
         cluster.discovery.is_down = True
         await trio.sleep(8.0)
         await send_jobs(cluster, SEARCH, "aa", 60, 0.03)
         assert count_served(cluster, "aa") > 50
 
-    run_with_links(tmp_path, refuse)
-
 
-def test_a_process_that_starts_while_discovery_is_down_sends_nothing_before_its_return(
+async def test_a_process_that_starts_while_discovery_is_down_sends_nothing_before_its_return(
     tmp_path: Path,
 ) -> None:
     """What was announced before the outage counts as notified; its list may be older than that."""
 
-    async def restart(cluster: LocalCluster) -> None:
-        node = cluster.nodes[0]
-        old_list = cluster.discovery.full_list(node.name)
-        await node.kill()
-        announce_departures(cluster)
+    async with open_linked_cluster(tmp_path) as cluster:
+        old_list = await kill_before_departures(cluster)
         cluster.discovery.is_down = True
         started_ms = now_ms()
-        await cluster.start_node(node, old_list)
+        await cluster.start_node(cluster.nodes[0], old_list)
         await send_jobs(cluster, SEARCH, "aa", 60, 0.03)
         assert not cluster.event_record.attempts
         cluster.discovery.is_down = False
@@ -176,5 +169,3 @@
         await send_jobs(cluster, SEARCH, "bb", 60, 0.03)
         assert count_served(cluster, "bb") > 30
         assert not late_attempts(cluster, started_ms)
-
-    run_with_links(tmp_path, restart)
--- a/tests/integration/test_partitions.py
+++ b/tests/integration/test_partitions.py
@@ -1,4 +1,4 @@
-"""Partitions over processes: what a node has written to an executor that was cut off, once the link heals."""
+"""Partitions over processes: requests written to a partitioned executor, once the link heals."""
 
 from __future__ import annotations
 
@@ -13,28 +13,26 @@
     LEAVING,
     SEARCH,
     late_attempts,
-    run_with_links,
+    open_linked_cluster,
     send_jobs,
 )
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from burlmoor.testbed.local_cluster import LocalCluster
-
 DRAIN_GRACE_MS = 250.0
 GRACE_ALLOWANCE_MS = 150.0  # on a loaded machine
 
 
 @pytest.mark.parametrize("health", ["left", "leaving"])
 @pytest.mark.parametrize(("cut_seconds", "drained_seconds"), [(1.2, 1.5), (0.2, 0.45)])
-def test_what_a_partition_held_back_does_not_reach_an_executor_that_drains_by_then(
+async def test_a_request_that_a_partition_held_back_does_not_reach_an_executor_that_drains_by_then(
     tmp_path: Path, health: str, cut_seconds: float, drained_seconds: float
 ) -> None:
     """The attempts were cancelled before the drain, or still wait for their 202 when it is announced."""
 
-    async def partition(cluster: LocalCluster) -> None:
-        # Some connections to each executor lie idle then; only those take requests while a link is cut.
+    async with open_linked_cluster(tmp_path) as cluster:
+        # Some connections to each executor are idle then; only those take requests while a link is cut.
         await send_jobs(cluster, SEARCH, "aa", 60)
         await trio.sleep(0.2)
         links = [link for name in LEAVING for link in cluster.links_to(name)]
@@ -48,12 +46,10 @@
             assert held > 0, "the partition held nothing back: the test proves nothing"
             for name in LEAVING:
                 cluster.discovery.set_entry(name, health=health)
-            told_ms = now_ms()
+            notified_ms = now_ms()
             await trio.sleep(drained_seconds)
             for link in links:
                 link.heal()
         await trio.sleep(0.5)
-        late = late_attempts(cluster, told_ms + DRAIN_GRACE_MS + GRACE_ALLOWANCE_MS)
-        assert not late, f"{len(late)} of {held} attempts arrived after the node was told of the drain"
-
-    run_with_links(tmp_path, partition)
+        late = late_attempts(cluster, notified_ms + DRAIN_GRACE_MS + GRACE_ALLOWANCE_MS)
+        assert not late, f"{len(late)} of {held} attempts arrived after the node was notified of the drain"
--- a/tests/integration/test_simultaneous_attempts.py
+++ b/tests/integration/test_simultaneous_attempts.py
@@ -1,18 +1,13 @@
-"""Two attempts of one job out at once, where the deployment does not allow that.
+"""At most one attempt of a job at a time, where the deployment does not allow hedging.
 
-Seen: right after a node was restarted, some of its first idempotent jobs had a second attempt at another
-executor some 90 ms after the first, which its executor had accepted by then and went on to run.
+Before its 202, an attempt that the node has cancelled may still run: the 202 may be on its way when the node
+closes the connection. So a cancelled attempt ends only once its executor has confirmed the cancellation, and
+the job is not retried before. The scenarios are the reasons for which a node cancels an attempt before its
+202, over a real node process and links: an attempt that is overdue, no response, an invalid response, and an
+endpoint that drains.
 
-How it came about: a process that had just started took an attempt for overdue after 83 ms, since it had heard
-of no executor yet, and cancelled it by closing the connection. On a new connection to another zone the 202
-took longer; it was on its way, so the close came too late to cancel anything.
-
-Cause: an attempt counted as over as soon as the node had cancelled it, before its executor had heard of that.
-Every way of cancelling before the 202 had it, whatever the reason: the four below. What set it off: executors
-that a process had never heard of counted as silent.
-
-Proof: the log of jobs shows the reason and the moment of each cancellation; on links that are as slow as
-between zones the same happens over a real process, and does not once a cancellation has to be confirmed.
+A new process has had contact with no executor. That is no sign that an executor is silent, so the first
+attempts, which take longer on new connections to another zone, are not overdue.
 """
 
 from __future__ import annotations
@@ -24,7 +19,7 @@
 
 from burlmoor.testbed.job_classes import JobClass, platform_settings
 from burlmoor.testbed.local_cluster import LocalCluster, new_request
-from tests.support.linked_cluster import LEAVING, SEARCH, run_with_links, send_jobs
+from tests.support.linked_cluster import LEAVING, SEARCH, open_linked_cluster, send_jobs
 from tests.support.polling import poll_until
 
 if TYPE_CHECKING:
@@ -33,20 +28,25 @@
 
 ONE_WAY_SECONDS = 0.03  # between zones
 HANDSHAKE_SECONDS = 0.06  # of a new connection between zones
-WORK_MS = 1500.0  # long enough to run still when the next attempt comes
+WORK_MS = 1500.0  # long enough to run still when the next attempt arrives
 JOBS = 6
-SILENT_SECONDS = 3.2  # after which an executor that has reported nothing may not be working
+SILENT_SECONDS = 3.2  # without a report, after which an executor may have failed
 
 
-def limits(may_hedge: bool) -> dict[str, Any]:
-    """The deployment's limits, with two attempts at once allowed or not."""
+def limits(*, may_hedge: bool) -> dict[str, Any]:
+    """Return the deployment's limits, with hedged requests allowed or not."""
     return {**platform_settings()["Limits"], "SecondCopies": may_hedge}
 
 
 def cancel_reasons(cluster: LocalCluster) -> set[str]:
-    """Why the node has given attempts up, by its log."""
+    """Return the reasons for which the node has cancelled attempts, by its log."""
     lines = [line for line in cluster.nodes[0].log if line["event"] == "job-ended"]
-    return {attempt["cancel"] for line in lines for attempt in line["attempts"] if "cancel" in attempt}
+    return {
+        attempt["cancel_reason"]
+        for line in lines
+        for attempt in line["attempts"]
+        if "cancel_reason" in attempt
+    }
 
 
 async def send_long_jobs(cluster: LocalCluster, job_class: JobClass = SEARCH) -> None:
@@ -56,23 +56,23 @@
             nursery.start_soon(cluster.clients[0].send, new_request(f"a{number}", job_class, WORK_MS))
 
 
-def move_to_other_zones(cluster: LocalCluster) -> None:
-    """Let all that passes between the node and its executors take as long as between zones."""
+def delay_as_between_zones(cluster: LocalCluster) -> None:
+    """Delay all traffic between the node and its executors as between zones."""
     for link in [*cluster.executor_links(), *cluster.callback_links()]:
         link.set_delay(ONE_WAY_SECONDS)
         link.handshake_seconds = HANDSHAKE_SECONDS
 
 
 async def slow_down(cluster: LocalCluster) -> None:
-    """The network becomes slower than it was when executors were last heard of, some seconds ago."""
+    """Slow the network down some seconds after the last contact with the executors."""
     await send_jobs(cluster, SEARCH, "before", 30)
     await trio.sleep(SILENT_SECONDS)
-    move_to_other_zones(cluster)
+    delay_as_between_zones(cluster)
     await send_long_jobs(cluster)
 
 
 async def delay_responses(cluster: LocalCluster) -> None:
-    """Two of three executors accept at once, and what they say takes longer than the node waits for it."""
+    """Let two of three executors accept at once, but delay their responses beyond the node's timeout."""
     for name in LEAVING:
         for link in cluster.links_to(name):
             link.back.delay_seconds = 0.6
@@ -81,8 +81,8 @@
     await send_long_jobs(cluster)
 
 
-async def garble_responses(cluster: LocalCluster) -> None:
-    """Executors accept, and their responses arrive spoilt."""
+async def corrupt_responses(cluster: LocalCluster) -> None:
+    """Let executors accept, but corrupt their responses."""
     for link in cluster.executor_links():
         link.back.is_garbled = True
     async with trio.open_nursery() as nursery:
@@ -93,7 +93,7 @@
 
 
 async def announce_drains(cluster: LocalCluster) -> None:
-    """Two of three executors are announced to drain while their 202s are on their way."""
+    """Announce that two of three executors drain while their 202s are on their way."""
     for link in [*cluster.executor_links(), *cluster.callback_links()]:
         link.set_delay(0.2)
 
@@ -112,38 +112,31 @@
     [
         (slow_down, "overdue"),
         (delay_responses, "no-response"),
-        (garble_responses, "invalid-response"),
+        (corrupt_responses, "invalid-response"),
         (announce_drains, "endpoint-not-live"),
     ],
 )
-def test_a_job_is_not_sent_again_before_its_attempt_is_known_to_be_cancelled(
+async def test_a_job_is_not_retried_before_the_cancellation_of_its_attempt_is_confirmed(
     tmp_path: Path, scenario: Callable[[LocalCluster], Awaitable[None]], reason: str
 ) -> None:
-    async def run(cluster: LocalCluster) -> None:
+    async with open_linked_cluster(tmp_path, Limits=limits(may_hedge=False)) as cluster:
         await scenario(cluster)
         assert reason in cancel_reasons(cluster), "nothing was cancelled: the test proves nothing"
         assert cluster.event_record.find_simultaneous(1) == []
 
-    run_with_links(tmp_path, run, Limits=limits(may_hedge=False))
-
 
-def test_a_new_process_does_not_take_its_first_attempts_for_overdue(tmp_path: Path) -> None:
-    """It has heard of no executor yet, which says nothing against any."""
-
-    async def run(cluster: LocalCluster) -> None:
-        move_to_other_zones(cluster)
+async def test_the_first_attempts_of_a_new_process_are_not_overdue(tmp_path: Path) -> None:
+    """It has had contact with no executor yet, which is no sign that one is silent."""
+    async with open_linked_cluster(tmp_path, Limits=limits(may_hedge=False)) as cluster:
+        delay_as_between_zones(cluster)
         await send_long_jobs(cluster)
         assert cancel_reasons(cluster) == set()
         assert len(cluster.event_record.attempts) == JOBS
         assert all(request.is_served for request in cluster.event_record.requests.values())
 
-    run_with_links(tmp_path, run, Limits=limits(may_hedge=False))
-
 
-def test_hedging_never_has_three_attempts_of_a_job_out(tmp_path: Path) -> None:
-    async def run(cluster: LocalCluster) -> None:
+async def test_hedging_never_has_three_concurrent_attempts_of_a_job(tmp_path: Path) -> None:
+    async with open_linked_cluster(tmp_path, Limits=limits(may_hedge=True)) as cluster:
         await delay_responses(cluster)
-        assert len(cluster.event_record.attempts) > JOBS, "nothing was sent again: the test proves nothing"
+        assert len(cluster.event_record.attempts) > JOBS, "nothing was retried: the test proves nothing"
         assert cluster.event_record.find_simultaneous(2) == []
-
-    run_with_links(tmp_path, run, Limits=limits(may_hedge=True))
--- a/tests/support/linked_cluster.py
+++ b/tests/support/linked_cluster.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, Any
 
 import trio
@@ -10,22 +11,29 @@
 from burlmoor.testbed.local_cluster import LocalCluster, executor_specs, local_cluster, new_request
 
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
+    from collections.abc import AsyncIterator, Awaitable, Callable
     from pathlib import Path
 
 SEARCH, _, CONFIRM = JOB_CLASSES
 LEAVING = ("s-000", "s-001")  # of three executors: those that a scenario lets leave
 
 
+@asynccontextmanager
+async def open_linked_cluster(folder: Path, **settings: Any) -> AsyncIterator[LocalCluster]:
+    """A real node process with three executors behind links; a test may use it for 60 s at most."""
+    with trio.fail_after(60.0):
+        async with local_cluster(folder, executor_specs(3), has_links=True, **settings) as cluster:
+            yield cluster
+
+
 def run_with_links(
     folder: Path, scenario: Callable[[LocalCluster], Awaitable[None]], **settings: Any
 ) -> None:
     """Run a scenario on a real node process with three executors behind links."""
 
     async def run() -> None:
-        with trio.fail_after(60.0):
-            async with local_cluster(folder, executor_specs(3), has_links=True, **settings) as cluster:
-                await scenario(cluster)
+        async with open_linked_cluster(folder, **settings) as cluster:
+            await scenario(cluster)
 
     trio.run(run)
 
