--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -138,7 +138,10 @@
         # Discovery has connections of its own: attempts that hang must not keep watch events from coming.
         timeout_seconds = self._config.settings.policy.limits.connect_timeout_ms / 1000.0
         return ConnectionPool(
-            self.pool.idle_limit_seconds, timeout_seconds, _DISCOVERY_CONNECTIONS, _MAX_LIST_BYTES
+            self.pool.idle_limit_seconds,
+            timeout_seconds,
+            _DISCOVERY_CONNECTIONS,
+            response_limit_bytes=_MAX_LIST_BYTES,
         )
 
     def _build_discovery_client(self) -> DiscoveryClient:
--- a/burlmoor/upstream/connection.py
+++ b/burlmoor/upstream/connection.py
@@ -83,6 +83,15 @@
         else:
             self.close(CloseReason.LAST_RESPONSE)
 
+    def record_idle(self, now: float) -> None:
+        """Note that the connection is idle from now on."""
+        self.idle_since = now
+
+    def record_reuse(self, now: float) -> None:
+        """Note that the connection, idle until now, carries another request."""
+        self.is_reused = True
+        self.reused_at = now
+
     def is_reusable(self) -> bool:
         """Whether the idle connection can carry another request."""
         return self._stream.is_idle_open()
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -42,6 +42,7 @@
         idle_limit_seconds: float,
         connect_timeout_seconds: float,
         max_connections: int,
+        *,
         response_limit_bytes: int = _RESPONSE_LIMIT_BYTES,
         reuse_delay_seconds: float = 0.0,
         invariants: InvariantMonitor | None = None,
@@ -71,7 +72,7 @@
         return self._shortened_limit_seconds if self.is_reuse_risky else self.idle_limit_seconds
 
     def on_connection_broken(self, connection: PooledConnection) -> None:
-        """Keep idle connections for less time if one broke before its response that was reused.
+        """Keep idle connections for less time if a reused one broke before its response.
 
         Without this, peers that drop idle connections sooner than the settings say, and don't show it, would
         lose request after request: a request written to such a connection may have run.
@@ -97,8 +98,7 @@
                 continue
             idle.remove(connection)
             if not _close_if_unusable(connection, now - self._max_idle_seconds()):
-                connection.is_reused = True
-                connection.reused_at = now
+                connection.record_reuse(now)
                 return connection
         return None
 
@@ -146,7 +146,7 @@
 
     def return_connection(self, connection: PooledConnection) -> None:
         """Add a connection that has received its response to the idle ones."""
-        connection.idle_since = trio.current_time()
+        connection.record_idle(trio.current_time())
         self._idle.setdefault(connection.address, []).append(connection)
 
     def on_connection_closed(self, reason: CloseReason) -> None:
