--- a/burlmoor/lifecycle/components.py
+++ b/burlmoor/lifecycle/components.py
@@ -15,6 +15,7 @@
     from burlmoor.downstream.drain import DrainController
     from burlmoor.downstream.server import DownstreamServer
     from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.engine.core import EngineCore
     from burlmoor.engine.engine import Engine
     from burlmoor.lifecycle.engine_loop import EngineLoop
@@ -33,6 +34,7 @@
     attempts: AttemptRunner
     pool: ConnectionPool  # connections to endpoints
     directory: EndpointDirectory
+    endpoint_updater: EndpointListUpdater
     discovery: DiscoveryClient
     discovery_pool: ConnectionPool
     drain: DrainController
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -53,7 +53,9 @@
         )
         self._stall_monitor = StallMonitor()
         self._shutdown = GracefulShutdown(components, self.handover, self._stall_monitor, log)
-        self._reloader = ConfigReloader(config, components.directory, components.discovery, log)
+        self._reloader = ConfigReloader(
+            config, components.directory, components.endpoint_updater, components.discovery, log
+        )
         self._deferred: DeferredService | None = None
 
     # --- running --------------------------------------------------------------------------------
@@ -61,7 +63,7 @@
     def start(self) -> None:
         """Load the files that the process before has left, and start all tasks of the node."""
         components = self.components
-        components.directory.load_cached(self._config.cached_endpoints)
+        components.endpoint_updater.load_cached(self._config.cached_endpoints)
         components.admin.load()
         self._apply_options(self._config.options)
         self._nursery.start_soon(components.engine_loop.run, components.engine)
--- a/burlmoor/lifecycle/node_builder.py
+++ b/burlmoor/lifecycle/node_builder.py
@@ -16,6 +16,7 @@
 from burlmoor.downstream.drain import DrainController, kill_after_seconds
 from burlmoor.downstream.server import DownstreamServer
 from burlmoor.endpoints.directory import EndpointDirectory
+from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
 from burlmoor.lifecycle.components import NodeComponents
@@ -24,7 +25,12 @@
 from burlmoor.lifecycle.state_files import StateFiles
 from burlmoor.transport.sockets import adopt_listening_socket, bind_socket
 from burlmoor.upstream.attempts import AttemptRunner
+from burlmoor.upstream.cancellation import AttemptCanceller
+from burlmoor.upstream.health_check import HealthChecker
+from burlmoor.upstream.in_flight import InFlightAttempts
 from burlmoor.upstream.pool import REUSE_DELAY_SECONDS, ConnectionPool
+from burlmoor.upstream.request_sender import RequestSender
+from burlmoor.upstream.withdrawal import AttemptWithdrawal
 
 if TYPE_CHECKING:
     import socket
@@ -51,13 +57,19 @@
     sockets = divide_sockets(config.max_sockets)
     pool = _build_pool(config, core, sockets.upstream)
     lease = ListLease(has_agent=not policy_settings.must_poll)
-    directory = EndpointDirectory(
-        core.policy, pool, clock.from_unix, log, lambda: lease.is_valid(trio.current_time())
-    )
-    attempts = AttemptRunner(core, directory, pool, nursery, log)
+    directory = EndpointDirectory(clock.from_unix, lambda: lease.is_valid(trio.current_time()))
+    attempts = _build_attempt_runner(core, directory, pool, nursery)
+    withdrawal = AttemptWithdrawal(attempts, directory, core.invariants, nursery, log)
+    endpoint_updater = EndpointListUpdater(directory, core.policy, withdrawal, pool, log)
     discovery_pool = _build_discovery_pool(config, pool)
     discovery = DiscoveryClient(
-        directory, discovery_pool, config.discovery, _build_watch_schedule(config), lease, log
+        directory,
+        endpoint_updater,
+        discovery_pool,
+        config.discovery,
+        _build_watch_schedule(config),
+        lease,
+        log,
     )
     engine = Engine(core, upstream=attempts, discovery=discovery)
     drain = DrainController(kill_after_seconds(each.deadline_ms / 1000.0 for each in policy_settings.classes))
@@ -72,7 +84,7 @@
         nursery,
         log,
     )
-    admin = AdminService(directory, drain, state_files(config).overrides, log)
+    admin = AdminService(directory, endpoint_updater, drain, state_files(config).overrides, log)
     return NodeComponents(
         clock=clock,
         core=core,
@@ -81,6 +93,7 @@
         attempts=attempts,
         pool=pool,
         directory=directory,
+        endpoint_updater=endpoint_updater,
         discovery=discovery,
         discovery_pool=discovery_pool,
         drain=drain,
@@ -108,10 +121,29 @@
     )
 
 
+def _build_attempt_runner(
+    core: EngineCore, directory: EndpointDirectory, pool: ConnectionPool, nursery: trio.Nursery
+) -> AttemptRunner:
+    may_cancel = core.settings.limits.may_cancel
+    return AttemptRunner(
+        lifecycle=core.lifecycle,
+        in_flight=InFlightAttempts(),
+        sender=RequestSender(directory, pool, core.invariants, core.clock),
+        canceller=AttemptCanceller(core.lifecycle, pool, nursery, core.log, may_cancel=may_cancel),
+        health_checker=HealthChecker(core.policy, directory, pool, core.clock, core.log),
+        pool=pool,
+        nursery=nursery,
+        clock=core.clock,
+        log=core.log,
+    )
+
+
 def _build_discovery_pool(config: NodeConfig, pool: ConnectionPool) -> ConnectionPool:
     # Discovery has connections of its own: attempts that hang must not keep watch events from arriving.
     timeout_seconds = config.settings.policy.limits.connect_timeout_ms / 1000.0
-    return ConnectionPool(pool.idle_limit_seconds, timeout_seconds, _DISCOVERY_CONNECTIONS, _MAX_LIST_BYTES)
+    return ConnectionPool(
+        pool.idle_limit_seconds, timeout_seconds, _DISCOVERY_CONNECTIONS, response_limit_bytes=_MAX_LIST_BYTES
+    )
 
 
 def _build_watch_schedule(config: NodeConfig) -> WatchSchedule:
@@ -119,8 +151,8 @@
     return WatchSchedule(
         policy_settings.node_count,
         policy_settings.rules.poll_interval_ms / 1000.0,
-        not policy_settings.must_poll,
         random.Random(config.seed + _DISCOVERY_SEED_OFFSET),
+        has_agent=not policy_settings.must_poll,
     )
 
 
--- a/burlmoor/lifecycle/state_transfer.py
+++ b/burlmoor/lifecycle/state_transfer.py
@@ -17,6 +17,7 @@
         self._admin = components.admin
         self._core = components.core
         self._directory = components.directory
+        self._endpoint_updater = components.endpoint_updater
         self._engine = components.engine
         self._pool = components.pool
         self._server = components.server
@@ -35,7 +36,7 @@
     def restore(self, snapshot: Snapshot) -> None:
         """Continue from the predecessor's state."""
         self._admin.replace(snapshot.overrides)
-        self._directory.restore(snapshot.endpoints)
+        self._endpoint_updater.restore(snapshot.endpoints)
         self._engine.step()  # the policy gets the list first: statistics are restored for its endpoints
         self._core.policy.restore_statistics_snapshot(snapshot.statistics, self._core.clock())
         self._core.jobs.add_ids_in_other_process(snapshot.job_ids)
