--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -187,7 +187,11 @@
 
 
 def _parse_listener_fd(text: str) -> int:
-    """Return the descriptor of a TCP socket that listens; who passed it still owns what it is bound to."""
+    """Return the descriptor of a TCP socket that listens, which the process that passed it still owns.
+
+    Raises:
+        InvalidConfigError: the text is no such descriptor.
+    """
     try:
         sock = socket.socket(fileno=int(text))
     except (ValueError, OSError) as error:
--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -149,7 +149,11 @@
         return _CallOutcome(CallResult.ANSWERED)
 
     async def _request(self, call: DiscoveryCall) -> bytes:
-        """Send the request, and return the body of the response."""
+        """Send the request, and return the body of the response.
+
+        Raises:
+            UnexpectedStatusError: the response is no list.
+        """
         version = self._directory.version
         path = _PATH
         if not call.is_full_list and version is not None:
--- a/burlmoor/endpoints/list_updater.py
+++ b/burlmoor/endpoints/list_updater.py
@@ -123,10 +123,10 @@
             self._report_not_live(live_before)
 
     def apply_response(self, body: bytes) -> None:
-        """Apply a response of the discovery service.
+        """Apply a response of the discovery service; single invalid entries are logged and skipped.
 
-        Raises InvalidEndpointListError, and changes nothing, if it is no list. Single invalid entries are
-        logged and skipped.
+        Raises:
+            InvalidEndpointListError: the response is no list; nothing has changed.
         """
         received = decode_list(body)
         live_before = self._table.live_names()
--- a/burlmoor/endpoints/list_validation.py
+++ b/burlmoor/endpoints/list_validation.py
@@ -50,7 +50,11 @@
 
 
 def decode_list(body: bytes) -> DiscoveredList:
-    """Decode a response; raises InvalidEndpointListError, with the field, if it is no list."""
+    """Decode a response of the discovery service.
+
+    Raises:
+        InvalidEndpointListError: it is no list; the error names the field.
+    """
     try:
         decoded = _DECODER.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -243,7 +243,8 @@
     """Listen at this path from now on, in place of any process that did before.
 
     Raises:
-        OSError: the socket can't be made there (`SocketPathTooLongError`: its path is too long).
+        SocketPathTooLongError: the path is longer than the kernel allows.
+        OSError: the socket can't be made there.
     """
     temporary_path = path.with_name(f"{path.name}.new")
     if len(str(temporary_path).encode()) > _MAX_PATH_BYTES:
--- a/burlmoor/lifecycle/handover_codec.py
+++ b/burlmoor/lifecycle/handover_codec.py
@@ -36,7 +36,11 @@
 
 
 def encode_datagrams(message: Message) -> list[bytes]:
-    """Encode a message as the datagrams that carry it, in order; `MessageTooLongError` if there is no way."""
+    """Encode a message as the datagrams that carry it, in order.
+
+    Raises:
+        MessageTooLongError: the message is longer than the protocol allows.
+    """
     data = _ENCODER.encode(message)
     if len(data) <= MAX_DATAGRAM_BYTES:
         return [data]
--- a/burlmoor/membership/codec.py
+++ b/burlmoor/membership/codec.py
@@ -188,7 +188,11 @@
 
 
 def _decode_states(data: bytes, offset: int) -> tuple[MemberState, ...]:
-    """Decode all states from an offset on: one at least, each with a name."""
+    """Decode all states from an offset on.
+
+    Raises:
+        InvalidDatagramError: there is no state, or one without a name.
+    """
     states: list[MemberState] = []
     while offset < len(data):
         name, offset = _decode_name(data, offset)
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -149,7 +149,11 @@
         return None
 
     async def _read_response(self, attempt: Attempt, connection: PooledConnection) -> Response:
-        """Read the response; ResponseTimeoutError if none arrives in time."""
+        """Read the response.
+
+        Raises:
+            ResponseTimeoutError: none has arrived in time.
+        """
         # A non-idempotent job can't be retried elsewhere anyway, so it waits for as long as its client does.
         timeout = math.inf if attempt.job.is_non_idempotent else _ACCEPT_TIMEOUT_SECONDS
         with trio.move_on_after(timeout):
--- a/burlmoor/upstream/connection.py
+++ b/burlmoor/upstream/connection.py
@@ -44,7 +44,11 @@
         self.reused_at = 0.0
 
     async def write(self, method: bytes, path: bytes, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Write a complete request; RequestNotSentError if the connection breaks before its last byte."""
+        """Write a complete request.
+
+        Raises:
+            RequestNotSentError: the connection broke before its last byte.
+        """
         self._has_open_request = True
         try:
             self._stream.send(self._http.encode_request(method, path, headers, body))
@@ -53,7 +57,11 @@
             raise RequestNotSentError(self.address, str(error)) from error
 
     async def read(self) -> Response:
-        """Read the complete response; BrokenResponseError if the connection ends before it."""
+        """Read the complete response.
+
+        Raises:
+            BrokenResponseError: the connection ended before it, or the bytes are no response.
+        """
         while True:
             try:
                 has_received = await self._stream.receive()
@@ -65,7 +73,12 @@
                 return response
 
     async def exchange(self, method: bytes, path: bytes) -> Response:
-        """Write a request without a body and read its response; closes the connection on any error."""
+        """Write a request without a body and read its response; closes the connection on any error.
+
+        Raises:
+            RequestNotSentError: the connection broke before the last byte of the request.
+            BrokenResponseError: no complete response has arrived.
+        """
         try:
             await self.write(method, path, [], b"")
             return await self.read()
--- a/burlmoor/upstream/http.py
+++ b/burlmoor/upstream/http.py
@@ -57,7 +57,8 @@
     def receive(self, data: bytes) -> Response | None:
         """Handle received bytes (none: the connection has ended); return the response once it is complete.
 
-        Raises BrokenResponseError if the connection ended before that, or if the bytes are invalid.
+        Raises:
+            BrokenResponseError: the connection ended before that, or the bytes are invalid.
         """
         try:
             self._http.receive_data(data)
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -103,7 +103,11 @@
         return None
 
     async def connect(self, address: str) -> PooledConnection:
-        """Open a connection, whatever is idle; ConnectError if it is not established in time."""
+        """Open a connection, even if one is idle.
+
+        Raises:
+            ConnectError: it was not established in time, or every connection is busy.
+        """
         if self.open_count >= self.max_connections and not self.close_oldest_idle():
             raise ConnectError(address, "every connection is busy")
         self.open_count += 1
@@ -127,7 +131,11 @@
     async def call(self, address: str, method: bytes, path: bytes, *, must_connect: bool = False) -> Response:
         """Send an idempotent request without a body, and return its complete response.
 
-        Raises ConnectError, RequestNotSentError or BrokenResponseError.
+        Raises:
+            ConnectError: there is no connection.
+            RequestNotSentError: the connection broke before the last byte of the request.
+            BrokenResponseError: no complete response has arrived.
+            ResponseTooLongError: the response exceeds the limit of this pool.
         """
         connection = await (self.connect(address) if must_connect else self.acquire(address))
         try:
--- a/burlmoor/upstream/request_sender.py
+++ b/burlmoor/upstream/request_sender.py
@@ -59,7 +59,10 @@
     async def send(self, attempt: Attempt, in_flight: InFlightAttempt) -> PooledConnection:
         """Write the complete request, and return the connection that its response will arrive on.
 
-        Raises SendPreconditionError, ConnectError or RequestNotSentError; then the request has not run.
+        Raises:
+            SendPreconditionError: the attempt must not be sent any more.
+            ConnectError: there is no connection.
+            RequestNotSentError: the connection broke before the last byte; the job has not run.
         """
         # On a pooled connection that turns out to be dead a non-idempotent job would be lost.
         must_connect = attempt.job.is_non_idempotent and self._pool.is_reuse_risky
--- a/burlmoor/upstream/send_precondition.py
+++ b/burlmoor/upstream/send_precondition.py
@@ -24,7 +24,7 @@
 def check_send_precondition(attempt: Attempt, directory: EndpointDirectory) -> ListedEndpoint:
     """Check that an attempt may be sent now, and return the endpoint that it is to be sent to.
 
-    Three things must hold, else SendPreconditionError is raised:
+    Three things must hold:
 
     - The job is open and its client connected. Without this, executors would work for clients that have
       disconnected (also where the settings bar cancellation, so that nothing else stops an attempt that waits
@@ -34,6 +34,9 @@
       would get work after the node was notified that it drains (the drain rule).
 
     No other task may run between this check and the first byte: the caller must not suspend in between.
+
+    Raises:
+        SendPreconditionError: one of them does not hold.
     """
     if attempt.is_over or attempt.job.is_closed:
         raise SendPreconditionError(attempt, "the job is closed or the attempt is over")
@@ -46,6 +49,10 @@
 def recheck_send_precondition(
     attempt: Attempt, directory: EndpointDirectory, connected_to: ListedEndpoint
 ) -> None:
-    """Check again once connected, and that the connection leads to the same process of the endpoint."""
+    """Check again once connected, and that the connection leads to the same process of the endpoint.
+
+    Raises:
+        SendPreconditionError: the attempt must not be sent on this connection.
+    """
     if check_send_precondition(attempt, directory) != connected_to:
         raise SendPreconditionError(attempt, "the endpoint is another process now")
