--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -79,7 +79,7 @@
         zones=zones,
         first_node_factor=loud,
         key_count=keys,
-        hot_key_share=hot,
+        hot_key_fraction=hot,
         schedule=_load_schedule(schedule, seed, seconds, fault_count),
     )
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
--- a/burlmoor/testbed/drill_soak.py
+++ b/burlmoor/testbed/drill_soak.py
@@ -33,7 +33,7 @@
 _MIN_NODES, _MAX_NODES = 10, 40
 _RATE_PER_NODE = 4.0  # jobs a second
 _UTILIZATION = 0.4  # of all executors, many of which fail at once
-_HEDGING_SHARE = 0.4  # of the runs: in the others two attempts of a job may not be open at once
+_HEDGING_FRACTION = 0.4  # of the runs: in the others two attempts of a job may not be open at once
 _SOCKET_LIMIT = 256  # descriptors of a node, fewer than a flood has connections
 
 
@@ -99,7 +99,7 @@
         utilization=_UTILIZATION,
         mutation=parameters.mutation,
         schedule=draw_soak_schedule(parameters.seed, parameters.seconds),
-        hedging=random.Random(f"{parameters.seed}:settings").random() < _HEDGING_SHARE,
+        hedging=random.Random(f"{parameters.seed}:settings").random() < _HEDGING_FRACTION,
         sockets=_SOCKET_LIMIT,
     )
     record = await run_fleet(plan, folder)
--- a/burlmoor/testbed/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -12,7 +12,7 @@
 from burlmoor.testbed.fleet.audit_answers import AnswerAudit
 from burlmoor.testbed.fleet.audit_attempts import (
     check_drains,
-    check_non_idempotent_jobs,
+    check_runs,
     check_simultaneous_attempts,
 )
 from burlmoor.testbed.fleet.audit_result import AuditResult
@@ -27,7 +27,7 @@
     result = AuditResult()
     result.violations += [f"{name} ended with {status}" for name, status in record.unexpected_exits.items()]
     AnswerAudit(record, result).check()
-    check_non_idempotent_jobs(record, result)
+    check_runs(record, result)
     check_simultaneous_attempts(record, result)
     check_drains(record, result)
     check_slow_starts(record, result)
--- a/burlmoor/testbed/fleet/audit_attempts.py
+++ b/burlmoor/testbed/fleet/audit_attempts.py
@@ -7,7 +7,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from burlmoor.testbed.event_record import AttemptRecord, find_simultaneous
+from burlmoor.testbed.event_record import AttemptRecord, attempts_by_id, find_simultaneous
 from burlmoor.testbed.fleet.addresses import node_name, parse_node_name
 from burlmoor.testbed.fleet.audit_answers import RESUME_ALLOWANCE_MS
 from burlmoor.testbed.fleet.audit_result import AuditResult, Excuse, NodeFaultHistory
@@ -17,6 +17,8 @@
 from burlmoor.testbed.job_classes import JOB_CLASSES
 
 if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence, Set
+
     from burlmoor.testbed.discovery import Notification
     from burlmoor.testbed.fleet.record import RunRecord
 
@@ -26,32 +28,42 @@
 _JUST_BEFORE_SECONDS = 1e-3  # within the fault, whose interval is half-open
 
 
-def check_non_idempotent_jobs(record: RunRecord, result: AuditResult) -> None:
-    """Check that no non-idempotent job starts twice, or after its client was answered that a retry is safe.
-
-    Nor may a job of any class start that no client sent.
-    """
+def check_runs(record: RunRecord, result: AuditResult) -> None:
+    """Check which jobs executors started, and how often."""
+    started_attempts = [attempt for attempt in record.attempts if attempt.started_ms is not None]
+    started = attempts_by_id(started_attempts)
     non_idempotent = {job_class.name for job_class in JOB_CLASSES if job_class.is_non_idempotent}
-    started: dict[str, list[float]] = defaultdict(list)
-    classes: dict[str, str] = {}
-    for attempt in record.attempts:
-        if attempt.started_ms is not None:
-            started[attempt.id].append(attempt.started_ms)
-            classes.setdefault(attempt.id, attempt.job_class)
+    _check_non_idempotent_jobs(started, non_idempotent, result)
+    _check_requests_of_runs(record, started, non_idempotent, result)
+
+
+def _check_non_idempotent_jobs(
+    started: Mapping[str, Sequence[AttemptRecord]], non_idempotent: Set[str], result: AuditResult
+) -> None:
+    """Check that no non-idempotent job started twice."""
     result.violations += [
-        f"{job_id}: a non-idempotent job started {len(times)} times"
-        for job_id, times in started.items()
-        if len(times) > 1 and classes[job_id] in non_idempotent
+        f"{job_id}: a non-idempotent job started {len(attempts)} times"
+        for job_id, attempts in started.items()
+        if len(attempts) > 1 and attempts[0].job_class in non_idempotent
     ]
+
+
+def _check_requests_of_runs(
+    record: RunRecord,
+    started: Mapping[str, Sequence[AttemptRecord]],
+    non_idempotent: Set[str],
+    result: AuditResult,
+) -> None:
+    """Check that a client sent each job that started, and was not answered that a retry is safe."""
     requests = {request.id: request for request in record.requests}
-    for job_id, times in started.items():
+    for job_id, attempts in started.items():
         request = requests.get(job_id)
         if request is None:
             result.violations.append(f"{job_id}: ran, and no client sent it")
         elif (
             request.is_rejected
             and request.job_class in non_idempotent
-            and times[0] <= (request.answered_ms or math.inf)
+            and (attempts[0].started_ms or 0.0) <= (request.answered_ms or math.inf)
         ):
             result.violations.append(f"{job_id}: ran, and its client was told that a retry does no harm")
 
--- a/burlmoor/testbed/fleet/load.py
+++ b/burlmoor/testbed/fleet/load.py
@@ -11,7 +11,7 @@
 
 _WORK_SIGMA = 0.5  # of the logarithm of a job's work
 _SLOTS = (1, 2, 4)
-_SLOT_SHARES = (0.8, 0.15, 0.05)
+_SLOT_FRACTIONS = (0.8, 0.15, 0.05)
 _KEY_EXPONENT = 1.5  # of Zipf's law
 
 
@@ -39,13 +39,13 @@
     # How many times its share the first node gets.
     first_node_factor: float = msgspec.field(default=1.0, name="loud")
     # The share of all jobs that have one and the same key.
-    hot_key_share: float = msgspec.field(default=0.0, name="hot")
+    hot_key_fraction: float = msgspec.field(default=0.0, name="hot")
     # Number of keys, which jobs share by Zipf's law; 0: each job has a key of its own, since the stand-in
     # executors cache nothing.
     key_count: int = msgspec.field(default=0, name="keys")
 
 
-def node_shares(load: Load) -> np.ndarray:
+def node_fractions(load: Load) -> np.ndarray:
     """Return each node's share of all jobs."""
     rng = np.random.default_rng([load.seed, 1])
     weights = rng.lognormal(0.0, load.skew, load.nodes)
@@ -59,12 +59,12 @@
     rng = np.random.default_rng([load.seed, 2])
     count = int(rng.poisson(load.rate * load.seconds))
     starts = np.sort(rng.uniform(0.0, load.seconds, count))
-    class_shares = np.array([job_class.fraction for job_class in JOB_CLASSES])
-    classes = rng.choice(len(JOB_CLASSES), size=count, p=class_shares / class_shares.sum())
+    class_fractions = np.array([job_class.fraction for job_class in JOB_CLASSES])
+    classes = rng.choice(len(JOB_CLASSES), size=count, p=class_fractions / class_fractions.sum())
     work_factors = load.scale * rng.lognormal(-0.5 * _WORK_SIGMA**2, _WORK_SIGMA, count)
-    slots = rng.choice(_SLOTS, size=count, p=_SLOT_SHARES)
+    slots = rng.choice(_SLOTS, size=count, p=_SLOT_FRACTIONS)
     keys = _draw_keys(rng, load, count)
-    nodes = rng.choice(load.nodes, size=count, p=node_shares(load))
+    nodes = rng.choice(load.nodes, size=count, p=node_fractions(load))
     jobs = []
     for number in range(count):
         job_class = JOB_CLASSES[classes[number]]
@@ -86,13 +86,13 @@
         keys = np.minimum(rng.zipf(_KEY_EXPONENT, count), load.key_count)
     else:
         keys = np.arange(1, count + 1)
-    keys[rng.uniform(size=count) < load.hot_key_share] = 0
+    keys[rng.uniform(size=count) < load.hot_key_fraction] = 0
     return keys
 
 
 def mean_job_work_ms() -> float:
     """Return the ms that a job takes on average on one core of speed 1, over all its slots, at scale 1."""
-    mean_slots = sum(slots * share for slots, share in zip(_SLOTS, _SLOT_SHARES, strict=True))
+    mean_slots = sum(slots * fraction for slots, fraction in zip(_SLOTS, _SLOT_FRACTIONS, strict=True))
     return (
         mean_slots
         * sum(job_class.fraction * job_class.mean_work_ms for job_class in JOB_CLASSES)
--- a/burlmoor/testbed/fleet/random_schedule.py
+++ b/burlmoor/testbed/fleet/random_schedule.py
@@ -29,14 +29,14 @@
 _MAX_PAUSE_SECONDS = 3.0  # of nodes, where faults come one after another
 _DISCOVERY_DELAY_MS = 2000.0
 _LINK_DELAY_MS = 40.0
-_RESET_SHARE = 0.05  # of the messages
+_RESET_FRACTION = 0.05  # of the messages
 
 _MIN_SOAK_NODES = 10
 _MAX_FURTHER_SIGNALS = 4  # after the SIGTERM of a restart
 _RESTART_CYCLE_SECONDS = 7.0  # of a node that is restarted repeatedly: its end, a pause and its start
 _MAX_RELOADS = 4  # in a row
-_SLOW_LINK_SHARE = 0.5  # of the runs
-_FLOOD_SHARE = 0.35  # of the runs
+_SLOW_LINK_FRACTION = 0.5  # of the runs
+_FLOOD_FRACTION = 0.35  # of the runs
 _FLOOD_CONNECTIONS = 300.0
 
 
@@ -151,7 +151,7 @@
 
     def draw_slow_links(self) -> list[Fault]:
         """Draw, in some runs, links that are all the time as slow as between zones."""
-        if self._rng.random() >= _SLOW_LINK_SHARE:
+        if self._rng.random() >= _SLOW_LINK_FRACTION:
             return []
         delay_ms = round(self._rng.uniform(10.0, 45.0), 1)
         nodes = f"{self._rng.choice([30, 60])}%"
@@ -167,7 +167,7 @@
 
     def draw_connection_floods(self) -> list[Fault]:
         """Draw, in some runs, idle clients that open more connections than a node has descriptors."""
-        if self._rng.random() >= _FLOOD_SHARE:
+        if self._rng.random() >= _FLOOD_FRACTION:
             return []
         start = self._rng.uniform(_FIRST_START_SECONDS, 0.5 * self._end)
         duration = self._rng.uniform(2.0, 0.5 * self._end)
@@ -193,65 +193,70 @@
         duration = min(self._rng.uniform(_MIN_DURATION_SECONDS, max_seconds), self._end - start)
         return _round_times(Fault(kind=kind, start=start, duration=duration, **parameters))
 
-    def _draw_share(self, *percentages: int) -> str:
+    def _draw_percentage(self, *percentages: int) -> str:
         return f"{self._rng.choice(percentages)}%"
 
     def _draw_announced(self, kind: FaultKind) -> Fault:
         """Draw a fault of executors that discovery announces after some time."""
         delay = round(self._rng.uniform(0.1, 2.5), 2)
-        executors = self._draw_share(10, 20, 30)
+        executors = self._draw_percentage(10, 20, 30)
         return self._draw(kind, max_seconds=6.0, executors=executors, notification_delay=delay)
 
     def draw_isolation(self) -> Fault:
         """Draw an isolation, long enough for changes that are announced meanwhile to count as notified."""
         duration = self._rng.uniform(0.6, 0.8) * self._end
-        nodes = self._draw_share(20, 30)
+        nodes = self._draw_percentage(20, 30)
         start = 0.1 * self._end
         return _round_times(Fault(kind=FaultKind.NODE_ISOLATION, start=start, duration=duration, nodes=nodes))
 
     def draw_executor_faults(self) -> list[Fault]:
         """Draw executors that are cut off, are killed, drain or hang."""
         stagger = round(self._rng.uniform(0.0, 2.0), 2)
-        draw, share = self._draw, self._draw_share
+        draw, percent = self._draw, self._draw_percentage
         return [
             self._draw_announced(FaultKind.EXECUTOR_PARTITION),
             self._draw_announced(FaultKind.EXECUTOR_PARTITION),
             self._draw_announced(FaultKind.EXECUTOR_KILL),
-            draw(FaultKind.EXECUTOR_DRAIN, max_seconds=6.0, executors=share(10, 20), stagger=stagger),
-            draw(FaultKind.EXECUTOR_HANG, max_seconds=4.0, executors=share(10, 20)),
+            draw(FaultKind.EXECUTOR_DRAIN, max_seconds=6.0, executors=percent(10, 20), stagger=stagger),
+            draw(FaultKind.EXECUTOR_HANG, max_seconds=4.0, executors=percent(10, 20)),
         ]
 
     def draw_link_faults(self) -> list[Fault]:
         """Draw links that are cut, reset connections or delay bytes."""
         direction = self._rng.choice(_DIRECTIONS)
-        draw, share = partial(self._draw, max_seconds=4.0), self._draw_share
+        draw, percent = partial(self._draw, max_seconds=4.0), self._draw_percentage
         return [
-            draw(FaultKind.LINK_PARTITION, nodes=share(30, 50), executors=share(20, 40), direction=direction),
-            draw(FaultKind.LINK_RESET, nodes="*", executors=share(20, 40), magnitude=_RESET_SHARE),
-            draw(FaultKind.LINK_DELAY, nodes=share(30, 50), executors="*", magnitude=_LINK_DELAY_MS),
+            draw(
+                FaultKind.LINK_PARTITION,
+                nodes=percent(30, 50),
+                executors=percent(20, 40),
+                direction=direction,
+            ),
+            draw(FaultKind.LINK_RESET, nodes="*", executors=percent(20, 40), magnitude=_RESET_FRACTION),
+            draw(FaultKind.LINK_DELAY, nodes=percent(30, 50), executors="*", magnitude=_LINK_DELAY_MS),
         ]
 
     def draw_discovery_faults(self) -> list[Fault]:
         """Draw watches that break and lists that come late, and a discovery that is down or overloaded."""
-        draw, share = self._draw, self._draw_share
+        draw, percent = self._draw, self._draw_percentage
         delay_ms = _DISCOVERY_DELAY_MS
         return [
-            draw(FaultKind.WATCH_STALL, max_seconds=0.5, nodes=share(30, 60)),
-            draw(FaultKind.WATCH_RESET, max_seconds=0.5, nodes=share(30, 60)),
-            draw(FaultKind.DISCOVERY_DELAY, max_seconds=3.0, nodes=share(30, 50), magnitude=delay_ms),
+            draw(FaultKind.WATCH_STALL, max_seconds=0.5, nodes=percent(30, 60)),
+            draw(FaultKind.WATCH_RESET, max_seconds=0.5, nodes=percent(30, 60)),
+            draw(FaultKind.DISCOVERY_DELAY, max_seconds=3.0, nodes=percent(30, 50), magnitude=delay_ms),
             draw(FaultKind.DISCOVERY_OUTAGE, max_seconds=3.0, nodes=_ONE_NODE),
             draw(FaultKind.DISCOVERY_OVERLOAD, max_seconds=3.0, nodes=_ONE_NODE),
         ]
 
     def draw_node_faults(self) -> list[Fault]:
         """Draw nodes that end or pause, some for so long that their list is too old afterwards."""
-        draw, share = self._draw, self._draw_share
+        draw, percent = self._draw, self._draw_percentage
         return [
-            draw(FaultKind.NODE_KILL, max_seconds=1.5, nodes=share(10, 20)),
-            draw(FaultKind.NODE_KILL, max_seconds=9.0, nodes=share(10, 20)),
-            draw(FaultKind.NODE_TERMINATION, max_seconds=1.5, nodes=share(10, 20)),
-            draw(FaultKind.NODE_PAUSE, max_seconds=1.0, nodes=share(10, 20)),
-            draw(FaultKind.NODE_PAUSE, max_seconds=9.0, nodes=share(5, 10)),
+            draw(FaultKind.NODE_KILL, max_seconds=1.5, nodes=percent(10, 20)),
+            draw(FaultKind.NODE_KILL, max_seconds=9.0, nodes=percent(10, 20)),
+            draw(FaultKind.NODE_TERMINATION, max_seconds=1.5, nodes=percent(10, 20)),
+            draw(FaultKind.NODE_PAUSE, max_seconds=1.0, nodes=percent(10, 20)),
+            draw(FaultKind.NODE_PAUSE, max_seconds=9.0, nodes=percent(5, 10)),
         ]
 
 
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -52,7 +52,7 @@
     zones: int = 1
     skew: float = 0.5  # sigma of the logarithm of a node's share of the jobs
     first_node_factor: float = msgspec.field(default=1.0, name="loud")
-    hot_key_share: float = msgspec.field(default=0.0, name="hot")
+    hot_key_fraction: float = msgspec.field(default=0.0, name="hot")
     key_count: int = msgspec.field(default=0, name="keys")
     mutation: str | None = msgspec.field(default=None, name="sabotage")
     schedule: FaultSchedule = FaultSchedule(0)
--- a/burlmoor/testbed/fleet/run.py
+++ b/burlmoor/testbed/fleet/run.py
@@ -44,7 +44,7 @@
         scale=scale,
         skew=plan.skew,
         first_node_factor=plan.first_node_factor,
-        hot_key_share=plan.hot_key_share,
+        hot_key_fraction=plan.hot_key_fraction,
         key_count=plan.key_count,
     )
     return RunRecord(
--- a/tests/cli/test_fleet.py
+++ b/tests/cli/test_fleet.py
@@ -43,7 +43,7 @@
     assert done.exit_code == (0 if verdict["held"] else 1)
     assert {"claims", "figures"} <= set(verdict)
     (plan,) = RecordedFleet.plans
-    assert (plan.nodes, plan.executors, plan.seconds, plan.first_node_factor, plan.hot_key_share) == (
+    assert (plan.nodes, plan.executors, plan.seconds, plan.first_node_factor, plan.hot_key_fraction) == (
         3,
         20,
         5.0,
