--- a/burlmoor/testbed/drill.py
+++ b/burlmoor/testbed/drill.py
@@ -11,6 +11,8 @@
     from collections.abc import Awaitable, Callable, Mapping, Sequence
     from pathlib import Path
 
+    from burlmoor.testbed.mutations import Mutation
+
 _MAX_PRINTED_VIOLATIONS = 20
 
 
@@ -72,9 +74,9 @@
 
 
 class Drill(NamedTuple):
-    """A drill, and the mutations of the node with which it must fail, by name, each with its description."""
+    """A drill, and the mutations of the node with which it must fail, by name."""
 
     summary: str
     run: Callable[[DrillParameters, Path], Awaitable[Verdict]]
-    mutations: Mapping[str, str]
-    is_sizable: bool = False  # whether the number of nodes may be chosen
+    mutations: Mapping[str, Mutation]
+    is_sizable: bool = False  # whether the command line may set the number of nodes
--- a/burlmoor/testbed/drill_deferred.py
+++ b/burlmoor/testbed/drill_deferred.py
@@ -20,7 +20,7 @@
 from burlmoor.testbed.event_record import ClosingPeriod, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.local_cluster import LocalCluster, local_cluster
-from burlmoor.testbed.mutations import OF_WAITING, told
+from burlmoor.testbed.mutations import DEFERRED_MUTATIONS
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -128,5 +128,5 @@
 WAITING = Drill(
     "Jobs that wait, under pressure, failures and a planned restart.",
     _run,
-    told(OF_WAITING),
+    DEFERRED_MUTATIONS,
 )
--- a/burlmoor/testbed/drill_soak.py
+++ b/burlmoor/testbed/drill_soak.py
@@ -21,7 +21,7 @@
 from burlmoor.testbed.fleet.random_schedule import draw_soak_schedule
 from burlmoor.testbed.fleet.record import RunPlan, RunRecord
 from burlmoor.testbed.fleet.run import Fleet
-from burlmoor.testbed.mutations import OF_SOAK, told
+from burlmoor.testbed.mutations import SOAK_MUTATIONS
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -105,6 +105,6 @@
 SOAK = Drill(
     "Randomized faults that overlap in time, with the rules as the oracle.",
     _run,
-    told(OF_SOAK),
+    SOAK_MUTATIONS,
     is_sizable=True,
 )
--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -16,7 +16,7 @@
 from burlmoor.testbed.fleet.record import RunPlan
 from burlmoor.testbed.fleet.run import Fleet
 from burlmoor.testbed.fleet.verdict import assess_run
-from burlmoor.testbed.mutations import OF_SPREAD, told
+from burlmoor.testbed.mutations import SPREAD_MUTATIONS
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -79,6 +79,6 @@
 SPREAD = Drill(
     "Load spread evenly by many nodes that each see little of it, under failures.",
     _run,
-    told(OF_SPREAD),
+    SPREAD_MUTATIONS,
     is_sizable=True,
 )
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -17,7 +17,7 @@
 from burlmoor.testbed.fleet.helper_processes import ProcessCounts
 from burlmoor.testbed.fleet.record import RunPlan, RunRecord
 from burlmoor.testbed.fleet.run import Fleet
-from burlmoor.testbed.mutations import OF_WATCH, told
+from burlmoor.testbed.mutations import WATCH_MUTATIONS
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -98,6 +98,6 @@
 WATCH = Drill(
     "The watch on discovery falls silent, is reset, is down, while executors are announced as leaving.",
     _run,
-    told(OF_WATCH),
+    WATCH_MUTATIONS,
     is_sizable=True,
 )
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -1,6 +1,8 @@
-"""Nodes with one fault put in, for drills that must notice: `python -m burlmoor.testbed.mutations NAME`.
+"""Nodes built to violate a rule, with which drills must fail: `python -m burlmoor.testbed.mutations NAME`.
 
-The program itself has no switch for any of this: the faults are laid over it here, in a process of their own.
+The node itself has no switch for any of this: a mutation replaces functions and constants of the node's
+modules in its own process before the node starts. The modules that a mutation changes are imported only where
+it is applied, since some belong to subsystems that a plain node does not import.
 """
 
 from __future__ import annotations
@@ -8,124 +10,169 @@
 import math
 import sys
 import time
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
-
-from burlmoor.types.endpoint_list import EndpointState
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable, Iterable, Mapping
+
+    from burlmoor.deferred.deferred_job import DeferralReason, DeferredJob
+    from burlmoor.deferred.dependency_graph import DependencyGraph
+    from burlmoor.discovery.list_lease import ListLease
+    from burlmoor.endpoints.directory import EndpointDirectory
+    from burlmoor.engine.attempt_controller import AttemptController
+    from burlmoor.engine.job import Attempt
+    from burlmoor.policy.dispatch_rounds import DispatchRounds
+    from burlmoor.policy.dispatcher import Dispatcher
+    from burlmoor.policy.endpoints.candidates import Candidates
+    from burlmoor.policy.model.decayed_mean import DecayedMean
+    from burlmoor.policy.model.endpoint import Endpoint
     from burlmoor.policy.model.job import ScheduledJob
+    from burlmoor.types.settings import Settings
+
+_COMMON_SEED = 1
+_COMMON_ROUND_MS = 250.0  # between two rounds that all nodes have at the same moments
+_ENDLESS_HALF_LIFE_MS = 1e15
+
+
+class Mutation(NamedTuple):
+    """A way in which a node violates a rule; `apply` makes the node of this process do so."""
+
+    name: str
+    description: str
+    apply: Callable[[], None]
+
+
+def _replace(owner: object, **replacements: object) -> None:
+    """Replace attributes of a class or a module.
+
+    Raises AttributeError for one that does not exist, so that no mutation outlives a rename as a sound node.
+    """
+    for name, replacement in replacements.items():
+        getattr(owner, name)
+        setattr(owner, name, replacement)
+
+
+# --- deferred jobs --------------------------------------------------------------------------------
 
 
-def _forget_parents() -> None:
-    """Jobs run whatever they name."""
+def _ignore_dependencies() -> None:
     from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
     add = DependencyGraph.add
 
-    def add_without_dependencies(self: DependencyGraph, request_id: str, _after: Any, *rest: Any) -> Any:
-        return add(self, request_id, (), *rest)
+    def add_without_dependencies(
+        self: DependencyGraph, request_id: str, _after: Iterable[str], *times: float
+    ) -> DeferredJob:
+        return add(self, request_id, (), *times)
 
-    DependencyGraph.add = add_without_dependencies  # type: ignore[assignment, method-assign]
+    _replace(DependencyGraph, add=add_without_dependencies)
 
 
-def _early() -> None:
-    """Jobs run whatever time they name."""
+def _ignore_earliest_time() -> None:
     from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
     add = DependencyGraph.add
 
-    def add_without_time(
-        self: DependencyGraph, request_id: str, after: Any, _not_before_unix_ms: float, *rest: Any
-    ) -> Any:
-        return add(self, request_id, after, 0.0, *rest)
+    def add_without_earliest_time(
+        self: DependencyGraph,
+        request_id: str,
+        after: Iterable[str],
+        _not_before_unix_ms: float,
+        *times: float,
+    ) -> DeferredJob:
+        return add(self, request_id, after, 0.0, *times)
 
-    DependencyGraph.add = add_without_time  # type: ignore[assignment, method-assign]
+    _replace(DependencyGraph, add=add_without_earliest_time)
 
 
-def _failed_is_served() -> None:
-    """A parent that failed counts as served."""
+def _treat_failed_as_served() -> None:
     from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
     on_job_ended = DependencyGraph.on_job_ended
 
-    def on_job_ended_as_served(self: DependencyGraph, request_id: str, was_served: bool, now: float) -> None:
-        on_job_ended(self, request_id, True, now)
+    def on_job_ended_as_served(
+        self: DependencyGraph, request_id: str, _was_served: object, now: float
+    ) -> None:
+        on_job_ended(self, request_id, was_served=True, now=now)
 
-    DependencyGraph.on_job_ended = on_job_ended_as_served  # type: ignore[method-assign]
+    _replace(DependencyGraph, on_job_ended=on_job_ended_as_served)
 
 
-def _no_cascade() -> None:
-    """Those that wait for a job that failed are not told."""
-    from burlmoor.deferred.deferred_job import DeferralReason, DeferredJob  # noqa: PLC0415
+def _keep_dependents_of_failed() -> None:
+    from burlmoor.deferred.deferred_job import DeferralReason  # noqa: PLC0415
     from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
     end_deferral = DependencyGraph.end_deferral
 
-    def end_without_cascade(self: DependencyGraph, job: DeferredJob, reason: DeferralReason) -> None:
+    def end_other_deferral(self: DependencyGraph, job: DeferredJob, reason: DeferralReason) -> None:
         if reason is not DeferralReason.DEPENDENCY_FAILED:
             end_deferral(self, job, reason)
 
-    DependencyGraph.end_deferral = end_without_cascade  # type: ignore[method-assign]
+    _replace(DependencyGraph, end_deferral=end_other_deferral)
 
 
-def _starve() -> None:
-    """What is free to run goes only where nothing else wants to."""
+def _release_nothing() -> None:
     from burlmoor.deferred.release_queue import ReleaseQueue  # noqa: PLC0415
 
-    def release_nothing(self: ReleaseQueue[Any], now: float, free_slots: float) -> None:
-        return None
+    _replace(ReleaseQueue, pop_releasable=lambda _self, _now, _free_slots: None)
+
 
-    ReleaseQueue.pop_releasable = release_nothing  # type: ignore[method-assign]
+# --- load spread over nodes -----------------------------------------------------------------------
 
 
-def _same_seed() -> None:
-    """All nodes draw the same numbers."""
+def _use_common_seed() -> None:
     from burlmoor.policy.dispatcher import Dispatcher  # noqa: PLC0415
 
     init = Dispatcher.__init__
-    Dispatcher.__init__ = lambda self, settings, seed: init(self, settings, 1)  # type: ignore[method-assign]
 
+    def init_with_common_seed(self: Dispatcher, settings: Settings, _seed: int) -> None:
+        init(self, settings, _COMMON_SEED)
 
-def _in_step() -> None:
-    """All nodes send in the same moments, four times a second."""
-    from burlmoor.policy.dispatch_rounds import ROUND_TICKS, DispatchRounds  # noqa: PLC0415
+    _replace(Dispatcher, __init__=init_with_common_seed)
 
-    def next_common_moment(now: float) -> float:
-        # By the machine's clock, which is all nodes' own: each process counts from elsewhere.
-        return now + 250.0 - time.monotonic() * 1000.0 % 250.0
+
+def _dispatch_at_common_moments() -> None:
+    from burlmoor.policy.dispatch_rounds import DispatchRounds  # noqa: PLC0415
 
     run = DispatchRounds.run
 
-    def enqueue(self: DispatchRounds, job: ScheduledJob, now: float, ticks: float = ROUND_TICKS) -> None:
+    def next_common_moment(now: float) -> float:
+        # By the machine's clock, which all nodes share: each process's `now` has another origin.
+        return now + _COMMON_ROUND_MS - time.monotonic() * 1000.0 % _COMMON_ROUND_MS
+
+    def enqueue(self: DispatchRounds, job: ScheduledJob, now: float, _ticks: float = 0.0) -> None:
         job.is_queued = True
         self.queue[job.id] = job
         self.next_round_at = min(self.next_round_at, next_common_moment(now))
 
-    def run_in_step(self: DispatchRounds, now: float) -> None:
+    def run_at_common_moments(self: DispatchRounds, now: float) -> None:
         run(self, now)
         if self.queue:
             self.next_round_at = next_common_moment(now)
 
-    DispatchRounds.enqueue = enqueue  # type: ignore[method-assign]
-    DispatchRounds.run = run_in_step  # type: ignore[method-assign]
+    _replace(DispatchRounds, enqueue=enqueue, run=run_at_common_moments)
 
 
-def _one_order() -> None:
-    """All nodes look at endpoints in the same order, and take the first that seems to have capacity."""
+def _use_common_order() -> None:
     from burlmoor.policy.endpoints.affinity import AffinityOrders  # noqa: PLC0415
     from burlmoor.policy.endpoints.candidates import Candidates  # noqa: PLC0415
 
-    def sample(self: Candidates, _rng: Any, local_count: int, remote_count: int) -> Any:
+    order_of = AffinityOrders.order_of
+
+    def take_first(
+        self: Candidates, _rng: random.Random, local_count: int, remote_count: int
+    ) -> list[Endpoint]:
         return [*self.local, *self.remote][: local_count + remote_count]
 
-    order_of = AffinityOrders.order_of
-    Candidates.sample = sample  # type: ignore[assignment, method-assign]
-    AffinityOrders.order_of = lambda self, key: order_of(self, "one") if key else []  # type: ignore[method-assign]
+    def common_order_of(self: AffinityOrders, key: str) -> list[Endpoint]:
+        return order_of(self, "one") if key else []
 
+    _replace(Candidates, sample=take_first)
+    _replace(AffinityOrders, order_of=common_order_of)
 
-def _no_ageing() -> None:
-    """Statistics never decay."""
+
+def _keep_old_statistics() -> None:
     from burlmoor.policy.model.decayed_mean import DecayedMean  # noqa: PLC0415
 
     add, read = DecayedMean.add, DecayedMean.read
@@ -133,118 +180,151 @@
     def add_without_decay(
         self: DecayedMean, now: float, value: float, _half_life: float, weight: float = 1.0
     ) -> None:
-        add(self, now, value, 1e15, weight)
+        add(self, now, value, _ENDLESS_HALF_LIFE_MS, weight)
+
+    def read_without_decay(self: DecayedMean, now: float, _half_life: float, *prior: float) -> float:
+        return read(self, now, _ENDLESS_HALF_LIFE_MS, *prior)
+
+    _replace(DecayedMean, add=add_without_decay, read=read_without_decay)
 
-    DecayedMean.add = add_without_decay  # type: ignore[assignment, method-assign]
-    DecayedMean.read = lambda self, now, _half_life, *rest: read(self, now, 1e15, *rest)  # type: ignore[method-assign]
+
+# --- the endpoint list ----------------------------------------------------------------------------
 
 
 def _remove_list_lease() -> None:
-    """The endpoint list may be used for ever: else the lease hides what a watch does wrong."""
+    """Let the endpoint list be used for ever: its lease would hide what a watch does wrong."""
     from burlmoor.discovery.list_lease import ListLease  # noqa: PLC0415
 
-    ListLease.is_valid = lambda self, now: True  # type: ignore[method-assign]
-    ListLease.expires_at = lambda self: math.inf  # type: ignore[method-assign]
+    _replace(ListLease, is_valid=lambda _self, _now: True, expires_at=lambda _self: math.inf)
 
 
-def _late_watch() -> None:
-    """A silent watch times out some time after the notification deadline of what it missed."""
+def _time_out_watches_late() -> None:
     from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    schedule._WATCH_WAIT_SECONDS = 8.0
-    schedule._OVERDUE_ALLOWANCE_SECONDS = 4.0
-    schedule._QUEUE_TIMEOUT_SECONDS = 4.0
+    _replace(schedule, _WATCH_WAIT_SECONDS=8.0, _OVERDUE_ALLOWANCE_SECONDS=4.0, _QUEUE_TIMEOUT_SECONDS=4.0)
     _remove_list_lease()
 
 
-def _slow_again() -> None:
-    """A call that failed is made anew only some seconds after the notification deadline of what it missed."""
+def _retry_calls_late() -> None:
     from burlmoor.discovery import schedule  # noqa: PLC0415
 
-    schedule.NOTIFICATION_SECONDS = 12.0
-    schedule._CALL_COST_SECONDS = 100.0
-    schedule._MIN_JITTER_FRACTION = 0.8
+    _replace(schedule, NOTIFICATION_SECONDS=12.0, _CALL_COST_SECONDS=100.0, _MIN_JITTER_FRACTION=0.8)
     _remove_list_lease()
 
 
-def _undrained() -> None:
-    """An endpoint that drains gets jobs as before."""
+def _ignore_drains() -> None:
     from burlmoor.endpoints.directory import EndpointDirectory  # noqa: PLC0415
+    from burlmoor.types.endpoint_list import EndpointState  # noqa: PLC0415
 
-    EndpointDirectory._effective_state = lambda self, entry: EndpointState.LIVE  # type: ignore[method-assign]
-    EndpointDirectory.find_live = lambda self, name: self._table.get(name)  # type: ignore[method-assign]
+    def find_listed(self: EndpointDirectory, name: str) -> object:
+        return self._table.get(name)
 
+    _replace(
+        EndpointDirectory, _effective_state=lambda _self, _entry: EndpointState.LIVE, find_live=find_listed
+    )
 
-def _keep_sent() -> None:
-    """An attempt that is cancelled stays with the kernel, which goes on delivering it."""
-    from burlmoor.transport.stream import SocketStream  # noqa: PLC0415
 
-    SocketStream.set_reset_on_close = lambda self, is_on: True  # type: ignore[method-assign]
-
-
-def _old_list() -> None:
-    """A node goes on sending on a list that is too old, and begins on the one it was started with."""
+def _use_unconfirmed_list() -> None:
     from burlmoor.discovery.list_lease import ListLease  # noqa: PLC0415
 
     _remove_list_lease()
-    build = ListLease.__init__
+    init = ListLease.__init__
 
-    def build_confirmed(self: ListLease, has_agent: bool) -> None:
-        build(self, has_agent)
+    def init_confirmed(self: ListLease, *arguments: bool) -> None:
+        init(self, *arguments)
         self.is_confirmed = True
 
-    ListLease.__init__ = build_confirmed  # type: ignore[method-assign]
+    _replace(ListLease, __init__=init_confirmed)
 
 
-def _unconfirmed_cancel() -> None:
-    """A cancelled attempt counts as over before its endpoint has heard of that."""
-    from burlmoor.engine.attempt_controller import AttemptController  # noqa: PLC0415
+# --- attempts -------------------------------------------------------------------------------------
 
-    cancel_attempt = AttemptController.cancel_attempt
 
-    def cancel_and_end(self: AttemptController, attempt: Any, *rest: Any) -> None:
-        cancel_attempt(self, attempt, *rest)
-        self._end_cancelled(attempt)
+def _deliver_after_close() -> None:
+    from burlmoor.transport.stream import SocketStream  # noqa: PLC0415
 
-    AttemptController.cancel_attempt = cancel_and_end  # type: ignore[assignment, method-assign]
+    _replace(SocketStream, set_reset_on_close=lambda _self, _is_on: True)
 
 
-Sabotages = dict[str, Callable[[], None]]
+def _end_cancelled_attempts_at_once() -> None:
+    from burlmoor.engine.attempt_controller import AttemptController  # noqa: PLC0415
 
-OF_WAITING: Sabotages = {
-    "forget-parents": _forget_parents,
-    "early": _early,
-    "failed-is-served": _failed_is_served,
-    "no-cascade": _no_cascade,
-    "starve": _starve,
-}
-OF_SPREAD: Sabotages = {
-    "same-seed": _same_seed,
-    "in-step": _in_step,
-    "one-order": _one_order,
-    "no-ageing": _no_ageing,
-}
-OF_WATCH: Sabotages = {"late-watch": _late_watch, "slow-again": _slow_again, "undrained": _undrained}
-OF_SOAK: Sabotages = {
-    "keep-sent": _keep_sent,
-    "old-list": _old_list,
-    "undrained": _undrained,
-    "unconfirmed-cancel": _unconfirmed_cancel,
-}
-SABOTAGES: Sabotages = OF_WAITING | OF_SPREAD | OF_WATCH | OF_SOAK
+    cancel_attempt = AttemptController.cancel_attempt
 
+    def cancel_and_end(self: AttemptController, attempt: Attempt, *arguments: object) -> None:
+        cancel_attempt(self, attempt, *arguments)  # type: ignore[arg-type]  # passed on as they come
+        self._end_cancelled(attempt)
 
-def told(sabotages: Sabotages) -> dict[str, str]:
-    """What each does, by name."""
-    return {name: (act.__doc__ or "").strip() for name, act in sabotages.items()}
+    _replace(AttemptController, cancel_attempt=cancel_and_end)
+
+
+# --- the table ------------------------------------------------------------------------------------
+
+
+def _by_name(*mutations: Mutation) -> dict[str, Mutation]:
+    return {mutation.name: mutation for mutation in mutations}
+
+
+_UNDRAINED = Mutation("undrained", "An endpoint that drains gets jobs as before.", _ignore_drains)
+
+DEFERRED_MUTATIONS: Mapping[str, Mutation] = _by_name(
+    Mutation("forget-parents", "Jobs run without the jobs that they depend on.", _ignore_dependencies),
+    Mutation("early", "Jobs run before their earliest time.", _ignore_earliest_time),
+    Mutation("failed-is-served", "A dependency that failed counts as served.", _treat_failed_as_served),
+    Mutation("no-cascade", "Dependents of a job that failed stay deferred.", _keep_dependents_of_failed),
+    Mutation("starve", "Jobs that are free to run are never released.", _release_nothing),
+)
+SPREAD_MUTATIONS: Mapping[str, Mutation] = _by_name(
+    Mutation("same-seed", "All nodes draw the same random numbers.", _use_common_seed),
+    Mutation("in-step", "All nodes dispatch at the same moments.", _dispatch_at_common_moments),
+    Mutation(
+        "one-order",
+        "All nodes consider endpoints in the same order and take the first with capacity.",
+        _use_common_order,
+    ),
+    Mutation("no-ageing", "Statistics never decay.", _keep_old_statistics),
+)
+WATCH_MUTATIONS: Mapping[str, Mutation] = _by_name(
+    Mutation(
+        "late-watch",
+        "A silent watch times out some seconds after the notification deadline of what it missed.",
+        _time_out_watches_late,
+    ),
+    Mutation(
+        "slow-again",
+        "A failed call is retried some seconds after the notification deadline of what it missed.",
+        _retry_calls_late,
+    ),
+    _UNDRAINED,
+)
+SOAK_MUTATIONS: Mapping[str, Mutation] = _by_name(
+    Mutation("keep-sent", "The kernel still delivers attempts that are cancelled.", _deliver_after_close),
+    Mutation(
+        "old-list",
+        "A node sends on an endpoint list that is too old, or not confirmed since its start.",
+        _use_unconfirmed_list,
+    ),
+    _UNDRAINED,
+    Mutation(
+        "unconfirmed-cancel",
+        "A cancelled attempt ends before its endpoint has confirmed the cancellation.",
+        _end_cancelled_attempts_at_once,
+    ),
+)
+MUTATIONS: Mapping[str, Mutation] = {
+    **DEFERRED_MUTATIONS,
+    **SPREAD_MUTATIONS,
+    **WATCH_MUTATIONS,
+    **SOAK_MUTATIONS,
+}
 
 
 def main() -> int:
-    """Put the fault in and run the node; its exit status."""
-    SABOTAGES[sys.argv[1]]()
-    from burlmoor.lifecycle.process import main as run  # noqa: PLC0415
+    """Apply the mutation that the first argument names, run the node, and return its exit status."""
+    MUTATIONS[sys.argv[1]].apply()
+    from burlmoor.lifecycle.process import main as run_node  # noqa: PLC0415 - it is patched before
 
-    return run()
+    return run_node()
 
 
 if __name__ == "__main__":
--- a/tests/discovery/test_watch_mutations.py
+++ b/tests/discovery/test_watch_mutations.py
@@ -9,7 +9,7 @@
 from burlmoor.discovery import schedule
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.discovered_list import DiscoveredEndpoint, DiscoveredList
-from burlmoor.testbed.mutations import OF_WATCH
+from burlmoor.testbed.mutations import WATCH_MUTATIONS
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
 from tests.discovery.watch_simulation import DRAIN_RULE, World, worst_lateness
 
@@ -37,7 +37,7 @@
     for constant, value in constants.items():
         monkeypatch.setattr(schedule, constant, value)  # so that each is restored afterwards
     assert all(worst_lateness(world(seed)) <= DRAIN_RULE for seed in range(5))
-    OF_WATCH[name]()
+    WATCH_MUTATIONS[name].apply()
     assert {constant for constant in vars(schedule) if constant.isupper()} == set(constants)
     assert any(worst_lateness(world(seed)) > DRAIN_RULE for seed in range(5))
 
@@ -62,5 +62,5 @@
     for method in ("find_live", "_effective_state"):
         monkeypatch.setattr(EndpointDirectory, method, getattr(EndpointDirectory, method))
     assert load_draining() == (False, [EndpointState.DRAINING])
-    OF_WATCH["undrained"]()
+    WATCH_MUTATIONS["undrained"].apply()
     assert load_draining() == (True, [EndpointState.LIVE])
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -12,7 +12,7 @@
 from burlmoor.testbed.deferred_verdict import judge
 from burlmoor.testbed.drill import Claim, Verdict
 from burlmoor.testbed.event_record import AttemptRecord, ClosingPeriod, EventRecord, RequestRecord
-from burlmoor.testbed.mutations import OF_WAITING
+from burlmoor.testbed.mutations import DEFERRED_MUTATIONS
 
 Fault = Callable[[EventRecord], None]
 RATIO_CLAIM = "worst-served tenth against plain"
@@ -149,7 +149,7 @@
 def test_an_unknown_mutation_is_a_usage_error_that_lists_the_known_ones() -> None:
     result = CliRunner().invoke(main, ["drill", "waiting", "--sabotage", "nothing"])
     assert result.exit_code == 2
-    assert all(name in result.output for name in OF_WAITING)
+    assert all(name in result.output for name in DEFERRED_MUTATIONS)
 
 
 def test_rejections_by_a_closing_node_do_not_count_as_released_jobs() -> None:
