--- a/benchmarks/limit.py
+++ b/benchmarks/limit.py
@@ -55,7 +55,7 @@
         **{outcome: tally.outcomes[outcome] for outcome in _UNSERVED},
         "p50_ms": tally.latency_percentile_ms(50.0),
         "p99_ms": tally.latency_percentile_ms(99.0),
-        "cpu_ms_a_job": round(report.usage.cpu_ms / max(1, tally.job_count), 3),
+        "cpu_ms_a_job": round(report.cpu_ms_per_job, 3),
         "generator_behind_ms": round(report.max_lag_ms, 1),
     }
 
--- a/burlmoor/cli/errors.py
+++ b/burlmoor/cli/errors.py
@@ -1,21 +1,18 @@
-"""How the commands report what is wrong: lines on standard error, and exit status 2 for bad usage."""
+"""How the commands report invalid usage and files: lines on standard error, and an exit status."""
 
 from __future__ import annotations
 
 import sys
 from typing import TYPE_CHECKING, NoReturn
 
+from burlmoor.cli.exit_status import ExitStatus
+
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 
-def print_errors(lines: Iterable[str]) -> None:
-    """Print lines on standard error, each with the program's name."""
+def exit_with_errors(lines: Iterable[str]) -> NoReturn:
+    """Print a line an error with the program's name, and exit with the status for invalid input."""
     for line in lines:
         print(f"burlmoor: {line}", file=sys.stderr)
-
-
-def exit_with_errors(lines: Iterable[str]) -> NoReturn:
-    """Print a line an error, and exit with status 2."""
-    print_errors(lines)
-    sys.exit(2)
+    sys.exit(ExitStatus.INVALID)
--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -8,11 +8,10 @@
 
 import click
 import trio
-from rich.console import Console
 
-from burlmoor.cli.errors import exit_with_errors, print_errors
-from burlmoor.cli.output import exit_with_verdict, print_verdict
-from burlmoor.testbed.drill import Verdict
+from burlmoor.cli.errors import exit_with_errors
+from burlmoor.cli.output import exit_with_verdict, print_status, print_verdict
+from burlmoor.testbed.drill import Verdict, print_violations
 from burlmoor.testbed.fleet import record as records
 from burlmoor.testbed.fleet.random_schedule import draw_schedule
 from burlmoor.testbed.fleet.run import Fleet
@@ -22,9 +21,6 @@
 if TYPE_CHECKING:
     from burlmoor.testbed.fleet.faults import FaultSchedule
 
-_ERR = Console(stderr=True)
-_MAX_VIOLATIONS_PRINTED = 20
-
 
 @click.group()
 def fleet() -> None:
@@ -85,7 +81,7 @@
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         record = _run_fleet(plan, keep or Path(folder))
     verdict = _judge(record)
-    _print_status(f"nodes ready after {record.startup_seconds:.1f} s; {record.cores_used:.1f} cores used")
+    print_status(f"nodes ready after {record.startup_seconds:.1f} s; {record.cores_used:.1f} cores used")
     exit_with_verdict(verdict, sink)
 
 
@@ -101,19 +97,15 @@
 
 def _run_fleet(plan: records.RunPlan, folder: Path) -> records.RunRecord:
     """Run the fleet and write its record into the folder."""
-    record = trio.run(Fleet(plan, folder, _print_status).run)
+    record = trio.run(Fleet(plan, folder, print_status).run)
     record.write(folder)
     return record
 
 
-def _print_status(line: str) -> None:
-    _ERR.print(line, style="dim")
-
-
 def _judge(record: records.RunRecord) -> Verdict:
     """Return the verdict on a record; the first violations are printed."""
     judged = assess_run(record)
-    print_errors(judged.audit.violations[:_MAX_VIOLATIONS_PRINTED])
+    print_violations(judged.audit.violations)
     return Verdict("fleet", record.plan.seed, record.plan.seconds, judged.claims(), judged.figures())
 
 
--- a/burlmoor/cli/main.py
+++ b/burlmoor/cli/main.py
@@ -1,6 +1,6 @@
 """The `burlmoor` command: one group, each verb imported only when it is used.
 
-Exit status: 0 well, 1 it failed or a claim did not hold, 2 bad usage or configuration.
+Exit statuses: `exit_status.py`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class _Verbs(click.Group):
-    """Owns the table of verbs."""
+    """The group of all verbs; `_VERBS` names the module and the function of each."""
 
     def list_commands(self, _ctx: click.Context) -> list[str]:
         """Return the verbs, in the order in which a newcomer meets them."""
--- a/burlmoor/cli/output.py
+++ b/burlmoor/cli/output.py
@@ -1,4 +1,4 @@
-"""What the commands write: verdicts and figures on the terminal, JSON, and the exit status of a verdict."""
+"""What the commands write: verdicts and status lines on standard error, JSON, and a verdict's exit status."""
 
 from __future__ import annotations
 
@@ -9,12 +9,24 @@
 from rich.console import Console
 from rich.table import Table
 
+from burlmoor.cli.exit_status import ExitStatus
+
 if TYPE_CHECKING:
     from burlmoor.testbed.drill import Verdict
 
 
+def standard_error() -> Console:
+    """Return a console on standard error, where everything but JSON is written."""
+    return Console(stderr=True)
+
+
+def print_status(line: str) -> None:
+    """Print a line on the progress of a command."""
+    standard_error().print(line, style="dim")
+
+
 def write_json(value: dict[str, Any], sink: IO[str] | None) -> None:
-    """Write a value as indented JSON; without a sink, nothing."""
+    """Write a value as indented JSON to the sink, if there is one."""
     if sink is not None:
         sink.write(json.dumps(value, indent=2) + "\n")
 
@@ -31,11 +43,11 @@
         table.add_row(name, f"{claim.value:.4g}", bound, "held" if claim.holds else "NOT HELD")
     for name, value in verdict.figures.items():
         table.add_row(name, f"{value:.4g}", "", "", style="dim")
-    Console(stderr=True).print(table)
+    standard_error().print(table)
 
 
 def exit_with_verdict(verdict: Verdict, sink: IO[str] | None) -> NoReturn:
-    """Print a verdict, write it where it is asked for, and exit: status 1 where a claim did not hold."""
+    """Print a verdict, write it to the sink if there is one, and exit by whether every claim holds."""
     print_verdict(verdict)
     write_json(verdict.to_json_object(), sink)
-    sys.exit(0 if verdict.holds else 1)
+    sys.exit(ExitStatus.SUCCESS if verdict.holds else ExitStatus.FAILURE)
--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -2,8 +2,8 @@
 
 Nodes are the `Engine` with its policy; executors are `testbed/executor_model.py`. What the sockets of a real
 node would report is reported here as outcomes, by the protocol's table. One seed determines all random
-numbers: the same seed gives the same run. Times are ms. What clients and executors observed is recorded (`records.py`)
-and judged by `audit.py`.
+numbers: the same seed gives the same run. Times are ms. What clients and executors observed is recorded
+(`records.py`) and judged by `audit.py`.
 """
 
 from __future__ import annotations
--- a/burlmoor/simulation/executors.py
+++ b/burlmoor/simulation/executors.py
@@ -114,7 +114,7 @@
         self._events.schedule(self._events.now + duration_ms, lambda: self.crash(name))
 
     def crash(self, name: str, restart_after_ms: float | None = None) -> None:
-        """End an executor's process with all its attempts, and restart it after `restart_after_ms` if given."""
+        """End an executor's process and its attempts, and restart it after `restart_after_ms` if given."""
         executor = self._executors[name]
         if not executor.is_running:
             return
--- a/burlmoor/testbed/load.py
+++ b/burlmoor/testbed/load.py
@@ -106,6 +106,11 @@
     cpu_ms: float = 0.0
     memory_bytes: int = 0  # resident at the end
 
+    @property
+    def memory_mib(self) -> float:
+        """The resident memory in MiB."""
+        return self.memory_bytes / 2**20
+
 
 @dataclass
 class LoadReport:
@@ -113,7 +118,7 @@
 
     seconds: float
     by_class: dict[str, OutcomeTally] = field(default_factory=dict)
-    usage: ProcessUsage = field(default_factory=ProcessUsage)  # of the node's process, where it is measured
+    usage: ProcessUsage = field(default_factory=ProcessUsage)  # of the node's process; 0 where unknown
     max_lag_ms: float = 0.0  # by which the generator itself sent a job late
 
     @property
@@ -125,6 +130,11 @@
             sum_of_classes.served_latency.add(tally.served_latency)
         return sum_of_classes
 
+    @property
+    def cpu_ms_per_job(self) -> float:
+        """The CPU time of the node's process for each job."""
+        return self.usage.cpu_ms / max(1, self.all_classes.job_count)
+
     def to_json_object(self) -> dict[str, Any]:
         """Return the report as an object to be written as JSON."""
         all_classes = self.all_classes
@@ -132,8 +142,8 @@
         return {
             "seconds": round(self.seconds, 3),
             "generator_behind_ms": round(self.max_lag_ms, 1),
-            "node_cpu_ms_per_job": round(self.usage.cpu_ms / max(1, all_classes.job_count), 4),
-            "node_memory_mib": round(self.usage.memory_bytes / 2**20, 1),
+            "node_cpu_ms_per_job": round(self.cpu_ms_per_job, 4),
+            "node_memory_mib": round(self.usage.memory_mib, 1),
             "classes": {name: self._class_figures(tally) for name, tally in tallies.items()},
         }
 
--- a/burlmoor/testbed/single_node.py
+++ b/burlmoor/testbed/single_node.py
@@ -87,7 +87,7 @@
 @asynccontextmanager
 async def run_single_node(
     specs: dict[str, ExecutorSpec],
-    job_classes: tuple[JobClass, ...],
+    job_classes: Sequence[JobClass],
     folder: Path,
     command: Sequence[str] = NODE_COMMAND,
 ) -> AsyncIterator[NodeProcess]:
--- a/tests/cli/test_fleet.py
+++ b/tests/cli/test_fleet.py
@@ -4,7 +4,7 @@
 
 import json
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from click.testing import CliRunner
 
@@ -23,7 +23,7 @@
 
     plans: list[records.RunPlan]
 
-    def __init__(self, plan: records.RunPlan, folder: Path, *_report_progress: Any) -> None:
+    def __init__(self, plan: records.RunPlan, folder: Path, *_report_progress: object) -> None:
         self.plans.append(plan)
         self._folder = folder
 
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -27,6 +27,8 @@
 )
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
     from burlmoor.engine.job import Job
     from burlmoor.types.events import EndpointListUpdate
     from burlmoor.types.reasons import EndReason
@@ -197,7 +199,7 @@
     for node in cluster.nodes:
         assert node is not None
         node.core._policy.context.safety.may_send = lambda job, endpoint, now: len(job.attempts) < 3  # type: ignore[method-assign]
-        # The engine refuses such attempts too.
+        # The engine rejects such attempts too.
         node.core._attempts._guard.may_start = lambda job, attempt, now: not job.is_closed  # type: ignore[method-assign]
 
 
@@ -206,11 +208,13 @@
         assert node is not None
         endpoints = node.core._policy.endpoints
 
-        def hear(event: EndpointListUpdate, real: Any = endpoints.update) -> None:
+        def update_unless_delta(
+            event: EndpointListUpdate, update: Callable[[EndpointListUpdate], None] = endpoints.update
+        ) -> None:
             if event.kind is not ListKind.DELTA:
-                real(event)
+                update(event)
 
-        endpoints.update = hear  # type: ignore[method-assign]
+        endpoints.update = update_unless_delta  # type: ignore[method-assign]
 
 
 def _treat_all_as_warm(cluster: SimulatedCluster) -> None:
@@ -223,16 +227,16 @@
     for node in cluster.nodes:
         assert node is not None
 
-        def answer(
+        def answer_most_jobs(
             job: Job,
             answer: FinalAnswer,
             reason: EndReason | None = None,
-            real: Any = node.core.answer_job,
+            answer_job: Callable[[Job, FinalAnswer, EndReason | None], None] = node.core.answer_job,
         ) -> None:
             if job.number % 50:
-                real(job, answer, reason)
+                answer_job(job, answer, reason)
 
-        node.core.answer_job = answer  # type: ignore[method-assign]
+        node.core.answer_job = answer_most_jobs  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
@@ -246,14 +250,17 @@
     ],
 )
 def test_the_audit_detects_nodes_that_violate_a_rule(
-    mutate: Any, nodes: int, violation: str, monkeypatch: pytest.MonkeyPatch
+    mutate: Callable[[SimulatedCluster], None],
+    nodes: int,
+    violation: str,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     original = SimulatedCluster.__init__
 
-    def mutated(self: SimulatedCluster, *arguments: Any) -> None:
-        original(self, *arguments)
+    def init_mutated(self: SimulatedCluster, spec: ClusterSpec, cluster_seed: int) -> None:
+        original(self, spec, cluster_seed)
         mutate(self)
 
-    monkeypatch.setattr(SimulatedCluster, "__init__", mutated)
+    monkeypatch.setattr(SimulatedCluster, "__init__", init_mutated)
     violations = audit(run_deployment({**BASE_DEPLOYMENT, "nodes": nodes, "load": 2.5, "seed": 3}))
     assert any(violation in line for line in violations), violations[:5]
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 
 import pytest
 from click.testing import CliRunner
@@ -11,39 +12,45 @@
 from burlmoor.testbed.deferred_schedule import draw_schedule
 from burlmoor.testbed.deferred_verdict import judge
 from burlmoor.testbed.drill import Claim, Verdict
-from burlmoor.testbed.event_record import AttemptRecord, ClosingPeriod, EventRecord, RequestRecord
+from burlmoor.testbed.event_record import (
+    AttemptOutcome,
+    AttemptRecord,
+    ClosingPeriod,
+    EventRecord,
+    RequestRecord,
+)
 from burlmoor.testbed.mutations import DEFERRED_MUTATIONS
 
 Fault = Callable[[EventRecord], None]
 RATIO_CLAIM = "worst-served tenth against plain"
 
 
+def add_job(
+    record: EventRecord,
+    request_id: str,
+    received_ms: float | None,
+    answered_ms: float,
+    status: int = 200,
+    sent_ms: float = 0.0,
+    run_after: tuple[str, ...] = (),
+    not_before_unix_ms: float = 0.0,
+) -> None:
+    """Record a job, and its attempt if an executor received it."""
+    record.requests[request_id] = RequestRecord(
+        request_id, "slot-search", sent_ms, 5000.0, run_after=run_after, answered_ms=answered_ms,
+        status=status, answer_count=1, not_before_unix_ms=not_before_unix_ms,
+    )  # fmt: skip
+    if received_ms is not None:
+        outcome = AttemptOutcome.DONE if status == 200 else AttemptOutcome.FAILED
+        started_ms, ended_ms = received_ms + 1.0, received_ms + 10.0
+        attempt = AttemptRecord(request_id, "slot-search", "s", received_ms, started_ms, ended_ms, outcome)
+        record.attempts.append(attempt)
+
+
 def make_sound_record() -> EventRecord:
     """A parent and its child, a timed job, a failed parent, and enough plain jobs beside released ones."""
     record = EventRecord(unix_offset_ms=1e6)
-
-    def add(
-        request_id: str,
-        received_ms: float | None,
-        answered_ms: float,
-        status: int = 200,
-        sent_ms: float = 0.0,
-        run_after: tuple[str, ...] = (),
-        not_before_unix_ms: float = 0.0,
-    ) -> None:
-        record.requests[request_id] = RequestRecord(
-            request_id, "slot-search", sent_ms, 5000.0, run_after=run_after, answered_ms=answered_ms,
-            status=status, answer_count=1, not_before_unix_ms=not_before_unix_ms,
-        )  # fmt: skip
-
-        if received_ms is not None:
-            outcome = "done" if status == 200 else "failed"
-            started_ms, ended_ms = received_ms + 1.0, received_ms + 10.0
-            attempt = AttemptRecord(
-                request_id, "slot-search", "s", received_ms, started_ms, ended_ms, outcome
-            )
-            record.attempts.append(attempt)
-
+    add = partial(add_job, record)
     add("a", 5.0, 20.0)
     add("b", 25.0, 60.0, run_after=("a",))
     add("t", 501.0, 600.0, not_before_unix_ms=1e6 + 500.0)
@@ -100,10 +107,10 @@
         (change_request("b", answer_count=2), "answered twice"),
         (change_request("b", body=b"a@s"), "answered twice"),
         (add_attempt("c", "confirm-booking", "s", 1.0, 2.0), None),
-        (change_attempt("p-1", outcome="died"), "invented"),
+        (change_attempt("p-1", outcome=AttemptOutcome.LOST), "invented"),
         (change_attempt("b", received_ms=8.0), "ran before what it names"),
         (
-            add_attempt("g", "slot-search", "s", 40.0, 41.0, 50.0, "done"),
+            add_attempt("g", "slot-search", "s", 40.0, 41.0, 50.0, AttemptOutcome.DONE),
             "ran though its parent was not done",
         ),
         (change_attempt("t", received_ms=480.0), "ran before its time"),
--- a/tests/testbed/test_local_cluster.py
+++ b/tests/testbed/test_local_cluster.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+from functools import partial
 from typing import TYPE_CHECKING
 
 import pytest
@@ -10,42 +11,36 @@
 from click.testing import CliRunner
 
 from burlmoor.cli.main import main
-from burlmoor.testbed.event_record import AttemptRecord, EventRecord, RequestRecord
+from burlmoor.testbed.event_record import AttemptOutcome, AttemptRecord, EventRecord, RequestRecord
+from burlmoor.testbed.executor import PlannedFault
 from burlmoor.testbed.job_classes import JOB_CLASSES
-from burlmoor.testbed.load import LoadGenerator, OutcomeTally, draw_arrivals
+from burlmoor.testbed.load import JobOutcome, LoadGenerator, OutcomeTally, draw_arrivals
 from burlmoor.testbed.local_cluster import LocalCluster, executor_specs, local_cluster, new_request
 from tests.support.polling import poll_until
 
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
     from pathlib import Path
 
 SEARCH, _, CONFIRM = JOB_CLASSES
 LATE_TOLERANCE_MS = 50.0
+POLL_SECONDS = 0.01
+TIMEOUT_SECONDS = 60.0
 
 
-def run_on_cluster(folder: Path, scenario: Callable[[LocalCluster], Awaitable[None]]) -> EventRecord:
-    """Run a scenario on a cluster of one node and two executors, and return what was observed."""
+async def has_started_attempt(cluster: LocalCluster) -> bool:
+    return bool(cluster.event_record.started_attempts_by_id())
 
-    async def run() -> EventRecord:
-        with trio.fail_after(60.0):
-            async with local_cluster(folder, executor_specs(2)) as cluster:
-                await scenario(cluster)
-        return cluster.event_record
 
-    return trio.run(run)
-
-
-def test_every_job_of_a_load_is_answered_and_the_records_agree(tmp_path: Path) -> None:
-    async def run_load(cluster: LocalCluster) -> None:
-        arrivals = draw_arrivals(30.0, 1.0, JOB_CLASSES, 1, scale=0.2)
-        report = await LoadGenerator(cluster.clients).run(arrivals)
-        # On a slow machine the node may reject a job that is close to its latency objective.
-        outcomes = report.all_classes.outcomes
-        assert outcomes["served"] + outcomes["refused"] == report.all_classes.job_count > 10
-        assert outcomes["served"] > 0
-
-    record = run_on_cluster(tmp_path, run_load)
+async def test_every_job_of_a_load_is_answered_and_the_records_agree(tmp_path: Path) -> None:
+    with trio.fail_after(TIMEOUT_SECONDS):
+        async with local_cluster(tmp_path, executor_specs(2)) as cluster:
+            arrivals = draw_arrivals(30.0, 1.0, JOB_CLASSES, 1, scale=0.2)
+            report = await LoadGenerator(cluster.clients).run(arrivals)
+    # On a slow machine the node may reject a job that is close to its latency objective.
+    outcomes = report.all_classes.outcomes
+    assert outcomes[JobOutcome.SERVED] + outcomes[JobOutcome.REJECTED] == report.all_classes.job_count > 10
+    assert outcomes[JobOutcome.SERVED] > 0
+    record = cluster.event_record
     assert not record.find_unanswered()
     assert not record.find_late(LATE_TOLERANCE_MS)
     assert not record.find_fabricated()
@@ -53,35 +48,31 @@
     assert not record.find_repeated({CONFIRM.name})
 
 
-@pytest.mark.parametrize("fault", ["full", "error", "reset", "hang"])
-def test_an_idempotent_job_is_served_after_a_planned_fault(tmp_path: Path, fault: str) -> None:
-    async def send_one_job(cluster: LocalCluster) -> None:
-        faults_of_all_executors = [fault]
-        for executor in cluster.executors.values():
-            executor.planned_faults = faults_of_all_executors
-        assert (await cluster.clients[0].send(new_request("a1", SEARCH, 20.0))).is_served
-
-    record = run_on_cluster(tmp_path, send_one_job)
+@pytest.mark.parametrize("fault", PlannedFault)
+async def test_an_idempotent_job_is_served_after_a_planned_fault(tmp_path: Path, fault: PlannedFault) -> None:
+    with trio.fail_after(TIMEOUT_SECONDS):
+        async with local_cluster(tmp_path, executor_specs(2)) as cluster:
+            faults_of_all_executors = [fault]
+            for executor in cluster.executors.values():
+                executor.planned_faults = faults_of_all_executors
+            assert (await cluster.clients[0].send(new_request("a1", SEARCH, 20.0))).is_served
+    record = cluster.event_record
     assert len(record.attempts) >= 2
     assert not record.find_fabricated()
     assert not record.find_unanswered()
 
 
-def test_a_killed_executor_loses_its_jobs_and_restarts_in_slow_start(tmp_path: Path) -> None:
-    async def kill_while_a_job_runs(cluster: LocalCluster) -> None:
-        async def has_started() -> bool:
-            return bool(cluster.event_record.started_attempts_by_id())
-
-        async with trio.open_nursery() as nursery:
+async def test_a_killed_executor_loses_its_jobs_and_restarts_in_slow_start(tmp_path: Path) -> None:
+    with trio.fail_after(TIMEOUT_SECONDS):
+        async with local_cluster(tmp_path, executor_specs(2)) as cluster, trio.open_nursery() as nursery:
             nursery.start_soon(cluster.clients[0].send, new_request("a1", CONFIRM, 3000.0))
-            await poll_until(has_started, 0.01)
+            await poll_until(partial(has_started_attempt, cluster), POLL_SECONDS)
             name = cluster.event_record.attempts[0].executor
             await cluster.kill_executor(name, 0.1, 0.2)
-            assert cluster.executors[name].model.slow_start_factor(0.0) < 1.0
-
-    record = run_on_cluster(tmp_path, kill_while_a_job_runs)
+            assert cluster.executors[name].jobs.model.slow_start_factor(0.0) < 1.0
+    record = cluster.event_record
     assert record.requests["a1"].status not in (200, 429, 503)  # it may have run
-    assert [attempt.outcome for attempt in record.attempts] == ["died"]
+    assert [attempt.outcome for attempt in record.attempts] == [AttemptOutcome.LOST]
 
 
 def test_an_event_record_finds_each_violation() -> None:
--- a/tests/testbed/test_network_link.py
+++ b/tests/testbed/test_network_link.py
@@ -1,51 +1,55 @@
-"""Links between stand-ins: delays, spoilt bytes, and what a reset leaves of the bytes before it."""
+"""Links between stand-ins: delays, corrupted bytes, and what a reset leaves of the bytes before it."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import NamedTuple
 
+import pytest
 import trio
 
 from burlmoor.testbed.http_stream import HttpServer, HttpStream, connect
 from burlmoor.testbed.network_link import NetworkLink
 from burlmoor.transport.address import parse_address
 
-if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
-
 DELAY_SECONDS = 0.15
 HANDSHAKE_SECONDS = 0.2
+TIMEOUT_SECONDS = 10.0
+RECEIVE_BYTES = 4096
+
 
+class EchoLink(NamedTuple):
+    """A link to a server that records what it receives and sends it back, and a client of it."""
 
-def run_link(scenario: Callable[[NetworkLink, HttpStream, list[bytes]], Awaitable[None]]) -> None:
-    """Run a scenario with a link to a server that keeps what it receives and sends it back."""
+    link: NetworkLink
+    client: HttpStream
+    received: list[bytes]
 
-    async def run() -> None:
-        received: list[bytes] = []
 
-        async def echo(stream: HttpStream) -> None:
-            while data := await stream.socket_stream.receive_some(4096):
-                received.append(data)
-                await stream.socket_stream.send_all(data)
+@pytest.fixture
+async def echo_link(nursery: trio.Nursery) -> EchoLink:
+    received: list[bytes] = []
 
-        with trio.fail_after(10.0):
-            async with trio.open_nursery() as nursery:
-                server = HttpServer(echo, nursery)
-                link = NetworkLink(await server.open(), nursery)
-                client = await connect(parse_address(await link.open()))
-                await scenario(link, client, received)
-                nursery.cancel_scope.cancel()
+    async def echo(stream: HttpStream) -> None:
+        while data := await stream.socket_stream.receive_some(RECEIVE_BYTES):
+            received.append(data)
+            await stream.socket_stream.send_all(data)
 
-    trio.run(run)
+    server = HttpServer(echo, nursery)
+    link = NetworkLink(await server.open(), nursery)
+    client = await connect(parse_address(await link.open()))
+    return EchoLink(link, client, received)
 
 
 async def exchange(client: HttpStream) -> bytes:
     await client.socket_stream.send_all(b"one")
-    return bytes(await client.socket_stream.receive_some(4096))
+    return bytes(await client.socket_stream.receive_some(RECEIVE_BYTES))
 
 
-def test_a_slow_link_delays_each_direction_and_the_first_bytes_of_a_connection() -> None:
-    async def scenario(link: NetworkLink, client: HttpStream, received: list[bytes]) -> None:
+async def test_a_slow_link_delays_each_direction_and_the_first_bytes_of_a_connection(
+    echo_link: EchoLink,
+) -> None:
+    link, client, _ = echo_link
+    with trio.fail_after(TIMEOUT_SECONDS):
         start = trio.current_time()
         assert await exchange(client) == b"one"
         assert trio.current_time() - start < DELAY_SECONDS
@@ -59,11 +63,12 @@
         assert await exchange(another) == b"one"
         assert trio.current_time() - start > 2 * DELAY_SECONDS + 0.9 * HANDSHAKE_SECONDS
 
-    run_link(scenario)
-
 
-def test_what_was_in_transit_before_a_reset_arrives_and_what_a_cut_held_back_does_not() -> None:
-    async def scenario(link: NetworkLink, client: HttpStream, received: list[bytes]) -> None:
+async def test_bytes_in_transit_before_a_reset_arrive_and_those_that_waited_for_a_cut_link_do_not(
+    echo_link: EchoLink,
+) -> None:
+    link, client, received = echo_link
+    with trio.fail_after(TIMEOUT_SECONDS):
         another = await connect(client.socket_stream.socket.getpeername())
         assert await exchange(another) == b"one"
         assert await exchange(client) == b"one"
@@ -82,13 +87,10 @@
         await trio.sleep(2 * DELAY_SECONDS)
         assert received == [b"one", b"one", b"two"]
 
-    run_link(scenario)
 
-
-def test_a_link_that_garbles_keeps_the_number_of_bytes() -> None:
-    async def scenario(link: NetworkLink, client: HttpStream, received: list[bytes]) -> None:
+async def test_a_link_that_corrupts_bytes_keeps_their_number(echo_link: EchoLink) -> None:
+    link, client, received = echo_link
+    with trio.fail_after(TIMEOUT_SECONDS):
         link.back.is_corrupted = True
         assert await exchange(client) == b"???"
         assert received == [b"one"]
-
-    run_link(scenario)
