--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -30,7 +30,7 @@
 _STEP_EVERY = 100  # jobs while the queue is filled
 _NOW = 0.0
 _UNIX_NOW_MS = 1_700_000_000_000.0
-_FAR_MS = 1e9
+_LATER_MS = 1e9
 _REQUEST = JobRequest(0, "slot-search", 60_000.0, 100.0)
 _BODY_BYTES = 200
 _MAX_CONNECTIONS = 1 << 30
@@ -41,7 +41,7 @@
 
 
 def _ignore_event(*_values: object, **_fields: object) -> None:
-    """Take a log event and do nothing."""
+    """Ignore a log event."""
 
 
 def _no_delay() -> float:
@@ -54,7 +54,7 @@
     if number < first_link or number % 3 == 0:
         return RunConditions(("root",), 0.0, _BODY_BYTES)
     if number % 3 == 1:
-        return RunConditions((), _UNIX_NOW_MS + _FAR_MS, _BODY_BYTES)
+        return RunConditions((), _UNIX_NOW_MS + _LATER_MS, _BODY_BYTES)
     return RunConditions((f"other-{number - 2}",), 0.0, _BODY_BYTES)
 
 
--- a/burlmoor/testbed/deferred_schedule.py
+++ b/burlmoor/testbed/deferred_schedule.py
@@ -25,6 +25,10 @@
 _FAMILY_CLASS_FRACTIONS = (0.5, 0.3, 0.2)
 _LOADS = (0.8, 1.3)  # of the executors' capacity, by halves of the drill
 _MAX_TIMEOUT_SECONDS = 40.0
+_MIN_START_SECONDS = 0.5  # of the first job of a family
+_LAST_START_SECONDS = 2.0  # before the end of the drill
+_INTERVAL_JITTER = (0.7, 1.3)  # factors of the mean interval between two families of a kind
+_MAX_CHAIN_DELAY_SECONDS = 0.3  # of each job of a chain
 _CHAIN_LENGTHS = (20, 60, 200)
 _FAN_CHILDREN = 10
 _DIAMOND_SIDES = 4
@@ -77,10 +81,10 @@
             (4.0, self._draw_abandoned_parent),
             (5.0, self._draw_late_parent),
         ):
-            at_seconds = float(self._rng.uniform(0.5, mean_interval_seconds))
-            while at_seconds < self._seconds - 2.0:
+            at_seconds = float(self._rng.uniform(_MIN_START_SECONDS, mean_interval_seconds))
+            while at_seconds < self._seconds - _LAST_START_SECONDS:
                 draw_family(at_seconds, int(self._rng.integers(_NODES)))
-                at_seconds += float(self._rng.uniform(0.7, 1.3) * mean_interval_seconds)
+                at_seconds += float(self._rng.uniform(*_INTERVAL_JITTER) * mean_interval_seconds)
         self._jobs.sort(key=lambda job: job.at_seconds)
         return self._jobs
 
@@ -92,7 +96,7 @@
             count = self._rng.poisson(load * jobs_per_second * half_seconds)
             begin, end = half * half_seconds, (half + 1) * half_seconds
             for at_seconds in self._rng.uniform(begin, end, count):
-                job_class = JOB_CLASSES[int(self._rng.choice(3, p=_PLAIN_CLASS_FRACTIONS))]
+                job_class = JOB_CLASSES[int(self._rng.choice(len(JOB_CLASSES), p=_PLAIN_CLASS_FRACTIONS))]
                 work_ms = float(
                     self._rng.lognormal(math.log(_PLAIN_WORK_MS) - 0.5 * _WORK_SIGMA**2, _WORK_SIGMA)
                 )
@@ -117,7 +121,7 @@
         disconnect_after_seconds: float = 0.0,
     ) -> ScheduledJob:
         """Add a deferred job or a parent of one, of a drawn class unless it is given."""
-        drawn_class = JOB_CLASSES[int(self._rng.choice(3, p=_FAMILY_CLASS_FRACTIONS))]
+        drawn_class = JOB_CLASSES[int(self._rng.choice(len(JOB_CLASSES), p=_FAMILY_CLASS_FRACTIONS))]
         timeout_seconds = min(_MAX_TIMEOUT_SECONDS, self._seconds - at_seconds + _TAIL_SECONDS)
         job = ScheduledJob(
             at_seconds,
@@ -139,7 +143,7 @@
         last = self._add(at_seconds, node, "chain", work_ms=15.0)
         for _ in range(length - 1):
             # Some jobs are sent before the one that they are to run after.
-            delay_seconds = float(self._rng.uniform(0.0, 0.3))
+            delay_seconds = float(self._rng.uniform(0.0, _MAX_CHAIN_DELAY_SECONDS))
             last = self._add(at_seconds + delay_seconds, node, "chain", last.id, work_ms=15.0)
 
     def _draw_fan(self, at_seconds: float, node: int) -> None:
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -29,8 +29,9 @@
 _RESPONSE_TIMEOUT_SECONDS = 5.0
 _SEED = "5eed"
 _SOCKETS = 4096
-# Below those that the kernel gives to connections (32768 to 60999), above those of whole fleets.
-_PORTS = range(30_000, 32_768)
+_FIRST_PORT = 30_000  # above the ports of whole fleets
+_FIRST_EPHEMERAL_PORT = 32_768  # of those that the kernel gives to connections
+_PORTS = range(_FIRST_PORT, _FIRST_EPHEMERAL_PORT)
 _PRODUCT_VARIABLES = ("RELAY_", "BURLMOOR_")
 
 
