--- a/burlmoor/testbed/discovery.py
+++ b/burlmoor/testbed/discovery.py
@@ -15,13 +15,15 @@
 
 from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.endpoint_history import EndpointHistory, EntryFields
-from burlmoor.testbed.http_stream import HttpMessage, HttpServer, HttpStream
+from burlmoor.testbed.http_server import HttpServer
 from burlmoor.testbed.messages import EndpointEntry, EndpointHealth, EndpointListMessage
 from burlmoor.testbed.notification_log import Notification, NotificationLog, Watch
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
+    from burlmoor.testbed.http_stream import HttpMessage, HttpStream
+
 _DELAY_POLL_SECONDS = 0.05
 _QUEUE_TIMEOUT_SECONDS = 2.0  # after which an overloaded service rejects a call
 _PATH = "/registry/instances"
--- a/burlmoor/testbed/executor.py
+++ b/burlmoor/testbed/executor.py
@@ -11,7 +11,7 @@
 from burlmoor.testbed.clock import now_ms, unix_now_ms
 from burlmoor.testbed.event_record import AttemptOutcome, AttemptRecord, EventRecord
 from burlmoor.testbed.executor_jobs import JobRunner, record_cancellation
-from burlmoor.testbed.http_stream import HttpMessage, HttpServer, HttpStream
+from burlmoor.testbed.http_server import HttpServer
 from burlmoor.testbed.messages import JobParameters
 
 if TYPE_CHECKING:
@@ -20,6 +20,7 @@
     import trio
 
     from burlmoor.testbed.executor_model import ExecutorSpec
+    from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 
 
 class PlannedFault(StrEnum):
--- a/burlmoor/testbed/http_stream.py
+++ b/burlmoor/testbed/http_stream.py
@@ -11,13 +11,10 @@
 import trio
 
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
     from http import HTTPStatus
 
 _LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: close() sends a reset
 _RECEIVE_BYTES = 65_536
-_BACKLOG = 512
-_ACCEPT_RETRY_SECONDS = 0.02
 
 
 class HttpMessage(NamedTuple):
@@ -126,65 +123,3 @@
         sock.close()
         raise
     return HttpStream(trio.SocketStream(sock))
-
-
-class HttpServer:
-    """A listening socket on loopback and the connections accepted on it; by default at a port of its own."""
-
-    def __init__(
-        self,
-        serve: Callable[[HttpStream], Awaitable[object]],
-        nursery: trio.Nursery,
-        address: tuple[str, int] = ("127.0.0.1", 0),
-    ) -> None:
-        self._address = address
-        self._serve = serve
-        self._nursery = nursery
-        self._streams: set[HttpStream] = set()
-        self._listener: trio.SocketListener | None = None
-
-    async def open(self) -> str:
-        """Listen, at the previous address if there was one, and return it as `host:port`."""
-        sock = trio.socket.socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        await sock.bind(self._address)
-        sock.listen(_BACKLOG)
-        host, port = sock.getsockname()
-        self._address = (host, port)
-        self._listener = trio.SocketListener(sock)
-        self._nursery.start_soon(self._accept_connections, self._listener)
-        return f"{host}:{port}"
-
-    async def _accept_connections(self, listener: trio.SocketListener) -> None:
-        while True:
-            try:
-                socket_stream = await listener.accept()
-            except trio.ClosedResourceError:
-                return
-            except OSError:
-                # Out of descriptors, for instance: a later attempt may succeed.
-                await trio.sleep(_ACCEPT_RETRY_SECONDS)
-                continue
-            self._nursery.start_soon(self._serve_connection, HttpStream(socket_stream))
-
-    async def _serve_connection(self, stream: HttpStream) -> None:
-        self._streams.add(stream)
-        try:
-            with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await self._serve(stream)
-        finally:
-            self._streams.discard(stream)
-            with suppress(trio.BrokenResourceError, OSError):
-                stream.close()
-
-    def abort(self) -> None:
-        """Stop as a killed process does: reset all connections and refuse new ones."""
-        self.close()
-        for stream in list(self._streams):
-            stream.reset()
-
-    def close(self) -> None:
-        """Stop listening; open connections continue."""
-        if self._listener is not None:
-            self._listener.socket.close()
-            self._listener = None
--- a/burlmoor/testbed/network_link.py
+++ b/burlmoor/testbed/network_link.py
@@ -15,7 +15,8 @@
 
 import trio
 
-from burlmoor.testbed.http_stream import HttpServer, HttpStream, connect
+from burlmoor.testbed.http_server import HttpServer
+from burlmoor.testbed.http_stream import HttpStream, connect
 from burlmoor.transport.address import parse_address
 
 _CHUNK_BYTES = 65_536
--- a/tests/testbed/test_network_link.py
+++ b/tests/testbed/test_network_link.py
@@ -7,7 +7,8 @@
 import pytest
 import trio
 
-from burlmoor.testbed.http_stream import HttpServer, HttpStream, connect
+from burlmoor.testbed.http_server import HttpServer
+from burlmoor.testbed.http_stream import HttpStream, connect
 from burlmoor.testbed.network_link import NetworkLink
 from burlmoor.transport.address import parse_address
 
