--- a/benchmarks/sampled.py
+++ b/benchmarks/sampled.py
@@ -29,7 +29,7 @@
 
 class _FunctionCount(NamedTuple):
     function: str
-    count: int
+    sample_count: int
 
 
 def _function_of(frame: FrameType) -> _Function:
--- a/tests/testbed/fleet/recorded_runs.py
+++ b/tests/testbed/fleet/recorded_runs.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.event_record import AttemptOutcome, AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
 from burlmoor.testbed.fleet.load import Load
@@ -43,7 +43,7 @@
     )
     request.body = f"{job_id}@s-{executor}".encode()
     attempt = AttemptRecord(
-        job_id, SEARCH.name, f"s-{executor}", sent_ms, sent_ms, ended_ms, "done", "0", work_ms
+        job_id, SEARCH.name, f"s-{executor}", sent_ms, sent_ms, ended_ms, AttemptOutcome.DONE, "0", work_ms
     )
     return request, attempt
 
