--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -15,7 +15,7 @@
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
 from burlmoor.testbed.fleet.record import RunPlan
 from burlmoor.testbed.fleet.verdict import assess_run
-from burlmoor.testbed.mutations import OF_SPREAD, told
+from burlmoor.testbed.mutations import SPREAD_MUTATIONS
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -87,6 +87,6 @@
 SPREAD = Drill(
     "Load spread evenly by many nodes that each see little of it, under failures.",
     _run,
-    told(OF_SPREAD),
+    SPREAD_MUTATIONS,
     is_sizable=True,
 )
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -19,7 +19,8 @@
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
 from burlmoor.testbed.fleet.record import RunPlan, RunRecord
 from burlmoor.testbed.local_cluster import executor_specs
-from burlmoor.testbed.mutations import OF_WATCH, told
+from burlmoor.testbed.messages import EndpointHealth
+from burlmoor.testbed.mutations import WATCH_MUTATIONS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -85,7 +86,9 @@
     lost_ids = set(audited.lost_job_ids)
     requests = [request for request in record.requests if request.id not in lost_ids]
     served = sum(request.is_served for request in requests) / max(1, len(requests))
-    notified = {(each.node, each.endpoint) for each in record.notifications if each.health == "leaving"}
+    notified = {
+        (each.node, each.endpoint) for each in record.notifications if each.health is EndpointHealth.DRAINING
+    }
     claims = {
         RULES_CLAIM: audited.violations_claim(),
         "served": Claim(served, _MIN_SERVED, is_lower_bound=True),
@@ -121,6 +124,6 @@
 WATCH = Drill(
     "The watch on discovery falls silent, is reset, is down, while executors are announced as leaving.",
     _run,
-    told(OF_WATCH),
+    WATCH_MUTATIONS,
     is_sizable=True,
 )
--- a/burlmoor/testbed/fleet/audit_answers.py
+++ b/burlmoor/testbed/fleet/audit_answers.py
@@ -6,6 +6,7 @@
 
 from msgspec import UNSET
 
+from burlmoor.testbed.event_record import AttemptOutcome
 from burlmoor.testbed.fleet.addresses import node_name
 from burlmoor.testbed.fleet.audit_result import AuditResult, Excuse, NodeFaultHistory
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
@@ -33,7 +34,7 @@
         self._killed = NodeFaultHistory(record, FaultKind.NODE_KILL)
         self._paused = NodeFaultHistory(record, FaultKind.NODE_PAUSE)
         self._flooded = NodeFaultHistory(record, FaultKind.CONNECTION_FLOOD)
-        self._done_ids = {attempt.id for attempt in record.attempts if attempt.outcome == "done"}
+        self._done_ids = {attempt.id for attempt in record.attempts if attempt.outcome is AttemptOutcome.DONE}
         self._received_ids = {attempt.id for attempt in record.attempts}
 
     def check(self) -> None:
--- a/burlmoor/testbed/fleet/audit_attempts.py
+++ b/burlmoor/testbed/fleet/audit_attempts.py
@@ -15,12 +15,13 @@
 from burlmoor.testbed.fleet.faults import LinkDirection
 from burlmoor.testbed.fleet.link_faults import BLOCKING_FAULTS, DirectedLink, active_executor_link_faults
 from burlmoor.testbed.job_classes import JOB_CLASSES
+from burlmoor.testbed.messages import EndpointHealth
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence, Set
 
-    from burlmoor.testbed.discovery import Notification
     from burlmoor.testbed.fleet.record import RunRecord
+    from burlmoor.testbed.notification_log import Notification
 
 NOTIFICATION_DEADLINE_MS = 250.0  # from when a node was notified of a drain until nothing new arrives
 TRANSIT_ALLOWANCE_MS = 150.0  # that an attempt may take to reach its executor on a loaded machine
@@ -122,7 +123,7 @@
         received_ms = attempt.received_ms
         earlier = notifications.get((node, attempt.executor), [])
         count = bisect.bisect_right(earlier, received_ms, key=lambda each: each.at_ms)
-        if not count or earlier[count - 1].health == "active":
+        if not count or earlier[count - 1].health is EndpointHealth.ACTIVE:
             continue
         late_ms = received_ms - earlier[count - 1].at_ms
         if late_ms <= NOTIFICATION_DEADLINE_MS + TRANSIT_ALLOWANCE_MS:
--- a/burlmoor/testbed/fleet/baseline_replay.py
+++ b/burlmoor/testbed/fleet/baseline_replay.py
@@ -15,10 +15,11 @@
 from http import HTTPStatus
 from typing import TYPE_CHECKING, NamedTuple
 
-from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
+from burlmoor.testbed.event_record import AttemptOutcome, AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorModel
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 from burlmoor.testbed.fleet.load import Job, draw_jobs
+from burlmoor.testbed.messages import JobState
 
 if TYPE_CHECKING:
     from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
@@ -125,7 +126,7 @@
         if executor not in self._running or not self.executors[executor].admit(
             self.now_ms, attempt.id, job.work_ms, job.slots
         ):
-            attempt.outcome = "full"
+            attempt.outcome = AttemptOutcome.REJECTED
             attempt.ended_ms = self.now_ms
             return False
         self._in_flight[attempt.id] = _InFlight(attempt, request, executor)
@@ -143,9 +144,9 @@
         """Advance an executor to the present and schedule its next step."""
         model = self.executors[executor]
         for progress in model.step(self.now_ms):
-            if progress.state == "started":
+            if progress.state is JobState.STARTED:
                 self._in_flight[progress.job].attempt.started_ms = self.now_ms
-            elif progress.state == "done":
+            elif progress.state is JobState.DONE:
                 self._on_done(self._in_flight[progress.job])
         due_ms = model.next_due_ms()
         scheduled_ms = self._next_steps_ms[executor]
@@ -161,7 +162,7 @@
             self._step(executor)
 
     def _on_done(self, job: _InFlight) -> None:
-        job.attempt.outcome = "done"
+        job.attempt.outcome = AttemptOutcome.DONE
         job.attempt.ended_ms = self.now_ms
         if self.now_ms <= job.request.sent_ms + job.request.timeout_ms:
             self._answer(job.request, HTTPStatus.OK)
@@ -207,7 +208,7 @@
     def _kill(self, executor: int) -> None:
         self._running.discard(executor)
         for job in [job for job in self._in_flight.values() if job.executor == executor]:
-            job.attempt.outcome = "died"
+            job.attempt.outcome = AttemptOutcome.LOST
             job.attempt.ended_ms = self.now_ms
             self._answer(job.request, HTTPStatus.BAD_GATEWAY)
             self._remove(job)
--- a/burlmoor/testbed/fleet/discovery_faults.py
+++ b/burlmoor/testbed/fleet/discovery_faults.py
@@ -53,9 +53,9 @@
         self._discovery.reconnect(node)
 
     async def _overload(self, fault: Fault) -> None:
-        self._discovery.is_crowded = True
+        self._discovery.is_overloaded = True
         await sleep_until(self._record, fault.end)
-        self._discovery.is_crowded = False
+        self._discovery.is_overloaded = False
 
     async def _take_down(self, fault: Fault) -> None:
         self._discovery.is_down = True
--- a/burlmoor/testbed/fleet/executor_faults.py
+++ b/burlmoor/testbed/fleet/executor_faults.py
@@ -11,6 +11,7 @@
 from burlmoor.testbed.fleet.executors import ExecutorAction
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 from burlmoor.testbed.fleet.fault_timing import begin_interval, sleep_until
+from burlmoor.testbed.messages import EndpointHealth
 
 if TYPE_CHECKING:
     from burlmoor.testbed.discovery import DiscoveryService
@@ -52,13 +53,13 @@
     async def _kill(self, fault: Fault, name: str, interval: FaultInterval) -> None:
         self._helpers.command_executor(name, ExecutorAction.KILL)
         await trio.sleep(fault.notification_delay)
-        self._discovery.set_entry(name, health="left")
+        self._discovery.set_entry(name, health=EndpointHealth.GONE)
         await sleep_until(self._record, fault.end)
         self._restart(name)
         interval.end = now_ms()
 
     async def _drain(self, fault: Fault, name: str, interval: FaultInterval) -> None:
-        self._discovery.set_entry(name, health="leaving")
+        self._discovery.set_entry(name, health=EndpointHealth.DRAINING)
         await trio.sleep(_HAND_BACK_DELAY_SECONDS)
         self._helpers.command_executor(name, ExecutorAction.HAND_BACK)
         await sleep_until(self._record, fault.end)
@@ -70,11 +71,11 @@
         """Let discovery announce an executor that is cut off, and that it is back; its process still runs."""
         with trio.move_on_after(fault.duration):
             await trio.sleep(fault.notification_delay)
-            self._discovery.set_entry(name, health="left")
+            self._discovery.set_entry(name, health=EndpointHealth.GONE)
         await sleep_until(self._record, fault.end)
         interval.end = now_ms()
         await trio.sleep(fault.notification_delay)
-        self._discovery.set_entry(name, health="active")
+        self._discovery.set_entry(name, health=EndpointHealth.ACTIVE)
 
     async def _degrade(self, fault: Fault, name: str, interval: FaultInterval) -> None:
         """Let an executor hang, be slow or fail every job at once."""
@@ -86,4 +87,4 @@
 
     def _restart(self, name: str) -> None:
         self._helpers.command_executor(name, ExecutorAction.RESTART)
-        self._discovery.set_entry(name, health="active", born_ms=time.time() * 1000.0)
+        self._discovery.set_entry(name, health=EndpointHealth.ACTIVE, started_unix_ms=time.time() * 1000.0)
--- a/burlmoor/testbed/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -10,13 +10,12 @@
 from enum import StrEnum
 from functools import partial
 from pathlib import Path
-from typing import NamedTuple
 
 import msgspec
 import trio
 
 from burlmoor.testbed.event_record import AnyRequestId, EventRecord
-from burlmoor.testbed.executor import Executor
+from burlmoor.testbed.executor import CallingNode, Executor
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.addresses import Ports, executor_address, parse_link_address
 from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_acknowledgement
@@ -34,13 +33,6 @@
     FINISH = "finish"  # for all executors of the process: write what they observed, and end
 
 
-class _CallingNode(NamedTuple):
-    """A node that connects to an executor, and the address for call-backs to it."""
-
-    name: str
-    callback_address: tuple[str, int]
-
-
 class ExecutorsConfig(msgspec.Struct):
     """The executors of this process, by name."""
 
@@ -66,11 +58,11 @@
         case ExecutorAction.RESTART if not executor.is_alive:
             await executor.restart()
         case ExecutorAction.HAND_BACK:
-            await executor.return_queued_jobs()
+            executor.jobs.return_queued()
         case ExecutorAction.HANG:
-            executor.set_stalled(is_stalled=command.magnitude > 0.0)
+            executor.jobs.set_stalled(is_stalled=command.magnitude > 0.0)
         case ExecutorAction.SLOW_DOWN:
-            executor.set_slowdown(max(1.0, command.magnitude))
+            executor.jobs.set_slowdown(max(1.0, command.magnitude))
         case ExecutorAction.FAIL_JOBS:
             executor.is_failing = command.magnitude > 0.0
 
@@ -95,9 +87,9 @@
         nursery.cancel_scope.cancel()
 
 
-def _identify_node(source: str, callback_port: int) -> _CallingNode:
+def _identify_node(source: str, callback_port: int) -> CallingNode:
     """Return the node that a connection comes from, by the address of the link."""
-    return _CallingNode(str(parse_link_address(source).node), (source, callback_port))
+    return CallingNode(str(parse_link_address(source).node), (source, callback_port))
 
 
 def _write_output(config: ExecutorsConfig, event_record: EventRecord) -> None:
--- a/burlmoor/testbed/fleet/load_grid.py
+++ b/burlmoor/testbed/fleet/load_grid.py
@@ -7,6 +7,7 @@
 
 import numpy as np
 
+from burlmoor.testbed.event_record import AttemptOutcome
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 
 if TYPE_CHECKING:
@@ -87,7 +88,7 @@
         """Sum the sizes of the attempts that are in flight in each slice."""
         changes = np.zeros((self.slice_count + 1, len(self.capacities)))
         for attempt, size in zip(attempts, sizes, strict=True):
-            if attempt.outcome == "full":
+            if attempt.outcome is AttemptOutcome.REJECTED:
                 continue
             executor = self.numbers[attempt.executor]
             ended_ms = attempt.ended_ms if attempt.ended_ms is not None else math.inf
--- a/burlmoor/testbed/fleet/node_configuration.py
+++ b/burlmoor/testbed/fleet/node_configuration.py
@@ -69,6 +69,6 @@
         discovery_addresses.append(await discovery.listen_for_node(name, addresses))
     for executor, zone in zip(record.executor_names(), record.executor_zones, strict=True):
         # With its capacity, since the baselines know that, too.
-        discovery.set_entry(executor, site=zone, share=record.specs[executor].capacity)
+        discovery.set_entry(executor, zone=zone, weight=record.specs[executor].capacity)
     initial_lists = [discovery.full_list(name) for name in node_names]
     return NodeConfigurations(record, ports, discovery_addresses, initial_lists)
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -12,7 +12,6 @@
 from msgspec import UNSET, UnsetType
 
 from burlmoor.errors import BurlmoorError
-from burlmoor.testbed.discovery import Notification
 from burlmoor.testbed.event_record import AttemptRecord, RequestRecord
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.addresses import node_name
@@ -21,6 +20,7 @@
 from burlmoor.testbed.fleet.faults import FaultSchedule
 from burlmoor.testbed.fleet.load import Load
 from burlmoor.testbed.fleet.schedule_file import format_schedule
+from burlmoor.testbed.notification_log import Notification
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/tests/testbed/fleet/test_audit.py
+++ b/tests/testbed/fleet/test_audit.py
@@ -7,11 +7,12 @@
 import msgspec
 import pytest
 
-from burlmoor.testbed.discovery import Notification
 from burlmoor.testbed.fleet.audit import audit
 from burlmoor.testbed.fleet.audit_result import Excuse
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
+from burlmoor.testbed.messages import EndpointHealth
+from burlmoor.testbed.notification_log import Notification
 from tests.testbed.fleet.recorded_runs import CONFIRM, SEARCH, make_even_run
 
 if TYPE_CHECKING:
@@ -91,7 +92,7 @@
 
 
 def send_to_draining_executor(record: RunRecord) -> None:
-    record.notifications = [Notification(record.start_ms + 1000.0, "n000", "s-1", "leaving")]
+    record.notifications = [Notification(record.start_ms + 1000.0, "n000", "s-1", EndpointHealth.DRAINING)]
 
 
 def flood_executor_in_slow_start(record: RunRecord) -> None:
