--- /dev/null
+++ b/tests/testbed/test_mutations.py
@@ -0,0 +1,59 @@
+"""Mutations of the node: what they replace exists, and a node with each of them starts and answers."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import pytest
+import trio
+
+from burlmoor.testbed.job_classes import JOB_CLASSES
+from burlmoor.testbed.local_cluster import executor_specs, local_cluster, new_request
+from burlmoor.testbed.mutations import MUTATIONS, mutated_node_command
+from burlmoor.testbed.mutations.mutation import replace_attributes
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+SEARCH = JOB_CLASSES[0]
+TIMEOUT_SECONDS = 30.0
+DEPENDENT_TIMEOUT_MS = 1500.0
+FAULT_EVENTS = {"policy-failed", "action-failed", "unreadable"}
+
+
+class Replaced:
+    value = 1
+
+
+def test_an_attribute_that_does_not_exist_is_not_replaced() -> None:
+    replace_attributes(Replaced, value=2)
+    assert Replaced.value == 2
+    with pytest.raises(AttributeError, match="missing"):
+        replace_attributes(Replaced, missing=2)
+
+
+@pytest.mark.parametrize("name", MUTATIONS)
+async def test_a_node_with_a_mutation_answers_a_job_and_its_dependent_without_a_fault(
+    tmp_path: Path, name: str
+) -> None:
+    command = mutated_node_command(name)
+    with trio.fail_after(TIMEOUT_SECONDS):
+        async with local_cluster(
+            tmp_path, executor_specs(2), options="[waiting]\n", command=command
+        ) as cluster:
+            (clients,) = cluster.clients
+            dependent = new_request(
+                "child", SEARCH, 10.0, timeout_ms=DEPENDENT_TIMEOUT_MS, run_after=("parent",)
+            )
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(clients.send, dependent)
+                parent = await clients.send(new_request("parent", SEARCH, 10.0))
+            cluster.discovery.set_entry("s-000", health="leaving")
+            last = await clients.send(new_request("last", SEARCH, 10.0))
+            (node,) = cluster.nodes
+            assert node.process is not None
+            assert node.process.poll() is None
+    assert parent.is_served
+    assert last.is_served
+    assert dependent.answer_count == 1
+    assert not [event for event in node.log if event["event"] in FAULT_EVENTS]
