--- a/burlmoor/testbed/fleet/discovery_faults.py
+++ b/burlmoor/testbed/fleet/discovery_faults.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from burlmoor.testbed.fleet.fault_kinds import FaultKind
+from burlmoor.testbed.fleet.fault_kinds import FaultKind, UnsupportedFaultError
 from burlmoor.testbed.fleet.fault_timing import begin_interval, sleep_until
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
         self._discovery = discovery
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time, inject it for a node, and end it in time."""
+        """Wait for the fault's time, inject it for a node, and end it; raises UnsupportedFaultError."""
         await sleep_until(self._record, fault.start)
         node = self._node_names[number]
         begin_interval(self._record, fault, node)
@@ -39,8 +39,10 @@
                 await self._isolate(fault, node)
             case FaultKind.DISCOVERY_OVERLOAD:
                 await self._overload(fault)
-            case _:
+            case FaultKind.DISCOVERY_OUTAGE:
                 await self._take_down(fault)
+            case _:
+                raise UnsupportedFaultError(fault.kind)
 
     async def _delay_changes(self, fault: Fault, node: str) -> None:
         self._discovery.delay_ms_by_node[node] = fault.magnitude
--- a/burlmoor/testbed/fleet/executor_faults.py
+++ b/burlmoor/testbed/fleet/executor_faults.py
@@ -9,7 +9,7 @@
 
 from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.fleet.executors import ExecutorAction
-from burlmoor.testbed.fleet.fault_kinds import FaultKind
+from burlmoor.testbed.fleet.fault_kinds import FaultKind, UnsupportedFaultError
 from burlmoor.testbed.fleet.fault_timing import begin_interval, sleep_until
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
         self._discovery = discovery
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time, inject it into an executor, and end it in time."""
+        """Wait for the fault's time, inject it into an executor, and end it; raises UnsupportedFaultError."""
         await sleep_until(self._record, fault.start)
         name = self._record.executor_names()[number]
         interval = begin_interval(self._record, fault, name)
@@ -46,8 +46,10 @@
                 await self._drain(fault, name, interval)
             case FaultKind.EXECUTOR_PARTITION:
                 await self._announce_partition(fault, name, interval)
-            case _:
+            case FaultKind.EXECUTOR_HANG | FaultKind.EXECUTOR_SLOWDOWN | FaultKind.EXECUTOR_ERRORS:
                 await self._degrade(fault, name, interval)
+            case _:
+                raise UnsupportedFaultError(fault.kind)
 
     async def _kill(self, fault: Fault, name: str, interval: FaultInterval) -> None:
         self._helpers.command_executor(name, ExecutorAction.KILL)
--- a/burlmoor/testbed/fleet/fault_kinds.py
+++ b/burlmoor/testbed/fleet/fault_kinds.py
@@ -4,6 +4,8 @@
 
 from enum import StrEnum
 
+from burlmoor.errors import BurlmoorError
+
 
 class FaultKind(StrEnum):
     """What goes wrong; the values are the words of stored schedules and records."""
@@ -83,3 +85,11 @@
 # Those of executors and discovery that cut links as well.
 PARTITION_FAULTS = (FaultKind.EXECUTOR_PARTITION, FaultKind.NODE_ISOLATION)
 SCHEDULED_FAULTS = (*LINK_FAULTS, *NODE_FAULTS, *EXECUTOR_FAULTS, *DISCOVERY_FAULTS)
+
+
+class UnsupportedFaultError(BurlmoorError, ValueError):
+    """A fault of a kind that its injector has no case for."""
+
+    def __init__(self, kind: FaultKind) -> None:
+        super().__init__(f"no injector for the fault {kind}")
+        self.kind = kind
--- a/burlmoor/testbed/fleet/node_faults.py
+++ b/burlmoor/testbed/fleet/node_faults.py
@@ -11,7 +11,7 @@
 from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.fleet.addresses import Ports, node_address
 from burlmoor.testbed.fleet.connection_flood import ConnectionFlood
-from burlmoor.testbed.fleet.fault_kinds import FaultKind
+from burlmoor.testbed.fleet.fault_kinds import FaultKind, UnsupportedFaultError
 from burlmoor.testbed.fleet.fault_timing import begin_interval, sleep_until
 from burlmoor.testbed.fleet.node_processes import READY_SECONDS, DelayedSignal, NodeProcesses
 from burlmoor.testbed.job_classes import JOB_CLASSES
@@ -43,7 +43,7 @@
         self._rng = random.Random(record.plan.seed)
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time and inject it into a node."""
+        """Wait for the fault's time and inject it into a node; raises UnsupportedFaultError."""
         await sleep_until(self._record, fault.start)
         match fault.kind:
             case FaultKind.NODE_PAUSE:
@@ -54,8 +54,10 @@
                 await self._reload(fault, number)
             case FaultKind.CONNECTION_FLOOD:
                 await self._flood(fault, number)
-            case _:
+            case FaultKind.NODE_KILL | FaultKind.NODE_TERMINATION:
                 await self._end(fault, number)
+            case _:
+                raise UnsupportedFaultError(fault.kind)
 
     def _begin(self, fault: Fault, number: int) -> FaultInterval:
         return begin_interval(self._record, fault, self._nodes.names[number])
