--- a/burlmoor/testbed/http_stream.py
+++ b/burlmoor/testbed/http_stream.py
@@ -11,12 +11,10 @@
 import trio
 
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
+    from http import HTTPStatus
 
 _LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: close() sends a reset
 _RECEIVE_BYTES = 65_536
-_BACKLOG = 512
-_ACCEPT_RETRY_SECONDS = 0.02
 
 
 class HttpMessage(NamedTuple):
@@ -75,6 +73,10 @@
         self._buffer += data
         return bool(data)
 
+    async def write_response(self, status: HTTPStatus, body: bytes = b"", **headers: str) -> None:
+        """Write a response; `_` in a header's name stands for `-`."""
+        await self.write(f"HTTP/1.1 {status.value} {status.phrase}", body, **headers)
+
     async def write(self, start_line: str, body: bytes = b"", **headers: str) -> None:
         """Write a message; `_` in a header's name stands for `-`."""
         fields = {"Content-Length": str(len(body))}
@@ -83,7 +85,7 @@
         await self.socket_stream.send_all(f"{start_line}\r\n{head}\r\n".encode() + body)
 
     def has_peer_ended(self) -> bool:
-        """Whether the connection has ended, and nothing that the peer wrote is unread."""
+        """Whether the peer has ended the connection, and nothing that it wrote is unread."""
         try:
             with socket.socket(fileno=os.dup(self.socket_stream.socket.fileno())) as sock:
                 return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
@@ -121,60 +123,3 @@
         sock.close()
         raise
     return HttpStream(trio.SocketStream(sock))
-
-
-class HttpServer:
-    """A listening socket on loopback and the connections accepted on it."""
-
-    def __init__(self, serve: Callable[[HttpStream], Awaitable[object]], nursery: trio.Nursery) -> None:
-        self.address = ("127.0.0.1", 0)
-        self._serve = serve
-        self._nursery = nursery
-        self._streams: set[HttpStream] = set()
-        self._listener: trio.SocketListener | None = None
-
-    async def open(self) -> str:
-        """Listen, on the previous address if there was one, and return it as `host:port`."""
-        sock = trio.socket.socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        await sock.bind(self.address)
-        sock.listen(_BACKLOG)
-        host, port = sock.getsockname()
-        self.address = (host, port)
-        self._listener = trio.SocketListener(sock)
-        self._nursery.start_soon(self._accept_connections, self._listener)
-        return f"{host}:{port}"
-
-    async def _accept_connections(self, listener: trio.SocketListener) -> None:
-        while True:
-            try:
-                socket_stream = await listener.accept()
-            except trio.ClosedResourceError:
-                return
-            except OSError:
-                # Out of descriptors, for instance: a later attempt may succeed.
-                await trio.sleep(_ACCEPT_RETRY_SECONDS)
-                continue
-            self._nursery.start_soon(self._serve_connection, HttpStream(socket_stream))
-
-    async def _serve_connection(self, stream: HttpStream) -> None:
-        self._streams.add(stream)
-        try:
-            with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-                await self._serve(stream)
-        finally:
-            self._streams.discard(stream)
-            with suppress(trio.BrokenResourceError, OSError):
-                stream.close()
-
-    def abort(self) -> None:
-        """Stop as a killed process does: reset all connections and refuse new ones."""
-        self.close()
-        for stream in list(self._streams):
-            stream.reset()
-
-    def close(self) -> None:
-        """Stop listening; open connections continue."""
-        if self._listener is not None:
-            self._listener.socket.close()
-            self._listener = None
--- /dev/null
+++ b/burlmoor/testbed/mutations/attempts.py
@@ -0,0 +1,44 @@
+"""Mutations of the cancellation of attempts, and all those of the soak."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from burlmoor.testbed.mutations.endpoint_list import OLD_LIST, UNDRAINED
+from burlmoor.testbed.mutations.mutation import Mutation, mutations_by_name, replace_attributes
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from burlmoor.engine.job import Attempt
+    from burlmoor.upstream.attempts import AttemptRunner
+
+
+def _deliver_after_close() -> None:
+    from burlmoor.transport.stream import SocketStream  # noqa: PLC0415
+
+    replace_attributes(SocketStream, set_reset_on_close=lambda _self, _is_on: True)
+
+
+def _end_cancelled_attempts_at_once() -> None:
+    from burlmoor.upstream.attempts import AttemptRunner  # noqa: PLC0415
+
+    cancel_attempt = AttemptRunner.cancel_attempt
+
+    def cancel_and_end(self: AttemptRunner, attempt: Attempt) -> None:
+        cancel_attempt(self, attempt)
+        self._lifecycle._end_cancelled(attempt)  # noqa: SLF001 - the transition that the mutation makes early
+
+    replace_attributes(AttemptRunner, cancel_attempt=cancel_and_end)
+
+
+SOAK_MUTATIONS: Mapping[str, Mutation] = mutations_by_name(
+    Mutation("keep-sent", "The kernel still delivers attempts that are cancelled.", _deliver_after_close),
+    OLD_LIST,
+    UNDRAINED,
+    Mutation(
+        "unconfirmed-cancel",
+        "A cancelled attempt ends before its endpoint has confirmed the cancellation.",
+        _end_cancelled_attempts_at_once,
+    ),
+)
