--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -25,6 +25,7 @@
         self, core: EngineCore, server: DownstreamServer, admin: AdminService, seed: int, log: EventLogger
     ) -> None:
         self.queue: DeferredJobQueue | None = None
+        self._is_on = False  # whether new jobs may be deferred
         self._core = core
         self._server = server
         self._admin = admin
@@ -33,39 +34,40 @@
 
     def apply_options(self, options: DeferredOptions | None) -> None:
         """Use these options from now on; None turns deferral off."""
+        self._is_on = options is not None
         if options is None:
-            self._server.parse_conditions = None
+            self._server.parser.set_condition_parser(None)
             return
         if self.queue is None:
             self._enable(options)
         else:
             self.queue.apply_options(options, self._core.clock())
-        self._server.parse_conditions = ConditionParser(options.max_dependencies).parse
+        self._server.parser.set_condition_parser(ConditionParser(options.max_dependencies).parse)
 
     def _enable(self, options: DeferredOptions) -> None:
         self.queue = DeferredJobQueue(
             options,
-            self._server.max_connections,
+            self._server.connections.max_connections,
             self._core.settings.limits.max_retry_after_ms,
             self._seed,
             self._log,
             self._core.clock(),
         )
         self._core.deferral.enable(self.queue)
-        self._server.on_draining = self._on_draining
+        self._server.attach_drain_observer(self._on_draining)
         self._admin.status_providers[STATUS_PATH] = self._status
 
-    def _on_draining(self, is_draining: bool) -> None:
+    def _on_draining(self, *, is_draining: bool) -> None:
         """Pass a change of the drain state on; disconnect a queue that is turned off and empty."""
         if self.queue is None:
             return
         self.queue.set_draining(is_draining)
         if is_draining:
             self._core.wake()
-        if self._server.parse_conditions is None and not self.queue.job_count:
+        if not self._is_on and not self.queue.job_count:
             self.queue = None
             self._core.deferral.disable()
-            self._server.on_draining = None
+            self._server.attach_drain_observer(None)
             self._admin.status_providers.pop(STATUS_PATH, None)
 
     async def _status(self) -> dict[str, Any]:
--- a/burlmoor/downstream/callbacks.py
+++ b/burlmoor/downstream/callbacks.py
@@ -1,8 +1,8 @@
-"""What executors report of the attempts that they have accepted."""
+"""The call-backs of executors: what they report of the attempts that they have accepted."""
 
 from __future__ import annotations
 
-from enum import Enum
+from enum import Enum, StrEnum
 from typing import TYPE_CHECKING
 
 import msgspec
@@ -10,23 +10,35 @@
 from burlmoor.types.outcome import Outcome
 
 if TYPE_CHECKING:
-    from burlmoor.engine.core import EngineCore
+    from burlmoor.engine.job_lifecycle import JobLifecycle
+    from burlmoor.engine.job_registry import JobRegistry
+
+
+class CallbackState(StrEnum):
+    """The state of an attempt at its executor; the value is its name on the wire."""
+
+    STARTED = "started"
+    RUNNING = "running"
+    DONE = "done"
+    FAILED = "failed"
+    RETURNED = "returned"  # handed back, not started
+    LOST = "lost"  # with the process that ran it
 
 
 class _JobEvent(msgspec.Struct):
     id: str
     endpoint_name: str = msgspec.field(name="from")
-    state: str
+    state: str  # any text: a state that is not a `CallbackState` changes nothing
     progress: float = msgspec.field(name="share", default=0.0)
     result: str = ""
 
 
 _DECODER = msgspec.json.Decoder(_JobEvent)
-_OUTCOMES_BY_STATE = {
-    "done": Outcome.SERVED,
-    "failed": Outcome.ERROR,
-    "returned": Outcome.OVERLOADED,
-    "lost": Outcome.RESET,
+_OUTCOMES_BY_STATE: dict[str, Outcome] = {
+    CallbackState.DONE: Outcome.SERVED,
+    CallbackState.FAILED: Outcome.ERROR,
+    CallbackState.RETURNED: Outcome.OVERLOADED,
+    CallbackState.LOST: Outcome.RESET,
 }
 
 
@@ -38,23 +50,24 @@
     INVALID = "invalid"
 
 
-def handle_callback(core: EngineCore, body: bytes) -> CallbackResult:
-    """Pass a call-back on to the engine.
+def handle_callback(jobs: JobRegistry, lifecycle: JobLifecycle, body: bytes) -> CallbackResult:
+    """Report a call-back to the engine.
 
-    A call-back may come twice, before the 202, or for an attempt that no job waits for any more: then no
-    attempt is found and nothing happens, and the executor still gets its response.
+    A call-back may arrive twice, before the 202, or for an attempt of a job that is closed: then no attempt
+    is found and nothing changes, and the executor still gets its response.
     """
     try:
         event = _DECODER.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return CallbackResult.INVALID
-    attempt = core.jobs.find_attempt(event.id, event.endpoint_name)
+    attempt = jobs.find_attempt(event.id, event.endpoint_name)
     if attempt is None:
         return CallbackResult.UNKNOWN
-    if event.state in _OUTCOMES_BY_STATE:
-        core.lifecycle.on_attempt_ended(attempt, _OUTCOMES_BY_STATE[event.state], event.result.encode())
-    elif event.state == "started":
-        core.lifecycle.on_attempt_started(attempt)
-    elif event.state == "running":
-        core.lifecycle.on_attempt_progressed(attempt, event.progress)
+    outcome = _OUTCOMES_BY_STATE.get(event.state)
+    if outcome is not None:
+        lifecycle.on_attempt_ended(attempt, outcome, event.result.encode())
+    elif event.state == CallbackState.STARTED:
+        lifecycle.on_attempt_started(attempt)
+    elif event.state == CallbackState.RUNNING:
+        lifecycle.on_attempt_progressed(attempt, event.progress)
     return CallbackResult.ACCEPTED
--- a/burlmoor/downstream/eviction.py
+++ b/burlmoor/downstream/eviction.py
@@ -1,34 +1,88 @@
-"""Which connections are closed: those that took too long, and the least useful where places run out."""
+"""Selects the connections to close: those past a time limit, and the least useful ones at the limit."""
 
 from __future__ import annotations
 
 import math
-from typing import TYPE_CHECKING
+from enum import IntEnum
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from burlmoor.downstream.connection import WRITE_TIMEOUT_SECONDS, DownstreamConnection
+from burlmoor.downstream.accepted_socket import WRITE_TIMEOUT_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-# Seconds that a request may take to come in, the first one counted from the accept. True clients take up to
-# 2 s to write; one that never ends has to be closed within 3 s, and the sweep comes five times a second.
+    from burlmoor.types.reasons import CloseReason
+
+# In which a request has to arrive; for the first one counted from the accept. Clients may take 2 s to write a
+# request, and one that never ends is closed within 3 s.
 _REQUEST_TIMEOUT_SECONDS = 2.6
-_IDLE_TIMEOUT_SECONDS = 120.0  # that a connection may lie idle once it has been used
-# Seconds after which a connection may be closed to make room for others.
-_SILENT_EVICTION_SECONDS = 0.1
+_IDLE_TIMEOUT_SECONDS = 120.0  # for which a connection may be idle after its first request
+# After which a connection may be closed to make room for others.
+_UNUSED_EVICTION_SECONDS = 0.1
 _IDLE_EVICTION_SECONDS = 0.25
 _STALLED_EVICTION_SECONDS = 0.5
-# The order in which they go.
-_RANK_SILENT = 0
-_RANK_IDLE = 1
-_RANK_STALLED = 2
-_MAX_IDLE_SHARE = 0.4  # of the connections: as many may wait or lie idle after use, then the longest idle go
+_MAX_IN_USE_SHARE = 0.4  # of the connection limit: above it, the longest idle connections are closed
+
+
+class TrackedConnection(Protocol):
+    """What the set of connections needs to know of each, and does to it."""
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no request has been begun or is open."""
+
+    @property
+    def has_been_used(self) -> bool:
+        """Whether a complete request has arrived."""
+
+    @property
+    def has_unsent(self) -> bool:
+        """Whether part of a response still waits to be written."""
+
+    @property
+    def has_partial_request(self) -> bool:
+        """Whether part of a request has arrived."""
+
+    @property
+    def is_awaiting_response(self) -> bool:
+        """Whether a request is open."""
+
+    @property
+    def is_finished(self) -> bool:
+        """Whether nothing more is to be read or answered."""
+
+    @property
+    def state_since(self) -> float:
+        """When it was accepted, began to receive a request, or wrote a response."""
+
+    @property
+    def last_received_at(self) -> float:
+        """When bytes last arrived."""
+
+    def close_soon(self, reason: CloseReason) -> None:
+        """Close the connection soon."""
+
+    def pass_to_successor(self) -> None:
+        """Pass the connection to the process that has taken over, if it is idle."""
+
+
+class EvictionPriority(IntEnum):
+    """The kinds of connections that may be evicted, in the order in which they are."""
+
+    UNUSED = 0  # no request has been begun yet
+    IDLE = 1
+    STALLED = 2  # within a request
+
+
+class EvictionRank(NamedTuple):
+    """Where a connection stands in the order of eviction; the lowest rank is evicted first."""
+
+    priority: EvictionPriority
+    since: float
 
 
-def select_for_eviction(
-    connections: Iterable[DownstreamConnection], now: float
-) -> DownstreamConnection | None:
-    """Select the connection that goes first where another one needs its place; None if all keep theirs."""
+def select_for_eviction(connections: Iterable[TrackedConnection], now: float) -> TrackedConnection | None:
+    """Select the connection that is evicted where another one needs its place; None if all are kept."""
     candidates = [
         (rank, connection)
         for connection in connections
@@ -39,25 +93,28 @@
     return min(candidates, key=lambda candidate: candidate[0])[1]
 
 
-def _eviction_rank(connection: DownstreamConnection, now: float) -> tuple[int, float] | None:
-    """Return its rank, and since when it has that; the lowest goes first. None while it keeps its place.
+def _eviction_rank(connection: TrackedConnection, now: float) -> EvictionRank | None:
+    """Return the rank of a connection, or None while it is kept.
 
-    A usual client writes its first request at once: one that has not in a moment is most likely none. One
-    that has begun and goes on, however slowly, is a client; one that has begun and stopped is hardly any.
+    Clients write their first request at once, and a slow one keeps writing: a connection on which nothing
+    arrives is probably no client's.
     """
     if connection.is_awaiting_response or connection.has_unsent:
         return None
     if connection.is_finished or (connection.is_idle and not connection.has_been_used):
-        rank, since, after_seconds = _RANK_SILENT, connection.state_since, _SILENT_EVICTION_SECONDS
+        rank = EvictionRank(EvictionPriority.UNUSED, connection.state_since)
+        after_seconds = _UNUSED_EVICTION_SECONDS
     elif connection.is_idle:
-        rank, since, after_seconds = _RANK_IDLE, connection.state_since, _IDLE_EVICTION_SECONDS
+        rank = EvictionRank(EvictionPriority.IDLE, connection.state_since)
+        after_seconds = _IDLE_EVICTION_SECONDS
     else:
-        rank, since, after_seconds = _RANK_STALLED, connection.last_received_at, _STALLED_EVICTION_SECONDS
-    return (rank, since) if now > since + after_seconds else None
+        rank = EvictionRank(EvictionPriority.STALLED, connection.last_received_at)
+        after_seconds = _STALLED_EVICTION_SECONDS
+    return rank if now > rank.since + after_seconds else None
 
 
-def select_timed_out(connections: Iterable[DownstreamConnection], now: float) -> list[DownstreamConnection]:
-    """Select the connections that have been as they are for longer than that may last."""
+def select_timed_out(connections: Iterable[TrackedConnection], now: float) -> list[TrackedConnection]:
+    """Select the connections that have been in their present state for longer than that may last."""
     return [
         connection
         for connection in connections
@@ -65,9 +122,9 @@
     ]
 
 
-def _timeout_seconds(connection: DownstreamConnection) -> float:
+def _timeout_seconds(connection: TrackedConnection) -> float:
     if connection.is_awaiting_response or connection.is_finished:
-        return math.inf  # a job has its deadline, and what is finished ends by itself
+        return math.inf  # a job has its deadline, and a finished connection ends by itself
     if connection.has_unsent:
         return WRITE_TIMEOUT_SECONDS
     if connection.has_been_used and connection.is_idle:
@@ -75,24 +132,24 @@
     return _REQUEST_TIMEOUT_SECONDS
 
 
-def select_used_idle(connections: Iterable[DownstreamConnection]) -> list[DownstreamConnection]:
-    """Select the connections that lie idle after use."""
+def select_used_idle(connections: Iterable[TrackedConnection]) -> list[TrackedConnection]:
+    """Select the connections that have been used and are idle."""
     return [connection for connection in connections if connection.has_been_used and connection.is_idle]
 
 
 def select_surplus_idle(
-    connections: Collection[DownstreamConnection],
+    connections: Collection[TrackedConnection],
     waiting_client_count: int,
     max_connections: int,
     now: float,
-) -> list[DownstreamConnection]:
-    """Select the longest idle of the connections that are used, as many as are too many.
+) -> list[TrackedConnection]:
+    """Select the longest idle of the used connections, as many as exceed the share of those in use.
 
     Without this, clients that open a connection for each request and leave the last one open would use up
-    their places here, and their next requests would find none.
+    the connection limit, and their next requests could not connect.
     """
     idle = sorted(select_used_idle(connections), key=lambda connection: connection.state_since)
-    surplus = max(0, len(idle) + waiting_client_count - int(max_connections * _MAX_IDLE_SHARE))
+    surplus = max(0, len(idle) + waiting_client_count - int(max_connections * _MAX_IN_USE_SHARE))
     return [
         connection for connection in idle[:surplus] if now > connection.state_since + _IDLE_EVICTION_SECONDS
     ]
--- a/burlmoor/downstream/http.py
+++ b/burlmoor/downstream/http.py
@@ -5,79 +5,87 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 import h11
 
-from burlmoor.downstream.job_headers import InvalidHeaderError, parse_job_submission
+from burlmoor.downstream.job_headers import InvalidHeaderError
 from burlmoor.downstream.requests import InvalidRequest, JobCallback, ParsedRequest, ReadinessCheck
 from burlmoor.engine.deferral import InvalidConditionError
 from burlmoor.errors import BurlmoorError
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable
-
-    from burlmoor.downstream.interfaces import RunConditionParser
+    from burlmoor.downstream.job_headers import JobSubmissionParser
+    from burlmoor.downstream.responses import Response
 
 MAX_BODY_BYTES = 64 * 1024
 READY_PATH = "/health/ready"
 CALLBACK_PATH = "/v1/job-events"
 _MAX_HEAD_BYTES = 16384
 _MAX_REASON_LENGTH = 100
-_STATUS_NO_CONTENT = 204
-_NO_CONTENT = h11.Response(status_code=_STATUS_NO_CONTENT, headers=[])
-_NO_CONTENT_AND_CLOSE = h11.Response(status_code=_STATUS_NO_CONTENT, headers=[("Connection", "close")])
+_CONNECTION_CLOSE = ("Connection", "close")
+_CONTINUE = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
+_NO_CONTENT = h11.Response(status_code=HTTPStatus.NO_CONTENT, headers=[])
+_NO_CONTENT_AND_CLOSE = h11.Response(status_code=HTTPStatus.NO_CONTENT, headers=[_CONNECTION_CLOSE])
 _END_OF_MESSAGE = h11.EndOfMessage()
 
+_AMBIGUOUS_LENGTH = InvalidRequest(HTTPStatus.BAD_REQUEST, "both Content-Length and Transfer-Encoding")
+_BODY_TOO_LARGE = InvalidRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is over 64 KiB")
+_GET_ONLY = InvalidRequest(HTTPStatus.METHOD_NOT_ALLOWED, "GET only")
+_POST_ONLY = InvalidRequest(HTTPStatus.METHOD_NOT_ALLOWED, "POST only")
+_UNKNOWN_CLASS = InvalidRequest(HTTPStatus.NOT_FOUND, "no such class")
+
 
 class NoOpenRequestError(BurlmoorError, RuntimeError):
-    """A response was given where there is no open request: a fault of the caller."""
+    """A response was given where there is no open request: an error of the caller."""
 
 
 class HttpServerConnection:
-    """Owns the HTTP state of one accepted connection. One request at a time; the rest waits unread."""
-
-    def __init__(
-        self,
-        classes: Iterable[str],
-        parse_conditions: RunConditionParser | None = None,
-        classes_requiring_key: Iterable[str] = (),
-    ) -> None:
-        self._classes = frozenset(classes)
-        self._classes_requiring_key = frozenset(classes_requiring_key)
-        self._parse_conditions = parse_conditions
+    """Owns the HTTP state of one accepted connection. One request at a time; the rest waits unread.
+
+    - `is_closing`: nothing more is read from this connection; it is closed after the open request's response
+    - `has_rejected_body`: a body was rejected for its announced length, and may still be written
+    """
+
+    def __init__(self, parser: JobSubmissionParser) -> None:
+        self._parser = parser
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._head: h11.Request | None = None
         self._body = bytearray()
         self._has_open_request = False
         self._omits_response_body = False  # HEAD: the length of a body that is not sent
-        self.is_closing = False  # nothing more is read from this connection
-        self.has_rejected_body = False  # whether a body was rejected for its announced length
+        self.is_closing = False
+        self.has_rejected_body = False
 
     @property
     def has_open_request(self) -> bool:
-        """Whether a request has come and has no response yet."""
+        """Whether a request has arrived and has no response yet."""
         return self._has_open_request
 
     @property
     def may_have_unread_input(self) -> bool:
-        """Whether there is, or may still come, what is not read here."""
+        """Whether input is, or may still arrive, that is not read here."""
         has_ended = self._http.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
         return not has_ended or bool(self._http.trailing_data[0])
 
     @property
     def is_idle(self) -> bool:
-        """Whether the connection lies between requests with nothing begun."""
+        """Whether no request has been begun or is open."""
         return not self._has_open_request and self._head is None and not self._http.trailing_data[0]
 
+    def stop_reading(self) -> None:
+        """Read nothing more: the connection is closed, after the open request's response if there is one."""
+        self.is_closing = True
+
     def receive_data(self, data: bytes) -> ParsedRequest | None:
-        """Take in bytes; return the request once it is complete. Not to be called with a request open."""
+        """Parse bytes; return the request once it is complete. Not to be called with a request open."""
         try:
             if data:
                 self._http.receive_data(data)
             return self._parse_next()
         except h11.RemoteProtocolError as error:
-            return self._reject(error.error_status_hint, str(error))
+            return self._reject(InvalidRequest(HTTPStatus(error.error_status_hint), str(error)))
 
     def _parse_next(self) -> ParsedRequest | None:
         while True:
@@ -97,24 +105,25 @@
     def _on_head(self, head: h11.Request) -> InvalidRequest | None:
         self._head = head
         if {b"content-length", b"transfer-encoding"} <= {name for name, _ in head.headers}:
-            # Without this, the body might hide another request where two lengths are given (rule 2).
-            return self._reject(400, "both Content-Length and Transfer-Encoding")
+            # Without this, the body might hide another request where two lengths are given (request
+            # smuggling, RFC 9112, section 11.2).
+            return self._reject(_AMBIGUOUS_LENGTH)
         length = next((value for name, value in head.headers if name == b"content-length"), b"0")
         if int(length) > MAX_BODY_BYTES:
             self.has_rejected_body = True
-            return self._reject(413, "the body is over 64 KiB")
+            return self._reject(_BODY_TOO_LARGE)
         return None
 
     def _on_body_data(self, data: bytes) -> InvalidRequest | None:
         self._body += data
         if len(self._body) > MAX_BODY_BYTES:
-            return self._reject(413, "the body is over 64 KiB")
+            return self._reject(_BODY_TOO_LARGE)
         return None
 
     def _on_complete(self) -> ParsedRequest:
         request = self._route()
         if isinstance(request, InvalidRequest):
-            return self._reject(request.status, request.reason)
+            return self._reject(request)
         self._note_method()
         self._head = None
         self._body = bytearray()
@@ -124,13 +133,13 @@
     def _note_method(self) -> None:
         self._omits_response_body = self._head is not None and self._head.method == b"HEAD"
 
-    def _reject(self, status: int, reason: str) -> InvalidRequest:
+    def _reject(self, rejection: InvalidRequest) -> InvalidRequest:
         self._has_open_request = True
         self._note_method()
-        # Without this, clients would stay, or send the same again at once: so each costs them a connection.
-        self.is_closing = True
-        # h11 quotes what it could not read, up to 16 KiB of it: that is for neither the log nor the answer.
-        return InvalidRequest(status, reason[:_MAX_REASON_LENGTH])
+        # Without this, clients could send the same again at once: so each rejection costs them a connection.
+        self.stop_reading()
+        # h11 quotes what it could not read, up to 16 KiB of it: neither the log nor the response has that.
+        return InvalidRequest(rejection.status, rejection.reason[:_MAX_REASON_LENGTH])
 
     def _route(self) -> ParsedRequest:
         head = self._head
@@ -138,48 +147,47 @@
         method = head.method
         path = head.target.split(b"?", 1)[0].decode("ascii", "replace")
         if path == READY_PATH:
-            return ReadinessCheck() if method == b"GET" else InvalidRequest(405, "GET only")
+            return ReadinessCheck() if method == b"GET" else _GET_ONLY
         if path == CALLBACK_PATH:
-            return JobCallback(bytes(self._body)) if method == b"POST" else InvalidRequest(405, "POST only")
+            return JobCallback(bytes(self._body)) if method == b"POST" else _POST_ONLY
         parts = path.split("/")
-        if len(parts) == 1 or parts[0] or parts[1] not in self._classes:
-            return InvalidRequest(404, "no such class")
+        if len(parts) == 1 or parts[0] or parts[1] not in self._parser.classes:
+            return _UNKNOWN_CLASS
         if method != b"POST":
-            return InvalidRequest(405, "POST only")
+            return _POST_ONLY
         try:
-            return parse_job_submission(
-                head, parts, bytes(self._body), self._classes_requiring_key, self._parse_conditions
-            )
+            return self._parser.parse(head, parts, bytes(self._body))
         except (InvalidHeaderError, InvalidConditionError) as error:
-            return InvalidRequest(400, str(error))
+            return InvalidRequest(HTTPStatus.BAD_REQUEST, str(error))
 
     def encode_continue_response(self) -> bytes:
         """Encode the interim response that a client waits for before it sends its body, if one does."""
         if self._http.they_are_waiting_for_100_continue and not self.is_closing:
-            return self._http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
+            return self._http.send(_CONTINUE) or b""
         return b""
 
-    def encode_response(
-        self, status: int, body: bytes = b"", headers: Iterable[tuple[str, str]] = ()
-    ) -> bytes:
-        """Encode the response to the open request; afterwards the next request may come."""
+    def encode_response(self, response: Response) -> bytes:
+        """Encode the response to the open request; afterwards the next request may arrive.
+
+        Raises `NoOpenRequestError`.
+        """
         if not self._has_open_request:
             raise NoOpenRequestError
-        if status == _STATUS_NO_CONTENT:
+        if response.status is HTTPStatus.NO_CONTENT:
             head = _NO_CONTENT_AND_CLOSE if self.is_closing else _NO_CONTENT
         else:
-            fields = [*headers, ("Content-Length", str(len(body)))]
+            headers = [*response.headers, ("Content-Length", str(len(response.body)))]
             if self.is_closing:
-                fields.append(("Connection", "close"))
-            head = h11.Response(status_code=status, headers=fields)
+                headers.append(_CONNECTION_CLOSE)
+            head = h11.Response(status_code=response.status, headers=headers)
         # After a framing error h11 has no request to pair the response with, yet still sends it.
         data = self._http.send(head) or b""
-        if body and not self._omits_response_body:
-            data += self._http.send(h11.Data(data=body)) or b""
+        if response.body and not self._omits_response_body:
+            data += self._http.send(h11.Data(data=response.body)) or b""
         data += self._http.send(_END_OF_MESSAGE) or b""
         self._has_open_request = False
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE and not self.is_closing:
             self._http.start_next_cycle()
         else:
-            self.is_closing = True
+            self.stop_reading()
         return data
--- a/burlmoor/downstream/interfaces.py
+++ b/burlmoor/downstream/interfaces.py
@@ -1,4 +1,4 @@
-"""What the downstream server requires of the parts that are attached to it while they are on."""
+"""What the downstream server requires of the parts that are attached to it while they are active."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
 class SuccessorProcess(Protocol):
     """The process that accepts in this one's place after a handover."""
 
-    def pass_connection(self, sock: socket.socket, has_been_used: bool, age_seconds: float) -> None:
-        """Take over a connection that lies between requests, and its socket."""
+    def pass_connection(self, sock: socket.socket, *, has_been_used: bool, age_seconds: float) -> None:
+        """Take over an idle connection and its socket.
+
+        `has_been_used`: whether a complete request has arrived on it; `age_seconds`: since its accept.
+        """
 
     def on_job_opened(self, request_id: str) -> None:
         """Note that this process has admitted a job after the handover."""
@@ -25,11 +28,11 @@
     """Forwards call-backs to the node's other processes."""
 
     async def forward_callback(self, body: bytes) -> bool:
-        """Forward a call-back for a job that is unknown here; whether it was acknowledged."""
+        """Forward a call-back for a job that is unknown here; return whether it was acknowledged."""
 
 
 class RunConditionParser(Protocol):
-    """Parses what a job's headers say of when it may run."""
+    """Parses the headers of a job submission that state when the job may run."""
 
     def __call__(
         self, headers: Sequence[tuple[bytes, bytes]], request_id: str, body_bytes: int, /
@@ -38,7 +41,7 @@
 
 
 class DrainObserver(Protocol):
-    """Is told at each sweep whether the node closes its clients' connections."""
+    """Is notified at each sweep whether the node closes its clients' connections."""
 
-    def __call__(self, is_draining: bool, /) -> None:
-        """Note whether the node drains, or shuts down."""
+    def __call__(self, *, is_draining: bool) -> None:
+        """Note whether the node is draining or shutting down."""
--- a/burlmoor/downstream/request_handler.py
+++ b/burlmoor/downstream/request_handler.py
@@ -1,11 +1,12 @@
-"""What a parsed request does: admits a job, delivers a call-back, or is answered at once.
+"""What a parsed request does: it admits a job, delivers a call-back, or is answered at once.
 
-The rejections that need no policy are made here and in `http`; the policy's come as a job's final answer,
-which `write_final_answer` puts into HTTP.
+The rejections that need no policy are made here and in `http`; the policy's come as a job's final answer.
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
+from http import HTTPStatus
 from typing import TYPE_CHECKING
 
 from burlmoor.downstream import callbacks
@@ -17,102 +18,148 @@
     ParsedRequest,
     ReadinessCheck,
 )
-from burlmoor.engine.answers import DependencyFailed, Failed, FinalAnswer, Rejected, Served
-from burlmoor.log_events import ConnectionFailed, RequestRejected
+from burlmoor.downstream.responses import RETRY_AFTER, Response, build_answer_response
+from burlmoor.log_events import RequestRejected
 from burlmoor.types.reasons import CloseReason
 
 if TYPE_CHECKING:
-    from burlmoor.downstream.connection import DownstreamConnection
-    from burlmoor.downstream.server import DownstreamServer
+    from burlmoor.downstream.connection_set import ConnectionSet
+    from burlmoor.downstream.drain import DrainController
+    from burlmoor.downstream.peer_processes import PeerProcesses
+    from burlmoor.engine.answers import FinalAnswer, Responder
+    from burlmoor.engine.engine import Engine
+    from burlmoor.engine.job import Job
+    from burlmoor.engine.job_lifecycle import JobLifecycle
+    from burlmoor.engine.job_registry import JobRegistry
+    from burlmoor.log import EventLogger
 
-_RETRY_AFTER_SECONDS = "0.5"  # advice to a client that found no capacity
+
+class RejectionReason(StrEnum):
+    """Why a job submission was rejected before it became a job; the value is its name in the log."""
+
+    SHUTTING_DOWN = "shutting down"
+    NO_CONNECTION_LEFT = "no connection left"
+    ID_IN_USE = "the id is in use"
+
+
+# The connection is closed too: it leaves its place to call-backs, and to clients that retry elsewhere.
+_NO_CAPACITY = Response(
+    HTTPStatus.SERVICE_UNAVAILABLE, headers=((RETRY_AFTER, "0.5"),), closes_connection=True
+)
+_ID_IN_USE = Response(HTTPStatus.BAD_REQUEST, b"Request-Id is in use\n", closes_connection=True)
+_CALLBACK_ACCEPTED = Response(HTTPStatus.NO_CONTENT)
+_CALLBACK_INVALID = Response(HTTPStatus.BAD_REQUEST, b"not a job event\n", closes_connection=True)
+_CALLBACK_NOT_ACKNOWLEDGED = Response(HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True)
+# A readiness check needs no connection that lasts. Without the close, checkers that ask once and stay
+# connected would use up the connection limit.
+_READY = Response(HTTPStatus.OK, b"ready\n", closes_connection=True)
+_NOT_READY = Response(HTTPStatus.SERVICE_UNAVAILABLE, b"taking no clients\n", closes_connection=True)
 
 
 class RequestHandler:
     """Handles the requests of all connections of one server; holds no state of its own."""
 
-    def __init__(self, server: DownstreamServer) -> None:
-        self._server = server
-
-    def handle(self, connection: DownstreamConnection, request: ParsedRequest) -> None:
-        """Handle a request; the connection is given its response now or later."""
+    def __init__(
+        self,
+        engine: Engine,
+        jobs: JobRegistry,
+        lifecycle: JobLifecycle,
+        connections: ConnectionSet,
+        peers: PeerProcesses,
+        drain: DrainController,
+        log: EventLogger,
+    ) -> None:
+        self._engine = engine
+        self._jobs = jobs
+        self._lifecycle = lifecycle
+        self._connections = connections
+        self._peers = peers
+        self._drain = drain
+        self._log = log
+
+    def handle(self, request: ParsedRequest, responder: Responder) -> Response | Job | JobCallback:
+        """Handle a request.
+
+        Returns its response; or the job that was admitted, whose answer `responder` is given later; or the
+        call-back, if `forward_callback` is to be called for its response.
+        """
         match request:
             case JobSubmission():
-                self._on_job_submission(connection, request)
-            case JobCallback(body):
-                self._on_callback(connection, body)
+                return self._admit(request, responder)
+            case JobCallback():
+                return self._handle_callback(request)
             case ReadinessCheck():
-                self._on_readiness_check(connection)
+                return _READY if self._is_ready() else _NOT_READY
             case InvalidRequest(status, reason):
-                self._server.log(RequestRejected(status=status, reason=reason))
-                connection.note_close(CloseReason.INVALID_REQUEST)
-                connection.write_response(status, reason.encode() + b"\n")
-
-    def _on_job_submission(self, connection: DownstreamConnection, submission: JobSubmission) -> None:
-        server = self._server
-        if not server.has_capacity():
-            # Its connection is what is short: it goes to those that come behind, call-backs among them.
-            reason = "shutting down" if server.drain.state >= ServiceState.REJECTING else "no connection left"
-            server.log(RequestRejected(id=submission.request_id, status=503, reason=reason))
-            connection.write_response(503, headers=[("Retry-After", _RETRY_AFTER_SECONDS)], closes=True)
-            return
-        connection.job = server.engine.admit(
-            connection,
+                self._log(RequestRejected(status=status, reason=reason))
+                body = reason.encode() + b"\n"
+                return Response(status, body, close_reason=CloseReason.INVALID_REQUEST)
+
+    # --- job submissions ------------------------------------------------------------------------
+
+    def _admit(self, submission: JobSubmission, responder: Responder) -> Response | Job:
+        if self._drain.state >= ServiceState.REJECTING:
+            return self._reject(submission, RejectionReason.SHUTTING_DOWN, _NO_CAPACITY)
+        if not self._connections.has_capacity_for_client():
+            return self._reject(submission, RejectionReason.NO_CONNECTION_LEFT, _NO_CAPACITY)
+        job = self._engine.admit(
+            responder,
             submission.request_id,
             submission.request,
             submission.payload,
             submission.conditions,
         )
-        if connection.job is None:
-            server.log(RequestRejected(id=submission.request_id, status=400, reason="the id is in use"))
-            connection.write_response(400, b"Request-Id is in use\n", closes=True)
-            return
-        server.waiting_client_count += 1
-        if server.successor is not None:
-            server.successor.on_job_opened(submission.request_id)
-
-    def _on_callback(self, connection: DownstreamConnection, body: bytes) -> None:
-        result = callbacks.handle_callback(self._server.core, body)
-        if result is callbacks.CallbackResult.UNKNOWN and self._server.callback_forwarder is not None:
-            self._server.nursery.start_soon(self._forward_callback, connection, body)
-        elif result is callbacks.CallbackResult.INVALID:
-            connection.write_response(400, b"not a job event\n", closes=True)
-        else:
-            connection.write_response(204)
-
-    async def _forward_callback(self, connection: DownstreamConnection, body: bytes) -> None:
-        """Answer a call-back once the process that knows its job has acknowledged it.
+        if job is None:
+            return self._reject(submission, RejectionReason.ID_IN_USE, _ID_IN_USE)
+        return job
+
+    def _reject(self, submission: JobSubmission, reason: RejectionReason, response: Response) -> Response:
+        self._log(RequestRejected(id=submission.request_id, status=response.status, reason=reason))
+        return response
+
+    def on_job_admitted(self, job: Job) -> None:
+        """Note that a client waits for this job's answer."""
+        self._connections.on_client_waiting()
+        if self._peers.successor is not None:
+            self._peers.successor.on_job_opened(job.id)
+
+    def on_job_answered(self, answer: FinalAnswer) -> Response:
+        """Note that a client has its answer, and return that as the response to its submission."""
+        self._connections.on_client_gone()
+        return build_answer_response(answer)
+
+    def on_client_disconnected(self, job: Job) -> None:
+        """Note that the client of this job gets no answer any more."""
+        self._connections.on_client_gone()
+        self._lifecycle.on_client_disconnected(job)
+
+    # --- call-backs -----------------------------------------------------------------------------
+
+    def _handle_callback(self, callback: JobCallback) -> Response | JobCallback:
+        result = callbacks.handle_callback(self._jobs, self._lifecycle, callback.body)
+        if result is callbacks.CallbackResult.UNKNOWN and self._peers.callback_forwarder is not None:
+            return callback
+        if result is callbacks.CallbackResult.INVALID:
+            return _CALLBACK_INVALID
+        return _CALLBACK_ACCEPTED
+
+    async def forward_callback(self, body: bytes) -> Response:
+        """Return the response to a call-back once the process that knows its job has acknowledged it.
 
         Without this, a result would be lost: the executor does not repeat what was answered.
         """
-        forwarder = self._server.callback_forwarder
-        try:
-            is_acknowledged = forwarder is not None and await forwarder.forward_callback(body)
-            connection.write_response(204 if is_acknowledged else 503, closes=not is_acknowledged)
-            connection.process_input()
-        except Exception as error:  # noqa: BLE001 - the call-back's task ends here
-            # Without this, one call-back's fault would end the node.
-            self._server.log(ConnectionFailed(error=repr(error)))
-            connection.close_soon(CloseReason.ERROR)
-
-    def _on_readiness_check(self, connection: DownstreamConnection) -> None:
-        # A check needs no connection that lasts. Without the close, checkers that ask once and stay would
-        # fill the server.
-        if self._server.is_ready:
-            connection.write_response(200, b"ready\n", closes=True)
-        else:
-            connection.write_response(503, b"taking no clients\n", closes=True)
-
-
-def write_final_answer(connection: DownstreamConnection, answer: FinalAnswer) -> None:
-    """Write a job's one final answer as the response to its submission."""
-    match answer:
-        case Served(result):
-            connection.write_response(200, result)
-        case Rejected(retry_after):
-            advice = [("Retry-After", f"{retry_after / 1000.0:.3f}")] if retry_after > 0.0 else []
-            connection.write_response(503, b"", advice)
-        case Failed():
-            connection.write_response(502, b"the job failed and may have run\n")
-        case DependencyFailed(reason):
-            connection.write_response(424, reason.encode() + b"\n")
+        forwarder = self._peers.callback_forwarder
+        is_acknowledged = forwarder is not None and await forwarder.forward_callback(body)
+        return _CALLBACK_ACCEPTED if is_acknowledged else _CALLBACK_NOT_ACKNOWLEDGED
+
+    # --- readiness checks -----------------------------------------------------------------------
+
+    def _is_ready(self) -> bool:
+        """Return whether load balancers in front may send clients to this node.
+
+        Without the first case, the answer would be no while another process of this node accepts clients,
+        and load balancers would leave the node out for seconds.
+        """
+        if self._peers.successor is not None:
+            return not self._drain.is_drained
+        return self._drain.state is ServiceState.ACCEPTING
--- a/burlmoor/downstream/requests.py
+++ b/burlmoor/downstream/requests.py
@@ -6,6 +6,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from http import HTTPStatus
+
     from burlmoor.engine.deferral import RunConditions
     from burlmoor.types.events import JobRequest
     from burlmoor.types.payload import Payload
@@ -30,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessCheck:
-    """A load balancer in front asks whether this node takes jobs."""
+    """A load balancer in front of the node asks whether it accepts clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """A request that is rejected as it stands, with this status; the reason goes into the answer."""
+    """A request that is rejected as it stands, with this status; the reason is the response's body."""
 
-    status: int
+    status: HTTPStatus
     reason: str
 
 
--- a/burlmoor/lifecycle/connection_limits.py
+++ b/burlmoor/lifecycle/connection_limits.py
@@ -37,11 +37,13 @@
     def __init__(self, server: DownstreamServer, pool: ConnectionPool) -> None:
         self._server = server
         self._pool = pool
-        self._node_limits = SocketBudget(server.max_connections, pool.max_connections)
+        self._node_limits = SocketBudget(server.connections.max_connections, pool.max_connections)
 
     def reserve(self, downstream: int, upstream: int) -> None:
         """Leave out what the other process has open."""
-        self._server.max_connections = max(_MIN_CONNECTIONS, self._node_limits.downstream - downstream)
+        self._server.connections.set_max_connections(
+            max(_MIN_CONNECTIONS, self._node_limits.downstream - downstream)
+        )
         self._pool.max_connections = max(_MIN_CONNECTIONS, self._node_limits.upstream - upstream)
 
     def freeze_upstream(self) -> None:
@@ -50,5 +52,5 @@
 
     def restore(self) -> None:
         """Use all of the node's limits in this process."""
-        self._server.max_connections = self._node_limits.downstream
+        self._server.connections.set_max_connections(self._node_limits.downstream)
         self._pool.max_connections = self._node_limits.upstream
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -72,17 +72,17 @@
         while self._has_unfinished_work:
             if not self._handover.has_handed_over:
                 # Idle connections are closed only now that new clients are sent elsewhere.
-                self._parts.server.close_idle()
+                self._parts.server.connections.close_idle()
             await trio.sleep(_POLL_SECONDS)
 
     @property
     def _has_unfinished_work(self) -> bool:
         """Whether this process still owes an answer, a cancellation or a message."""
-        server = self._parts.server
+        connections = self._parts.server.connections
         return bool(
             self._parts.core.jobs.count_open()
             or self._attempts.open_cancel_calls
-            or server.has_unsent
-            or server.has_partial_requests
+            or connections.has_unsent
+            or connections.has_partial_requests
             or self._handover.has_unsent
         )
--- a/burlmoor/lifecycle/handover.py
+++ b/burlmoor/lifecycle/handover.py
@@ -179,7 +179,7 @@
         self._update_callback_forwarder()
 
     def _on_forwarded_callback(self, channel: HandoverChannel, number: int, body: bytes) -> None:
-        result = callbacks.handle_callback(self._parts.core, body)
+        result = callbacks.handle_callback(self._parts.core.jobs, self._parts.core.lifecycle, body)
         if result is callbacks.CallbackResult.UNKNOWN and self._connected_channels(but=channel):
             self._nursery.start_soon(self._relay_callback, channel, number, body)
         else:
@@ -196,7 +196,7 @@
         ]
 
     def _update_callback_forwarder(self) -> None:
-        self._parts.server.attach_callback_forwarder(self if self._connected_channels() else None)
+        self._parts.server.peers.attach_callback_forwarder(self if self._connected_channels() else None)
 
     async def forward_callback(self, body: bytes) -> bool:
         """Forward a call-back for a job that is unknown here; whether it was acknowledged."""
--- a/burlmoor/lifecycle/handover_predecessor.py
+++ b/burlmoor/lifecycle/handover_predecessor.py
@@ -85,8 +85,8 @@
         self._parts.admin.is_serving = False
         self._limits.freeze_upstream()
         self._parts.core.policy.on_handover_changed(is_handed_over=True)
-        self._parts.server.attach_successor(self)
-        self._parts.server.pass_idle_to_successor()
+        self._parts.server.peers.attach_successor(self)
+        self._parts.server.connections.pass_idle_to_successor()
         self._send_counts(channel)
         self._log(HandoverCompleted(open_jobs=self._parts.core.jobs.count_open()))
         self._nursery.start_soon(self._report_counts, channel)
@@ -97,10 +97,10 @@
     async def _report_counts(self, channel: HandoverChannel) -> None:
         while channel.is_connected:
             await trio.sleep(_REPORT_INTERVAL_SECONDS)
-            self._parts.server.pass_idle_to_successor()
+            self._parts.server.connections.pass_idle_to_successor()
             self._send_counts(channel)
 
-    def pass_connection(self, sock: socket.socket, has_been_used: bool, age_seconds: float) -> None:
+    def pass_connection(self, sock: socket.socket, *, has_been_used: bool, age_seconds: float) -> None:
         """Send a connection that lies between requests to the successor."""
         message = PassedConnection(has_been_used, age_seconds)
         if self.channel is None or not self.channel.send(message, sock):
@@ -114,7 +114,7 @@
     def on_channel_lost(self) -> None:
         """Accept again if the successor that had taken over has died."""
         self.channel = None
-        self._parts.server.attach_successor(None)
+        self._parts.server.peers.attach_successor(None)
         if self._accept_scope is None:
             self._log(HandoverReverted())
             self._parts.core.policy.on_handover_changed(is_handed_over=False)
--- a/burlmoor/lifecycle/handover_successor.py
+++ b/burlmoor/lifecycle/handover_successor.py
@@ -67,7 +67,7 @@
 
     def on_connection_passed(self, sock: socket.socket, has_been_used: bool, age_seconds: float) -> None:
         """Serve a connection that the predecessor accepted."""
-        self._parts.server.adopt(sock, has_been_used, age_seconds)
+        self._parts.server.adopt(sock, has_been_used=has_been_used, age_seconds=age_seconds)
 
     def on_channel_lost(self) -> None:
         """Go on alone: the predecessor has ended."""
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -16,8 +16,8 @@
 from burlmoor.discovery.client import DiscoveryClient
 from burlmoor.discovery.list_lease import FIRST_CONTACT_SECONDS, ListLease
 from burlmoor.discovery.schedule import WatchSchedule
-from burlmoor.downstream.drain import DrainController, kill_after_seconds
-from burlmoor.downstream.server import DownstreamServer
+from burlmoor.downstream.drain import DrainController, compute_grace_period_seconds
+from burlmoor.downstream.server import build_downstream_server
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
@@ -76,10 +76,14 @@
         self.discovery_pool = self._build_discovery_pool()
         self.discovery = self._build_discovery_client()
         self.engine = Engine(self.core, self.attempts, self.discovery)
-        self.drain = DrainController(kill_after_seconds(each.deadline_ms / 1000.0 for each in policy.classes))
+        self.drain = DrainController(
+            compute_grace_period_seconds(each.deadline_ms / 1000.0 for each in policy.classes)
+        )
         fd = config.listener_fd
         self._listener = bind_socket(config.listen) if fd is None else adopt_listening_socket(fd)
-        self.server = self._build_server(sockets.downstream)
+        self.server = build_downstream_server(
+            self.core, self.engine, self._listener, sockets.downstream, self.drain, nursery, log
+        )
         self.admin = AdminService(self.directory, self.drain, self._state_path("by-hand"), log)
         self._parts = NodeParts(self.core, self.engine, self.server, self.pool, self.directory, self.admin)
         self.handover = self._build_handover()
@@ -128,19 +132,6 @@
             self._log,
         )
 
-    def _build_server(self, max_connections: int) -> DownstreamServer:
-        classes = [each.name for each in self._config.settings.policy.classes]
-        return DownstreamServer(
-            self.core,
-            self.engine,
-            classes,
-            self._listener,
-            max_connections,
-            self.drain,
-            self._nursery,
-            self._log,
-        )
-
     def _build_handover(self) -> Handover:
         # Two processes can share the socket that clients come to only where the platform holds it.
         is_listener_shared = self._config.listener_fd is not None
--- a/burlmoor/testbed/mutations.py
+++ b/burlmoor/testbed/mutations.py
@@ -180,7 +180,7 @@
     """An attempt that is cancelled stays with the kernel, which goes on delivering it."""
     from burlmoor.transport.stream import SocketStream  # noqa: PLC0415
 
-    SocketStream.set_reset_on_close = lambda self, is_on: True  # type: ignore[method-assign]
+    SocketStream.set_reset_on_close = lambda self, *, is_on: True  # type: ignore[method-assign]
 
 
 def _old_list() -> None:
--- a/burlmoor/transport/sockets.py
+++ b/burlmoor/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets that listen, and connections accepted from them or made to an address."""
+"""Listening sockets, and connections accepted from them or made to an address."""
 
 from __future__ import annotations
 
@@ -15,23 +15,29 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from burlmoor.transport.address import SocketAddress
+
 _LISTEN_BACKLOG = 1024
 _ACCEPT_RETRY_SECONDS = 0.05  # after an error of accept
+# The values of `errno` where neither the process nor the machine has a descriptor, or memory for one, left.
 DESCRIPTORS_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
-def open_listening_socket(address: tuple[str, int]) -> socket.socket:
-    """Open a socket that listens at `address`."""
+def open_listening_socket(address: SocketAddress | tuple[str, int]) -> socket.socket:
+    """Open a socket that listens at `address`; raises OSError if that is not possible."""
     sock = bind_socket(address)
     start_listening(sock)
     return sock
 
 
-def bind_socket(address: tuple[str, int]) -> socket.socket:
-    """Open a socket that is bound to `address`: connections are refused until it listens."""
+def bind_socket(address: SocketAddress | tuple[str, int]) -> socket.socket:
+    """Open a socket that is bound to `address`: connections are refused until it listens.
+
+    Raises OSError if the address is not free.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        sock.setblocking(False)
+        sock.settimeout(0.0)  # non-blocking
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
     except OSError:
@@ -41,21 +47,27 @@
 
 
 def start_listening(sock: socket.socket) -> None:
-    """Let a bound socket listen; OSError if another one listens there."""
+    """Let a bound socket listen; raises OSError if another one listens there."""
     sock.listen(_LISTEN_BACKLOG)
 
 
 def adopt_listening_socket(inherited_fd: int) -> socket.socket:
-    """Take a socket that was inherited; never bound or shut down here, since others accept from it too."""
+    """Use a listening socket that was inherited.
+
+    It is never bound or shut down here, since other processes accept from it too.
+    """
     sock = socket.socket(fileno=inherited_fd)
-    sock.setblocking(False)
+    sock.settimeout(0.0)  # non-blocking
     return sock
 
 
 async def accept(
     sock: socket.socket, on_descriptors_exhausted: Callable[[OSError], None]
 ) -> socket.socket | None:
-    """Accept a connection that waits on a listening socket; None if there is none."""
+    """Accept a connection that waits on a listening socket; None if there is none.
+
+    Where no descriptor is left, the error is given to `on_descriptors_exhausted`.
+    """
     try:
         return sock.accept()[0]
     except (BlockingIOError, InterruptedError):
@@ -71,19 +83,23 @@
 async def connect(address: str, buffer_limit: int) -> SocketStream:
     """Connect to `host:port`; the buffers hold `buffer_limit` bytes in each direction.
 
-    Raises OSError if the connection fails and InvalidAddressError. The caller bounds the time.
+    Raises OSError if the connection fails, and InvalidAddressError. The caller bounds the time.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        sock.setblocking(False)
-        code = sock.connect_ex(parse_address(address))
-        if code == errno.EINPROGRESS:
-            await trio.lowlevel.wait_writable(sock)
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if code:
-            raise OSError(code, os.strerror(code))  # noqa: TRY301
+        sock.settimeout(0.0)  # non-blocking
+        await _connect_socket(sock, parse_address(address))
         return SocketStream(sock, buffer_limit, buffer_limit)
     except BaseException:
         # Without this, each connect that is cancelled would leak a descriptor.
         sock.close()
         raise
+
+
+async def _connect_socket(sock: socket.socket, address: SocketAddress) -> None:
+    error_number = sock.connect_ex(address)
+    if error_number == errno.EINPROGRESS:
+        await trio.lowlevel.wait_writable(sock)
+        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    if error_number:
+        raise OSError(error_number, os.strerror(error_number))
--- a/burlmoor/transport/stream.py
+++ b/burlmoor/transport/stream.py
@@ -1,4 +1,4 @@
-"""The driver between one non-blocking socket and its two ring buffers."""
+"""A stream: one non-blocking TCP socket with a bounded buffer in each direction."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import socket
 import struct
 from contextlib import suppress
+from enum import Enum
 
 import trio
 
@@ -14,11 +15,20 @@
 
 _RECEIVE_BYTES = 16384
 _DISCARD_PAUSE_SECONDS = 0.05  # between reads from a peer that sends without end
-_LINGER_OFF = struct.pack("ii", 0, 0)  # of SO_LINGER: close() queues the end behind what was written
-_LINGER_RESET = struct.pack("ii", 1, 0)  # close(), or the end of the process, discards it and sends a reset
+# Values of SO_LINGER: close(), or the end of the process,
+_LINGER_OFF = struct.pack("ii", 0, 0)  # sends the end behind what was written
+_LINGER_RESET = struct.pack("ii", 1, 0)  # discards what was written and sends a reset
 _DISCARD_BUFFER = bytearray(128 * 1024)  # receives what is discarded; shared, since it is never read
 
 
+class ReceiveResult(Enum):
+    """What an attempt to read brought."""
+
+    DATA = "data"
+    END = "end"  # the peer has ended its side
+    NOTHING = "nothing"  # nothing has arrived yet
+
+
 class StreamClosedError(BurlmoorError, OSError):
     """The stream was used after this side had closed it; `errno` is EBADF."""
 
@@ -27,10 +37,13 @@
 
 
 class SocketStream:
-    """Owns one non-blocking socket, what was read from it and what still has to be written to it."""
+    """Owns one socket, what was read from it, and what still has to be written to it.
+
+    Raises OSError if the socket can't be set up.
+    """
 
     def __init__(self, sock: socket.socket, inbound_limit: int, outbound_limit: int) -> None:
-        sock.setblocking(False)
+        sock.settimeout(0.0)  # non-blocking
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock: socket.socket | None = sock
         self.inbound = RingBuffer(inbound_limit)
@@ -48,31 +61,39 @@
         return self._sock
 
     async def receive(self) -> bool:
-        """Wait for bytes and put them into the inbound buffer, which must have space; False at the end."""
+        """Wait for bytes and put them into the inbound buffer, which must have space.
+
+        Returns False once either side has ended the connection; raises OSError if it breaks.
+        """
         while True:
             try:
                 await trio.lowlevel.wait_readable(self._open_socket())
             except trio.ClosedResourceError:
                 return False
-            has_received = self.receive_now()
-            if has_received is not None:
-                return has_received
+            result = self.receive_now()
+            if result is not ReceiveResult.NOTHING:
+                return result is ReceiveResult.DATA
 
-    def receive_now(self) -> bool | None:
-        """Do what `receive` does, without waiting; None if nothing is there."""
+    def receive_now(self) -> ReceiveResult:
+        """Put what has arrived into the inbound buffer, which must have space, without waiting.
+
+        Raises OSError if the connection has broken.
+        """
         try:
             data = self._open_socket().recv(min(_RECEIVE_BYTES, self.inbound.free_space))
         except (BlockingIOError, InterruptedError):
-            return None
-        if data:
-            self.inbound.write(data)
-        return bool(data)
+            return ReceiveResult.NOTHING
+        if not data:
+            return ReceiveResult.END
+        self.inbound.write(data)
+        return ReceiveResult.DATA
 
-    async def discard_until_end(self, limit: int) -> None:
+    async def discard_until_end(self, max_bytes: int) -> None:
         """Read and discard until the peer ends its side.
 
-        What exceeds `limit` bytes is read slowly, so that a peer that sends without end costs little.
+        What exceeds `max_bytes` is read slowly, so that a peer that sends without end costs little.
         """
+        remaining_bytes = max_bytes
         while True:
             try:
                 await trio.lowlevel.wait_readable(self._open_socket())
@@ -83,12 +104,12 @@
                 return
             if not count:
                 return
-            limit -= count
-            if limit < 0:
+            remaining_bytes -= count
+            if remaining_bytes < 0:
                 await trio.sleep(_DISCARD_PAUSE_SECONDS)
 
     def send(self, data: bytes) -> None:
-        """Write what the kernel takes now and buffer the rest.
+        """Write what the kernel accepts now and buffer the rest.
 
         Raises OSError if the connection has broken, and BufferFullError if the rest exceeds the buffer.
         """
@@ -99,17 +120,20 @@
             self.outbound.write(data)
 
     def flush(self) -> None:
-        """Write what the kernel takes now of what is buffered."""
+        """Write what the kernel accepts now of what is buffered."""
         sock = self._open_socket()
         while self.outbound:
             try:
-                sent = sock.send(self.outbound.peek())
+                sent_count = sock.send(self.outbound.peek())
             except (BlockingIOError, InterruptedError):
                 return
-            self.outbound.consume(sent)
+            self.outbound.consume(sent_count)
 
     async def drain(self) -> None:
-        """Wait until all that is buffered has gone to the kernel; OSError if the connection breaks."""
+        """Wait until the kernel has accepted all that is buffered.
+
+        Raises OSError if the connection breaks.
+        """
         while self.outbound:
             if self._drain_ended is not None:
                 # Without this, two tasks could wait on one socket, which trio answers with an error.
@@ -126,7 +150,7 @@
                 self._drain_ended = None
 
     def is_idle_open(self) -> bool:
-        """Whether an idle connection can be used: its peer has neither closed it nor written to it."""
+        """Return whether an idle connection can be used: its peer has neither closed nor written to it."""
         try:
             self._open_socket().recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -136,15 +160,15 @@
         return False
 
     def shut_down_sending(self) -> None:
-        """Tell the peer that nothing more is sent, while it may still write."""
+        """End this side: nothing more is sent, while the peer may still write."""
         if self._sock is not None:
             with suppress(OSError):
                 self._sock.shutdown(socket.SHUT_WR)
 
-    def set_reset_on_close(self, is_on: bool) -> bool:
+    def set_reset_on_close(self, *, is_on: bool) -> bool:
         """Let the close of the socket, also by the end of this process, discard what was not delivered yet.
 
-        Without it, the kernel goes on delivering what was written, for minutes if the peer is cut off.
+        If it is off, the kernel continues to deliver that, for minutes if the peer is unreachable.
         Returns whether the socket is set so now.
         """
         if self._sock is None:
--- a/burlmoor/upstream/connection.py
+++ b/burlmoor/upstream/connection.py
@@ -38,7 +38,7 @@
         self._http = HttpClientConnection(address, body_limit)
         self._has_open_request = False  # whether a request was begun whose response is not complete
         # From the start, since the process may be killed at any moment.
-        self._resets_on_close = stream.set_reset_on_close(True)
+        self._resets_on_close = stream.set_reset_on_close(is_on=True)
         self.is_reused = False  # whether it has carried a request before this one
         self.idle_since = 0.0
         self.reused_at = 0.0
@@ -96,8 +96,8 @@
         """
         if not self._stream.is_closed:
             if not self._has_open_request:
-                self._stream.set_reset_on_close(False)
-            elif not (self._resets_on_close or self._stream.set_reset_on_close(True)):
+                self._stream.set_reset_on_close(is_on=False)
+            elif not (self._resets_on_close or self._stream.set_reset_on_close(is_on=True)):
                 self._pool.on_request_not_withdrawn(self.address)
             self._stream.close()
             self._pool.on_connection_closed(reason)
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -146,7 +146,7 @@
     async def scenario(harness: NodeHarness) -> None:
         await submit_deferred(harness, "p")
         await wait_until_sent(harness, "p")
-        size = harness.node.server.max_connections
+        size = harness.node.server.connections.max_connections
         wires = [await submit_deferred(harness, f"c{number}", "p") for number in range(size // 2)]
         await wait_until_status(harness, lambda status: status["turned_away"] >= size // 2 - size // 4)
         assert (await fetch_status(harness))["waiting"] == size // 4
--- a/tests/downstream/test_http.py
+++ b/tests/downstream/test_http.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import pytest
 
 from burlmoor.downstream.http import HttpServerConnection
+from burlmoor.downstream.job_headers import JobSubmissionParser
 from burlmoor.downstream.requests import (
     InvalidRequest,
     JobCallback,
@@ -12,6 +15,7 @@
     ParsedRequest,
     ReadinessCheck,
 )
+from burlmoor.downstream.responses import Response
 
 JOB = (
     b"POST /lookup/00ff?x=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\nTenant: acme\r\n"
@@ -21,11 +25,12 @@
 
 
 def build_connection() -> HttpServerConnection:
-    return HttpServerConnection(["lookup", "once", "keyed"], classes_requiring_key=["keyed"])
+    parser = JobSubmissionParser(["lookup", "once", "keyed"], classes_requiring_key=["keyed"])
+    return HttpServerConnection(parser)
 
 
 def parse(data: bytes, chunk_bytes: int = 1 << 20) -> tuple[HttpServerConnection, ParsedRequest | None]:
-    """Feed bytes in chunks to a new connection; what the last one completed."""
+    """Feed bytes in chunks to a new connection; return it, and the request that the last chunk completed."""
     http = build_connection()
     parsed = None
     for start in range(0, len(data), chunk_bytes):
@@ -51,7 +56,7 @@
         2.0,
     )
     assert (job.tenant, job.affinity_key) == ("acme", "00ff")
-    assert http.encode_response(200, b"done").endswith(b"\r\n\r\ndone")
+    assert http.encode_response(Response(HTTPStatus.OK, b"done")).endswith(b"\r\n\r\ndone")
     assert http.is_idle
     assert not http.is_closing
 
@@ -69,11 +74,11 @@
     )
     assert isinstance(first, JobSubmission)
     assert http.has_open_request
-    http.encode_response(200)
+    http.encode_response(Response(HTTPStatus.OK))
     second = http.receive_data(b"")
     assert isinstance(second, JobSubmission)
     assert second.request_id == "77aa"
-    http.encode_response(503)
+    http.encode_response(Response(HTTPStatus.SERVICE_UNAVAILABLE))
     assert isinstance(http.receive_data(b""), ReadinessCheck)
 
 
@@ -82,7 +87,7 @@
         b"POST /v1/job-events HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}"
     )
     assert request == JobCallback(b"{}")
-    assert b" 204 " in http.encode_response(204)
+    assert b" 204 " in http.encode_response(Response(HTTPStatus.NO_CONTENT))
     assert http.is_closing
     assert not http.may_have_unread_input
 
@@ -131,5 +136,6 @@
     assert isinstance(request, InvalidRequest)
     assert request.status == status
     assert len(request.reason) <= 100
-    assert http.encode_response(status, request.reason.encode()).startswith(b"HTTP/1.1 %d " % status)
+    response = Response(request.status, request.reason.encode())
+    assert http.encode_response(response).startswith(b"HTTP/1.1 %d " % status)
     assert http.is_closing
--- a/tests/downstream/test_other_process.py
+++ b/tests/downstream/test_other_process.py
@@ -3,50 +3,44 @@
 from __future__ import annotations
 
 from tests.support.handover_harness import RecordingProcess
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 
-def test_a_callback_is_answered_only_once_the_other_process_has_acknowledged_it() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_callback_is_answered_only_once_the_other_process_has_acknowledged_it() -> None:
+    async with open_node_harness() as harness:
         other_process = RecordingProcess(acknowledgements=[False, True])
-        harness.node.server.attach_callback_forwarder(other_process)
+        harness.node.server.peers.attach_callback_forwarder(other_process)
         body = b'{"id":"x","from":"e0","state":"done"}'
         assert await harness.send_callback_body(body) == 503  # its executor tells it again
         assert await harness.send_callback_body(body) == 204
         assert other_process.callbacks == [body, body]
 
-    run_scenario(scenario)
 
-
-def test_a_connection_is_passed_to_the_successor_only_between_requests() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_connection_is_passed_to_the_successor_only_between_requests() -> None:
+    async with open_node_harness() as harness:
         successor = RecordingProcess()
         client = await harness.submit_job("once", "a1")
         half = await harness.connect_client()
         await half.socket_stream.send_all(b"POST /once")
         await harness.wait_until(lambda: harness.jobs and len(harness.node.server.connections) == 2)
-        harness.node.server.attach_successor(successor)
-        harness.node.server.pass_idle_to_successor()
+        harness.node.server.peers.attach_successor(successor)
+        harness.node.server.connections.pass_idle_to_successor()
         assert not successor.connections
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(client)).status == 200
         assert [has_been_used for _, has_been_used in successor.connections] == [True]
         # The descriptor belongs to the process that serves it next.
-        harness.node.server.attach_successor(None)
+        harness.node.server.peers.attach_successor(None)
         for sock, has_been_used in successor.connections:
-            harness.node.server.adopt(sock, has_been_used)
+            harness.node.server.adopt(sock, has_been_used=has_been_used)
         await harness.send_job(client, "once", "a2")
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         await harness.send_callback("done", "again")
         assert (await harness.read_response(client)).body == b"again"
 
-    run_scenario(scenario)
-
 
-def test_a_request_id_in_use_in_the_other_process_is_rejected() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_request_id_in_use_in_the_other_process_is_rejected() -> None:
+    async with open_node_harness() as harness:
         harness.node.core.jobs.add_ids_in_other_process(["a1"])
         assert (await harness.read_response(await harness.submit_job("once", "a1"))).status == 400
         assert not harness.jobs
-
-    run_scenario(scenario)
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -1,17 +1,20 @@
-"""Clients that leave, or write on, while their jobs are open: rows of `docs/endings.md`."""
+"""Clients that disconnect, or keep writing, while their jobs are open: rows of `docs/endings.md`."""
 
 from __future__ import annotations
 
+from contextlib import suppress
 from typing import TYPE_CHECKING, Any
 
 import pytest
 import trio
 
 from tests.support.configuration import SETTINGS_OBJECT
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
+    from burlmoor.testbed.http_stream import HttpStream
     from burlmoor.upstream.connection import PooledConnection
+    from tests.support.node_harness import NodeHarness
 
 NO_CANCEL = {**SETTINGS_OBJECT, "Limits": {**SETTINGS_OBJECT["Limits"], "Cancel": False}}
 
@@ -36,10 +39,10 @@
 
 @pytest.mark.parametrize("given_settings", [SETTINGS_OBJECT, NO_CANCEL])
 @pytest.mark.parametrize("how", ["closes", "resets"])
-def test_a_client_that_leaves_while_the_node_connects_has_nothing_sent(
+async def test_a_client_that_disconnects_while_the_node_connects_has_nothing_sent(
     how: str, given_settings: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness(given_settings=given_settings) as harness:
         delayed = DelayedConnections(harness, monkeypatch)
         client = await harness.submit_job()
         await harness.wait_until(lambda: delayed.waiting_count)
@@ -54,13 +57,11 @@
         # Nothing is kept of it either.
         await harness.wait_until(lambda: not harness.node.core.jobs.ids())
 
-    run_scenario(scenario, given_settings=given_settings)
-
 
 @pytest.mark.parametrize("byte_count", [20_000, 300_000, 3_000_000])
-def test_the_close_of_a_client_is_noticed_behind_much_unread_input(byte_count: int) -> None:
+async def test_the_close_of_a_client_is_noticed_behind_much_unread_input(byte_count: int) -> None:
     # Its close comes behind more than the node keeps of what is written to it.
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness("hang") as harness:
         client = await harness.submit_job(timeout_ms=9000)
         await harness.wait_until(lambda: harness.jobs)
         began = trio.current_time()
@@ -70,34 +71,36 @@
         assert trio.current_time() - began < 2.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
 
-    run_scenario(scenario, "hang")
 
+class WritingClient:
+    """Writes on and on, on a connection whose request is open."""
+
+    def __init__(self, harness: NodeHarness, connection: HttpStream) -> None:
+        self._harness = harness
+        self._connection = connection
+        self.written_count = 0  # chunks
+
+    async def write(self) -> None:
+        """Write until the connection breaks, 200 chunks at most."""
+        with suppress(trio.BrokenResourceError):
+            for _ in range(200):
+                await self._connection.socket_stream.send_all(b"x" * 100_000)
+                self.written_count += 1
+                self._harness.notify()
 
-def test_a_client_that_never_stops_writing_is_answered_and_its_connection_closed() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+
+async def test_a_client_that_never_stops_writing_is_answered_and_its_connection_closed() -> None:
+    async with open_node_harness() as harness:
         client = await harness.submit_job(timeout_ms=5000)
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("started")  # else it is retried elsewhere after a while
-        written_count = 0
-
-        async def write() -> None:
-            nonlocal written_count
-            try:
-                for _ in range(200):
-                    await client.socket_stream.send_all(b"x" * 100_000)
-                    written_count += 1
-                    harness.notify()
-            except trio.BrokenResourceError:
-                return
-
-        harness.nursery.start_soon(write)
-        await harness.wait_until(lambda: written_count > 100)
-        other = await harness.submit_job(request_id="b1")  # another client's, to be answered all the same
+        writing_client = WritingClient(harness, client)
+        harness.nursery.start_soon(writing_client.write)
+        await harness.wait_until(lambda: writing_client.written_count > 100)
+        other = await harness.submit_job(request_id="b1")  # another client's, to be answered nevertheless
         for ref, waiting in (("b1", other), ("a1", client)):
             await harness.wait_until(lambda ref=ref: harness.find_attempts(ref))  # type: ignore[misc]
             await harness.send_callback("done", "fine", job=harness.find_attempts(ref)[-1])
             answer = await harness.read_response(waiting)
             assert (answer.status, answer.body) == (200, b"fine")
         assert answer.headers["connection"] == "close"
-
-    run_scenario(scenario)
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -6,14 +6,14 @@
 
 import trio
 
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
     import pytest
 
 
-def test_silent_connections_do_not_displace_active_clients() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_silent_connections_do_not_displace_active_clients() -> None:
+    async with open_node_harness(sockets=128) as harness:
         active = [await harness.submit_job("once", f"a{number}") for number in range(3)]
         await harness.wait_until(lambda: len(harness.jobs) == 3)
         for job in range(3):
@@ -27,11 +27,9 @@
         await harness.wait_until(lambda: len(harness.jobs) == 6)
         assert len(silent) == 100
 
-    run_scenario(scenario, sockets=128)
 
-
-def test_the_oldest_idle_connections_are_closed_at_the_limit() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_the_oldest_idle_connections_are_closed_at_the_limit() -> None:
+    async with open_node_harness(sockets=128) as harness:
         clients = []
         for number in range(30):
             clients.append(await harness.submit_job("once", f"a{number}"))
@@ -43,11 +41,9 @@
         await harness.send_job(clients[-1], "once", "b")
         await harness.wait_until(lambda: len(harness.jobs) == 31)
 
-    run_scenario(scenario, sockets=128)
-
 
-def test_a_client_is_served_while_idle_connections_exceed_the_limit() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_client_is_served_while_idle_connections_exceed_the_limit() -> None:
+    async with open_node_harness(sockets=128) as harness:
         idle = [await harness.connect_client() for _ in range(80)]
         client = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs)
@@ -55,11 +51,9 @@
         assert (await harness.read_response(client)).body == b"fine"
         assert len(idle) == 80
 
-    run_scenario(scenario, sockets=128)
-
 
-def test_waiting_clients_leave_connections_for_call_backs() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_waiting_clients_leave_connections_for_call_backs() -> None:
+    async with open_node_harness(sockets=128) as harness:
         clients = [await harness.submit_job("once", f"a{number}", 900) for number in range(60)]
         answers = []
 
@@ -74,15 +68,13 @@
         assert answers.count(200) == 1
         assert len(answers) == len(clients)
 
-    run_scenario(scenario, sockets=128)
 
-
-def test_connections_that_stall_within_a_request_are_closed_at_the_limit(
+async def test_connections_that_stall_within_a_request_are_closed_at_the_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("burlmoor.downstream.eviction._STALLED_EVICTION_SECONDS", 0.2)
 
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness(sockets=128) as harness:
         slow = [await harness.connect_client() for _ in range(44)]
         for client in slow:
             await client.socket_stream.send_all(b"POST /lookup/")
@@ -91,14 +83,12 @@
         assert await harness.send_callback("done", "fine") == 204
         assert (await harness.read_response(active)).status == 200
 
-    run_scenario(scenario, sockets=128)
-
 
-def test_a_slow_client_among_stalled_ones_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_slow_client_among_stalled_ones_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     # Real clients take up to 2 s to write a request: they are slow, not silent.
     monkeypatch.setattr("burlmoor.downstream.eviction._STALLED_EVICTION_SECONDS", 0.2)
 
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness(sockets=128) as harness:
         stalled = [await harness.connect_client() for _ in range(40)]
         for client in stalled:
             await client.socket_stream.send_all(b"POST /lookup/")
@@ -117,5 +107,3 @@
         await harness.wait_until(lambda: harness.jobs)
         assert await harness.send_callback("done", "fine") == 204
         assert (await harness.read_response(slow)).body == b"fine"
-
-    run_scenario(scenario, sockets=128)
--- a/tests/integration/test_downstream_connections.py
+++ b/tests/integration/test_downstream_connections.py
@@ -7,13 +7,13 @@
 import pytest
 import trio
 
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import open_node_harness
 
 LONG_REQUEST = b"POST /lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n"
 
 
-def test_invalid_bytes_end_only_their_own_connection() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_invalid_bytes_end_only_the_connection_that_carried_them() -> None:
+    async with open_node_harness() as harness:
         valid = await harness.submit_job()
         for data in (b"\x00\r\n\r\n", LONG_REQUEST + b"x" * 4_000_000):
             client = await harness.connect_client()
@@ -25,8 +25,6 @@
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(valid)).body == b"fine"
 
-    run_scenario(scenario)
-
 
 LONG_REQUEST_HEAD = LONG_REQUEST.replace(b"70000", b"60000000")
 
@@ -40,8 +38,10 @@
         (LONG_REQUEST_HEAD, 413),
     ],
 )
-def test_invalid_or_incomplete_requests_get_an_error_or_a_close_in_time(sent: bytes, status: int) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_invalid_or_incomplete_requests_get_an_error_or_a_close_in_time(
+    sent: bytes, status: int
+) -> None:
+    async with open_node_harness() as harness:
         client = await harness.connect_client()
         started_at = trio.current_time()
         await client.socket_stream.send_all(sent)
@@ -53,25 +53,23 @@
         assert await client.read() is None
         assert trio.current_time() - started_at < (6.0 if status else 3.0)
 
-    run_scenario(scenario)
-
 
-def test_a_health_check_or_an_unknown_path_ends_its_connection() -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_a_health_check_or_an_unknown_path_ends_its_connection() -> None:
+    async with open_node_harness() as harness:
         for path, status in (("/health/ready", 200), ("/unknown", 404)):
             client = await harness.connect_client()
             await client.write(f"GET {path} HTTP/1.1", Host="node")
             assert (await harness.read_response(client)).status == status
             assert await client.read() is None
 
-    run_scenario(scenario)
-
 
 @pytest.mark.parametrize(
     "function", ["callbacks.handle_callback", "server.DownstreamConnection.serve_without_task"]
 )
-def test_an_error_on_one_connection_ends_only_that(function: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario(harness: NodeHarness) -> None:
+async def test_an_error_on_one_connection_ends_only_that(
+    function: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async with open_node_harness() as harness:
         client = await harness.submit_job("once")
         await harness.wait_until(lambda: harness.jobs)
         with monkeypatch.context() as patch:
@@ -82,5 +80,3 @@
             assert await broken.read() is None
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(client)).body == b"fine"
-
-    run_scenario(scenario)
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -3,43 +3,60 @@
 from __future__ import annotations
 
 from contextlib import suppress
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 import trio
 
-from burlmoor.transport.stream import SocketStream
+from burlmoor.transport.stream import ReceiveResult, SocketStream
 from tests.support.configuration import SETTINGS_OBJECT
-from tests.support.node_harness import NodeHarness, run_scenario
+from tests.support.node_harness import NodeHarness, open_node_harness
 
+if TYPE_CHECKING:
+    from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 
-def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_not_admitted(
+SIGKILL_MARGIN_SECONDS = 0.7
+MAX_COUNTED_DEADLINE_SECONDS = 3.0
+LATE_SECONDS = 0.7  # after SIGTERM: what is submitted from then on has to be answered before SIGKILL
+LAST_RECONNECT_SECONDS = 0.4  # after SIGTERM: load balancers in front send no client here any more
+
+
+class AdmissionRecorder:
+    """Records the ids of the requests that a node admits from now on."""
+
+    def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.request_ids: list[str] = []
+        self._admit = harness.node.engine.admit
+        monkeypatch.setattr(harness.node.engine, "admit", self._record_and_admit)
+
+    def _record_and_admit(self, *arguments: Any) -> Any:
+        self.request_ids.append(arguments[1])
+        return self._admit(*arguments)
+
+
+def close_idle_before_next_read(harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let the sweep close idle connections when a socket is readable and its task is about to read."""
+    receive_now = SocketStream.receive_now
+
+    def close_idle_and_receive(stream: SocketStream) -> ReceiveResult:
+        monkeypatch.setattr(SocketStream, "receive_now", receive_now)
+        harness.node.server.connections.close_idle()
+        return receive_now(stream)
+
+    monkeypatch.setattr(SocketStream, "receive_now", close_idle_and_receive)
+
+
+async def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_not_admitted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Read and dropped, it would have had no answer; and what is written after a close is lost.
-    admitted: list[str] = []
-    receive_now = SocketStream.receive_now
-
-    async def scenario(harness: NodeHarness) -> None:
+    async with open_node_harness() as harness:
         client = await harness.submit_job("once", "a1")
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(client)).body == b"fine"
-        admit = harness.node.engine.admit
-
-        def record_and_admit(*arguments: Any) -> Any:
-            admitted.append(arguments[1])
-            return admit(*arguments)
-
-        monkeypatch.setattr(harness.node.engine, "admit", record_and_admit)
-
-        def close_idle_and_receive(stream: SocketStream) -> bool | None:
-            # The socket is readable and its task about to read when the sweep closes idle connections.
-            monkeypatch.setattr(SocketStream, "receive_now", receive_now)
-            harness.node.server.close_idle()
-            return receive_now(stream)
-
-        monkeypatch.setattr(SocketStream, "receive_now", close_idle_and_receive)
+        admitted = AdmissionRecorder(harness, monkeypatch)
+        close_idle_before_next_read(harness, monkeypatch)
         await harness.send_job(client, "once", "a2")
         with suppress(trio.BrokenResourceError):
             assert await client.read() is None
@@ -47,9 +64,7 @@
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         await harness.send_callback("done", "again")
         assert (await harness.read_response(again)).body == b"again"
-        assert admitted == ["a2"]
-
-    run_scenario(scenario)
+        assert admitted.request_ids == ["a2"]
 
 
 def settings_with_deadline(deadline_ms: float) -> dict[str, Any]:
@@ -60,43 +75,59 @@
     }
 
 
-@pytest.mark.parametrize("deadline_ms", [400.0, 1000.0, 2000.0, 5000.0])
-def test_jobs_admitted_late_in_a_shutdown_are_answered_before_sigkill_may_come(deadline_ms: float) -> None:
-    # SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM; 3.7 s where that is longer.
-    killed_after_seconds = min(deadline_ms / 1000.0, 3.0) + 0.7
-    late_answers: list[float] = []  # seconds after SIGTERM, to what was asked late
-
-    async def scenario(harness: NodeHarness) -> None:
-        began = trio.current_time()
-
-        async def submit_repeatedly(number: int) -> None:
-            """Submit job after job on one connection for as long as that stays open."""
-            client = await harness.connect_client()
-            for again in range(1000):
-                asked = trio.current_time() - began
-                if asked >= killed_after_seconds:
+class PersistentClient:
+    """Submits job after job on one connection for as long as that stays open, while a node shuts down."""
+
+    def __init__(self, harness: NodeHarness, number: int, deadline_ms: float, began_at: float) -> None:
+        self._harness = harness
+        self._number = number
+        self._timeout_ms = int(deadline_ms)
+        self._began_at = began_at  # when the shutdown began
+        self.late_answers: list[float] = []  # seconds after SIGTERM, to what was submitted late
+
+    async def submit_until(self, end_seconds: float) -> None:
+        """Submit jobs until so many seconds after SIGTERM, or until the node lets no client connect."""
+        connection = await self._harness.connect_client()
+        for again in range(1000):
+            submitted_at = self._seconds_since_sigterm()
+            if submitted_at >= end_seconds:
+                return
+            answer = await self._submit(connection, f"c{self._number}-{again}")
+            if answer is not None and submitted_at > LATE_SECONDS:
+                self.late_answers.append(self._seconds_since_sigterm())
+            if answer is None or answer.headers.get("connection") == "close":
+                if self._seconds_since_sigterm() > LAST_RECONNECT_SECONDS:
                     return
-                try:
-                    await harness.send_job(client, "once", f"c{number}-{again}", int(deadline_ms))
-                    answer = await client.read()
-                except trio.BrokenResourceError:
-                    answer = None
-                if answer is not None and asked > 0.7:
-                    late_answers.append(trio.current_time() - began)
-                if answer is None or answer.headers.get("connection") == "close":
-                    if trio.current_time() - began > 0.4:
-                        return
-                    client = await harness.connect_client()
-                await trio.sleep(0.02)
+                connection = await self._harness.connect_client()
+            await trio.sleep(0.02)
+
+    async def _submit(self, connection: HttpStream, request_id: str) -> HttpMessage | None:
+        """Submit one job; return its answer, None if the connection ended without one."""
+        try:
+            await self._harness.send_job(connection, "once", request_id, self._timeout_ms)
+            return await connection.read()
+        except trio.BrokenResourceError:
+            return None
 
+    def _seconds_since_sigterm(self) -> float:
+        return trio.current_time() - self._began_at
+
+
+@pytest.mark.parametrize("deadline_ms", [400.0, 1000.0, 2000.0, 5000.0])
+async def test_jobs_admitted_late_in_a_shutdown_are_answered_before_sigkill_may_come(
+    deadline_ms: float,
+) -> None:
+    # SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM; 3.7 s where that is longer.
+    killed_after_seconds = min(deadline_ms / 1000.0, MAX_COUNTED_DEADLINE_SECONDS) + SIGKILL_MARGIN_SECONDS
+    async with open_node_harness(given_settings=settings_with_deadline(deadline_ms)) as harness:
+        began_at = trio.current_time()
+        clients = [PersistentClient(harness, number, deadline_ms, began_at) for number in range(6)]
         harness.nursery.start_soon(harness.node.shut_down)
         with trio.move_on_after(killed_after_seconds):
             async with trio.open_nursery() as nursery:
-                for number in range(6):
-                    nursery.start_soon(submit_repeatedly, number)
+                for client in clients:
+                    nursery.start_soon(client.submit_until, killed_after_seconds)
         # A client that still waits has submitted its job within 0.7 s of SIGTERM, or not at all.
         assert not harness.node.core.jobs.count_open()
-        assert not harness.node.server.has_unsent
-
-    run_scenario(scenario, given_settings=settings_with_deadline(deadline_ms))
-    assert all(at < killed_after_seconds for at in late_answers)
+        assert not harness.node.server.connections.has_unsent
+    assert all(at < killed_after_seconds for client in clients for at in client.late_answers)
--- a/tests/lifecycle/test_connection_limits.py
+++ b/tests/lifecycle/test_connection_limits.py
@@ -26,12 +26,12 @@
         server, pool = harness.node.server, harness.node.pool
         limits = SharedConnectionLimits(server, pool)
         limits.reserve(downstream=72, upstream=88)
-        assert (server.max_connections, pool.max_connections) == (600, 200)
+        assert (server.connections.max_connections, pool.max_connections) == (600, 200)
         limits.reserve(downstream=1000, upstream=1000)
-        assert (server.max_connections, pool.max_connections) == (8, 8)
+        assert (server.connections.max_connections, pool.max_connections) == (8, 8)
         limits.freeze_upstream()
-        assert (server.max_connections, pool.max_connections) == (8, 0)
+        assert (server.connections.max_connections, pool.max_connections) == (8, 0)
         limits.restore()
-        assert (server.max_connections, pool.max_connections) == (672, 288)
+        assert (server.connections.max_connections, pool.max_connections) == (672, 288)
 
     run_scenario(scenario)
--- a/tests/support/handover_harness.py
+++ b/tests/support/handover_harness.py
@@ -102,7 +102,7 @@
         self.callbacks.append(body)
         return self._acknowledgements[len(self.callbacks) - 1]
 
-    def pass_connection(self, sock: socket.socket, has_been_used: bool, age_seconds: float) -> None:
+    def pass_connection(self, sock: socket.socket, *, has_been_used: bool, age_seconds: float) -> None:
         self.connections.append((sock, has_been_used))
 
     def on_job_opened(self, request_id: str) -> None:
--- a/tests/upstream/test_invariants.py
+++ b/tests/upstream/test_invariants.py
@@ -34,7 +34,7 @@
 def test_a_connection_that_cannot_be_reset_counts_as_not_withdrawn(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(harness: NodeHarness) -> dict[str, int]:
         await harness.wait_ready()
-        monkeypatch.setattr(SocketStream, "set_reset_on_close", lambda *_: False)
+        monkeypatch.setattr(SocketStream, "set_reset_on_close", lambda *_, **__: False)
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(harness.node.core.invariants.counts)  # it is cancelled after 0.45 s
         return harness.node.core.invariants.counts()
