--- a/burlmoor/downstream/accepted_socket.py
+++ b/burlmoor/downstream/accepted_socket.py
@@ -115,7 +115,6 @@
         """Close the socket and count the reason: the first one noted, or this one."""
         if self.stream.is_closed:
             return  # or passed to another process
-        self.note_close(default_reason)
-        assert self._close_reason is not None
-        self._counters.count(CounterGroup.CLIENT_CLOSES, self._close_reason.value)
+        reason = self._close_reason or default_reason
+        self._counters.count(CounterGroup.CLIENT_CLOSES, reason.value)
         self.stream.close()
--- a/burlmoor/downstream/http.py
+++ b/burlmoor/downstream/http.py
@@ -26,8 +26,9 @@
 _MAX_REASON_LENGTH = 100
 _CONNECTION_CLOSE = ("Connection", "close")
 _CONTINUE = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
-_NO_CONTENT = h11.Response(status_code=HTTPStatus.NO_CONTENT, headers=[])
-_NO_CONTENT_AND_CLOSE = h11.Response(status_code=HTTPStatus.NO_CONTENT, headers=[_CONNECTION_CLOSE])
+_STATUS_NO_CONTENT = HTTPStatus.NO_CONTENT
+_NO_CONTENT = h11.Response(status_code=_STATUS_NO_CONTENT, headers=[])
+_NO_CONTENT_AND_CLOSE = h11.Response(status_code=_STATUS_NO_CONTENT, headers=[_CONNECTION_CLOSE])
 _END_OF_MESSAGE = h11.EndOfMessage()
 
 _AMBIGUOUS_LENGTH = InvalidRequest(HTTPStatus.BAD_REQUEST, "both Content-Length and Transfer-Encoding")
@@ -44,6 +45,7 @@
 class HttpServerConnection:
     """Owns the HTTP state of one accepted connection. One request at a time; the rest waits unread.
 
+    - `has_open_request`: a request has arrived and has no response yet
     - `is_closing`: nothing more is read from this connection; it is closed after the open request's response
     - `has_rejected_body`: a body was rejected for its announced length, and may still be written
     """
@@ -53,16 +55,11 @@
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=_MAX_HEAD_BYTES)
         self._head: h11.Request | None = None
         self._body = bytearray()
-        self._has_open_request = False
+        self.has_open_request = False
         self._omits_response_body = False  # HEAD: the length of a body that is not sent
         self.is_closing = False
         self.has_rejected_body = False
 
-    @property
-    def has_open_request(self) -> bool:
-        """Whether a request has arrived and has no response yet."""
-        return self._has_open_request
-
     @property
     def may_have_unread_input(self) -> bool:
         """Whether input is, or may still arrive, that is not read here."""
@@ -72,7 +69,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no request has been begun or is open."""
-        return not self._has_open_request and self._head is None and not self._http.trailing_data[0]
+        return not self.has_open_request and self._head is None and not self._http.trailing_data[0]
 
     def stop_reading(self) -> None:
         """Read nothing more: the connection is closed, after the open request's response if there is one."""
@@ -127,14 +124,14 @@
         self._note_method()
         self._head = None
         self._body = bytearray()
-        self._has_open_request = True
+        self.has_open_request = True
         return request
 
     def _note_method(self) -> None:
         self._omits_response_body = self._head is not None and self._head.method == b"HEAD"
 
     def _reject(self, rejection: InvalidRequest) -> InvalidRequest:
-        self._has_open_request = True
+        self.has_open_request = True
         self._note_method()
         # Without this, clients could send the same again at once: so each rejection costs them a connection.
         self.stop_reading()
@@ -171,9 +168,9 @@
 
         Raises `NoOpenRequestError`.
         """
-        if not self._has_open_request:
+        if not self.has_open_request:
             raise NoOpenRequestError
-        if response.status is HTTPStatus.NO_CONTENT:
+        if response.status is _STATUS_NO_CONTENT:
             head = _NO_CONTENT_AND_CLOSE if self.is_closing else _NO_CONTENT
         else:
             headers = [*response.headers, ("Content-Length", str(len(response.body)))]
@@ -185,7 +182,7 @@
         if response.body and not self._omits_response_body:
             data += self._http.send(h11.Data(data=response.body)) or b""
         data += self._http.send(_END_OF_MESSAGE) or b""
-        self._has_open_request = False
+        self.has_open_request = False
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE and not self.is_closing:
             self._http.start_next_cycle()
         else:
--- a/burlmoor/downstream/responses.py
+++ b/burlmoor/downstream/responses.py
@@ -23,6 +23,7 @@
     close_reason: CloseReason | None = None  # unless it is `LAST_RESPONSE`
 
 
+_STATUS_OK = HTTPStatus.OK
 _FAILED = Response(HTTPStatus.BAD_GATEWAY, b"the job failed and may have run\n")
 _REJECTED = Response(HTTPStatus.SERVICE_UNAVAILABLE)
 
@@ -31,7 +32,7 @@
     """Build the response to a job submission from the job's final answer."""
     match answer:
         case Served(result):
-            return Response(HTTPStatus.OK, result)
+            return Response(_STATUS_OK, result)
         case Rejected(retry_after_ms) if retry_after_ms > 0.0:
             retry_after = f"{retry_after_ms / 1000.0:.3f}"
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, headers=((RETRY_AFTER, retry_after),))
