--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import trio
 
@@ -11,6 +11,20 @@
 if TYPE_CHECKING:
     import pytest
 
+    from burlmoor.testbed.http_stream import HttpStream
+    from tests.support.node_harness import NodeHarness
+
+
+class AnswerCollector:
+    """Reads the answers of clients, each in a task of its own."""
+
+    def __init__(self, harness: NodeHarness) -> None:
+        self._harness = harness
+        self.statuses: list[int] = []
+
+    async def read_from(self, client: HttpStream) -> None:
+        self.statuses.append((await self._harness.read_response(client)).status)
+
 
 async def test_silent_connections_do_not_displace_active_clients() -> None:
     async with open_node_harness(sockets=128) as harness:
@@ -55,18 +69,14 @@
 async def test_waiting_clients_leave_connections_for_call_backs() -> None:
     async with open_node_harness(sockets=128) as harness:
         clients = [await harness.submit_job("once", f"a{number}", 900) for number in range(60)]
-        answers = []
-
-        async def collect(client: Any) -> None:
-            answers.append((await harness.read_response(client)).status)
-
+        answers = AnswerCollector(harness)
         async with trio.open_nursery() as nursery:
             for client in clients:
-                nursery.start_soon(collect, client)
+                nursery.start_soon(answers.read_from, client)
             await harness.wait_until(lambda: harness.jobs)
             assert await harness.send_callback("done", "fine") == 204
-        assert answers.count(200) == 1
-        assert len(answers) == len(clients)
+        assert answers.statuses.count(200) == 1
+        assert len(answers.statuses) == len(clients)
 
 
 async def test_connections_that_stall_within_a_request_are_closed_at_the_limit(
