--- a/burlmoor/lifecycle/connection_limits.py
+++ b/burlmoor/lifecycle/connection_limits.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from burlmoor.downstream.server import DownstreamServer
+    from burlmoor.downstream.connection_set import ConnectionSet
     from burlmoor.upstream.pool import ConnectionPool
 
 # Descriptors for what is neither a client's nor an executor's connection: operators' 12 calls, discovery's 4,
@@ -34,21 +34,23 @@
 class SharedConnectionLimits:
     """Sets the limits of this process so that both processes of the node stay within the node's."""
 
-    def __init__(self, server: DownstreamServer, pool: ConnectionPool) -> None:
-        self._server = server
+    def __init__(self, connections: ConnectionSet, pool: ConnectionPool) -> None:
+        self._connections = connections
         self._pool = pool
-        self._node_limits = SocketBudget(server.max_connections, pool.max_connections)
+        self._node_limits = SocketBudget(connections.max_connections, pool.max_connections)
 
     def reserve(self, downstream: int, upstream: int) -> None:
         """Subtract the connections that the other process has open."""
-        self._server.max_connections = max(_MIN_CONNECTIONS, self._node_limits.downstream - downstream)
-        self._pool.max_connections = max(_MIN_CONNECTIONS, self._node_limits.upstream - upstream)
+        self._connections.set_max_connections(
+            max(_MIN_CONNECTIONS, self._node_limits.downstream - downstream)
+        )
+        self._pool.set_max_connections(max(_MIN_CONNECTIONS, self._node_limits.upstream - upstream))
 
     def freeze_upstream(self) -> None:
         """Open no more connections to executors than there are: the rest is for the other process."""
-        self._pool.max_connections = self._pool.open_count
+        self._pool.set_max_connections(self._pool.open_count)
 
     def restore(self) -> None:
         """Use all of the node's limits in this process."""
-        self._server.max_connections = self._node_limits.downstream
-        self._pool.max_connections = self._node_limits.upstream
+        self._connections.set_max_connections(self._node_limits.downstream)
+        self._pool.set_max_connections(self._node_limits.upstream)
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -35,7 +35,7 @@
         self._core = components.core
         self._drain = components.drain
         self._engine = components.engine
-        self._server = components.server
+        self._connections = components.server.connections
         self._handover = handover
         self._stall_monitor = stall_monitor
         self._log = log
@@ -72,7 +72,7 @@
         while self._has_unfinished_work:
             if not self._handover.has_handed_over:
                 # Idle connections are closed only now that new clients are sent elsewhere.
-                self._server.close_idle()
+                self._connections.close_idle()
             await trio.sleep(_POLL_SECONDS)
 
     @property
@@ -81,7 +81,7 @@
         return bool(
             self._core.jobs.count_open()
             or self._attempts.open_cancel_calls
-            or self._server.has_unsent
-            or self._server.has_partial_requests
+            or self._connections.has_unsent
+            or self._connections.has_partial_requests
             or self._handover.has_unsent
         )
--- a/burlmoor/lifecycle/handover.py
+++ b/burlmoor/lifecycle/handover.py
@@ -63,7 +63,7 @@
         self._is_listener_shared = is_listener_shared
         self._nursery = nursery
         self._log = log
-        limits = SharedConnectionLimits(components.server, components.pool)
+        limits = SharedConnectionLimits(components.server.connections, components.pool)
         state = StateTransfer(components)
         self._successor_role = SuccessorRole(components, state, limits, log)
         self._predecessor_role = PredecessorRole(components, state, limits, nursery, log)
@@ -177,7 +177,7 @@
             case ConnectionCounts(downstream, upstream):
                 self._successor_role.on_connection_counts(downstream, upstream)
             case PassedConnection(has_been_used, age_seconds) if sock is not None:
-                self._server.adopt(sock, has_been_used, age_seconds)
+                self._server.adopt(sock, has_been_used=has_been_used, age_seconds=age_seconds)
 
     def on_channel_lost(self, channel: HandoverChannel) -> None:
         """Continue alone, whichever process has ended."""
@@ -188,11 +188,12 @@
         self._update_callback_forwarder()
 
     def _on_forwarded_callback(self, channel: HandoverChannel, number: int, body: bytes) -> None:
-        result = callbacks.handle_callback(self._core, body)
+        result = callbacks.handle_callback(self._core.jobs, self._core.lifecycle, body)
         if result is callbacks.CallbackResult.UNKNOWN and self._forwarder.has_peers_beside(channel):
             self._nursery.start_soon(self._forwarder.relay_callback, channel, number, body)
         else:
             channel.send(Acknowledged(number))
 
     def _update_callback_forwarder(self) -> None:
-        self._server.attach_callback_forwarder(self._forwarder if self._forwarder.has_peers else None)
+        forwarder = self._forwarder if self._forwarder.has_peers else None
+        self._server.peers.attach_callback_forwarder(forwarder)
--- a/burlmoor/lifecycle/handover_predecessor.py
+++ b/burlmoor/lifecycle/handover_predecessor.py
@@ -98,8 +98,8 @@
         self._admin.on_serving_changed(is_serving=False)
         self._limits.freeze_upstream()
         self._core.policy.on_handover_changed(is_handed_over=True)
-        self._server.attach_successor(self)
-        self._server.pass_idle_to_successor()
+        self._server.peers.attach_successor(self)
+        self._server.connections.pass_idle_to_successor()
         self._send_counts(channel)
         self._log(HandoverCompleted(open_jobs=self._core.jobs.count_open()))
         self._nursery.start_soon(self._report_counts, channel)
@@ -110,10 +110,10 @@
     async def _report_counts(self, channel: HandoverChannel) -> None:
         while channel.is_connected:
             await trio.sleep(_REPORT_INTERVAL_SECONDS)
-            self._server.pass_idle_to_successor()
+            self._server.connections.pass_idle_to_successor()
             self._send_counts(channel)
 
-    def pass_connection(self, sock: socket.socket, has_been_used: bool, age_seconds: float) -> None:
+    def pass_connection(self, sock: socket.socket, *, has_been_used: bool, age_seconds: float) -> None:
         """Send an idle connection to the successor."""
         message = PassedConnection(has_been_used, age_seconds)
         if self._channel is None or not self._channel.send(message, sock):
@@ -127,7 +127,7 @@
     def on_channel_lost(self) -> None:
         """Accept again if the successor that had taken over has died."""
         self._channel = None
-        self._server.attach_successor(None)
+        self._server.peers.attach_successor(None)
         if self._accept_scope is None:
             self._log(HandoverReverted())
             self._core.policy.on_handover_changed(is_handed_over=False)
--- a/burlmoor/lifecycle/node_builder.py
+++ b/burlmoor/lifecycle/node_builder.py
@@ -13,8 +13,8 @@
 from burlmoor.discovery.client import DiscoveryClient
 from burlmoor.discovery.list_lease import ListLease
 from burlmoor.discovery.schedule import WatchSchedule
-from burlmoor.downstream.drain import DrainController, kill_after_seconds
-from burlmoor.downstream.server import DownstreamServer
+from burlmoor.downstream.drain import DrainController, compute_grace_period_seconds
+from burlmoor.downstream.server import build_downstream_server
 from burlmoor.endpoints.directory import EndpointDirectory
 from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.engine.core import EngineCore
@@ -72,18 +72,10 @@
         log,
     )
     engine = Engine(core, upstream=attempts, discovery=discovery)
-    drain = DrainController(kill_after_seconds(each.deadline_ms / 1000.0 for each in policy_settings.classes))
+    deadlines_seconds = [each.deadline_ms / 1000.0 for each in policy_settings.classes]
+    drain = DrainController(compute_grace_period_seconds(deadlines_seconds))
     listener = _build_listener(config)
-    server = DownstreamServer(
-        core,
-        engine,
-        [each.name for each in policy_settings.classes],
-        listener,
-        sockets.downstream,
-        drain,
-        nursery,
-        log,
-    )
+    server = build_downstream_server(core, engine, listener, sockets.downstream, drain, nursery, log)
     admin = AdminService(directory, endpoint_updater, drain, state_files(config).overrides, log)
     return NodeComponents(
         clock=clock,
--- a/burlmoor/testbed/mutations/attempts.py
+++ b/burlmoor/testbed/mutations/attempts.py
@@ -17,7 +17,7 @@
 def _deliver_after_close() -> None:
     from burlmoor.transport.stream import SocketStream  # noqa: PLC0415
 
-    replace_attributes(SocketStream, set_reset_on_close=lambda _self, _is_on: True)
+    replace_attributes(SocketStream, set_reset_on_close=lambda _self, **_is_on: True)
 
 
 def _end_cancelled_attempts_at_once() -> None:
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.idle_limit_seconds = idle_limit_seconds
         self._connect_timeout_seconds = connect_timeout_seconds
-        self.max_connections = max_connections
+        self._max_connections = max_connections
         self._response_limit_bytes = response_limit_bytes
         self._reuse_delay_seconds = reuse_delay_seconds
         self._invariants = invariants
@@ -62,6 +62,15 @@
 
     # --- stale connections ------------------------------------------------------------------------
 
+    @property
+    def max_connections(self) -> int:
+        """How many connections may be open."""
+        return self._max_connections
+
+    def set_max_connections(self, max_connections: int) -> None:
+        """Change how many connections may be open; those that are open now stay."""
+        self._max_connections = max_connections
+
     @property
     def is_reuse_risky(self) -> bool:
         """Whether a pooled connection has recently turned out to be closed by its peer."""
@@ -108,7 +117,7 @@
         Raises:
             ConnectError: it was not established in time, or every connection is busy.
         """
-        if self.open_count >= self.max_connections and not self.close_oldest_idle():
+        if self.open_count >= self._max_connections and not self.close_oldest_idle():
             raise ConnectError(address, "every connection is busy")
         self.open_count += 1
         stream: SocketStream | None = None
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -134,7 +134,7 @@
     async with open_deferral_harness(sockets=256) as harness:
         await submit_deferred(harness, "p")
         await wait_until_sent(harness, "p")
-        size = harness.components.server.max_connections
+        size = harness.components.server.connections.max_connections
         wires = [await submit_deferred(harness, f"c{number}", "p") for number in range(size // 2)]
         await wait_until_status(harness, lambda status: status["turned_away"] >= size // 2 - size // 4)
         assert (await fetch_status(harness))["waiting"] == size // 4
--- a/tests/lifecycle/test_connection_limits.py
+++ b/tests/lifecycle/test_connection_limits.py
@@ -23,13 +23,13 @@
 
 async def test_a_process_leaves_out_what_the_other_has_open_but_keeps_a_minimum() -> None:
     async with open_node_harness() as harness:
-        server, pool = harness.components.server, harness.components.pool
-        limits = SharedConnectionLimits(server, pool)
+        connections, pool = harness.components.server.connections, harness.components.pool
+        limits = SharedConnectionLimits(connections, pool)
         limits.reserve(downstream=72, upstream=88)
-        assert (server.max_connections, pool.max_connections) == (600, 200)
+        assert (connections.max_connections, pool.max_connections) == (600, 200)
         limits.reserve(downstream=1000, upstream=1000)
-        assert (server.max_connections, pool.max_connections) == (8, 8)
+        assert (connections.max_connections, pool.max_connections) == (8, 8)
         limits.freeze_upstream()
-        assert (server.max_connections, pool.max_connections) == (8, 0)
+        assert (connections.max_connections, pool.max_connections) == (8, 0)
         limits.restore()
-        assert (server.max_connections, pool.max_connections) == (672, 288)
+        assert (connections.max_connections, pool.max_connections) == (672, 288)
--- a/tests/upstream/test_invariants.py
+++ b/tests/upstream/test_invariants.py
@@ -34,7 +34,7 @@
 ) -> None:
     async with open_node_harness("hang", "take") as harness:
         await harness.wait_ready()
-        monkeypatch.setattr(SocketStream, "set_reset_on_close", lambda *_: False)
+        monkeypatch.setattr(SocketStream, "set_reset_on_close", lambda *_, **__: False)
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(harness.components.core.invariants.counts)  # it is cancelled after 0.45 s
         assert harness.components.core.invariants.counts() == {"close": 1}
