--- /dev/null
+++ b/burlmoor/simulator_adapter/dispatcher_host.py
@@ -0,0 +1,90 @@
+"""Hosts the dispatchers of one process, each of which gets only its own events."""
+
+from __future__ import annotations
+
+import json
+from typing import TYPE_CHECKING, NamedTuple
+
+from burlmoor.policy.dispatcher import Dispatcher
+from burlmoor.simulator_adapter.action_encoding import encode_action, encode_internal_error
+from burlmoor.simulator_adapter.event_parsing import Kill, Spawn, parse_row
+from burlmoor.simulator_adapter.wire import LineElement, MalformedLineError
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from burlmoor.simulator_adapter.wire import Row
+    from burlmoor.types.events import Event
+
+
+class InstanceEvents(NamedTuple):
+    """The events of one dispatcher in a batch."""
+
+    instance: int
+    rows: Sequence[Row]
+
+
+class Batch(NamedTuple):
+    """One line of input: the events of one moment."""
+
+    now: float  # ms
+    instances: Sequence[InstanceEvents]
+
+
+class DispatcherHost:
+    """Owns the dispatchers of one process, by the number of their instance."""
+
+    def __init__(self) -> None:
+        self._dispatchers: dict[int, Dispatcher] = {}
+
+    def reply(self, line: str) -> str:
+        """Return the reply line to one batch line.
+
+        Raises MalformedLineError.
+        """
+        batch = _parse_batch(line)
+        replies = []
+        for instance, rows in batch.instances:
+            decisions = self._handle_rows(batch.now, instance, rows)
+            if decisions:
+                replies.append({"I": instance, "decisions": decisions})
+        return json.dumps({"parts": replies}, separators=(",", ":"))
+
+    def _handle_rows(self, now: float, instance: int, rows: Sequence[Row]) -> list[Row]:
+        """Start and end dispatchers, and return the decisions of the one that remains."""
+        events: list[Event] = []
+        for row in rows:
+            parsed = parse_row(row)
+            if isinstance(parsed, Spawn | Kill):
+                # Nobody waits for decisions on earlier events: their dispatcher has ended.
+                self._dispatchers.pop(instance, None)
+                events.clear()
+                if isinstance(parsed, Spawn):
+                    try:
+                        self._dispatchers[instance] = Dispatcher(parsed.settings, parsed.seed)
+                    except Exception as error:  # noqa: BLE001
+                        # The simulator gets a policy's exception as a decision, and continues without it.
+                        return [encode_internal_error(error)]
+            elif parsed is not None:
+                events.append(parsed)
+        return self._decide(now, instance, events)
+
+    def _decide(self, now: float, instance: int, events: list[Event]) -> list[Row]:
+        dispatcher = self._dispatchers.get(instance)
+        if dispatcher is None or not events:
+            return []
+        try:
+            return [encode_action(action) for action in dispatcher.handle(now, events)]
+        except Exception as error:  # noqa: BLE001
+            # As above: one instance's exception must not end the others.
+            return [encode_internal_error(error)]
+
+
+def _parse_batch(line: str) -> Batch:
+    try:
+        batch = json.loads(line)
+        now = float(batch["Moment"])
+        instances = [InstanceEvents(each["I"], each.get("events") or ()) for each in batch["parts"]]
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise MalformedLineError(LineElement.BATCH, error) from error
+    return Batch(now, instances)
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -21,7 +21,7 @@
 from burlmoor.membership.codec import Message, MessageKind, decode, encode
 from burlmoor.membership.member import MemberState, MemberStatus
 from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
-from burlmoor.simulator_adapter import DispatcherHost
+from burlmoor.simulator_adapter.dispatcher_host import DispatcherHost
 from burlmoor.testbed.deferred_verdict import judge as judge_waiting
 from burlmoor.testbed.drill import DrillParameters, Verdict
 from burlmoor.testbed.drill_watch import judge as judge_watch
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -32,6 +32,7 @@
 
 
 def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+    """Run an adapter on these lines to the end of input."""
     return subprocess.run(
         [sys.executable, "-m", "burlmoor.simulator_adapter"],
         input="".join(line + "\n" for line in lines),
@@ -44,9 +45,10 @@
     )
 
 
-def make_batch(now: float, *parts: tuple[int, list[list[Any]]]) -> str:
+def make_batch(now: float, *instances: tuple[int, list[list[Any]]]) -> str:
+    """Return a line with these events, by the number of their instance."""
     return json.dumps(
-        {"Moment": now, "parts": [{"I": instance, "events": events} for instance, events in parts]}
+        {"Moment": now, "parts": [{"I": instance, "events": events} for instance, events in instances]}
     )
 
 
@@ -59,6 +61,7 @@
 
 
 def make_conversation(instances: list[int]) -> list[str]:
+    """Return lines that start these instances and send 39 jobs to each."""
     lines = [make_batch(0.0, *((instance, spawn_events(instance)) for instance in instances))]
     for step in range(1, 40):
         events = {instance: [job_request(1000 * step + instance), ["Fired", 0]] for instance in instances}
@@ -90,7 +93,7 @@
     events: list[list[Any]] = [
         job_request(7),
         ["Registry", "error", 1, None],
-        ["Registry", "unheard of", 1, []],
+        ["Registry", "unknown", 1, []],
         ["Registry", "diff", 2, [["quiescing", "z1", None, None, None, None, "executor-1"]]],
         ["UnderWay", 99, 3.0, 0, "executor-0"],
         ["Heartbeat", 99, 1, "executor-0", None, 0],
@@ -153,14 +156,16 @@
     assert run_adapter(lines, "1").stdout == run_adapter(lines, "77").stdout
 
 
-def test_instances_decide_alike_in_one_process_and_in_several() -> None:
-    def collect_decisions(instances: list[int]) -> dict[int, list[Any]]:
-        found: dict[int, list[Any]] = {instance: [] for instance in instances}
-        for line in run_adapter(make_conversation(instances)).stdout.splitlines():
-            for part in json.loads(line)["parts"]:
-                found[part["I"]].append(part["decisions"])
-        return found
+def collect_decisions(instances: list[int]) -> dict[int, list[Any]]:
+    """Run an adapter with these instances; return the decisions of each."""
+    decisions: dict[int, list[Any]] = {instance: [] for instance in instances}
+    for line in run_adapter(make_conversation(instances)).stdout.splitlines():
+        for reply in json.loads(line)["parts"]:
+            decisions[reply["I"]].append(reply["decisions"])
+    return decisions
+
 
+def test_instances_decide_alike_in_one_process_and_in_several() -> None:
     together = collect_decisions([1, 2, 3])
     apart = {instance: collect_decisions([instance])[instance] for instance in (1, 2, 3)}
     assert together == apart
