--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -23,7 +23,6 @@
 from burlmoor.invariants import InvariantMonitor
 from burlmoor.log_events import AnsweredAtDeadline, AnsweredAtShutdown
 from burlmoor.policy.dispatcher import Dispatcher
-from burlmoor.policy.statistics.snapshot import StatisticsSnapshot, restore_snapshot, take_snapshot
 from burlmoor.types.events import (
     ClientDisconnected,
     EndpointListUpdate,
@@ -41,6 +40,7 @@
     from burlmoor.engine.interfaces import Discovery, Responder, Upstream
     from burlmoor.engine.job import Attempt, Job
     from burlmoor.log import EventLogger
+    from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
     from burlmoor.types.endpoint_list import EndpointEntry, ListKind
     from burlmoor.types.outcome import Outcome
 
@@ -109,13 +109,12 @@
 
     def statistics_snapshot(self) -> StatisticsSnapshot:
         """Return the policy's statistics, for another process of this node."""
-        return take_snapshot(self._policy.statistics, self._policy.endpoints.by_name, self.clock())
+        return self._policy.take_statistics_snapshot(self.clock())
 
     def restore_statistics(self, statistics: StatisticsSnapshot) -> None:
         """Go on from the statistics of the process before this one."""
         self.step()  # the endpoint list comes first: statistics are restored for the endpoints on it
-        policy = self._policy
-        restore_snapshot(policy.statistics, policy.endpoints.by_name, statistics, self.clock())
+        self._policy.restore_statistics_snapshot(statistics, self.clock())
 
     def set_handed_over(self, is_handed_over: bool) -> None:
         """Tell the policy whether another process admits this node's jobs in place of this one."""
--- a/burlmoor/engine/policy_driver.py
+++ b/burlmoor/engine/policy_driver.py
@@ -17,9 +17,6 @@
     from burlmoor.policy.dispatcher import Dispatcher
     from burlmoor.types.actions import Action
 
-# Of the free slots at endpoints: released jobs leave the rest to the jobs that arrive meanwhile.
-_RELEASABLE_SHARE = 0.8
-
 
 class PolicyDriver:
     """Collects events between two calls of the policy; `wake` is called on the first of each batch."""
@@ -69,13 +66,8 @@
             return ()
 
     def releasable_slots(self, now: float) -> float:
-        """Return the slots that deferred jobs may take now.
-
-        A share of the warm endpoints' capacity, less what is in flight or queued.
-        """
-        endpoints = self._policy.endpoints
-        capacity = _RELEASABLE_SHARE * endpoints.warm_capacity(now)
-        return capacity - endpoints.slots_in_flight - self._policy.rounds.queued_slots()
+        """Return the slots that deferred jobs may take now."""
+        return self._policy.releasable_slots(now)
 
     def _with_remaining_timeout(self, event: Event, now: float) -> Event:
         """Return a job request with what is left of its timeout when the policy sees it.
--- a/burlmoor/policy/admission.py
+++ b/burlmoor/policy/admission.py
@@ -5,26 +5,34 @@
 import math
 from typing import TYPE_CHECKING
 
-from burlmoor.policy.model.job import ScheduledJob
+from burlmoor.policy.model.job import JobTimes, JobWeights, ScheduledJob
 
 if TYPE_CHECKING:
-    from burlmoor.policy.context import PolicyContext
+    import random
+
+    from burlmoor.policy.statistics.node_statistics import NodeStatistics
     from burlmoor.types.events import JobRequest
+    from burlmoor.types.settings import JobClass, Settings
 
-# What each part adds to a job's priority at most. The last is for having waited as a deferred job: as much
-# as a short objective adds, far less than priority weight.
-SHORT_OBJECTIVE_WEIGHT, QUOTA_WEIGHT, WEIGHT_DENSITY_WEIGHT, DEFERRAL_WEIGHT = 1.0, 1.0, 8.0, 1.0
-EXPLORATION_SHARE = 0.06  # of jobs, sent even where they look hopeless, lest a wrong estimate stay for good
+# What each part adds to a job's priority at most.
+SHORT_OBJECTIVE_WEIGHT = 1.0
+QUOTA_WEIGHT = 1.0
+WEIGHT_DENSITY_WEIGHT = 8.0
+DEFERRAL_WEIGHT = (
+    1.0  # of a job that was deferred: as much as a short objective, far less than priority weight
+)
+# Of jobs: sent even where they are unlikely to finish in time, so that a wrong estimate is corrected.
+EXPLORATION_FRACTION = 0.06
 
 
 class Admission:
-    """Admits requests: sets what a job is to achieve and what it counts beside others."""
+    """Admits requests: sets the deadlines of a job and its priority."""
 
-    def __init__(self, context: PolicyContext) -> None:
-        self._settings = context.settings
-        self._statistics = context.statistics
-        self._rng = context.rng
-        classes = context.settings.classes
+    def __init__(self, settings: Settings, statistics: NodeStatistics, rng: random.Random) -> None:
+        self._settings = settings
+        self._statistics = statistics
+        self._rng = rng
+        classes = settings.classes
         self._classes = {job_class.name: job_class for job_class in classes}
         self._shortest_objective_ms = max(1.0, min(job_class.latency_objective_ms for job_class in classes))
 
@@ -34,43 +42,50 @@
         work_ms = request.work_ms
         if not 0.0 < work_ms < math.inf:
             work_ms = self._statistics.demand.estimate_work(job_class, now)
-        job = ScheduledJob(request, job_class, work_ms)
-        self._set_deadlines(job, request, now)
-        job.is_exploratory = self._rng.random() < EXPLORATION_SHARE
-        self._statistics.record_arrival(job.work_ms, job.cost, now)
-        job.key_share = self._statistics.demand.record_key(job.key, now)
-        job.priority = self._weigh(job, request, now)
-        return job
+        times = self._compute_times(request, job_class, work_ms, now)
+        is_exploratory = self._rng.random() < EXPLORATION_FRACTION
+        self._statistics.record_arrival(work_ms, work_ms * request.slots, now)
+        key_fraction = self._statistics.demand.record_key(request.affinity_key, now)
+        weights = self._weigh(request, job_class, work_ms, times.objective_ms, now)
+        return ScheduledJob(
+            request, job_class, work_ms, times, weights, key_fraction, is_exploratory=is_exploratory
+        )
 
-    def _set_deadlines(self, job: ScheduledJob, request: JobRequest, now: float) -> None:
-        job.deadline_at = now + request.timeout_ms
-        # Time that a deferred job waited for its start is not spent on earlier attempts.
+    def _compute_times(
+        self, request: JobRequest, job_class: JobClass, work_ms: float, now: float
+    ) -> JobTimes:
+        stretched_ms = job_class.latency_objective_ms + job_class.objective_stretch * work_ms
+        objective_ms = min(stretched_ms, job_class.deadline_ms)
+        deadline_at = now + request.timeout_ms
+        # Time for which a job was deferred is not time spent on earlier attempts.
         given_ms = request.timeout_ms + request.deferred_ms
-        longest_ms = self._statistics.demand.record_timeout(job.job_class.name, given_ms)
-        # What the client has spent on earlier attempts is gone from the objective too. A client that waits
-        # for less than the objective is in a hurry rather than on a late attempt: it may use all it gives.
-        spent_ms = longest_ms - given_ms if request.timeout_ms >= job.objective_ms else 0.0
-        job.objective_at = min(job.deadline_at, now + job.objective_ms - spent_ms)
-        is_late_useful = job.job_class.late_fraction > 0.0
-        job.useful_until = job.deadline_at if is_late_useful else job.objective_at
+        longest_ms = self._statistics.demand.record_timeout(job_class.name, given_ms)
+        # The objective counts from the client's first attempt. A client whose timeout is shorter than the
+        # objective is in a hurry rather than on a late attempt: its whole timeout counts.
+        spent_ms = longest_ms - given_ms if request.timeout_ms >= objective_ms else 0.0
+        objective_at = min(deadline_at, now + objective_ms - spent_ms)
+        useful_until = deadline_at if job_class.late_fraction > 0.0 else objective_at
+        return JobTimes(objective_ms, objective_at, useful_until, deadline_at)
 
-    def _weigh(self, job: ScheduledJob, request: JobRequest, now: float) -> float:
-        """Set what the job counts by class and tenant; return its priority."""
+    def _weigh(
+        self, request: JobRequest, job_class: JobClass, work_ms: float, objective_ms: float, now: float
+    ) -> JobWeights:
+        """Compute what the job counts by class and tenant, and count it as requested."""
         demand, class_weights = self._statistics.demand, self._statistics.class_weights
-        job_class = job.job_class
-        job.weight = job_class.priority_weight * (job.work_ms if self._settings.weight_by_work else 1.0)
-        demand.record_weight(job.weight, now)
+        weight = job_class.priority_weight * (work_ms if self._settings.weight_by_work else 1.0)
+        demand.record_weight(weight, now)
         within_quota = demand.record_tenant(request.tenant, now)
-        job.objective_weight = job.weight * within_quota
-        class_weights.record_request(job_class.name, job.objective_weight, now)
-        job.weight *= class_weights.weight(job_class.name, now)
+        objective_weight = weight * within_quota
+        class_weights.record_request(job_class.name, objective_weight, now)
+        weight *= class_weights.weight(job_class.name, now)
         quota_factor = within_quota + (1.0 - within_quota) * self._settings.over_quota_fraction
-        density = job.weight / job.work_ms * quota_factor
+        density = weight / work_ms * quota_factor
         highest = self._statistics.record_weight_density(density, now)
-        shortness = min(1.0, self._shortest_objective_ms / max(job.objective_ms, 1.0))
-        return (
+        shortness = min(1.0, self._shortest_objective_ms / max(objective_ms, 1.0))
+        priority = (
             SHORT_OBJECTIVE_WEIGHT * shortness
             + QUOTA_WEIGHT * within_quota
             + WEIGHT_DENSITY_WEIGHT * density / highest
             + DEFERRAL_WEIGHT * request.deferral_credit
         )
+        return JobWeights(weight, objective_weight, priority)
--- a/burlmoor/policy/dispatch_rounds.py
+++ b/burlmoor/policy/dispatch_rounds.py
@@ -1,4 +1,7 @@
-"""Dispatch rounds: jobs are queued for some ticks and then placed together, in order of priority."""
+"""Dispatch rounds: jobs are queued for some ticks and then placed together, in order of priority.
+
+The rounds follow ATHOS (docs/design.md, "The policy").
+"""
 
 from __future__ import annotations
 
@@ -6,61 +9,86 @@
 from typing import TYPE_CHECKING
 
 from burlmoor.policy.endpoint_scoring import RoundState
-from burlmoor.policy.endpoint_selection import EndpointSelector
-from burlmoor.policy.load_shedding import LoadShedder
-from burlmoor.policy.statistics.endpoint_statistics import EVIDENCE_HALF_LIFE_MS
 
 if TYPE_CHECKING:
+    import random
+
     from burlmoor.policy.attempts import AttemptSender
-    from burlmoor.policy.context import PolicyContext
+    from burlmoor.policy.endpoint_selection import EndpointSelector
+    from burlmoor.policy.endpoints.fleet_load import FleetLoad
+    from burlmoor.policy.load_shedding import LoadShedder
     from burlmoor.policy.model.job import ScheduledJob
+    from burlmoor.policy.statistics.run_statistics import RunStatistics
 
-ROUND_TICKS = 3.0  # a round gathers jobs for about this many ticks, jittered by half
+ROUND_TICKS = 3.0  # a round gathers jobs for about this many ticks
+RETRY_TICKS = 1.0  # a retry waits for a round for about this many ticks at most
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # times the ticks
 PRIORITY_PER_ROUND_WAITED = 0.05
-MAX_FAILED_PLACEMENTS = 4  # a round ends after this many jobs in a row found no endpoint
-URGENT_ROUNDS = 2.0  # a job is urgent if it would miss its objective by waiting for so many rounds
-URGENT_RUN_FACTOR = 1.5  # and then running for so many times the usual time
+MAX_FAILED_PLACEMENTS = 4  # a round ends after this many consecutive jobs without an endpoint
+# A job is urgent if it would miss its objective by waiting for this many rounds and then running for this
+# many times the usual time.
+URGENT_ROUNDS = 2.0
+URGENT_RUN_FACTOR = 1.5
 
 
 class DispatchRounds:
     """The queue of jobs that wait for an endpoint, and the rounds that empty it."""
 
-    def __init__(self, context: PolicyContext, sender: AttemptSender) -> None:
-        self._tick_ms = context.settings.tick_ms
-        self._round_ms = ROUND_TICKS * context.settings.tick_ms
-        self._measured = context.statistics.endpoints
-        self._endpoints = context.endpoints
-        self._rng = context.rng
-        self._selector = EndpointSelector(context)
-        self._shedder = LoadShedder(context)
+    def __init__(
+        self,
+        tick_ms: float,
+        runs: RunStatistics,
+        load: FleetLoad,
+        shedder: LoadShedder,
+        selector: EndpointSelector,
+        sender: AttemptSender,
+        rng: random.Random,
+    ) -> None:
+        self._tick_ms = tick_ms
+        self._round_ms = ROUND_TICKS * tick_ms
+        self._runs = runs
+        self._load = load
+        self._shedder = shedder
+        self._selector = selector
         self._sender = sender
+        self._rng = rng
         self.queue: dict[int, ScheduledJob] = {}
         self.next_round_at = math.inf
 
     def enqueue(self, job: ScheduledJob, now: float, ticks: float = ROUND_TICKS) -> None:
-        """Queue a job for a round that comes after about so many ticks at most."""
+        """Queue a job for a round that comes after about this many ticks at most."""
         job.is_queued = True
         self.queue[job.id] = job
         self.next_round_at = min(self.next_round_at, self._jittered(now, ticks))
 
+    def enqueue_retry(self, job: ScheduledJob, now: float) -> None:
+        """Queue a job again whose attempt has failed; it counts as having waited for a round."""
+        job.rounds_waited += 1
+        self.enqueue(job, now, RETRY_TICKS)
+
+    @staticmethod
+    def withdraw(job: ScheduledJob) -> None:
+        """Give a job no further attempt in the next round: one of its attempts has started."""
+        job.is_queued = False
+
     def _jittered(self, now: float, ticks: float) -> float:
-        return now + ticks * self._tick_ms * self._rng.uniform(0.5, 1.5)
+        return now + ticks * self._tick_ms * self._rng.uniform(MIN_JITTER, MAX_JITTER)
 
     def queued_slots(self) -> float:
-        """Return the slots that the jobs in the queue ask for."""
+        """Return the slots that the jobs in the queue need."""
         return sum(job.slots for job in self.queue.values())
 
     def run(self, now: float) -> None:
-        """Shed load, then place jobs, urgent ones first; what finds no endpoint waits, with more priority."""
+        """Shed load, then place jobs, urgent ones first; the others wait, with more priority."""
         self.next_round_at = math.inf
-        slowness = self._measured.fleet_slowness.read(now, EVIDENCE_HALF_LIFE_MS, 1.0)
-        queue = self._shedder.shed(self._prioritized(), slowness, self._round_ms, now)
+        slowness = self._runs.slowness_of_fleet(now)
+        queue = self._shedder.shed(self._take_queued(), slowness, self._round_ms, now)
         for job in queue:
             run_ms = URGENT_RUN_FACTOR * slowness * job.work_ms
             job.is_urgent = now + URGENT_ROUNDS * self._round_ms + run_ms > job.objective_at
         state = RoundState(
-            load_half_life=self._measured.load_half_life(now),
-            saturation=self._endpoints.saturation(),
+            load_half_life=self._runs.load_half_life(now),
+            saturation=self._load.saturation(),
             is_mostly_urgent=2 * sum(job.is_urgent for job in queue) > len(queue),
         )
         self._selector.start_round(now)
@@ -68,8 +96,11 @@
         if self.queue:
             self.next_round_at = self._jittered(now, ROUND_TICKS)
 
-    def _prioritized(self) -> list[ScheduledJob]:
+    def _take_queued(self) -> list[ScheduledJob]:
+        """Return the queued jobs in order of priority; `_place_all` queues again those that have to wait."""
         queue = [job for job in self.queue.values() if job.is_queued and not job.is_closed]
+        for job in queue:
+            job.is_queued = False
         queue.sort(key=lambda job: job.priority + PRIORITY_PER_ROUND_WAITED * job.rounds_waited, reverse=True)
         return queue
 
@@ -89,6 +120,5 @@
         selection = self._selector.select(job, state, now)
         if selection is None:
             return False
-        job.is_queued = False
         self._sender.send(job, selection, now)
         return True
--- a/burlmoor/policy/endpoint_eligibility.py
+++ b/burlmoor/policy/endpoint_eligibility.py
@@ -1,4 +1,4 @@
-"""Which of the endpoints drawn may take a job: capacity, outliers, reservations and the safety rules."""
+"""Which candidates may take a job: capacity, outliers, reservations and the retry-safety rules."""
 
 from __future__ import annotations
 
@@ -7,50 +7,53 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from burlmoor.policy.context import PolicyContext
+    from burlmoor.policy.endpoints.known_endpoints import KnownEndpoints
+    from burlmoor.policy.endpoints.outlier_detection import OutlierDetector
     from burlmoor.policy.model.endpoint import Endpoint
     from burlmoor.policy.model.job import ScheduledJob
+    from burlmoor.policy.safety import RetrySafety
 
 WIDE_JOB_SLOTS = 2.5  # an endpoint is reserved for a job of more slots than this
-MAX_RESERVED_SHARE = 0.25  # of all endpoints
+MAX_RESERVED_FRACTION = 0.25  # of all endpoints
 
 
 class EndpointEligibility:
-    """The hard tests of a placement, and the endpoints reserved in this round for wide jobs."""
+    """The conditions of a placement, and the endpoints reserved in this round for wide jobs."""
 
-    def __init__(self, context: PolicyContext) -> None:
-        self._endpoints = context.endpoints
-        self._safety = context.safety
+    def __init__(self, endpoints: KnownEndpoints, outliers: OutlierDetector, safety: RetrySafety) -> None:
+        self._endpoints = endpoints
+        self._outliers = outliers
+        self._safety = safety
         self._reserved: set[Endpoint] = set()
 
     def start_round(self) -> None:
-        """Look at the endpoints' faults anew, and drop the reservations of the round before."""
-        self._endpoints.outliers.update(self._endpoints.live)
+        """Update the outliers, and drop the reservations of the previous round."""
+        self._outliers.update(self._endpoints.live)
         self._reserved.clear()
 
-    def eligible(self, job: ScheduledJob, drawn: list[Endpoint], now: float) -> Iterator[Endpoint]:
-        """Iterate over the endpoints drawn that may have capacity for the job and that the rules allow."""
+    def eligible(self, job: ScheduledJob, candidates: list[Endpoint], now: float) -> Iterator[Endpoint]:
+        """Iterate over the candidates that may have capacity for the job and that the rules allow."""
         tried = [attempt.endpoint for attempt in job.attempts]
         idempotency = job.job_class.idempotency
-        for endpoint in dict.fromkeys(drawn):
+        for endpoint in dict.fromkeys(candidates):
             if not endpoint.is_available() or endpoint in self._reserved:
                 continue
             if endpoint in tried or job.job_class.required_kind not in (None, endpoint.kind):
                 continue
             if not endpoint.has_capacity(job.slots, job.memory):
                 continue
-            is_trusted = self._endpoints.outliers.may_receive(endpoint, idempotency, now)
+            is_trusted = self._outliers.may_receive(endpoint, idempotency, now)
             if is_trusted and self._safety.may_send(job, endpoint, now):
                 yield endpoint
 
-    def reserve(self, job: ScheduledJob, drawn: list[Endpoint], now: float) -> None:
-        """Reserve an endpoint for a wide job: others would take each slot there as it comes free."""
-        limit = MAX_RESERVED_SHARE * len(self._endpoints.by_name)
+    def reserve(self, job: ScheduledJob, candidates: list[Endpoint], now: float) -> None:
+        """Reserve an endpoint for a wide job: others would take each slot there as it becomes free."""
+        limit = MAX_RESERVED_FRACTION * len(self._endpoints.by_name)
         if job.slots <= WIDE_JOB_SLOTS or len(self._reserved) >= limit:
             return
         usable = [
             endpoint
-            for endpoint in dict.fromkeys(drawn)
+            for endpoint in dict.fromkeys(candidates)
             if endpoint.is_available() and self._safety.may_send(job, endpoint, now)
         ]
         if usable:
--- a/burlmoor/policy/endpoint_selection.py
+++ b/burlmoor/policy/endpoint_selection.py
@@ -4,47 +4,76 @@
 
 from typing import TYPE_CHECKING
 
-from burlmoor.policy.endpoint_eligibility import EndpointEligibility
 from burlmoor.policy.endpoint_scoring import EndpointScorer, RoundState, Selection
-from burlmoor.policy.endpoints.endpoint_list import LOCAL_SAMPLE
 
 if TYPE_CHECKING:
-    from burlmoor.policy.context import PolicyContext
+    import random
+
+    from burlmoor.policy.endpoint_eligibility import EndpointEligibility
+    from burlmoor.policy.endpoints.affinity import AffinitySelector
+    from burlmoor.policy.endpoints.known_endpoints import KnownEndpoints
+    from burlmoor.policy.endpoints.recently_freed import RecentlyFreed
+    from burlmoor.policy.endpoints.slow_start import SlowStart
     from burlmoor.policy.model.endpoint import Endpoint
     from burlmoor.policy.model.job import ScheduledJob
+    from burlmoor.policy.statistics.node_statistics import NodeStatistics
+    from burlmoor.types.settings import Settings
+
+LOCAL_SAMPLE, REMOTE_SAMPLE = 4, 2  # endpoints drawn for a job, in addition to the recently freed ones
 
 
 class EndpointSelector:
     """Draws candidates for a job and selects the best of those that are eligible."""
 
-    def __init__(self, context: PolicyContext) -> None:
-        self._context = context
-        self._eligibility = EndpointEligibility(context)
-        self._assigned: list[Endpoint] = []  # warming endpoints that this node looks at for each job
+    def __init__(
+        self,
+        settings: Settings,
+        statistics: NodeStatistics,
+        endpoints: KnownEndpoints,
+        slow_start: SlowStart,
+        recently_freed: RecentlyFreed,
+        affinity: AffinitySelector,
+        eligibility: EndpointEligibility,
+        rng: random.Random,
+    ) -> None:
+        self._settings = settings
+        self._statistics = statistics
+        self._endpoints = endpoints
+        self._slow_start = slow_start
+        self._recently_freed = recently_freed
+        self._affinity = affinity
+        self._eligibility = eligibility
+        self._rng = rng
+        self._assigned: list[Endpoint] = []  # endpoints in slow start that are candidates for each job
 
     def start_round(self, now: float) -> None:
-        """Take in what has changed since the round before."""
+        """Update what has changed since the previous round."""
         self._eligibility.start_round()
-        self._assigned = self._context.endpoints.slow_start.assigned_endpoints(now)
+        self._assigned = self._slow_start.assigned_endpoints(now)
 
     def select(self, job: ScheduledJob, state: RoundState, now: float) -> Selection | None:
         """Return the best endpoint for a job; None where it has to wait."""
-        endpoints = self._context.endpoints
         kind = job.job_class.required_kind
-        affinity = endpoints.affinity.select(endpoints.candidates(kind).affinity, job.key, job.key_share, now)
-        scorer = EndpointScorer(self._context, job, state, now)
-        drawn = [*(affinity.usable or endpoints.draw(kind)), *self._assigned]
+        orders = self._endpoints.candidates(kind).affinity
+        affinity = self._affinity.select(orders, job.key, job.key_fraction, now)
+        scorer = EndpointScorer(self._statistics, self._slow_start, self._settings, job, state, now)
+        candidates = [*(affinity.usable or self._draw(kind)), *self._assigned]
         best: Selection | None = None
-        for looked_at, endpoint in enumerate(self._eligibility.eligible(job, drawn, now)):
-            is_optional = looked_at >= LOCAL_SAMPLE and endpoint not in self._assigned
+        for count, endpoint in enumerate(self._eligibility.eligible(job, candidates, now)):
+            is_optional = count >= LOCAL_SAMPLE and endpoint not in self._assigned
             if affinity.usable and is_optional and best is not None:
                 continue
             is_key_cached = (
                 not affinity.usable or job.key in endpoint.cached_keys or endpoint in affinity.with_key
             )
-            selection = scorer.score(endpoint, is_key_cached)
+            selection = scorer.score(endpoint, is_key_cached=is_key_cached)
             if selection is not None and (best is None or selection.loss < best.loss):
                 best = selection
         if best is None:
-            self._eligibility.reserve(job, drawn, now)
+            self._eligibility.reserve(job, candidates, now)
         return best
+
+    def _draw(self, kind: str | None) -> list[Endpoint]:
+        """Return a few endpoints of this kind: recently freed ones, and some drawn at random by weight."""
+        sample = self._endpoints.candidates(kind).sample(self._rng, LOCAL_SAMPLE, REMOTE_SAMPLE)
+        return [*self._recently_freed, *sample]
--- a/burlmoor/policy/endpoints/__init__.py
+++ b/burlmoor/policy/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints as the policy sees them: live, warming up or ejected, and preferred by the jobs of a key."""
+"""The endpoints as the policy sees them: live, in slow start or ejected, and preferred for a key's jobs."""
--- a/burlmoor/policy/endpoints/affinity.py
+++ b/burlmoor/policy/endpoints/affinity.py
@@ -15,8 +15,8 @@
     from burlmoor.policy.model.endpoint import Endpoint
 
 MAX_KEYS = 1000  # whose order is cached
-MIN_AFFINITY_ENDPOINTS = 4  # that may get a key's jobs: each more of them has to fetch it
-AFFINITY_HEADROOM = 1.5  # as many times the endpoints that a key's jobs fill may get them, where that is more
+MIN_AFFINITY_ENDPOINTS = 4  # for a key's jobs; few, since each further one has to fetch the key
+AFFINITY_HEADROOM = 1.5  # times the endpoints that a key's jobs fill, where that is more
 _HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash: spreads bits that differ little
 _HASH_RANGE = 2**32
 
@@ -32,7 +32,7 @@
         """Return the endpoints in the key's order, the preferred one first; none for the empty key.
 
         The order is over all zones: with an order for each zone, every zone would fetch every key, and the
-        store that they come from serves only so many at a time.
+        store that keys come from has a limited capacity.
         """
         if not key:
             return []
@@ -46,7 +46,7 @@
         key_hash = crc32(key.encode())
 
         def score(endpoint: Endpoint) -> float:
-            # By weight. A change of the list moves no more keys than it must.
+            """Divide by the weight, so that endpoints get keys by weight and keep them when others leave."""
             mixed = (key_hash ^ endpoint.name_hash) * _HASH_MULTIPLIER % _HASH_RANGE
             return mixed / endpoint.weight
 
@@ -68,17 +68,17 @@
         self._outliers = outliers
         self._rng = rng
 
-    def select(self, orders: AffinityOrders, key: str, key_share: float, now: float) -> AffinitySet:
-        """Return the endpoints for a key that this share of all jobs with a key asks for.
+    def select(self, orders: AffinityOrders, key: str, key_fraction: float, now: float) -> AffinitySet:
+        """Return the endpoints for a key that this fraction of all jobs with a key has.
 
-        An endpoint that is ejected is stood in for by the next in the key's order. Without more endpoints for
-        a key that many jobs ask for, and others beside warming ones, which take little, jobs would be
-        rejected while endpoints are free.
+        The next in the key's order replaces an endpoint that is ejected. A key of many jobs has more
+        endpoints, and those in slow start, which take little, don't count: otherwise jobs would be rejected
+        while endpoints are free.
         """
         if not key:
             return AffinitySet([], [])
         order = self._outliers.without_ejected(orders.order_of(key), now)
-        filled = key_share * len(order)
+        filled = key_fraction * len(order)
         count = max(MIN_AFFINITY_ENDPOINTS, math.ceil(AFFINITY_HEADROOM * filled))
         capacity_fraction = self._slow_start.capacity_fraction
         warming = sum(capacity_fraction(endpoint, now) < 1.0 for endpoint in order[:count])
--- /dev/null
+++ b/burlmoor/policy/endpoints/fleet_load.py
@@ -0,0 +1,68 @@
+"""What this node's attempts hold at the endpoints, and how full the fleet is."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from burlmoor.policy.endpoints.known_endpoints import KnownEndpoints
+    from burlmoor.policy.endpoints.recently_freed import RecentlyFreed
+    from burlmoor.policy.endpoints.slow_start import SlowStart
+    from burlmoor.policy.model.endpoint import Endpoint
+    from burlmoor.policy.model.job import ScheduledJob
+
+
+class FleetLoad:
+    """Counts the slots and memory that this node's attempts hold; times are ms."""
+
+    def __init__(
+        self,
+        endpoints: KnownEndpoints,
+        slow_start: SlowStart,
+        recently_freed: RecentlyFreed,
+        node_count: int,
+    ) -> None:
+        self._endpoints = endpoints
+        self._slow_start = slow_start
+        self._recently_freed = recently_freed
+        self._node_count = node_count
+        self.slots_in_flight = (
+            0.0  # held by this node's attempts, also at endpoints that are no longer listed
+        )
+
+    def acquire(self, endpoint: Endpoint, job: ScheduledJob, now: float) -> None:
+        """Count an attempt that is sent to the endpoint."""
+        endpoint.slots_in_flight += job.slots
+        endpoint.memory_in_flight += job.memory
+        self.slots_in_flight += job.slots
+        self._slow_start.charge(endpoint, job.cost)
+        self._recently_freed.discard(endpoint)
+        if job.key:
+            endpoint.record_cached_key(job.key, now)
+
+    def release(self, endpoint: Endpoint, job: ScheduledJob) -> None:
+        """Count an attempt that has ended."""
+        endpoint.slots_in_flight = max(0.0, endpoint.slots_in_flight - job.slots)
+        endpoint.memory_in_flight = max(0.0, endpoint.memory_in_flight - job.memory)
+        self.slots_in_flight -= job.slots
+
+    def warm_capacity(self, now: float) -> float:
+        """Return the slots of the endpoints that are past their slow start and have no overdue attempt."""
+        return sum(
+            endpoint.capacity
+            for endpoint in self._endpoints.by_name.values()
+            if endpoint.is_available() and self._slow_start.capacity_fraction(endpoint, now) >= 1.0
+        )
+
+    def saturation(self) -> float:
+        """Return what all nodes hold, against twice the capacity that one of them has measured; 1 at most.
+
+        Twice, since of many nodes each alone holds little.
+        """
+        capacity = sum(endpoint.capacity for endpoint in self._endpoints.live)
+        held = self.slots_in_flight * self._node_count
+        return min(1.0, held / max(1.0, 2.0 * capacity))
+
+    def parallel_slots(self) -> float:
+        """Return how many slots work for this node's jobs: those in flight, or its part of the fleet."""
+        return max(1.0, self.slots_in_flight, self._endpoints.live_weight / self._node_count)
--- /dev/null
+++ b/burlmoor/policy/endpoints/known_endpoints.py
@@ -0,0 +1,62 @@
+"""The endpoints that the policy knows, with what it has measured of each.
+
+They follow the updates of the engine. The list itself, its version and the overrides are those of
+`burlmoor.endpoints.directory`.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from burlmoor.policy.endpoints.candidates import Candidates
+from burlmoor.policy.model.endpoint import MIN_WEIGHT, Endpoint, hash_name
+from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
+
+if TYPE_CHECKING:
+    from burlmoor.policy.endpoints.slow_start import SlowStart
+    from burlmoor.types.events import EndpointListUpdate
+
+
+class KnownEndpoints:
+    """The endpoints listed as live or draining; the live ones by the kind that a job needs."""
+
+    def __init__(self, zone: str, slow_start: SlowStart) -> None:
+        self._zone = zone
+        self._slow_start = slow_start
+        self.by_name: dict[str, Endpoint] = {}
+        self.live: list[Endpoint] = []
+        self.live_weight = 0.0
+        self._candidates: dict[str | None, Candidates] = {}
+
+    def update(self, event: EndpointListUpdate) -> None:
+        """Apply an update. By the drain rule, an endpoint that is not listed as live gets no new attempt."""
+        if event.kind is not ListKind.DELTA:
+            listed = {entry.endpoint for entry in event.entries}
+            for name in [name for name in self.by_name if name not in listed]:
+                self.by_name.pop(name).is_live = False
+        for entry in event.entries:
+            self._update_endpoint(entry)
+        self._candidates.clear()
+        self.live = [endpoint for endpoint in self.by_name.values() if endpoint.is_live]
+        self.live_weight = sum(endpoint.weight for endpoint in self.live)
+        self._slow_start.set_live_endpoints(self.live)
+
+    def _update_endpoint(self, entry: EndpointEntry) -> None:
+        known = self.by_name.get(entry.endpoint)
+        if known is not None:
+            known.is_live = entry.state is EndpointState.LIVE
+            known.weight = max(entry.weight, MIN_WEIGHT)
+            if entry.started_at == known.entry.started_at and entry.state is not EndpointState.GONE:
+                return
+            # A restarted process holds none of this node's jobs, and the statistics of the old one are void.
+            self.by_name.pop(entry.endpoint).is_live = False
+        if entry.state is not EndpointState.GONE:
+            rank = self._slow_start.rank_of_node(hash_name(entry.endpoint))
+            self.by_name[entry.endpoint] = Endpoint(entry, rank)
+
+    def candidates(self, kind: str | None) -> Candidates:
+        """Return the live endpoints for jobs that need this kind (None: any)."""
+        if kind not in self._candidates:
+            usable = (endpoint for endpoint in self.live if kind in (None, endpoint.kind))
+            self._candidates[kind] = Candidates(usable, self._zone)
+        return self._candidates[kind]
--- a/burlmoor/policy/endpoints/outcomes.py
+++ b/burlmoor/policy/endpoints/outcomes.py
@@ -1,4 +1,4 @@
-"""What attempts teach: their starts, progress and outcomes go into the statistics."""
+"""Records the starts, progress and outcomes of attempts in the statistics."""
 
 from __future__ import annotations
 
@@ -7,67 +7,80 @@
 from burlmoor.types.outcome import Outcome
 
 if TYPE_CHECKING:
-    from burlmoor.policy.endpoints.endpoint_list import EndpointList
-    from burlmoor.policy.model.job import ScheduledAttempt, ScheduledJob
+    from burlmoor.policy.endpoints.outlier_detection import OutlierDetector
+    from burlmoor.policy.endpoints.recently_freed import RecentlyFreed
+    from burlmoor.policy.model.attempt import ScheduledAttempt
+    from burlmoor.policy.model.job import ScheduledJob
     from burlmoor.policy.statistics.node_statistics import NodeStatistics
 
 FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE)
-MIN_SILENT_MS = 500.0  # an attempt that was cancelled or timed out after this long unheard is a fault
-CLEAN_SLOWNESS = 1.5  # a late job counts as clean if it was at most this much slower than the kind
+MIN_SILENT_MS = 500.0  # a cancel or timeout is a fault if the endpoint was silent for this long
+CLEAN_SLOWNESS = 1.5  # a late job counts as clean if its slowness relative to the kind is less
 PROGRESS_WEIGHT = 0.5  # of a run time estimated from progress
 
 
 class OutcomeRecorder:
-    """Records what is heard of attempts."""
+    """Records the reports on attempts. Times are ms."""
 
-    def __init__(self, statistics: NodeStatistics, endpoints: EndpointList) -> None:
+    def __init__(
+        self, statistics: NodeStatistics, outliers: OutlierDetector, recently_freed: RecentlyFreed
+    ) -> None:
         self._statistics = statistics
-        self._outliers = endpoints.outliers
-        self._recently_freed = endpoints.recently_freed
+        self._outliers = outliers
+        self._recently_freed = recently_freed
 
     def record_start(self, attempt: ScheduledAttempt, now: float) -> None:
-        """Record that an attempt's job has begun to run."""
+        """Record that an attempt's job has started."""
         endpoint = attempt.endpoint
         delay_ms = now - attempt.sent_at
         attempt.started_at = now
         endpoint.last_reported_at = now
         attempt.clear_overdue()
-        self._statistics.endpoints.record_start_delay(endpoint, delay_ms, now)
-        if delay_ms <= self._statistics.endpoints.start_grace(endpoint.zone):
+        start_delays = self._statistics.start_delays
+        start_delays.record_delay(endpoint, delay_ms, now)
+        if delay_ms <= start_delays.start_grace(endpoint.zone):
             self._recently_freed.add(endpoint)
 
     def record_progress(
         self, job: ScheduledJob, attempt: ScheduledAttempt, fraction: float, now: float
     ) -> None:
-        """Record that a running job has done this fraction of its work."""
+        """Record that a running job has completed this fraction of its work."""
         attempt.endpoint.last_reported_at = now
         if attempt.started_at is not None and fraction > 0.0:
             run_ms = (now - attempt.started_at) / min(1.0, fraction)
-            self._statistics.endpoints.record_run(attempt.endpoint, job.work_ms, run_ms, now, PROGRESS_WEIGHT)
+            self._statistics.runs.record_run(attempt.endpoint, job.work_ms, run_ms, now, PROGRESS_WEIGHT)
+
+    def record_cancelling(self, attempt: ScheduledAttempt, outcome: Outcome, now: float) -> None:
+        """Record that the node has cancelled an attempt, which will end with this outcome."""
+        attempt.is_cancelling = True
+        self._record_fault(attempt, outcome, now)
 
-    def record_end(self, job: ScheduledJob, attempt: ScheduledAttempt, elapsed_ms: float, now: float) -> None:
+    def record_end(
+        self, job: ScheduledJob, attempt: ScheduledAttempt, outcome: Outcome, elapsed_ms: float, now: float
+    ) -> None:
         """Record the outcome of an attempt that has ended."""
         endpoint = attempt.endpoint
-        measured = self._statistics.endpoints
+        start_delays = self._statistics.start_delays
+        attempt.outcome = outcome
         if attempt.is_overdue:
-            measured.record_start_delay(endpoint, now - attempt.sent_at, now, has_started=False)
+            start_delays.record_delay(endpoint, now - attempt.sent_at, now, has_started=False)
         attempt.clear_overdue()
-        if attempt.outcome is Outcome.SERVED:
+        if outcome is Outcome.SERVED:
             endpoint.last_reported_at = now
             self._outliers.record_success(endpoint)
             self._record_served(job, attempt, elapsed_ms, now)
-        elif attempt.outcome is Outcome.OVERLOADED:
-            measured.record_overload(endpoint, now)
+        elif outcome is Outcome.OVERLOADED:
+            start_delays.record_overload(endpoint, now)
             self._recently_freed.discard(endpoint)
-        elif attempt.outcome is not None and not attempt.is_cancelling:
-            self.record_fault(attempt, attempt.outcome, now)
+        elif not attempt.is_cancelling:
+            self._record_fault(attempt, outcome, now)
 
-    def record_fault(self, attempt: ScheduledAttempt, outcome: Outcome, now: float) -> None:
-        """Record what an outcome says against the endpoint; once for each attempt, at the first sign."""
+    def _record_fault(self, attempt: ScheduledAttempt, outcome: Outcome, now: float) -> None:
+        """Record a fault of the endpoint if the outcome is one; called once for each attempt."""
         endpoint = attempt.endpoint
         if outcome in FAULTS:
             self._outliers.record_fault(endpoint, now)
-            self._statistics.endpoints.record_attempt_end(endpoint, False, now)
+            self._statistics.endpoints.record_attempt_end(endpoint, now, is_clean=False)
         elif outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
             is_silent = endpoint.last_reported_at < attempt.sent_at
             if is_silent and now - attempt.sent_at > MIN_SILENT_MS:
@@ -77,7 +90,7 @@
         self, job: ScheduledJob, attempt: ScheduledAttempt, elapsed_ms: float, now: float
     ) -> None:
         endpoint, class_name = attempt.endpoint, job.job_class.name
-        measured = self._statistics.endpoints
+        runs = self._statistics.runs
         self._statistics.estimates.record(class_name, attempt.expected_ms, now - attempt.sent_at, now)
         is_in_time = now <= job.objective_at
         if not job.is_closed:
@@ -85,9 +98,12 @@
             self._statistics.class_weights.record_served(class_name, counted * job.objective_weight, now)
         run_ms = now - attempt.started_at if attempt.started_at is not None else elapsed_ms
         if job.key:
-            run_ms = measured.record_cache_use(endpoint, job.work_ms, run_ms, attempt.is_cache_miss, now)
+            run_ms = runs.record_cache_use(
+                endpoint, job.work_ms, run_ms, now, is_cache_miss=attempt.is_cache_miss
+            )
         self._statistics.demand.record_run(class_name, run_ms, now)
-        slowness = measured.record_run(endpoint, job.work_ms, run_ms, now)
-        measured.record_attempt_end(endpoint, is_in_time or slowness < CLEAN_SLOWNESS, now)
+        slowness = runs.record_run(endpoint, job.work_ms, run_ms, now)
+        is_clean = is_in_time or slowness < CLEAN_SLOWNESS
+        self._statistics.endpoints.record_attempt_end(endpoint, now, is_clean=is_clean)
         if not endpoint.overdue_attempts:
             self._recently_freed.add(endpoint)
--- a/burlmoor/policy/endpoints/outlier_detection.py
+++ b/burlmoor/policy/endpoints/outlier_detection.py
@@ -11,20 +11,20 @@
 
     from burlmoor.policy.model.endpoint import Endpoint
 
-EJECTION_FAULTS = 2  # so many faults in a row eject an endpoint
+EJECTION_FAULTS = 2  # consecutive faults that eject an endpoint
 FIRST_PROBE_DELAY_MS = 500.0  # each probe that fails doubles the delay of the next
 MAX_PROBE_DELAY_DOUBLINGS = 4
 
 
 class OutlierDetector:
-    """Ejects endpoints that fail, unless most of them do: then the fault is likely to be on our own side."""
+    """Ejects endpoints that fail, unless most of them do: then the fault is likely to be on this side."""
 
     def __init__(self) -> None:
-        self.is_wary = True  # whether a single fault counts
+        self.is_wary = True  # whether one fault is enough to keep non-idempotent jobs away
         self.is_ejecting = True
 
     def update(self, live: Sequence[Endpoint]) -> None:
-        """Look at all endpoints: with more than half of them at fault, faults are disregarded."""
+        """Count the failing endpoints: where they are more than half, faults are disregarded."""
         faults = [endpoint.consecutive_faults for endpoint in live]
         self.is_wary = 2 * sum(count > 0 for count in faults) <= len(faults)
         self.is_ejecting = 2 * sum(count >= EJECTION_FAULTS for count in faults) <= len(faults)
@@ -40,10 +40,10 @@
         ]
 
     def may_receive(self, endpoint: Endpoint, idempotency: Idempotency, now: float) -> bool:
-        """Return whether a job may be sent there for all that is known of the endpoint's faults.
+        """Return whether the endpoint's faults allow that a job is sent there.
 
-        Without this, endpoints that fail at once, and so are always free, draw most jobs: an ejected one is
-        probed by one idempotent job at a time.
+        An ejected endpoint is probed by one idempotent job at a time. Without this, endpoints that fail at
+        once, and so are always free, attract most jobs.
         """
         faults = endpoint.consecutive_faults
         if faults < EJECTION_FAULTS:
@@ -60,7 +60,7 @@
 
     @staticmethod
     def record_fault(endpoint: Endpoint, now: float) -> None:
-        """Count a fault, and put off the next probe."""
+        """Count a fault, and postpone the next probe."""
         endpoint.consecutive_faults += 1
         doublings = endpoint.consecutive_faults - EJECTION_FAULTS
         doublings = max(0, min(doublings, MAX_PROBE_DELAY_DOUBLINGS))
--- /dev/null
+++ b/burlmoor/policy/endpoints/poll_backoff.py
@@ -0,0 +1,35 @@
+"""When the endpoint list is polled next, where it is not pushed."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import random
+
+STEP_FRACTION = 0.1  # of the poll interval: the first backoff
+MAX_BACKOFF_DOUBLINGS = 3
+FIRST_POLL_SPREAD_STEPS = 4.0  # over which the nodes' polls are spread
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # times the backoff
+
+
+class PollBackoff:
+    """The delays of polls: spread over the nodes, and longer after each failure."""
+
+    def __init__(self, poll_interval_ms: float, rng: random.Random) -> None:
+        self._poll_interval_ms = poll_interval_ms
+        self._rng = rng
+        self._failed_polls = 0
+
+    def next_delay_ms(self, *, has_failed: bool) -> float:
+        """Return how long to wait before the next poll, after one that has failed or a cached list."""
+        self._failed_polls += has_failed
+        doublings = min(max(self._failed_polls - 1, 0), MAX_BACKOFF_DOUBLINGS)
+        step_ms = STEP_FRACTION * self._poll_interval_ms * 2.0**doublings
+        if has_failed:
+            return step_ms * self._rng.uniform(MIN_JITTER, MAX_JITTER)
+        return step_ms * self._rng.uniform(0.0, FIRST_POLL_SPREAD_STEPS)
+
+    def reset(self) -> None:
+        """End the backoff: a list has come."""
+        self._failed_polls = 0
--- a/burlmoor/policy/endpoints/recently_freed.py
+++ b/burlmoor/policy/endpoints/recently_freed.py
@@ -1,4 +1,4 @@
-"""The endpoints where a slot was free a moment ago."""
+"""The endpoints that had a free slot most recently."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class RecentlyFreed:
-    """A few endpoints that showed a free slot last: the best that a node can know of free capacity."""
+    """The few endpoints that had a free slot most recently: all that a node knows of free capacity."""
 
     def __init__(self, max_size: int) -> None:
         self._max_size = max_size
-        self._endpoints: dict[Endpoint, None] = {}  # the latest last
+        self._endpoints: dict[Endpoint, None] = {}  # the most recent last
 
     def __iter__(self) -> Iterator[Endpoint]:
-        """Iterate from the longest ago to the latest."""
+        """Iterate from the least recent to the most recent."""
         return iter(self._endpoints)
 
     def add(self, endpoint: Endpoint) -> None:
-        """Note that a slot is, or was a moment ago, free there."""
+        """Record that a slot is free there."""
         self._endpoints.pop(endpoint, None)
         self._endpoints[endpoint] = None
         if len(self._endpoints) > self._max_size:
             del self._endpoints[next(iter(self._endpoints))]
 
     def discard(self, endpoint: Endpoint) -> None:
-        """Note that the slot is taken, or was none."""
+        """Record that the slot is taken."""
         self._endpoints.pop(endpoint, None)
--- a/burlmoor/policy/endpoints/slow_start.py
+++ b/burlmoor/policy/endpoints/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: how much an endpoint that was started a moment ago may get, over all nodes together.
+"""Slow start: the budget of an endpoint that has just started, over all nodes together.
 
-An endpoint that warms up has a fraction of its capacity. No node sees what the others send it, so each keeps
-within a share of a common budget, in an order of the nodes that is the endpoint's own and the same at each
-of them. The design is in docs/design.md.
+An endpoint in slow start has a fraction of its capacity. No node knows what the others send it, so each keeps
+within its part of a common budget. The parts follow an order of the nodes that each endpoint has by itself
+and that all nodes agree on; see "Dividing a slow-start budget" in docs/design.md.
 """
 
 from __future__ import annotations
@@ -10,8 +10,6 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from burlmoor.policy.statistics.endpoint_statistics import EVIDENCE_HALF_LIFE_MS
-
 if TYPE_CHECKING:
     import random
     from collections.abc import Sequence
@@ -20,28 +18,27 @@
     from burlmoor.policy.statistics.node_statistics import NodeStatistics
     from burlmoor.types.settings import Settings
 
-# The part of an endpoint's budget that the nodes plan to use: in the worst case they use 3 times as much.
+# Of an endpoint's budget, what the nodes plan to use: in the worst case they use 3 times as much.
 MIN_PLANNED_FRACTION = 0.3
 SINGLE_NODE_PLANNED_FRACTION = 0.5  # few nodes save up and owe little
 PLANNED_FRACTION_STEP = 0.005  # less for each node
-MAX_JOB_COST = 2.0  # a warming endpoint gets no job of more than this many times the mean cost
-MAX_BUDGET_FRACTION = 0.5  # nor one that takes more than this part of its budget
+MAX_JOB_COST = 2.0  # an endpoint in slow start gets no job of more than this many times the mean cost
+MAX_BUDGET_FRACTION = 0.5  # nor one that takes more than this fraction of its budget
 MAX_CREDIT_JOBS = 1.0  # a node saves up one job at most, and owes one at most
-MIN_SPEED, MAX_SPEED = 0.5, 1.5  # of a kind, against the fleet
+MIN_SPEED, MAX_SPEED = 0.5, 1.5  # of a kind, relative to the fleet
 SCARCE_BUDGET_FACTOR = 3.0  # a budget of fewer jobs than a third of the nodes goes to few of them
-
-REASSIGN_FRACTION = 0.1  # of the overload window: how often the endpoints assigned to a node are found anew
+REASSIGN_FRACTION = 0.1  # of the overload window: how often a node's assigned endpoints are updated
 
 
 class SlowStartBudget(NamedTuple):
-    """What a warming endpoint bears within a window, in jobs of mean cost."""
+    """What an endpoint in slow start can take within an overload window, in jobs of mean cost."""
 
     total_jobs: float
-    share_jobs: float  # what this node may send
+    node_jobs: float  # what this node may send of it
 
 
 class SlowStart:
-    """The budgets of endpoints that warm up, and this node's share of each."""
+    """The budgets of endpoints in slow start, and this node's part of each. Times are ms."""
 
     def __init__(self, settings: Settings, statistics: NodeStatistics, rng: random.Random) -> None:
         self._rules = settings.rules
@@ -49,7 +46,7 @@
         self._node_index = settings.node_index
         self._statistics = statistics
         self._rng = rng
-        # Work per ms that the fleet is there for: the jobs that its tenants may send together.
+        # What the tenants may send together by their quotas.
         self._planned_jobs_per_ms = sum(tenant.quota_per_second for tenant in settings.tenants) / 1000.0
         self._planned_fraction = max(
             MIN_PLANNED_FRACTION, SINGLE_NODE_PLANNED_FRACTION - PLANNED_FRACTION_STEP * self._node_count
@@ -58,26 +55,33 @@
         self._peak_live_count = 1
         self._assigned: list[Endpoint] = []
         self._reassign_at = 0.0
-        self.is_handed_over = False  # whether another process of this node uses its shares now
+        self._is_handed_over = False  # whether another process of this node uses its budgets now
 
     def set_live_endpoints(self, live: Sequence[Endpoint]) -> None:
-        """Take in the live endpoints. What those that are lost could bear is left to nobody."""
+        """Set the live endpoints. The budgets of those that left are not divided among the others."""
         self._live = live
         self._reassign_at = 0.0
         self._peak_live_count = max(self._peak_live_count, len(live))
 
-    def rank_of_node(self, endpoint: Endpoint) -> int:
-        """Return this node's rank in the endpoint's own order of all nodes, the same at each of them."""
+    def set_handed_over(self, *, is_handed_over: bool) -> None:
+        """Set whether another process admits this node's jobs, and uses its budgets, in place of this one."""
+        self._is_handed_over = is_handed_over
+
+    def rank_of_node(self, name_hash: int) -> int:
+        """Return this node's rank in an endpoint's order of all nodes, which all nodes agree on.
+
+        A node without a number has a random rank.
+        """
         nodes = self._node_count
-        step = endpoint.name_hash // nodes % nodes
+        step = name_hash // nodes % nodes
         while math.gcd(step, nodes) != 1:
             step += 1
         if self._node_index is None:
             return self._rng.randrange(nodes)
-        return (self._node_index * step + endpoint.name_hash) % nodes
+        return (self._node_index * step + name_hash) % nodes
 
     def capacity_fraction(self, endpoint: Endpoint, now: float) -> float:
-        """Return the fraction of its capacity that an endpoint has at least; 1 once it is warm."""
+        """Return the fraction of its capacity that an endpoint has at least; 1 after its slow start."""
         started_at = endpoint.entry.started_at
         age = now - started_at
         if started_at <= 0.0 or age >= self._rules.slow_start_ms:
@@ -87,29 +91,32 @@
 
     @staticmethod
     def slowdown(endpoint: Endpoint, slots: float, fraction: float) -> float:
-        """Return by what a job of so many slots runs longer at an endpoint with this capacity fraction.
+        """Return the factor by which a job of these slots runs longer at an endpoint in slow start.
 
-        A warming endpoint lacks cores, not speed: jobs slow down once they hold more slots than it has.
+        Such an endpoint lacks cores, not speed: jobs slow down once they hold more slots than it has.
         """
         return max(1.0, (endpoint.slots_in_flight + slots) / (fraction * endpoint.capacity))
 
     def budget(self, endpoint: Endpoint, now: float) -> SlowStartBudget:
-        """Return what a warming endpoint bears within a window, and this node's share of it."""
-        bearable = self._bearable_work_per_ms(endpoint, now)
-        weighted = self._rules.overload_multiple * max(endpoint.weight, bearable)
-        bearable = weighted * self.capacity_fraction(endpoint, now)
-        total = bearable * self._rules.overload_window_ms / self._statistics.demand.mean_cost
+        """Return what an endpoint in slow start can take within a window, and this node's part of it."""
+        sustainable = self._sustainable_work_per_ms(endpoint, now)
+        weighted = self._rules.overload_multiple * max(endpoint.weight, sustainable)
+        sustainable = weighted * self.capacity_fraction(endpoint, now)
+        total = sustainable * self._rules.overload_window_ms / self._statistics.demand.mean_cost
         for_each, for_some = divmod(self._planned_fraction * total, self._node_count)
-        if self.is_handed_over:
+        if self._is_handed_over:
             return SlowStartBudget(total, 0.0)
         extra = max(0.0, min(1.0, for_some - endpoint.slow_start_rank))
         return SlowStartBudget(total, for_each + extra)
 
-    def _bearable_work_per_ms(self, endpoint: Endpoint, now: float) -> float:
-        """Return the work per ms of a warm endpoint of this kind: planned, else as started promptly there."""
-        measured = self._statistics.endpoints
-        of_kind = measured.slowness_of_kind(endpoint.kind, now)
-        of_fleet = measured.fleet_slowness.read(now, EVIDENCE_HALF_LIFE_MS, 1.0)
+    def _sustainable_work_per_ms(self, endpoint: Endpoint, now: float) -> float:
+        """Return the work per ms that an endpoint of this kind can take after its slow start.
+
+        It follows from the tenants' quotas, else from the capacity of such endpoints.
+        """
+        runs = self._statistics.runs
+        of_kind = runs.slowness_of_kind(endpoint.kind, now)
+        of_fleet = runs.slowness_of_fleet(now)
         speed = max(MIN_SPEED, min(MAX_SPEED, of_fleet / of_kind))
         if self._planned_jobs_per_ms:
             mean_cost = self._statistics.demand.mean_cost
@@ -119,9 +126,9 @@
         return min(warm, default=0.0) / of_kind
 
     def assigned_endpoints(self, now: float) -> list[Endpoint]:
-        """Return the warming endpoints that few nodes, and this one among them, may send to.
+        """Return the endpoints in slow start that few nodes, and this one among them, may send to.
 
-        Hardly anyone else draws them, so this node looks at them for each job.
+        They are candidates for each job of this node, since hardly any other node sends them jobs.
         """
         if now >= self._reassign_at:
             self._reassign_at = now + REASSIGN_FRACTION * self._rules.overload_window_ms
@@ -132,20 +139,20 @@
         if self.capacity_fraction(endpoint, now) >= 1.0:
             return False
         budget = self.budget(endpoint, now)
-        return budget.share_jobs > 0.0 and SCARCE_BUDGET_FACTOR * budget.total_jobs < self._node_count
+        return budget.node_jobs > 0.0 and SCARCE_BUDGET_FACTOR * budget.total_jobs < self._node_count
 
     def has_credit(self, endpoint: Endpoint, cost: float, now: float) -> bool:
-        """Return whether this node may send a job of this cost to a warming endpoint (rule 4)."""
+        """Return whether the slow-start rule lets this node send a job of this cost to the endpoint."""
         budget = self.budget(endpoint, now)
         elapsed = now - endpoint.slow_start_credit_at
-        gained = budget.share_jobs * elapsed / self._rules.overload_window_ms
+        gained = budget.node_jobs * elapsed / self._rules.overload_window_ms
         endpoint.slow_start_credit = min(MAX_CREDIT_JOBS, endpoint.slow_start_credit + gained)
         endpoint.slow_start_credit_at = now
         jobs = cost / self._statistics.demand.mean_cost
-        if budget.share_jobs <= 0.0 or jobs > min(MAX_JOB_COST, MAX_BUDGET_FRACTION * budget.total_jobs):
+        if budget.node_jobs <= 0.0 or jobs > min(MAX_JOB_COST, MAX_BUDGET_FRACTION * budget.total_jobs):
             return False
         return endpoint.slow_start_credit >= min(1.0, jobs)
 
     def charge(self, endpoint: Endpoint, cost: float) -> None:
-        """Take a job that is sent to the endpoint off the credit."""
+        """Subtract a job that is sent to the endpoint from the credit."""
         endpoint.slow_start_credit -= cost / self._statistics.demand.mean_cost
--- /dev/null
+++ b/burlmoor/policy/job_checks.py
@@ -0,0 +1,55 @@
+"""When jobs and their attempts are checked next."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from burlmoor.policy.model.attempt import ScheduledAttempt
+    from burlmoor.policy.model.endpoint import Endpoint
+    from burlmoor.policy.model.job import ScheduledJob
+    from burlmoor.policy.statistics.start_delay_statistics import StartDelayStatistics
+    from burlmoor.policy.timer_queue import TimerQueue
+    from burlmoor.types.settings import Settings
+
+MAX_SILENT_INTERVALS = 1.5  # an attempt that is silent for this many progress intervals is taken to hang
+
+
+class JobChecks:
+    """Schedules the checks of jobs, by what their attempts should have reported by then."""
+
+    def __init__(self, settings: Settings, start_delays: StartDelayStatistics, timers: TimerQueue) -> None:
+        interval_ms = settings.progress_interval_ms
+        self._max_silence_ms = MAX_SILENT_INTERVALS * interval_ms if interval_ms > 0 else math.inf
+        self._tick_ms = settings.tick_ms
+        self._reports_start = settings.reports_start
+        self._start_delays = start_delays
+        self._timers = timers
+
+    def first_check_at(self, endpoint: Endpoint, now: float) -> float:
+        """Return when an attempt that is sent now is checked for the first time."""
+        if self._reports_start:
+            return now + self._start_delays.start_grace(endpoint.zone)
+        return now + self._max_silence_ms
+
+    def postpone(self, attempt: ScheduledAttempt, now: float) -> None:
+        """Check the attempt after the longest silence from now: it has reported, or was just checked."""
+        attempt.check_at = now + self._max_silence_ms
+
+    @staticmethod
+    def check_no_later_than(attempt: ScheduledAttempt, at: float) -> None:
+        """Check the attempt at this moment at the latest."""
+        attempt.check_at = min(attempt.check_at, at)
+
+    def schedule_first(self, job: ScheduledJob) -> None:
+        """Schedule the check before the deadline of a job that has just been admitted."""
+        self._timers.schedule_check(job, job.deadline_at - self._tick_ms)
+
+    def schedule_next(self, job: ScheduledJob, now: float) -> None:
+        """Schedule the next check of a job whose attempts are pending."""
+        moments = [attempt.check_at for attempt in job.pending_attempts() if not attempt.is_cancelling]
+        moments.append(job.deadline_at - self._tick_ms)
+        if now < job.useful_until:
+            moments.append(job.useful_until)
+        self._timers.schedule_check(job, max(min(moments), now + self._tick_ms))
--- a/burlmoor/policy/load_shedding.py
+++ b/burlmoor/policy/load_shedding.py
@@ -1,57 +1,66 @@
-"""Load shedding: which queued jobs are rejected, since they can no longer count or the load is too high."""
+"""Load shedding: rejects queued jobs that can't be in time any more or that exceed the fleet's capacity."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
+from burlmoor.policy.policy_warnings import PolicyWarning
 from burlmoor.types.reasons import EndReason
 
 if TYPE_CHECKING:
-    from burlmoor.policy.context import PolicyContext
+    from burlmoor.policy.endpoints.fleet_load import FleetLoad
     from burlmoor.policy.model.job import ScheduledJob
+    from burlmoor.policy.open_jobs import OpenJobs
+    from burlmoor.policy.policy_warnings import WarningLimiter
+    from burlmoor.policy.statistics.run_statistics import RunStatistics
 
-MAX_QUEUE_LOAD = 0.8  # of the jobs' objectives, the time that queued jobs will have taken
-UNKNOWN_FASTEST_SLOWNESS = 0.5  # time per unit of work while no kind of endpoint has been met: optimistic
+MAX_QUEUE_LOAD = 0.8  # of the queued jobs' objectives: the time that the jobs will have taken
+UNKNOWN_FASTEST_SLOWNESS = 0.5  # time per unit of work while no kind of endpoint has been used: optimistic
 
 
 class LoadShedder:
     """Rejects queued jobs, those of the lowest priority first."""
 
-    def __init__(self, context: PolicyContext) -> None:
-        self._context = context
+    def __init__(
+        self, runs: RunStatistics, load: FleetLoad, jobs: OpenJobs, warnings: WarningLimiter
+    ) -> None:
+        self._runs = runs
+        self._load = load
+        self._jobs = jobs
+        self._warnings = warnings
 
     def shed(
         self, queue: list[ScheduledJob], slowness: float, round_ms: float, now: float
     ) -> list[ScheduledJob]:
-        """Reject what cannot be in time any more, and what is too much for the fleet; return the rest.
+        """Reject what can't be in time any more and what exceeds the capacity; return the other jobs.
 
         The queue is in order of priority; `slowness` is the fleet's time per unit of work.
         """
-        fastest = self._context.statistics.endpoints.slowness_of_fastest_kind(now, UNKNOWN_FASTEST_SLOWNESS)
-        parallel_slots = self._context.endpoints.parallel_slots()
+        fastest = self._runs.slowness_of_fastest_kind(now, UNKNOWN_FASTEST_SLOWNESS)
+        parallel_slots = self._load.parallel_slots()
         remaining: list[ScheduledJob] = []
         excess: list[ScheduledJob] = []
         ahead_ms = taken_ms = objectives_ms = 0.0
         for job in queue:
             least_ms = 0.0 if job.is_exploratory else fastest * job.work_ms
             if now + least_ms > max(job.useful_until, now):
-                self._drop_from_queue(job)
+                if not job.pending_attempts():
+                    self._jobs.abandon(job, EndReason.TOO_LATE)
                 continue
             if job.rounds_waited > 0:
-                # Equation 2: time that queued jobs will have taken, against their objectives.
+                # ATHOS, equation 2: the time that queued jobs will have taken, against their objectives.
                 ahead_ms += slowness * job.work_ms * job.slots / parallel_slots
                 taken_ms += now - (job.objective_at - job.objective_ms) + ahead_ms + slowness * job.work_ms
                 objectives_ms += job.objective_ms + round_ms
             is_overload = taken_ms > MAX_QUEUE_LOAD * objectives_ms
             is_excess = is_overload and job.rounds_waited > 0 and not job.attempts
             (excess if is_excess else remaining).append(job)
-        for job in reversed(excess):
-            self._context.jobs.abandon(job, EndReason.OVERLOAD)
-        if excess:
-            self._context.warn("overload: refusing the least worth", now)
+        self._reject_excess(excess, now)
         return remaining
 
-    def _drop_from_queue(self, job: ScheduledJob) -> None:
-        job.is_queued = False
-        if not job.pending_attempts():
-            self._context.jobs.abandon(job, EndReason.TOO_LATE)
+    def _reject_excess(self, excess: list[ScheduledJob], now: float) -> None:
+        """Reject these jobs, the lowest priority first."""
+        for job in reversed(excess):
+            self._jobs.abandon(job, EndReason.OVERLOAD)
+        if excess:
+            self._warnings.warn(PolicyWarning.OVERLOAD, now)
--- a/burlmoor/policy/model/decayed_mean.py
+++ b/burlmoor/policy/model/decayed_mean.py
@@ -1,10 +1,13 @@
-"""An exponentially decayed mean, the form in which a node keeps what it measures."""
+"""An exponentially decayed mean, the form in which a node stores what it measures."""
 
 from __future__ import annotations
 
 
 class DecayedMean:
-    """A mean over all evidence, each piece of which loses half of its weight in every half-life."""
+    """A mean over all evidence, each piece of which loses half of its weight in every half-life.
+
+    Times and half-lives are ms.
+    """
 
     __slots__ = ("total", "updated_at", "weight")
 
@@ -14,17 +17,17 @@
         self.updated_at = 0.0
 
     def add(self, now: float, value: float, half_life: float, weight: float = 1.0) -> None:
-        """Take in one piece of evidence."""
+        """Add one piece of evidence."""
         keep: float = 0.5 ** ((now - self.updated_at) / half_life)
         self.total = self.total * keep + value * weight
         self.weight = self.weight * keep + weight
         self.updated_at = now
 
     def decayed_total(self, now: float, half_life: float) -> float:
-        """Return the sum of all evidence, each piece by what is left of its weight."""
+        """Return the sum of all evidence, each piece multiplied by its remaining weight."""
         return self.total * float(0.5 ** ((now - self.updated_at) / half_life))
 
     def read(self, now: float, half_life: float, prior: float, prior_weight: float = 1.0) -> float:
-        """Return the mean, with `prior` counted as `prior_weight` further pieces of evidence."""
+        """Return the mean, with `prior` counted as evidence of the weight `prior_weight`."""
         keep: float = 0.5 ** ((now - self.updated_at) / half_life)
         return (self.total * keep + prior * prior_weight) / (self.weight * keep + prior_weight)
--- a/burlmoor/policy/model/endpoint.py
+++ b/burlmoor/policy/model/endpoint.py
@@ -10,42 +10,60 @@
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState
 from burlmoor.types.settings import DeduplicationScope
 
-# Own slots per endpoint before its start times tell more: with fewer, a node that has just started queues.
+# Own slots per endpoint until its start times show more: with fewer, a node that has just started queues
+# jobs while endpoints are idle.
 INITIAL_CAPACITY_SLOTS = 4.0
 MIN_WEIGHT = 1e-3  # a listed weight of 0 would divide by zero
 CAPACITY_DECREASE = 0.9  # multiplicative decrease of the capacity after a late start or an overload answer
 
 
+def hash_name(endpoint: str) -> int:
+    """Return the hash of an endpoint's name, the same at every node."""
+    return crc32(endpoint.encode())
+
+
 class Endpoint:
-    """What one node knows of one endpoint. Times are ms of the node's clock."""
+    """What one node knows of one endpoint. Times are ms of the node's clock.
+
+    Each group of fields has one owner, the class named above it; a statistics snapshot restores what was
+    measured.
+    """
 
-    def __init__(self, entry: EndpointEntry) -> None:
+    def __init__(self, entry: EndpointEntry, slow_start_rank: int = 0) -> None:
+        # KnownEndpoints
         self.entry = entry
         self.id = entry.endpoint
         self.zone = entry.zone
         self.kind = entry.kind
         self.weight = max(entry.weight, MIN_WEIGHT)
-        self.name_hash = crc32(entry.endpoint.encode())
+        self.name_hash = hash_name(entry.endpoint)
         self.is_live = entry.state is EndpointState.LIVE
+        # FleetLoad
         self.slots_in_flight = 0.0  # held by this node's own attempts, as is the memory
         self.memory_in_flight = 0.0
-        # Own slots that may be in flight: prompt starts raise it, late ones lower it.
-        self.capacity = max(INITIAL_CAPACITY_SLOTS, self.weight)
+        # Keys that own jobs have fetched, the most recent last, and since when they are cached.
+        self.cached_keys: dict[str, float] = {}
+        # RunStatistics
+        self.slowness = DecayedMean()  # time taken per unit of hinted work
+        self.slowness_by_work_class: dict[int, DecayedMean] = defaultdict(DecayedMean)
+        # StartDelayStatistics
+        self.start_delay = DecayedMean()
+        self.capacity = max(INITIAL_CAPACITY_SLOTS, self.weight)  # own slots that may be in flight
+        # EndpointStatistics
+        self.clean_rate = DecayedMean()  # of attempts: the fraction that ended without a fault and in time
+        self.log_yield = DecayedMean()  # logarithm of the yield of the jobs sent here
+        # OutcomeRecorder
         self.last_reported_at = -math.inf  # when it last reported a start or progress, or served a job
+        # AttemptSender
         self.first_sent_at = math.inf  # when this process sent it its first attempt
+        # OutlierDetector
         self.consecutive_faults = 0
         self.next_probe_at = -math.inf  # when an ejected endpoint may get a job as a probe
+        # ScheduledAttempt
         self.overdue_attempts = 0  # own attempts that should have started by now
-        self.slowness = DecayedMean()  # time taken per unit of hinted work
-        self.slowness_by_work_class: dict[int, DecayedMean] = defaultdict(DecayedMean)
-        self.clean_rate = DecayedMean()  # share of attempts that ended without a fault and in time
-        self.start_delay = DecayedMean()
-        self.weight_rate = DecayedMean()  # logarithm of the priority weight that a slot's ms earns
-        self.cached_keys: dict[str, float] = {}  # keys that own jobs had fetched, the latest last; since when
-        # While it warms up: this node's rank in the endpoint's order of all nodes, and what the node may
-        # still send, in jobs of mean cost.
-        self.slow_start_rank = 0
-        self.slow_start_credit = 1.0
+        # SlowStart
+        self.slow_start_rank = slow_start_rank  # this node's rank in the endpoint's order of all nodes
+        self.slow_start_credit = 1.0  # jobs of mean cost that this node may still send during slow start
         self.slow_start_credit_at = 0.0
 
     def has_reported_since(self, moment: float) -> bool:
@@ -55,12 +73,12 @@
     def is_silent_since(self, moment: float) -> bool:
         """Return whether it has reported nothing since then, although it had an attempt of this process.
 
-        The first attempts of a new process wait for connections, which says nothing against an endpoint.
+        The first attempts of a new process wait for connections, which is no sign of a fault.
         """
         return self.first_sent_at < moment and not self.has_reported_since(moment)
 
     def is_available(self) -> bool:
-        """Return whether it is listed as live and none of this node's attempts waits for its start."""
+        """Return whether it is listed as live and no attempt of this node there is overdue."""
         return self.is_live and not self.overdue_attempts
 
     def deduplicates_with(self, other: Endpoint, scope: DeduplicationScope) -> bool:
@@ -79,12 +97,16 @@
             self.slots_in_flight + slots <= self.capacity and self.memory_in_flight + memory <= self.capacity
         )
 
+    def increase_capacity(self) -> None:
+        """Raise the capacity additively: about one slot for as many prompt starts as it has slots."""
+        self.capacity += 1.0 / self.capacity
+
     def decrease_capacity(self) -> None:
         """Lower the capacity: the endpoint has shown that it is loaded."""
         self.capacity = max(1.0, CAPACITY_DECREASE * self.capacity)
 
     def record_cached_key(self, key: str, now: float) -> None:
-        """Note that a job with this key was sent; an endpoint keeps about one data set for each slot."""
+        """Record that a job with this key was sent; an endpoint caches about one data set for each slot."""
         self.cached_keys.pop(key, None)
         self.cached_keys[key] = now
         if len(self.cached_keys) > max(2.0, self.capacity):
--- a/burlmoor/policy/open_jobs.py
+++ b/burlmoor/policy/open_jobs.py
@@ -1,19 +1,29 @@
-"""The jobs that this node has admitted and still owes an answer or an attempt's outcome."""
+"""The jobs that this node has admitted and that are open, or have a pending attempt."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     import random
 
-    from burlmoor.policy.model.job import ScheduledAttempt, ScheduledJob
+    from burlmoor.policy.model.attempt import ScheduledAttempt
+    from burlmoor.policy.model.job import ScheduledJob
     from burlmoor.policy.safety import RetrySafety
     from burlmoor.types.reasons import EndReason
 
+MIN_RETRY_AFTER_FRACTION = 0.5  # of the longest one
+
+
+class PendingAttempt(NamedTuple):
+    """An attempt whose outcome is not known yet, and its job."""
+
+    job: ScheduledJob
+    attempt: ScheduledAttempt
+
 
 class OpenJobs:
-    """Finds jobs by id, ends them, and forgets those that are over."""
+    """Finds jobs by id, abandons them, and forgets those that are over."""
 
     def __init__(self, safety: RetrySafety, rng: random.Random, max_retry_after_ms: float) -> None:
         self._safety = safety
@@ -21,22 +31,27 @@
         self._max_retry_after_ms = max_retry_after_ms
         self.by_id: dict[int, ScheduledJob] = {}
 
-    def find_attempt(self, job_id: int, number: int) -> tuple[ScheduledJob, ScheduledAttempt] | None:
+    def add(self, job: ScheduledJob) -> None:
+        """Add a job that has just been admitted."""
+        self.by_id[job.id] = job
+
+    def find_pending_attempt(self, job_id: int, number: int) -> PendingAttempt | None:
         """Return a job and its attempt of this number, if its outcome is not known yet."""
         job = self.by_id.get(job_id)
         if job is None or not 0 <= number < len(job.attempts) or job.attempts[number].outcome is not None:
             return None
-        return job, job.attempts[number]
+        return PendingAttempt(job, job.attempts[number])
 
     def abandon(self, job: ScheduledJob, reason: EndReason) -> None:
-        """Reject the job, or fail it where that is not safe, with a Retry-After spread at random.
+        """Reject the job, or fail it where a rejection is not safe, with a random Retry-After.
 
-        Every rejection comes from here. Callers: `LoadShedder` and `RetryPolicy`, which say why.
+        Every rejection comes from here. Callers: `LoadShedder` and `RetryPolicy`, which give the reason.
         """
-        self._safety.finish(job, self._rng.uniform(0.5, 1.0) * self._max_retry_after_ms, reason)
+        fraction = self._rng.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
+        self._safety.finish(job, fraction * self._max_retry_after_ms, reason)
         self.forget_if_over(job)
 
     def forget_if_over(self, job: ScheduledJob) -> None:
-        """Drop a closed job none of whose attempts is pending."""
+        """Forget a closed job none of whose attempts is pending."""
         if job.is_closed and not job.pending_attempts():
             self.by_id.pop(job.id, None)
--- a/burlmoor/policy/retries.py
+++ b/burlmoor/policy/retries.py
@@ -1,94 +1,117 @@
-"""Checks of jobs whose attempts are overdue or silent, their redistribution (hedging), and retries."""
+"""Checks of jobs whose attempts are overdue or silent, their redistribution (hedging), and retries.
+
+A retry is a further attempt after one has failed. Redistribution is a further attempt, at another endpoint,
+while one is pending: concurrently where settings allow hedging, else after the pending one is cancelled.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from burlmoor.policy.statistics.endpoint_statistics import EVIDENCE_HALF_LIFE_MS
+from burlmoor.policy.dispatch_rounds import RETRY_TICKS
+from burlmoor.policy.policy_warnings import PolicyWarning
 from burlmoor.types.outcome import Outcome
 from burlmoor.types.reasons import CancelReason, EndReason
 from burlmoor.types.settings import Idempotency
 
 if TYPE_CHECKING:
-    from burlmoor.policy.attempts import AttemptSender
-    from burlmoor.policy.context import PolicyContext
     from burlmoor.policy.dispatch_rounds import DispatchRounds
-    from burlmoor.policy.model.job import ScheduledAttempt, ScheduledJob
+    from burlmoor.policy.job_checks import JobChecks
+    from burlmoor.policy.model.attempt import ScheduledAttempt
+    from burlmoor.policy.model.job import ScheduledJob
+    from burlmoor.policy.open_jobs import OpenJobs
+    from burlmoor.policy.policy_warnings import WarningLimiter
+    from burlmoor.policy.redistribution_budget import RedistributionBudget
+    from burlmoor.policy.safety import RetrySafety
+    from burlmoor.policy.statistics.node_statistics import NodeStatistics
+    from burlmoor.types.settings import Settings
 
 SILENT_ENDPOINT_MS = 3000.0  # an endpoint that has reported nothing for this long may not be working
-RETRY_TICKS = 1.0  # a retry waits for a round after about so many ticks
 
 
 class RetryPolicy:
-    """Decides what becomes of a job whose attempt is late, hangs or has failed."""
-
-    def __init__(self, context: PolicyContext, rounds: DispatchRounds, sender: AttemptSender) -> None:
-        self._context = context
-        self._limits = context.settings.limits
-        self._tick_ms = context.settings.tick_ms
-        self._measured = context.statistics.endpoints
+    """Retries, redistributes or abandons a job whose attempt is overdue, hangs or has failed."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        statistics: NodeStatistics,
+        jobs: OpenJobs,
+        safety: RetrySafety,
+        rounds: DispatchRounds,
+        checks: JobChecks,
+        budget: RedistributionBudget,
+        warnings: WarningLimiter,
+    ) -> None:
+        self._limits = settings.limits
+        self._tick_ms = settings.tick_ms
+        self._statistics = statistics
+        self._jobs = jobs
+        self._safety = safety
         self._rounds = rounds
-        self._sender = sender
+        self._checks = checks
+        self._budget = budget
+        self._warnings = warnings
 
     def check(self, job: ScheduledJob, now: float) -> None:
-        """Look at a job of which something should have been heard by now."""
+        """Check a job of which its endpoints should have reported something by now."""
         if job.is_closed or job.is_streaming:
             return
         has_started = any(attempt.started_at is not None for attempt in job.pending_attempts())
         if now >= job.deadline_at - self._tick_ms:
-            self._context.jobs.abandon(job, EndReason.DEADLINE)  # rule 1
+            self._jobs.abandon(job, EndReason.DEADLINE)
             return
         if now >= job.useful_until and not has_started:
-            # What has not even started when it can no longer count must free its slots.
-            self._context.jobs.abandon(job, EndReason.NOT_STARTED)
+            # A job that is no longer useful and has not started must free its slots.
+            self._jobs.abandon(job, EndReason.NOT_STARTED)
             return
         for attempt in job.pending_attempts():
             if now >= attempt.check_at and not attempt.is_cancelling:
                 self._check_attempt(job, attempt, now)
-        self._sender.schedule_next_check(job, now)
+        self._checks.schedule_next(job, now)
 
     def _check_attempt(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
-        attempt.check_at = now + self._sender.max_silence_ms
+        self._checks.postpone(attempt, now)
         if attempt.started_at is None and not attempt.is_overdue:
-            self._note_overdue(job, attempt, now)
+            self._handle_overdue(job, attempt, now)
         elif attempt.started_at is None and attempt.awaits_late_retry:
             attempt.awaits_late_retry = False
             self._redistribute_unstarted(job, attempt, now)
         else:
-            self._measured.record_attempt_end(attempt.endpoint, False, now)
-            self._context.warn("silent executors: moving repeatable work away", now)
+            self._statistics.endpoints.record_attempt_end(attempt.endpoint, now, is_clean=False)
+            self._warnings.warn(PolicyWarning.SILENT_ENDPOINTS, now)
             reason = CancelReason.OVERDUE if attempt.started_at is None else CancelReason.SILENT
             self._redistribute(job, attempt, reason, now)
 
-    def _note_overdue(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
-        """Send nothing more to the endpoint until the attempt starts, which waits behind others there."""
+    def _handle_overdue(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
+        """Send nothing more to the endpoint until the attempt starts, which is queued behind others there."""
         endpoint = attempt.endpoint
-        retry_ms = attempt.expected_ms + self._measured.start_grace(endpoint.zone)
-        attempt.is_overdue = True
-        endpoint.overdue_attempts += 1
-        self._measured.record_start_delay(endpoint, now - attempt.sent_at, now, has_started=False)
+        start_delays = self._statistics.start_delays
+        retry_ms = attempt.expected_ms + start_delays.start_grace(endpoint.zone)
+        attempt.mark_overdue()
+        start_delays.record_delay(endpoint, now - attempt.sent_at, now, has_started=False)
         if endpoint.is_silent_since(now - SILENT_ENDPOINT_MS):
             self._redistribute_unstarted(job, attempt, now)
         elif not endpoint.has_reported_since(now - SILENT_ENDPOINT_MS) and now < job.useful_until - retry_ms:
-            # It may be far away, or not work: wait for it while another could still serve the job after it.
+            # It may be remote or down: wait as long as another endpoint can still serve the job afterwards.
             attempt.awaits_late_retry = True
-            attempt.check_at = min(attempt.check_at, job.useful_until - retry_ms)
+            self._checks.check_no_later_than(attempt, job.useful_until - retry_ms)
 
     def _redistribute_unstarted(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
         if self._may_redistribute_unstarted(job, now):
-            self._sender.redistribution_tokens -= 1.0
+            self._budget.take_token()
             self._redistribute(job, attempt, CancelReason.OVERDUE, now)
 
     def _may_redistribute_unstarted(self, job: ScheduledJob, now: float) -> bool:
-        """Return whether an attempt that has not started may be made elsewhere.
+        """Return whether a job that has not started may be sent elsewhere.
 
         Without these limits redistribution feeds an overload, since the job may run at both endpoints: it is
-        for few jobs, and while prompt starts are to be had.
+        for few jobs, and while other endpoints start jobs promptly.
         """
-        prompt_rate = self._measured.prompt_start_rate.read(now, EVIDENCE_HALF_LIFE_MS, 1.0)
+        prompt_fraction = self._statistics.start_delays.prompt_fraction(now)
         return (
-            prompt_rate * self._limits.max_attempts > 1.0
-            and self._sender.redistribution_tokens >= 1.0
+            prompt_fraction * self._limits.max_attempts > 1.0
+            and self._budget.has_token()
             and job.job_class.idempotency is Idempotency.IDEMPOTENT
         )
 
@@ -103,26 +126,25 @@
         if job.job_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return
         if not self._limits.may_hedge:
-            self._context.safety.cancel(job, attempt, reason)
+            self._safety.cancel(job, attempt, reason)
         elif len(job.pending_attempts()) == 1:
             self._rounds.enqueue(job, now, RETRY_TICKS)
 
     def on_cancelling(self, job: ScheduledJob, outcome: Outcome, now: float) -> None:
-        """Retry a job whose attempt was cancelled, where a second one may be out beside it."""
+        """Retry a job whose attempt is being cancelled, where two of its attempts may be pending."""
         if not job.is_closed and outcome is not Outcome.TIMEOUT:
             self.retry_or_abandon(job, now)
 
     def retry_or_abandon(self, job: ScheduledJob, now: float) -> None:
-        """Queue a job whose attempt brought no answer again where that is safe, else end it.
+        """Queue a job again whose attempt brought no result where that is safe, else abandon it.
 
-        Where an attempt that was cancelled is still out, and bars a retry, the job waits for its end.
+        Where a cancelled attempt is still pending, and prevents a retry, the job waits for its end.
         """
         pending = job.pending_attempts()
         if job.is_queued or any(not attempt.is_cancelling for attempt in pending):
             return
         last = (job.possibly_run_attempts() or job.attempts)[-1]
-        if now < job.useful_until and self._context.safety.may_send(job, last.endpoint, now):
-            job.rounds_waited += 1
-            self._rounds.enqueue(job, now, RETRY_TICKS)
+        if now < job.useful_until and self._safety.may_send(job, last.endpoint, now):
+            self._rounds.enqueue_retry(job, now)
         elif not pending:
-            self._context.jobs.abandon(job, EndReason.NO_RETRY)
+            self._jobs.abandon(job, EndReason.NO_RETRY)
--- a/burlmoor/policy/safety.py
+++ b/burlmoor/policy/safety.py
@@ -1,31 +1,33 @@
 """The retry-safety rules, which every send, final answer and cancel has to keep.
 
-Rule 1: a request gets exactly one final answer, before its deadline. Rule 2: no job that may have run is run
-again, nor its client told that a retry is harmless, unless its class allows a repeat.
+The answer rule: a request gets exactly one final answer, before its deadline. The repeat rule: a job that may
+have run is neither run again nor rejected, which invites a retry, unless its class allows a repeat.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from burlmoor.types.actions import Action, CancelAttempt, FailJob, RejectJob, StartAttempt
+from burlmoor.types.actions import CancelAttempt, FailJob, RejectJob, StartAttempt
 from burlmoor.types.reasons import CancelReason, EndReason
 from burlmoor.types.settings import DeduplicationScope, Idempotency, Limits
 
 if TYPE_CHECKING:
+    from burlmoor.policy.action_batch import ActionBatch
+    from burlmoor.policy.model.attempt import ScheduledAttempt
     from burlmoor.policy.model.endpoint import Endpoint
-    from burlmoor.policy.model.job import ScheduledAttempt, ScheduledJob
+    from burlmoor.policy.model.job import ScheduledJob
 
 
 class RetrySafety:
-    """Keeps rules 1 and 2: every send, rejection, failure and cancel of every job passes here."""
+    """Keeps both rules: every send, rejection, failure and cancel of every job passes here."""
 
-    def __init__(self, limits: Limits, actions: list[Action]) -> None:
+    def __init__(self, limits: Limits, actions: ActionBatch) -> None:
         self._limits = limits
         self._actions = actions
 
     def may_send(self, job: ScheduledJob, endpoint: Endpoint, now: float) -> bool:
-        """Return whether one more attempt, at this endpoint, can break neither rule."""
+        """Return whether both rules allow one more attempt, at this endpoint."""
         if job.is_closed or job.is_streaming or now >= job.deadline_at:
             return False
         if len(job.attempts) >= self._limits.max_attempts:
@@ -43,7 +45,7 @@
         return is_in_window and first.endpoint.deduplicates_with(endpoint, job.job_class.deduplication_scope)
 
     def may_reject(self, job: ScheduledJob) -> bool:
-        """Return whether the client may be told that a retry does no harm."""
+        """Return whether the job may be rejected: a retry by its client is harmless."""
         idempotency = job.job_class.idempotency
         is_scope_all = job.job_class.deduplication_scope is DeduplicationScope.ALL
         may_repeat = idempotency is Idempotency.IDEMPOTENT or (
@@ -54,19 +56,23 @@
     def send(self, job: ScheduledJob, attempt: ScheduledAttempt) -> None:
         """Send an attempt that `may_send` has allowed."""
         job.attempts.append(attempt)
-        self._actions.append(StartAttempt(job.id, attempt.endpoint.id, 0.0))
+        self._actions.add(StartAttempt(job.id, attempt.endpoint.id, 0.0))
 
     def finish(self, job: ScheduledJob, retry_after_ms: float, reason: EndReason) -> None:
-        """Give the one final answer: a rejection where the rules allow it, else a failure."""
+        """Give the one final answer: a rejection where the repeat rule allows it, else a failure."""
         if job.is_closed or job.is_streaming:
             return
         # The Retry-After is given also where the platform's own clients ignore it: others may read it.
         if self.may_reject(job):
-            self._actions.append(RejectJob(job.id, retry_after_ms, reason))
+            self._actions.add(RejectJob(job.id, retry_after_ms, reason))
         else:
-            self._actions.append(FailJob(job.id, reason))
+            self._actions.add(FailJob(job.id, reason))
         self.close(job)
 
+    def on_response_started(self, job: ScheduledJob) -> None:
+        """Bind the job to the attempt whose response has begun: no other attempt, cancel or final answer."""
+        job.is_streaming = True
+
     def close(self, job: ScheduledJob) -> None:
         """End the request: nothing more is sent for it."""
         if not job.is_closed:
@@ -75,7 +81,7 @@
                 self.cancel(job, attempt, CancelReason.JOB_OVER)
 
     def cancel_others(self, job: ScheduledJob, started: ScheduledAttempt) -> None:
-        """Cancel the attempts that can no longer count since another one has started."""
+        """Cancel the other attempts of a job of which one has started."""
         for attempt in job.pending_attempts():
             if attempt is not started:
                 self.cancel(job, attempt, CancelReason.SUPERSEDED)
@@ -83,4 +89,4 @@
     def cancel(self, job: ScheduledJob, attempt: ScheduledAttempt, reason: CancelReason) -> None:
         """Cancel one attempt, where the settings allow it and no response has begun."""
         if self._limits.may_cancel and not job.is_streaming:
-            self._actions.append(CancelAttempt(job.id, attempt.number, reason))
+            self._actions.add(CancelAttempt(job.id, attempt.number, reason))
--- a/burlmoor/policy/statistics/class_weights.py
+++ b/burlmoor/policy/statistics/class_weights.py
@@ -1,8 +1,8 @@
 """How much a unit of each class's priority weight adds to the operators' objective.
 
-The objective is a sum of two parts: the share of all priority weight that is served in time, and that share
-for the worst-served class. A job adds to the first by its part of all weight, and to the second only where
-its class is the worst, but there by its part of that class's weight, which is more. Which class is the
+The objective is a sum of two parts: the fraction of all priority weight that is served in time, and that
+fraction for the worst-served class. A job adds to the first by its part of all weight, and to the second only
+where its class is the worst, but there by its part of that class's weight, which is more. Which class is the
 worst is known only roughly, so each counts as the worst the more, the further it lies behind (a softmin):
 the weights then move evenly and don't oscillate.
 
@@ -21,9 +21,9 @@
 
 EVIDENCE_HALF_LIFE_MS = 60_000.0  # long: the objective counts whole days, and one node sees little of one
 PRIOR_JOBS = 5.0  # jobs taken as served that each class starts with
-SOFTMIN_SCALE = 0.1  # a class whose served share is this much lower is e times as likely to be the worst
-RECOMPUTE_INTERVAL_MS = 200.0  # how often the weights are computed anew
-MIN_CLASS_SHARE = 0.02  # of all priority weight: a class with less is weighted as if it had this much
+SOFTMIN_SCALE = 0.1  # a class whose served fraction is this much lower is e times as likely to be the worst
+RECOMPUTE_INTERVAL_MS = 200.0
+MIN_CLASS_FRACTION = 0.02  # of all priority weight: a class with less is weighted as if it had this much
 
 
 class ClassWeights:
@@ -62,19 +62,19 @@
         total = sum(requested.values())
         if objective_total <= 0.0 or total <= 0.0:
             return {}
-        shares = {name: self._served_share(name, weight, now) for name, weight in requested.items()}
-        worst = min(shares.values())
-        claims = {name: math.exp((worst - share) / SOFTMIN_SCALE) for name, share in shares.items()}
+        fractions = {name: self._served_fraction(name, weight, now) for name, weight in requested.items()}
+        worst = min(fractions.values())
+        claims = {name: math.exp((worst - served) / SOFTMIN_SCALE) for name, served in fractions.items()}
         all_claims = sum(claims.values())
         weights = {}
         for name, claim in claims.items():
-            class_share = max(MIN_CLASS_SHARE, requested[name] / total)
-            as_worst = self._objective.worst_class * claim / all_claims / class_share
+            class_fraction = max(MIN_CLASS_FRACTION, requested[name] / total)
+            as_worst = self._objective.worst_class * claim / all_claims / class_fraction
             weights[name] = (self._objective.overall + as_worst) / objective_total
         return weights
 
-    def _served_share(self, class_name: str, requested_weight: float, now: float) -> float:
-        """Return the share of a class's priority weight that was served, drawn towards 1 by few jobs."""
+    def _served_fraction(self, class_name: str, requested_weight: float, now: float) -> float:
+        """Return the fraction of a class's priority weight that was served, near 1 while jobs are few."""
         mean = self.served.get(class_name)
         served = mean.decayed_total(now, EVIDENCE_HALF_LIFE_MS) if mean is not None else 0.0
         requested = self.requested[class_name]
--- a/burlmoor/policy/statistics/demand.py
+++ b/burlmoor/policy/statistics/demand.py
@@ -1,4 +1,4 @@
-"""What one node has measured of the jobs that arrive: work, cost, priority weight, keys and tenants."""
+"""Statistics of the jobs that arrive at one node: work, cost, priority weight, keys and tenants."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 from typing import TYPE_CHECKING
 
 from burlmoor.policy.model.decayed_mean import DecayedMean
-from burlmoor.policy.statistics.endpoint_statistics import EVIDENCE_HALF_LIFE_MS
+from burlmoor.policy.statistics.evidence import EVIDENCE_HALF_LIFE_MS
 
 if TYPE_CHECKING:
     from burlmoor.types.settings import JobClass, Settings
 
-COST_HALF_LIFE_MS = 64_000.0  # of the mean cost: nodes that see few jobs need many to agree on it
+COST_HALF_LIFE_MS = 64_000.0  # of the mean cost: long, so that nodes that see few jobs agree on it
 MIN_MEAN_COST = 1e-3
-MAX_TRACKED_KEYS = 1000  # keys whose rates are kept
-KEY_PRIOR_JOBS = 10.0  # of other keys: keeps a key's share low while few jobs have been seen
-UNHINTED_WORK_SHARE = 0.5  # of its objective: the work of a class's job while none was served
+MAX_TRACKED_KEYS = 1000
+KEY_PRIOR_JOBS = 10.0  # of other keys: keeps a key's fraction low while few jobs have been seen
+CURRENT_JOB_WEIGHT = 0.5  # of the job itself, left out of its key's fraction
+UNHINTED_WORK_FRACTION = 0.5  # of its objective: the work of a class's job while none was served
+INITIAL_WEIGHT_DENSITY = 1e-9  # priority weight per ms of work, until a job has arrived
 
 
 class DemandStatistics:
@@ -30,15 +32,15 @@
         self.run_by_class = {job_class.name: DecayedMean() for job_class in settings.classes}
         self.longest_timeout_ms = {job_class.name: 0.0 for job_class in settings.classes}
         self.mean_weight = DecayedMean()  # priority weight of a job
-        self.highest_weight_density = 1e-9  # priority weight per ms of work
+        self.highest_weight_density = INITIAL_WEIGHT_DENSITY
         self.mean_cost = 1.0  # of a job: its work times its slots
         self._cost = DecayedMean()
         self._jobs_with_key = DecayedMean()
-        self._jobs_by_key: dict[str, DecayedMean] = {}  # the latest last
+        self._jobs_by_key: dict[str, DecayedMean] = {}  # the least recently used first
 
     def estimate_work(self, job_class: JobClass, now: float) -> float:
-        """Return the work of a job that comes without a hint."""
-        prior = UNHINTED_WORK_SHARE * job_class.latency_objective_ms
+        """Return the work in ms of a job that comes without a hint."""
+        prior = UNHINTED_WORK_FRACTION * job_class.latency_objective_ms
         return max(1.0, self.run_by_class[job_class.name].read(now, EVIDENCE_HALF_LIFE_MS, prior))
 
     def record_timeout(self, class_name: str, timeout_ms: float) -> float:
@@ -61,7 +63,7 @@
         self.run_by_class[class_name].add(now, run_ms, EVIDENCE_HALF_LIFE_MS)
 
     def record_key(self, key: str, now: float) -> float:
-        """Count a job with this key; return the key's share of all jobs that have one."""
+        """Count a job with this key; return the fraction of all jobs with a key that have this one."""
         if not key:
             return 0.0
         of_key = self._jobs_by_key.pop(key, DecayedMean())
@@ -70,12 +72,12 @@
             del self._jobs_by_key[next(iter(self._jobs_by_key))]
         of_key.add(now, 1.0, EVIDENCE_HALF_LIFE_MS)
         self._jobs_with_key.add(now, 1.0, EVIDENCE_HALF_LIFE_MS)
-        return (of_key.weight - 0.5) / (self._jobs_with_key.weight + KEY_PRIOR_JOBS)
+        return (of_key.weight - CURRENT_JOB_WEIGHT) / (self._jobs_with_key.weight + KEY_PRIOR_JOBS)
 
     def record_tenant(self, tenant: str, now: float) -> float:
-        """Count a job of this tenant; return the share of its jobs that is within its quota."""
+        """Count a job of this tenant; return the fraction of its jobs that is within its quota."""
         quota = self.quotas_per_second.get(tenant, 0.0)
-        # Unknown tenants share an entry: their names come from outside and must not fill the memory.
+        # Unknown tenants have one entry together: names that clients choose must not fill the memory.
         jobs = self.jobs_by_tenant[tenant if tenant in self.quotas_per_second else ""]
         jobs.add(now, 1.0, EVIDENCE_HALF_LIFE_MS)
         per_second = jobs.weight * math.log(2.0) / EVIDENCE_HALF_LIFE_MS * 1000.0
--- a/burlmoor/policy/statistics/estimate_errors.py
+++ b/burlmoor/policy/statistics/estimate_errors.py
@@ -1,4 +1,7 @@
-"""How far the response times of served jobs lie from what was expected of them, by class."""
+"""The distribution of the errors of the expected response times, by class, and the on-time probability.
+
+The ratio of the time taken to the time expected is taken to be lognormal.
+"""
 
 from __future__ import annotations
 
@@ -7,30 +10,42 @@
 
 from burlmoor.policy.model.decayed_mean import DecayedMean
 
-# The standard deviation of the logarithm of taken over expected time before any is seen, and its weight.
-PRIOR_LOG_DEVIATION = 0.4
-PRIOR_JOBS = 5.0
+PRIOR_LOG_DEVIATION = 0.4  # standard deviation of the logarithm of taken over expected time, without evidence
+PRIOR_JOBS = 5.0  # the weight of the prior
 MIN_LOG_VARIANCE = 0.01
-MAX_LOG_ERROR = 2.0  # what one job may say at most, either way
+MAX_LOG_ERROR = 2.0  # of one job, either way
 HALF_LIFE_MS = 30_000.0
-RECOMPUTE_INTERVAL_MS = 100.0  # how often a class's distribution is computed anew
-LOGISTIC_SLOPE = 1.702  # of the logistic curve that is nearest to the normal distribution's
-MAX_EXPONENT = 30.0  # beyond it the probability is 0 or 1 to all that matters, and `exp` may overflow
+RECOMPUTE_INTERVAL_MS = 100.0
+LOGISTIC_SLOPE = 1.702  # of the logistic function that approximates the normal distribution function
+MAX_EXPONENT = 30.0  # beyond it the probability is practically 0 or 1, and `exp` may overflow
 MIN_EXPECTED_MS = 1.0
 MIN_REMAINING_MS = 1e-3
 
 
+class ErrorDistribution:
+    """The distribution of the logarithm of taken over expected time."""
+
+    __slots__ = ("computed_at", "deviation", "mean")
+
+    def __init__(self, computed_at: float, mean: float, deviation: float) -> None:
+        self.computed_at = computed_at
+        self.mean = mean
+        self.deviation = deviation
+
+
+UNKNOWN_DISTRIBUTION = ErrorDistribution(-math.inf, 0.0, PRIOR_LOG_DEVIATION)
+
+
 class EstimateErrors:
-    """The distribution of taken over expected time, taken to be lognormal, by class."""
+    """The errors of the expected response times, by class. Times are ms."""
 
     def __init__(self) -> None:
         self.log_error: defaultdict[str, DecayedMean] = defaultdict(DecayedMean)
         self.log_error_squared: defaultdict[str, DecayedMean] = defaultdict(DecayedMean)
-        # By class: when it was computed, mean, standard deviation.
-        self._distributions: dict[str, tuple[float, float, float]] = {}
+        self._distributions: dict[str, ErrorDistribution] = {}
 
     def record(self, class_name: str, expected_ms: float, taken_ms: float, now: float) -> None:
-        """Count a job that was served so long after it was sent."""
+        """Count a job that was served `taken_ms` after it was sent."""
         log_error = math.log(max(taken_ms, MIN_EXPECTED_MS) / max(expected_ms, MIN_EXPECTED_MS))
         log_error = max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, log_error))
         self.log_error[class_name].add(now, log_error, HALF_LIFE_MS)
@@ -39,17 +54,19 @@
     def on_time_probability(
         self, class_name: str, expected_ms: float, remaining_ms: float, now: float
     ) -> float:
-        """Return how likely a job that is expected to take so long is done in the time that remains."""
-        computed_at, mean, deviation = self._distributions.get(
-            class_name, (-math.inf, 0.0, PRIOR_LOG_DEVIATION)
-        )
-        if now >= computed_at + RECOMPUTE_INTERVAL_MS:
-            prior_square = PRIOR_LOG_DEVIATION * PRIOR_LOG_DEVIATION
-            mean = self.log_error[class_name].read(now, HALF_LIFE_MS, 0.0, PRIOR_JOBS)
-            square = self.log_error_squared[class_name].read(now, HALF_LIFE_MS, prior_square, PRIOR_JOBS)
-            deviation = math.sqrt(max(MIN_LOG_VARIANCE, square - mean * mean))
-            self._distributions[class_name] = (now, mean, deviation)
+        """Return the probability that a job expected to take `expected_ms` ends in the time that remains."""
+        distribution = self._distributions.get(class_name, UNKNOWN_DISTRIBUTION)
+        if now >= distribution.computed_at + RECOMPUTE_INTERVAL_MS:
+            distribution = self._compute_distribution(class_name, now)
+            self._distributions[class_name] = distribution
         log_slack = math.log(max(remaining_ms, MIN_REMAINING_MS) / max(expected_ms, MIN_EXPECTED_MS))
-        deviations = (log_slack - mean) / deviation
+        deviations = (log_slack - distribution.mean) / distribution.deviation
         exponent = max(-MAX_EXPONENT, min(MAX_EXPONENT, -LOGISTIC_SLOPE * deviations))
         return 1.0 / (1.0 + math.exp(exponent))
+
+    def _compute_distribution(self, class_name: str, now: float) -> ErrorDistribution:
+        prior_square = PRIOR_LOG_DEVIATION * PRIOR_LOG_DEVIATION
+        mean = self.log_error[class_name].read(now, HALF_LIFE_MS, 0.0, PRIOR_JOBS)
+        square = self.log_error_squared[class_name].read(now, HALF_LIFE_MS, prior_square, PRIOR_JOBS)
+        deviation = math.sqrt(max(MIN_LOG_VARIANCE, square - mean * mean))
+        return ErrorDistribution(now, mean, deviation)
--- a/burlmoor/policy/statistics/node_statistics.py
+++ b/burlmoor/policy/statistics/node_statistics.py
@@ -1,4 +1,4 @@
-"""All that one node measures, in one place."""
+"""The statistics of one node, by subject."""
 
 from __future__ import annotations
 
@@ -6,38 +6,43 @@
 
 from burlmoor.policy.statistics.class_weights import ClassWeights
 from burlmoor.policy.statistics.demand import DemandStatistics
-from burlmoor.policy.statistics.endpoint_statistics import EVIDENCE_HALF_LIFE_MS, EndpointStatistics
+from burlmoor.policy.statistics.endpoint_statistics import EndpointStatistics
 from burlmoor.policy.statistics.estimate_errors import EstimateErrors
+from burlmoor.policy.statistics.evidence import EVIDENCE_HALF_LIFE_MS
+from burlmoor.policy.statistics.run_statistics import RunStatistics
+from burlmoor.policy.statistics.start_delay_statistics import StartDelayStatistics
 
 if TYPE_CHECKING:
     from burlmoor.types.settings import Settings
 
 
 class NodeStatistics:
-    """The statistics of one node; those of single endpoints are kept in `Endpoint`."""
+    """The statistics of one node; those of single endpoints are stored in `Endpoint`."""
 
     def __init__(self, settings: Settings) -> None:
         self._classes = settings.classes
-        self._is_weight_by_work = settings.weight_by_work
-        self.endpoints = EndpointStatistics(settings.tick_ms)
+        self._is_weighted_by_work = settings.weight_by_work
+        self.runs = RunStatistics()
+        self.start_delays = StartDelayStatistics(settings.tick_ms, self.runs)
+        self.endpoints = EndpointStatistics()
         self.estimates = EstimateErrors()
         self.demand = DemandStatistics(settings)
         self.class_weights = ClassWeights(settings.objective)
 
     def record_arrival(self, work_ms: float, cost: float, now: float) -> None:
         """Count a job that has arrived, by its work and its cost (work times slots)."""
-        self.endpoints.mean_work.add(now, work_ms, EVIDENCE_HALF_LIFE_MS)
+        self.runs.mean_work.add(now, work_ms, EVIDENCE_HALF_LIFE_MS)
         self.demand.record_cost(cost, now)
 
     def record_weight_density(self, density: float, now: float) -> float:
-        """Count a job of so much priority weight per ms of work; return the highest density there is."""
+        """Count a job of this priority weight per ms of work; return the highest density."""
         highest = max(self._highest_class_density(now) or self.demand.highest_weight_density, density)
         self.demand.highest_weight_density = highest
         return highest
 
     def _highest_class_density(self, now: float) -> float:
-        """Return the highest density that a class can have now; 0 where weight does not go by work."""
-        if not self._is_weight_by_work:
+        """Return the highest density that a class can have now; 0 where weight doesn't depend on work."""
+        if not self._is_weighted_by_work:
             return 0.0
         weight = self.class_weights.weight
         return max(each.priority_weight * weight(each.name, now) for each in self._classes)
--- /dev/null
+++ b/burlmoor/policy/statistics/start_delay_statistics.py
@@ -0,0 +1,84 @@
+"""How long jobs wait at endpoints before they start. Times are ms."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from typing import TYPE_CHECKING
+
+from burlmoor.policy.model.decayed_mean import DecayedMean
+from burlmoor.policy.statistics.evidence import EVIDENCE_HALF_LIFE_MS
+
+if TYPE_CHECKING:
+    from burlmoor.policy.model.endpoint import Endpoint
+    from burlmoor.policy.statistics.run_statistics import RunStatistics
+
+PRIOR_FASTEST_START_MS = 25.0
+PRIOR_PROMPT_FRACTION = 1.0
+GRACE_TICKS = 4.0  # how long a start notification may take: this many ticks of the clock
+GRACE_FASTEST_STARTS = 3.0  # and this many times the fastest start of the zone
+FASTEST_START_GROWTH = 1.02  # per start: lets the fastest start follow a network that has become slower
+NOT_STARTED_WEIGHT = 0.5  # of evidence from an attempt that has not started yet
+OVERLOAD_WEIGHT = 2.0  # of evidence from an overload answer
+
+
+class StartDelayStatistics:
+    """Start delays of endpoints and of kinds by zone, and the capacity of endpoints that follows."""
+
+    def __init__(self, tick_ms: float, runs: RunStatistics) -> None:
+        self._tick_ms = tick_ms
+        self._runs = runs
+        self.prompt_start_rate = DecayedMean()
+        # By zone and kind.
+        self.typical_start_delay: dict[tuple[str, str], DecayedMean] = defaultdict(DecayedMean)
+        self.recent_start_delay: dict[tuple[str, str], DecayedMean] = defaultdict(DecayedMean)
+        self.fastest_start_ms: dict[str, float] = {}  # by zone
+
+    def expected_delay(self, endpoint: Endpoint, now: float, half_life: float) -> float:
+        """Return the expected wait at this endpoint, from recent start delays, else those of its kind.
+
+        For its kind in its zone, too, recent delays take precedence over usual ones: one of many nodes has
+        rarely used this endpoint, and a burst is over in seconds.
+        """
+        zone_and_kind = (endpoint.zone, endpoint.kind)
+        typical = self.typical_start_delay[zone_and_kind].read(now, EVIDENCE_HALF_LIFE_MS, 0.0)
+        recent = self.recent_start_delay[zone_and_kind].read(now, half_life, typical)
+        return endpoint.start_delay.read(now, half_life, recent)
+
+    def start_grace(self, zone: str) -> float:
+        """Return how long the start notification of an endpoint with a free slot may take."""
+        fastest = self.fastest_start_ms.get(zone, PRIOR_FASTEST_START_MS)
+        return GRACE_TICKS * self._tick_ms + GRACE_FASTEST_STARTS * fastest
+
+    def prompt_fraction(self, now: float) -> float:
+        """Return the fraction of starts that were within their grace."""
+        return self.prompt_start_rate.read(now, EVIDENCE_HALF_LIFE_MS, PRIOR_PROMPT_FRACTION)
+
+    def record_delay(
+        self, endpoint: Endpoint, delay_ms: float, now: float, *, has_started: bool = True
+    ) -> None:
+        """Count an attempt that started, or is overdue, `delay_ms` after it was sent."""
+        fastest = self.fastest_start_ms.get(endpoint.zone, delay_ms)
+        # Close to the least delay: time spent in a queue is not the network's.
+        self.fastest_start_ms[endpoint.zone] = min(delay_ms, FASTEST_START_GROWTH * fastest)
+        half_life = self._runs.load_half_life(now)
+        # One that has not started would have waited longer still: it shows no wait below the expected one.
+        least_ms = 0.0 if has_started else self.expected_delay(endpoint, now, half_life)
+        wait_ms = max(0.0, delay_ms - fastest, least_ms)
+        weight = 1.0 if has_started else NOT_STARTED_WEIGHT
+        is_prompt = delay_ms <= self.start_grace(endpoint.zone)
+        self.prompt_start_rate.add(now, float(is_prompt), EVIDENCE_HALF_LIFE_MS, weight)
+        if not is_prompt:
+            endpoint.decrease_capacity()
+        elif endpoint.slots_in_flight > endpoint.capacity - 1.0:
+            endpoint.increase_capacity()
+        zone_and_kind = (endpoint.zone, endpoint.kind)
+        endpoint.start_delay.add(now, wait_ms, half_life, weight)
+        self.typical_start_delay[zone_and_kind].add(now, wait_ms, EVIDENCE_HALF_LIFE_MS, weight)
+        if has_started:  # one that has not may hang, which is no sign of a burst
+            self.recent_start_delay[zone_and_kind].add(now, wait_ms, half_life)
+
+    def record_overload(self, endpoint: Endpoint, now: float) -> None:
+        """Count an attempt that the endpoint rejected as overloaded."""
+        half_life = self._runs.load_half_life(now)
+        endpoint.start_delay.add(now, half_life, half_life, OVERLOAD_WEIGHT)
+        endpoint.decrease_capacity()
--- a/burlmoor/policy/timer_queue.py
+++ b/burlmoor/policy/timer_queue.py
@@ -1,37 +1,47 @@
-"""The moments at which something has to be looked at, in order."""
+"""The timers of the policy: checks of jobs and polls of the endpoint list."""
 
 from __future__ import annotations
 
 import heapq
 import math
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     from burlmoor.policy.model.job import ScheduledJob
 
 
+class Timer(NamedTuple):
+    """A check of a job, or a poll of the endpoint list, at a moment in ms."""
+
+    at: float
+    sequence: int  # timers of one moment come due in the order in which they were scheduled
+    job: ScheduledJob | None  # None: a poll
+
+
 class TimerQueue:
-    """A queue of checks of jobs and of polls of the endpoint list (no job). Times are ms."""
+    """Timers in the order in which they come due. Times are ms of the node's clock."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[float, int, ScheduledJob | None]] = []
-        self._count = 0  # keeps entries of one moment in the order of their scheduling
+        self._heap: list[Timer] = []
+        self._count = 0
 
-    def schedule(self, at: float, job: ScheduledJob | None) -> None:
-        """Add a check of a job, or a poll."""
-        self._count += 1
-        heapq.heappush(self._heap, (at, self._count, job))
+    def schedule_poll(self, at: float) -> None:
+        """Schedule a poll of the endpoint list."""
+        self._push(at, None)
 
     def schedule_check(self, job: ScheduledJob, at: float) -> None:
-        """Have the job checked then, in place of any check that is scheduled for it."""
+        """Schedule a check of the job, which replaces any check that is scheduled for it."""
         job.check_at = at
-        self.schedule(at, job)
+        self._push(at, job)
+
+    def _push(self, at: float, job: ScheduledJob | None) -> None:
+        self._count += 1
+        heapq.heappush(self._heap, Timer(at, self._count, job))
 
     def next_at(self) -> float:
-        """Return the moment of the first entry; infinity if there is none."""
-        return self._heap[0][0] if self._heap else math.inf
+        """Return when the first timer comes due; infinity if there is none."""
+        return self._heap[0].at if self._heap else math.inf
 
-    def pop(self) -> tuple[float, ScheduledJob | None]:
-        """Remove the first entry, and return its moment and its job."""
-        at, _, job = heapq.heappop(self._heap)
-        return at, job
+    def pop(self) -> Timer:
+        """Remove and return the first timer."""
+        return heapq.heappop(self._heap)
--- a/tests/deferred/test_release.py
+++ b/tests/deferred/test_release.py
@@ -27,7 +27,7 @@
     job = harness.find_job("c")
     assert harness.started_ids()[-1] == "c"
     assert 2500.0 < job.deadline - harness.now < 3000.0
-    known = harness.engine._policy.context.jobs.by_id[job.number]
+    known = harness.engine._policy._jobs.by_id[job.number]
     # The latency objective counts from the release: nothing of it was spent on earlier tries.
     assert known.objective_at == pytest.approx(job.admitted_at + known.objective_ms, abs=10.0)
     harness.finish_attempt("c")
@@ -65,7 +65,7 @@
     policy = harness.engine._policy
     harness.submit(request_id="plain")
     harness.advance(2.0)
-    jobs = {job.id: job for job in policy.context.jobs.by_id.values()}
+    jobs = {job.id: job for job in policy._jobs.by_id.values()}
     assert max(job.priority for job in jobs.values()) - min(job.priority for job in jobs.values()) <= 1.01
 
 
--- a/tests/policy/endpoints/test_endpoint_list.py
+++ b/tests/policy/endpoints/test_list_updates.py
@@ -16,32 +16,32 @@
 
 def test_the_first_poll_is_spread_over_the_nodes_and_in_time() -> None:
     # Without this, all nodes poll discovery in one moment after a common start.
-    at = []
+    polled_after_ms = []
     for seed in range(40):
         driver = DispatcherDriver(settings(must_poll=True), seed=seed)
         while not driver.actions_of(WatchEndpoints):
             driver.run(50.0)
-        at.append(driver.now - 1000.0)
-    assert max(at) <= 10_000.0
-    assert max(at) - min(at) > 2000.0
-    assert len(set(at)) > 20
+        polled_after_ms.append(driver.now - 1000.0)
+    assert max(polled_after_ms) <= 10_000.0
+    assert max(polled_after_ms) - min(polled_after_ms) > 2000.0
+    assert len(set(polled_after_ms)) > 20
 
 
 def test_failed_polls_are_repeated_with_backoff() -> None:
     driver = DispatcherDriver(settings(must_poll=True))
-    pauses = []
+    delays_ms = []
     driver.run(5000.0)
     for count in range(2, 6):
         driver.handle(EndpointListUpdate(ListKind.FAILED))
-        told = driver.now
+        failed_at = driver.now
         while len(driver.actions_of(WatchEndpoints)) < count:
             driver.run(50.0)
-        pauses.append(driver.now - told)
-    assert pauses[-1] > pauses[0]
-    assert max(pauses) <= 4 * 10_000.0
+        delays_ms.append(driver.now - failed_at)
+    assert delays_ms[-1] > delays_ms[0]
+    assert max(delays_ms) <= 4 * 10_000.0
 
 
-def test_a_failed_poll_leaves_the_old_list_in_force() -> None:
+def test_a_failed_poll_keeps_the_list_in_effect() -> None:
     driver = DispatcherDriver(settings(must_poll=True))
     driver.handle(EndpointListUpdate(ListKind.FAILED))
     driver.request_and_place(1)
--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4: what endpoints that warm up may get, over all nodes together."""
+"""The slow-start rule: what endpoints in slow start may get, over all nodes together."""
 
 from __future__ import annotations
 
@@ -45,60 +45,62 @@
     driver.now = 2000.0
     restarted = entries(1)[0]._replace(started_at=1990.0)
     driver.handle(EndpointListUpdate(ListKind.DELTA, [restarted]))
-    endpoint = driver.dispatcher.endpoints.by_name["a0"]
+    endpoint = driver.dispatcher._endpoints.by_name["a0"]
     assert endpoint.slots_in_flight == 0.0
-    assert driver.dispatcher.endpoints.slow_start.capacity_fraction(endpoint, 2000.0) < 0.3
+    assert driver.dispatcher._slow_start.capacity_fraction(endpoint, 2000.0) < 0.3
 
 
-def sends_to_warming_endpoint(
-    listed: list[EndpointEntry], slots: int = 4, is_handed_over: bool = False
+def count_sends_to_warming_endpoint(
+    listed: list[EndpointEntry], slots: int = 4, *, is_handed_over: bool = False
 ) -> int:
-    """Return how many jobs of 300 ms a warming endpoint gets in two seconds beside those listed."""
-    work = 300.0
+    """Return how many jobs of 300 ms an endpoint in slow start gets in two seconds, with those listed."""
+    work_ms = 300.0
     warming = EndpointEntry("new", zone="a", weight=1.0, kind="std", started_at=1.0)
     driver = DispatcherDriver(settings(node_count=2), [*listed, warming])
     driver.now = 3000.0  # it has 0.44 of its capacity
     if is_handed_over:
-        driver.handle(HandoverChanged(True))
+        driver.handle(HandoverChanged(is_handed_over=True))
     running: list[tuple[float, StartAttempt]] = []
     waiting: list[StartAttempt] = []
     for job_id in range(100):
         before = len(driver.actions_of(StartAttempt))
-        driver.request(job_id, work_ms=work)
+        driver.request(job_id, work_ms=work_ms)
         driver.run(20.0)
         waiting += driver.actions_of(StartAttempt)[before:]
         for send in list(waiting):
             if sum(other.endpoint == send.endpoint for _, other in running) < slots:
                 waiting.remove(send)
                 driver.handle(AttemptStarted(send.id, 0, send.endpoint))
-                running.append((driver.now + work, send))
+                running.append((driver.now + work_ms, send))
         while running and running[0][0] <= driver.now:
             driver.end_attempt(running.pop(0)[1], Outcome.SERVED)
     return sum(send.endpoint == "new" for send in driver.actions_of(StartAttempt))
 
 
 def test_a_slow_start_budget_follows_the_capacity_of_warm_endpoints_of_the_kind() -> None:
-    # A listed weight of 1 says little of four cores: warming endpoints were idle on a full fleet.
-    own = sends_to_warming_endpoint([])
-    beside = sends_to_warming_endpoint(entries(2, weight=1.0))
-    other = sends_to_warming_endpoint([entry._replace(kind="other") for entry in entries(2, weight=1.0)])
-    assert beside > max(own, other)
+    # Without this, endpoints of four cores with a listed weight of 1 are idle in slow start on a full fleet.
+    alone = count_sends_to_warming_endpoint([])
+    beside = count_sends_to_warming_endpoint(entries(2, weight=1.0))
+    other = count_sends_to_warming_endpoint(
+        [entry._replace(kind="other") for entry in entries(2, weight=1.0)]
+    )
+    assert beside > max(alone, other)
     # One of two nodes keeps within its half of what overloads an endpoint of four slots, although the other
-    # does nothing here, and what this one has seen served counts for both.
+    # one sends nothing here, and the capacity that this one knows counts for both.
     assert beside * 300.0 <= 0.5 * RULES.overload_multiple * 4.0 * 0.52 * RULES.overload_window_ms
 
 
 def test_a_process_that_has_handed_over_leaves_warming_endpoints_to_the_other() -> None:
-    assert sends_to_warming_endpoint(entries(2, weight=1.0)) > 0
-    assert sends_to_warming_endpoint(entries(2, weight=1.0), is_handed_over=True) == 0
+    assert count_sends_to_warming_endpoint(entries(2, weight=1.0)) > 0
+    assert count_sends_to_warming_endpoint(entries(2, weight=1.0), is_handed_over=True) == 0
 
 
-def test_another_endpoint_stands_in_for_a_warming_one_of_a_key() -> None:
-    # A rolling deploy leaves keys whose endpoints are all warming up, beside free endpoints.
+def test_another_endpoint_replaces_a_warming_one_of_a_key() -> None:
+    # In a rolling deploy all endpoints of a key may be in slow start while others are free.
     listed = entries(8, weight=1.0)
     driver = DispatcherDriver(listed=listed)
     preferred = [
-        endpoint.id for endpoint in driver.dispatcher.endpoints.candidates(None).affinity.order_of("k")[:4]
+        endpoint.id for endpoint in driver.dispatcher._endpoints.candidates(None).affinity.order_of("k")[:4]
     ]
     restarted = [
         entry._replace(started_at=900.0) if entry.endpoint in preferred else entry for entry in listed
--- a/tests/policy/statistics/test_snapshot.py
+++ b/tests/policy/statistics/test_snapshot.py
@@ -4,13 +4,14 @@
 
 import msgspec
 
-from burlmoor.policy.statistics.snapshot import StatisticsSnapshot, restore_snapshot, take_snapshot
+from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
 from burlmoor.types.events import AttemptStarted
 from burlmoor.types.outcome import Outcome
 from tests.support.dispatcher_driver import DispatcherDriver, entries
 
 
 def driver_with_statistics() -> DispatcherDriver:
+    """Return a driver whose dispatcher has served forty jobs, some of them with faults."""
     driver = DispatcherDriver(listed=entries(4))
     for job_id in range(40):
         send = driver.request_and_place(
@@ -23,11 +24,22 @@
 
 
 def take(driver: DispatcherDriver) -> StatisticsSnapshot:
-    return take_snapshot(driver.dispatcher.statistics, driver.dispatcher.endpoints.by_name, driver.now)
+    return driver.dispatcher.take_statistics_snapshot(driver.now)
 
 
-def restore(driver: DispatcherDriver, given: StatisticsSnapshot) -> None:
-    restore_snapshot(driver.dispatcher.statistics, driver.dispatcher.endpoints.by_name, given, driver.now)
+def restore(driver: DispatcherDriver, snapshot: StatisticsSnapshot) -> None:
+    driver.dispatcher.restore_statistics_snapshot(snapshot, driver.now)
+
+
+def slowness_by_work_class(driver: DispatcherDriver, name: str) -> dict[int, float]:
+    """Return the slowness of an endpoint for each work class of which it has run a job."""
+    runs = driver.dispatcher._statistics.runs
+    endpoint = driver.dispatcher._endpoints.by_name[name]
+    of_kind = runs.slowness_of_kind("std", driver.now)
+    return {
+        work_class: runs.slowness(endpoint, work_class, of_kind, driver.now)
+        for work_class in list(endpoint.slowness_by_work_class)
+    }
 
 
 def test_a_snapshot_restores_the_same_statistics_under_another_clock() -> None:
@@ -35,37 +47,25 @@
     data = msgspec.msgpack.encode(take(old))
     new = DispatcherDriver(listed=entries(4), now=90_000.0, seed=2)
     restore(new, msgspec.msgpack.decode(data, type=StatisticsSnapshot))
-    for name, endpoint in old.dispatcher.endpoints.by_name.items():
-        other = new.dispatcher.endpoints.by_name[name]
-        assert (endpoint.capacity, endpoint.consecutive_faults, list(endpoint.cached_keys)) == (
-            other.capacity,
-            other.consecutive_faults,
-            list(other.cached_keys),
-        )
-        for band in endpoint.slowness_by_work_class:
-            kinds = [
-                driver.dispatcher.statistics.endpoints.slowness_of_kind("std", driver.now)
-                for driver in (old, new)
-            ]
-            slow = [
-                driver.dispatcher.statistics.endpoints.slowness(
-                    driver.dispatcher.endpoints.by_name[name], band, kind, driver.now
-                )
-                for driver, kind in zip((old, new), kinds, strict=True)
-            ]
-            assert abs(slow[0] - slow[1]) < 1e-9
-    assert (
-        new.dispatcher.statistics.endpoints.fastest_start_ms
-        == old.dispatcher.statistics.endpoints.fastest_start_ms
-    )
-    # Jobs stay where they are: nothing is held here, and what comes is placed as usual.
-    assert new.dispatcher.endpoints.slots_in_flight == 0.0
-    assert not new.dispatcher.context.jobs.by_id
-    assert new.request_and_place(1).endpoint in new.dispatcher.endpoints.by_name
+    known = new.dispatcher._endpoints.by_name
+    for name, endpoint in old.dispatcher._endpoints.by_name.items():
+        restored = known[name]
+        assert restored.capacity == endpoint.capacity
+        assert restored.consecutive_faults == endpoint.consecutive_faults
+        assert list(restored.cached_keys) == list(endpoint.cached_keys)
+        before, after = slowness_by_work_class(old, name), slowness_by_work_class(new, name)
+        assert before.keys() == after.keys()
+        assert all(abs(before[work_class] - after[work_class]) < 1e-9 for work_class in before)
+    start_delays = new.dispatcher._statistics.start_delays
+    assert start_delays.fastest_start_ms == old.dispatcher._statistics.start_delays.fastest_start_ms
+    # Jobs stay where they are: none is in flight here, and new ones are placed as usual.
+    assert new.dispatcher._load.slots_in_flight == 0.0
+    assert not new.dispatcher._jobs.by_id
+    assert new.request_and_place(1).endpoint in known
 
 
 def test_endpoints_that_are_not_listed_are_not_restored() -> None:
     old = driver_with_statistics()
     new = DispatcherDriver(listed=entries(2))
     restore(new, take(old))
-    assert set(new.dispatcher.endpoints.by_name) == {"a0", "a1"}
+    assert set(new.dispatcher._endpoints.by_name) == {"a0", "a1"}
--- a/tests/policy/test_dispatch_rounds.py
+++ b/tests/policy/test_dispatch_rounds.py
@@ -20,8 +20,8 @@
 )
 
 
-def busy_endpoint(driver: DispatcherDriver, job_id: int = 1000) -> StartAttempt:
-    """Fill the one endpoint, so that the next jobs are queued."""
+def fill_endpoint(driver: DispatcherDriver, job_id: int = 1000) -> StartAttempt:
+    """Fill the only endpoint, so that the next jobs are queued."""
     send = driver.request_and_place(job_id, slots=4.0, work_ms=400.0)
     driver.handle(AttemptStarted(job_id, 0, send.endpoint))
     return send
@@ -29,7 +29,7 @@
 
 def test_a_higher_priority_weight_is_dispatched_first() -> None:
     driver = DispatcherDriver(settings(classes=(LOOKUP, GOLD)), entries(1))
-    held = busy_endpoint(driver)
+    held = fill_endpoint(driver)
     driver.request(1, "lookup")
     driver.request(2, "gold")
     driver.run(30.0)
@@ -41,27 +41,27 @@
 def test_a_tenant_over_its_quota_loses_priority() -> None:
     tenants = (Tenant("loud", 0.5, 5.0), Tenant("calm", 0.5, 5.0))
     driver = DispatcherDriver(settings(tenants=tenants, over_quota_fraction=0.1), entries(1))
-    held = busy_endpoint(driver)
+    held = fill_endpoint(driver)
     for job_id in range(60):
         driver.request(job_id, tenant="loud", timeout_ms=5000.0)
     driver.request(99, tenant="calm")
-    job = driver.dispatcher.context.jobs.by_id[99]
-    assert job.priority > driver.dispatcher.context.jobs.by_id[59].priority
+    job = driver.dispatcher._jobs.by_id[99]
+    assert job.priority > driver.dispatcher._jobs.by_id[59].priority
     driver.run(30.0)
     driver.end_attempt(held, Outcome.SERVED)
     driver.run(30.0)
-    # What loud sent while still inside its share may go before; what came beyond it may not.
+    # What loud sent while it was within its quota may go first; what came beyond it may not.
     assert all(send.id < 20 for send in driver.actions_of(StartAttempt) if send.id not in {99, held.id})
 
 
 def test_waiting_raises_the_priority_past_a_higher_weight() -> None:
     # Without this, the class of the lowest weight starves.
     driver = DispatcherDriver(settings(classes=(LOOKUP, GOLD)), entries(1))
-    busy_endpoint(driver)
+    fill_endpoint(driver)
     driver.request(1, "lookup", work_ms=2000.0)
-    before = driver.dispatcher.context.jobs.by_id[1].rounds_waited
+    before = driver.dispatcher._jobs.by_id[1].rounds_waited
     driver.run(200.0)
-    job = driver.dispatcher.context.jobs.by_id[1]
+    job = driver.dispatcher._jobs.by_id[1]
     assert job.rounds_waited > before
     assert job.priority + PRIORITY_PER_ROUND_WAITED * job.rounds_waited > job.priority
     assert PRIORITY_PER_ROUND_WAITED * 1000 > WEIGHT_DENSITY_WEIGHT
@@ -69,7 +69,7 @@
 
 def test_a_job_wider_than_the_free_capacity_stays_queued() -> None:
     driver = DispatcherDriver(listed=entries(1))
-    busy_endpoint(driver)
+    fill_endpoint(driver)
     driver.request(1)
     driver.run(100.0)
     assert not driver.actions_of(StartAttempt, 1)
@@ -82,7 +82,7 @@
 
 def test_a_job_that_cannot_be_in_time_anywhere_is_rejected_before_its_objective() -> None:
     driver = DispatcherDriver(listed=entries(1))
-    held = busy_endpoint(driver)
+    held = fill_endpoint(driver)
     driver.request(1, work_ms=300.0)
     driver.run(990.0)
     assert len(driver.actions_of(RejectJob, 1)) == 1
@@ -101,19 +101,19 @@
 
 def test_overload_rejects_the_lowest_weight_first() -> None:
     driver = DispatcherDriver(settings(classes=(LOOKUP, GOLD)), entries(1))
-    busy_endpoint(driver)
+    fill_endpoint(driver)
     for job_id in range(40):
         driver.request(job_id, "gold" if job_id % 2 else "lookup", work_ms=300.0)
     driver.run(450.0)
-    refused = [refusal.id for refusal in driver.actions_of(RejectJob)]
-    assert refused
-    assert all(job_id % 2 == 0 for job_id in refused[: len(refused) // 3])
+    rejected = [rejection.id for rejection in driver.actions_of(RejectJob)]
+    assert rejected
+    assert all(job_id % 2 == 0 for job_id in rejected[: len(rejected) // 3])
 
 
 def test_the_queue_is_shed_before_all_of_it_is_late() -> None:
     # Without this, the queue is so long that whatever leaves it is just too late to count.
     driver = DispatcherDriver(listed=entries(1))
-    busy_endpoint(driver)
+    fill_endpoint(driver)
     for job_id in range(40):
         driver.request(job_id, work_ms=300.0)
     driver.run(30.0)
@@ -121,19 +121,19 @@
 
 
 @pytest.mark.parametrize("is_saturated", [False, True])
-def test_a_saturated_fleet_gets_only_jobs_well_in_time(is_saturated: bool) -> None:
+def test_a_saturated_fleet_gets_only_jobs_well_in_time(*, is_saturated: bool) -> None:
     # Without this, late answers cost the most: other jobs wait for the slots that they take.
-    # The round comes after 7.5 to 22.5 ms: in time even then on an idle fleet, too late at once on a full.
+    # The round comes after 7.5 to 22.5 ms: in time even then on an idle fleet, always too late on a full one.
     tight = replace(LOOKUP, name="tight", latency_objective_ms=117.0, objective_stretch=0.0)
     driver = DispatcherDriver(settings(classes=(LOOKUP, tight)), entries(1, weight=8.0))
-    for _ in range(10):  # what its time earns otherwise
-        driver.dispatcher.statistics.endpoints.record_weight_rate(
-            driver.dispatcher.endpoints.by_name["a0"], 2.0, driver.now
+    for _ in range(10):  # the mean yield of the endpoint
+        driver.dispatcher._statistics.endpoints.record_yield(
+            driver.dispatcher._endpoints.by_name["a0"], 2.0, driver.now
         )
     if is_saturated:
         driver.request_and_place(1000, slots=7.0, work_ms=2000.0)
     driver.request(1, "tight", work_ms=100.0)
-    driver.dispatcher.context.jobs.by_id[1].is_exploratory = False
+    driver.dispatcher._jobs.by_id[1].is_exploratory = False
     driver.run(60.0)
     assert len(driver.actions_of(StartAttempt, 1)) == (not is_saturated)
 
@@ -169,7 +169,7 @@
 def test_urgent_jobs_go_to_fast_endpoints_and_bulk_to_slower_ones() -> None:
     fleet = [
         *entries(2, kind="fast"),
-        *[e._replace(endpoint=f"s{i}", kind="slow") for i, e in enumerate(entries(2))],
+        *[entry._replace(endpoint=f"s{number}", kind="slow") for number, entry in enumerate(entries(2))],
     ]
     driver = DispatcherDriver(listed=fleet)
     for job_id in range(30):
@@ -179,24 +179,24 @@
         driver.end_attempt(send, Outcome.SERVED)
     urgent = driver.request_and_place(500, work_ms=200.0, timeout_ms=5000.0 - 350.0)
     assert urgent.endpoint.startswith("a")
-    bulk_talks = []
+    bulk_endpoints = []
     for seed in range(10):
-        driver.dispatcher.context.rng.seed(seed)
+        driver.dispatcher._rounds._rng.seed(seed)
         send = driver.request_and_place(600 + seed, work_ms=200.0)
         driver.handle(AttemptStarted(send.id, 0, send.endpoint))
         driver.run(300.0)
         driver.end_attempt(send, Outcome.SERVED)
-        bulk_talks.append(send.endpoint[0])
-    assert "s" in bulk_talks
+        bulk_endpoints.append(send.endpoint[0])
+    assert "s" in bulk_endpoints
 
 
 def test_extreme_values_are_handled() -> None:
     driver = DispatcherDriver(settings(tenants=(Tenant("zero", 0.0, 0.0),)))
-    for job_id, work in enumerate([0.0, -5.0, math.inf, 1e12, 1e-12]):
-        driver.request(job_id, work_ms=work, tenant="zero")
+    for job_id, work_ms in enumerate([0.0, -5.0, math.inf, 1e12, 1e-12]):
+        driver.request(job_id, work_ms=work_ms, tenant="zero")
     driver.request(20, "no such class", tenant="nobody", slots=0.0, memory=-1.0)
     driver.run(6000.0)
-    answered = {a.id for a in driver.actions if isinstance(a, RejectJob | FailJob)}
+    answered = {action.id for action in driver.actions if isinstance(action, RejectJob | FailJob)}
     assert answered == {0, 1, 2, 3, 4, 20}
 
 
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -21,8 +21,8 @@
 from tests.support.dispatcher_driver import LOOKUP, DispatcherDriver, entries, settings
 
 
-def endpoint(name: str = "a0", kind: str = "std") -> Endpoint:
-    return Endpoint(EndpointEntry(name, zone="a", weight=4.0, kind=kind))
+def make_endpoint(kind: str) -> Endpoint:
+    return Endpoint(EndpointEntry("x", zone="a", weight=4.0, kind=kind))
 
 
 def test_progress_shows_slowness_before_the_outcome() -> None:
@@ -31,7 +31,7 @@
     driver.handle(AttemptStarted(1, 0, send.endpoint))
     driver.run(1000.0)
     driver.handle(AttemptProgressed(1, 0, send.endpoint, 0.25))
-    assert driver.dispatcher.statistics.endpoints.slowness_of_kind("std", driver.now) > 1.2
+    assert driver.dispatcher._statistics.runs.slowness_of_kind("std", driver.now) > 1.2
 
 
 def test_an_overdue_start_makes_the_endpoint_unavailable_until_it_starts() -> None:
@@ -42,19 +42,19 @@
     driver.run(100.0)
     assert not driver.actions_of(StartAttempt, 2)
     driver.handle(AttemptStarted(1, 0, send.endpoint))
-    assert driver.dispatcher.endpoints.by_name["a0"].overdue_attempts == 0
+    assert driver.dispatcher._endpoints.by_name["a0"].overdue_attempts == 0
 
 
 def test_prompt_starts_at_capacity_raise_it_and_late_ones_lower_it() -> None:
     driver = DispatcherDriver(listed=entries(1))
-    known = driver.dispatcher.endpoints.by_name["a0"]
+    known = driver.dispatcher._endpoints.by_name["a0"]
     start = known.capacity
     for job_id in range(4):
         send = driver.request_and_place(job_id)
         driver.handle(AttemptStarted(job_id, 0, send.endpoint))
     assert known.capacity > start
     raised = known.capacity
-    driver.dispatcher.statistics.endpoints.record_start_delay(known, 500.0, driver.now)
+    driver.dispatcher._statistics.start_delays.record_delay(known, 500.0, driver.now)
     assert known.capacity < raised
 
 
@@ -67,7 +67,7 @@
 
 
 def test_nothing_is_ejected_when_most_endpoints_fail() -> None:
-    # Without this, the whole fleet is ejected when the fault is on our own side.
+    # Without this, the whole fleet is ejected when the fault is on this side.
     driver = DispatcherDriver(listed=entries(4))
     for job_id in range(12):
         driver.request(job_id, "once", work_ms=500.0)
@@ -76,26 +76,29 @@
     assert len({send.endpoint for send in driver.actions_of(StartAttempt)}) == 4
 
 
+def ids_sent_to(driver: DispatcherDriver, endpoint: str) -> list[int]:
+    """Return the jobs that were sent to an endpoint, in the order of the sends."""
+    return [send.id for send in driver.actions_of(StartAttempt) if send.endpoint == endpoint]
+
+
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE])
 def test_an_endpoint_that_fails_at_once_is_ejected_and_probed(outcome: Outcome) -> None:
-    # Without this, the endpoint, which is always free, draws a fifth of all jobs and fails them.
+    # Without this, the endpoint, which is always free, attracts jobs and fails them.
     driver = DispatcherDriver(listed=entries(1))
     for job_id in (1, 2):
         driver.end_attempt(driver.request_and_place(job_id, work_ms=50.0), outcome)
     driver.handle(EndpointListUpdate(ListKind.DELTA, entries(2)[1:]))
 
-    def sent_to_bad() -> list[int]:
-        return [send.id for send in driver.actions_of(StartAttempt) if send.endpoint == "a0"]
-
-    for job_id in range(200, 206):  # the other one has no room for so many
+    for job_id in range(200, 206):  # more than the other endpoint has capacity for
         driver.request(job_id, "once", work_ms=1500.0)
     driver.run(200.0)
-    assert len(sent_to_bad()) == 2
+    assert len(ids_sent_to(driver, "a0")) == 2
     for job_id in range(300, 310):
         driver.request(job_id, work_ms=1500.0)
     driver.run(1000.0)
-    assert len(sent_to_bad()) == 3  # the test, and no second one while it is out
-    assert sent_to_bad()[2] >= 300
+    sent = ids_sent_to(driver, "a0")
+    assert len(sent) == 3  # the probe, and no second one while it is pending
+    assert sent[2] >= 300
 
 
 def test_a_silent_endpoint_loses_clean_rate_and_idempotent_jobs_are_redistributed() -> None:
@@ -103,8 +106,8 @@
     send = driver.request_and_place(1, work_ms=2000.0)
     driver.handle(AttemptStarted(1, 0, send.endpoint))
     driver.run(1700.0)
-    known = driver.dispatcher.endpoints.by_name[send.endpoint]
-    assert driver.dispatcher.statistics.endpoints.clean_rate(known, driver.now) < 0.8
+    known = driver.dispatcher._endpoints.by_name[send.endpoint]
+    assert driver.dispatcher._statistics.endpoints.clean_rate(known, driver.now) < 0.8
     assert len(driver.actions_of(StartAttempt, 1)) == 2
 
 
@@ -117,7 +120,7 @@
 
 
 def test_a_key_goes_to_the_same_endpoint_from_all_zones() -> None:
-    # Without this, every zone fetches every key, and the store serves only so many at a time.
+    # Without this, every zone fetches every key, and the store has a limited capacity.
     listed = [*entries(4), *(EndpointEntry(f"b{n}", zone="b", weight=4.0, kind="std") for n in range(4))]
     used = set()
     for zone in ("a", "b"):
@@ -132,7 +135,7 @@
 
 
 def test_a_job_queued_at_an_endpoint_that_reports_is_not_redistributed() -> None:
-    # Without this, an overload grows: the job may run at both, and its key is fetched once more.
+    # Without this, an overload grows: the job may run at both, and its key is fetched a second time.
     driver = DispatcherDriver(settings(), entries(1))
     first, _ = driver.request_and_place(1, work_ms=2000.0), driver.request_and_place(2, work_ms=2000.0)
     driver.handle(EndpointListUpdate(ListKind.DELTA, entries(2)[1:]), AttemptStarted(1, 0, first.endpoint))
@@ -141,30 +144,32 @@
 
 
 def test_a_job_unlikely_to_be_in_time_is_not_sent() -> None:
-    # Without this, endpoints work on answers that come late, since the hint might be wrong.
-    tight, trials = replace(LOOKUP, latency_objective_ms=90.0, objective_stretch=0.0), set()
+    # Without this, endpoints work on jobs that end too late.
+    tight = replace(LOOKUP, latency_objective_ms=90.0, objective_stretch=0.0)
+    exploratory = set()
     driver = DispatcherDriver(settings(classes=(tight,)))
     for job_id in range(1, 21):
         driver.request(job_id, work_ms=100.0)
-        if driver.dispatcher.context.jobs.by_id[job_id].is_exploratory:
-            trials.add(job_id)
+        if driver.dispatcher._jobs.by_id[job_id].is_exploratory:
+            exploratory.add(job_id)
         driver.run(20.0)
         driver.handle(ClientDisconnected(job_id))
-    assert {send.id for send in driver.actions_of(StartAttempt)} <= trials
+    assert {send.id for send in driver.actions_of(StartAttempt)} <= exploratory
 
 
 def test_a_slow_endpoint_is_not_used_while_a_fast_one_may_come_free_in_time() -> None:
-    # Without this, slow endpoints that look free draw jobs that a fast one would finish in time.
+    # Without this, slow endpoints with free slots get jobs that a fast one would finish in time.
     slow, fast = entries(1, kind="slow"), entries(2, kind="fast")[1:]
     tight = replace(LOOKUP, latency_objective_ms=400.0, objective_stretch=0.0)
     driver = DispatcherDriver(settings(classes=(tight,)), [*slow, *fast])
-    for kind, run, seen in (("slow", 400.0, 20), ("fast", 100.0, 200)):
-        for _ in range(seen):
-            driver.dispatcher.statistics.endpoints.record_run(endpoint("x", kind), 100.0, run, driver.now)
-    filled = driver.dispatcher.endpoints.by_name["a1"]
+    runs = driver.dispatcher._statistics.runs
+    for kind, run_ms, count in (("slow", 400.0, 20), ("fast", 100.0, 200)):
+        for _ in range(count):
+            runs.record_run(make_endpoint(kind), 100.0, run_ms, driver.now)
+    filled = driver.dispatcher._endpoints.by_name["a1"]
     filled.slots_in_flight = filled.capacity
     driver.request(1, work_ms=100.0)
-    driver.dispatcher.context.jobs.by_id[1].is_exploratory = False
+    driver.dispatcher._jobs.by_id[1].is_exploratory = False
     driver.run(60.0)
     assert not driver.actions_of(StartAttempt)
     filled.slots_in_flight = 0.0
@@ -173,7 +178,7 @@
 
 
 def test_no_health_checks_are_requested() -> None:
-    # A few of each node are many at an endpoint that 40 nodes share, and show no more than starts do.
+    # A few by each node are many at an endpoint of 40 nodes, and show no more than starts do.
     limits = Limits(max_attempts=4, may_cancel=True, may_check_health=True)
     driver = DispatcherDriver(settings(limits=limits), entries(6))
     assert driver.request_and_place(2, "once")
@@ -191,19 +196,19 @@
         driver.handle(EndpointListUpdate(ListKind.DELTA, [EndpointEntry(f"n{job_id}", zone="a", kind="std")]))
         driver.handle(EndpointListUpdate(ListKind.DELTA, [EndpointEntry(f"n{job_id}", EndpointState.GONE)]))
     driver.run(10_000.0)
-    node = driver.dispatcher
-    assert not node.context.jobs.by_id
-    assert not node.rounds.queue
-    assert node.context.timers.next_at() == math.inf
-    assert len(node.endpoints.by_name) == 4
-    assert all(len(known.cached_keys) <= 10 for known in node.endpoints.by_name.values())
+    dispatcher = driver.dispatcher
+    assert not dispatcher._jobs.by_id
+    assert not dispatcher._rounds.queue
+    assert dispatcher._timers.next_at() == math.inf
+    assert len(dispatcher._endpoints.by_name) == 4
+    assert all(len(known.cached_keys) <= 10 for known in dispatcher._endpoints.by_name.values())
 
 
 def test_redistribution_stops_while_hardly_any_start_is_prompt() -> None:
-    # Without this, an overload grows: where a cancel leaves the job in the queue, each copy adds to it.
+    # Without this, an overload grows: where a cancelled job stays queued, each further attempt adds to it.
     driver = DispatcherDriver(listed=entries(6))
     for _ in range(40):
-        driver.dispatcher.statistics.endpoints.prompt_start_rate.add(driver.now, 0.0, 8000.0)
+        driver.dispatcher._statistics.start_delays.prompt_start_rate.add(driver.now, 0.0, 8000.0)
     driver.request_and_place(1, work_ms=2000.0)
     driver.run(500.0)
     assert len(driver.actions_of(StartAttempt, 1)) == 1
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -3,12 +3,13 @@
 from __future__ import annotations
 
 from collections import Counter, defaultdict
+from dataclasses import replace
 from typing import TYPE_CHECKING
 
 import pytest
 
 from burlmoor.types.endpoint_list import EndpointState, ListKind
-from burlmoor.types.settings import Rules, Tenant
+from burlmoor.types.settings import Tenant
 from tests.support.dispatcher_driver import RULES, entries, settings
 from tests.support.dispatcher_fleet import Fleet
 
@@ -16,35 +17,35 @@
     import random
 
 
-def wide(count: int = 60, slots: int = 4) -> Fleet:
+def make_wide_fleet(count: int = 60, slots: int = 4) -> Fleet:
     """40 nodes, each with a few requests a second."""
     return Fleet(settings(node_count=40), entries(count), slots=slots)
 
 
 def test_jobs_with_a_hot_key_are_not_rejected_while_endpoints_are_free() -> None:
-    # 30 % of the work of a half-full fleet: as much as eighteen endpoints do, where a key had four of them.
-    fleet = wide()
+    # 30 % of the work of a half-full fleet is the work of eighteen endpoints; a key has four at least.
+    fleet = make_wide_fleet()
 
     def job(rng: random.Random) -> tuple[str, float, str]:
         return "lookup", 250.0, "hot" if rng.random() < 0.3 else f"{rng.randrange(400):04x}"
 
     fleet.generate_load(480.0, 9000.0, job)
     fleet.run(12_000.0)
-    assert fleet.share_answered("served", "hot") > 0.95
-    given = Counter(name for at, name, _ in fleet.sends if at > 4000.0)
-    assert max(given.values()) < 4 * sum(given.values()) / len(fleet.listed)
+    assert fleet.fraction_answered("served", "hot") > 0.95
+    sent = Counter(name for at, name, _ in fleet.sends if at > 4000.0)
+    assert max(sent.values()) < 4 * sum(sent.values()) / len(fleet.listed)
 
 
 def test_waits_at_endpoints_that_nodes_seldom_use_are_not_hedged() -> None:
-    # With 40 nodes hardly any has heard from a given endpoint lately: that is no sign that it hangs.
-    fleet = wide()
+    # With 40 nodes hardly any has had a recent report of a given endpoint: that is no sign that it hangs.
+    fleet = make_wide_fleet()
     fleet.generate_load(800.0, 8000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(12_000.0)
     assert len(fleet.sends) < 1.07 * len(fleet.jobs)
 
 
 def test_replaced_endpoints_are_used_and_within_their_slow_start_budget() -> None:
-    # Six in ten are new and warming up, and all nodes get the list at once.
+    # Three in five are new and in slow start, and all nodes get the list at the same moment.
     tenants = (Tenant("all", 1.0, 800.0),)
     fleet = Fleet(settings(node_count=40, tenants=tenants), entries(30), slots=8)
     fleet.generate_load(850.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
@@ -68,24 +69,26 @@
         )
         shares.append(work / (capacity_fraction * 8.0 * RULES.overload_window_ms))
     assert max(shares) < RULES.overload_multiple
-    assert sum(shares) / (18 * 2) > 0.5  # of what they can do, over the first two whole windows
+    assert sum(shares) / (18 * 2) > 0.5  # of what they bear, over the first two whole windows
 
 
-FALL = Rules(20.0, 500.0, 0.2, 10_000.0, 4.0, 1000.0, 10_000.0)
+STRICT_RULES = replace(RULES, overload_multiple=4.0, overload_window_ms=1000.0)
 
 
-def warming_fleet(hot_key: bool = False, loses_warm: bool = False, in_step: bool = False) -> Fleet:
-    """200 nodes, just started, with more work than ten warm and five warming endpoints can do."""
+def run_warming_fleet(
+    *, has_hot_key: bool = False, loses_warm: bool = False, is_in_step: bool = False
+) -> Fleet:
+    """Run 200 new nodes with more work than ten warm endpoints and five in slow start can do."""
     listed = [*entries(10, weight=1.0), *entries(5, "b", weight=1.0, started_at=900.0)]
     tenants = (Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work a ms at each, in jobs of 200 ms
-    fleet = Fleet(settings(node_count=200, tenants=tenants, rules=FALL), listed, slots=1000)
+    fleet = Fleet(settings(node_count=200, tenants=tenants, rules=STRICT_RULES), listed, slots=1000)
     for node in range(200):
         for at in range(1000, 3400, 200):
             # All at one moment, or each node at its own.
-            when = at + (0.0 if in_step else fleet.rng.uniform(0.0, 200.0))
+            when = at + (0.0 if is_in_step else fleet.rng.uniform(0.0, 200.0))
 
             def request(node: int = node) -> None:
-                key = "hot" if hot_key else f"{fleet.rng.randrange(40):04x}"
+                key = "hot" if has_hot_key else f"{fleet.rng.randrange(40):04x}"
                 fleet.request("lookup", fleet.rng.expovariate(1 / 200.0), key, node=node)
 
             fleet.schedule(when, request)
@@ -97,34 +100,40 @@
 
 
 @pytest.mark.parametrize(
-    "case", [{}, {"in_step": True}, {"hot_key": True, "loses_warm": True}, {"loses_warm": True}]
+    "case", [{}, {"is_in_step": True}, {"has_hot_key": True, "loses_warm": True}, {"loses_warm": True}]
 )
 def test_two_hundred_nodes_keep_within_a_slow_start_budget_in_every_window(case: dict[str, bool]) -> None:
-    fleet = warming_fleet(**case)
+    fleet = run_warming_fleet(**case)
     got = Counter[str]()
     for name in ("b0", "b1", "b2", "b3", "b4"):
         sent = [(at, work) for at, each, work in fleet.sends if each == name]
         got[name] = len(sent)
         for start, _ in sent:
             capacity_fraction = (
-                FALL.initial_capacity + (1.0 - FALL.initial_capacity) * (start - 900.0) / FALL.slow_start_ms
+                STRICT_RULES.initial_capacity
+                + (1.0 - STRICT_RULES.initial_capacity) * (start - 900.0) / STRICT_RULES.slow_start_ms
+            )
+            budget = (
+                STRICT_RULES.overload_multiple * capacity_fraction * 4.0 * STRICT_RULES.overload_window_ms
+            )
+            assert (
+                sum(work for at, work in sent if start <= at < start + STRICT_RULES.overload_window_ms)
+                <= budget
             )
-            whole = FALL.overload_multiple * capacity_fraction * 4.0 * FALL.overload_window_ms
-            assert sum(work for at, work in sent if start <= at < start + FALL.overload_window_ms) <= whole
     assert min(got.values()) > 0
 
 
-def test_an_endpoint_that_fails_at_once_draws_few_jobs_of_all_nodes_together() -> None:
-    fleet = wide()
+def test_an_endpoint_that_fails_at_once_attracts_few_jobs_of_all_nodes_together() -> None:
+    fleet = make_wide_fleet()
     fleet.endpoints["a7"].is_faulty = True
     fleet.generate_load(600.0, 9000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
     fleet.run(10_000.0)
-    drawn = sum(name == "a7" for _, name, _ in fleet.sends)
-    assert drawn < 5 * len(fleet.nodes)
-    assert fleet.share_answered("served") > 0.95
+    sent = sum(name == "a7" for _, name, _ in fleet.sends)
+    assert sent < 5 * len(fleet.nodes)
+    assert fleet.fraction_answered("served") > 0.95
 
 
-def test_a_zone_that_vanishes_draws_few_jobs_and_warms_up_when_it_is_back() -> None:
+def test_a_zone_that_vanishes_attracts_few_jobs_and_warms_up_when_it_is_back() -> None:
     listed = [*entries(40), *entries(20, zone="b")]
     fleet = Fleet(settings(node_count=40), listed)
     fleet.generate_load(500.0, 16_000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
@@ -147,10 +156,10 @@
 
 
 def test_a_full_fleet_is_sent_what_it_can_do_in_time_and_little_else() -> None:
-    # Each of 40 nodes holds a handful of jobs, whether the fleet is idle or full.
-    fleet = wide()
+    # Each of 40 nodes has a handful of jobs in flight, whether the fleet is idle or full.
+    fleet = make_wide_fleet()
     fleet.generate_load(1150.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(12_000.0)
-    served = fleet.share_answered("served") * len(fleet.jobs)
+    served = fleet.fraction_answered("served") * len(fleet.jobs)
     assert served > 0.7 * len(fleet.jobs)
     assert served > 0.75 * len(fleet.sends)
--- a/tests/policy/test_random_scripts.py
+++ b/tests/policy/test_random_scripts.py
@@ -4,6 +4,7 @@
 
 import random
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import pytest
 
@@ -14,7 +15,6 @@
     AttemptEnded,
     AttemptProgressed,
     AttemptStarted,
-    ClientDisconnected,
     EndpointListUpdate,
     Event,
     JobRequest,
@@ -33,8 +33,8 @@
     deadline_at: float
     sends: list[tuple[float, str]] = field(default_factory=list)
     ends: dict[int, Outcome] = field(default_factory=dict)
-    final: int = 0
-    over: bool = False
+    final_answers: int = 0
+    is_over: bool = False
 
 
 class Checker:
@@ -46,7 +46,8 @@
         self.zones: dict[str, str] = {}
         self.live: set[str] = set()
 
-    def listed(self, event: EndpointListUpdate) -> None:
+    def on_list_update(self, event: EndpointListUpdate) -> None:
+        """Apply an update of the endpoint list."""
         if event.kind is not ListKind.DELTA:
             self.live.clear()
         for entry in event.entries:
@@ -54,29 +55,36 @@
             (self.live.add if entry.state is EndpointState.LIVE else self.live.discard)(entry.endpoint)
 
     def possibly_run(self, record: Record) -> list[int]:
+        """Return the attempts that are not proved to have never run."""
         return [
-            n
-            for n in range(len(record.sends))
-            if n not in record.ends or not record.ends[n].proves_not_started
+            number
+            for number in range(len(record.sends))
+            if number not in record.ends or not record.ends[number].proves_not_started
         ]
 
     def check(self, now: float, action: Action) -> None:
+        """Raise AssertionError if the action breaks a rule."""
         if not isinstance(action, StartAttempt | RejectJob | FailJob):
             return
         record = self.records[action.id]
         if isinstance(action, FailJob):
-            assert not record.over, "an answer after the end"
-            record.final += 1
-            record.over = True
+            assert not record.is_over, "an answer after the end"
+            record.final_answers += 1
+            record.is_over = True
             return
+        assert not record.is_over, "something after the end"
+        if isinstance(action, StartAttempt):
+            self.check_attempt(now, record, action)
+            return
+        is_idempotent = record.job_class.idempotency is Idempotency.IDEMPOTENT
+        assert is_idempotent or not self.possibly_run(record), "rejected what may have run"
+        record.final_answers += 1
+        record.is_over = True
+
+    def check_attempt(self, now: float, record: Record, action: StartAttempt) -> None:
+        """Raise AssertionError if the attempt breaks a rule; else record it."""
         possibly_run = self.possibly_run(record)
         idempotency = record.job_class.idempotency
-        assert not record.over, "something after the end"
-        if isinstance(action, RejectJob):
-            assert idempotency is Idempotency.IDEMPOTENT or not possibly_run, "rejected what may have run"
-            record.final += 1
-            record.over = True
-            return
         assert action.endpoint in self.live, "sent to what is not live"
         assert now < record.deadline_at, "sent after the deadline"
         assert idempotency is not Idempotency.NON_IDEMPOTENT or not possibly_run, (
@@ -86,12 +94,18 @@
             at, first = record.sends[possibly_run[0]]
             assert self.zones[first] == self.zones[action.endpoint], "left the deduplication scope"
             assert now - at <= record.job_class.deduplication_window_ms, "past the window"
-        pending = [n for n in range(len(record.sends)) if n not in record.ends]
+        pending = [number for number in range(len(record.sends)) if number not in record.ends]
         assert len(pending) < (2 if self.settings.limits.may_hedge else 1), "too many pending"
         assert len(record.sends) < self.settings.limits.max_attempts, "too many attempts"
         record.sends.append((now, action.endpoint))
 
 
+class DeadlineReached(NamedTuple):
+    """The moment at which the checker checks that a request was answered; no event of the policy."""
+
+    job_id: int
+
+
 class RandomScript:
     """One random script: arrivals, outcomes, notifications and list changes, in any legal order."""
 
@@ -101,11 +115,13 @@
         self.dispatcher = Dispatcher(given, seed)
         self.checker = Checker(given)
         self.fleet = entries(4, "a") + entries(3, "b")
-        self.scheduled: list[tuple[float, Event]] = [(0.0, EndpointListUpdate(ListKind.CACHED, self.fleet))]
+        self.scheduled: list[tuple[float, Event | DeadlineReached]] = [
+            (0.0, EndpointListUpdate(ListKind.CACHED, self.fleet))
+        ]
         self.now = 0.0
 
     def run(self) -> Checker:
-        """Play 25 seconds, the first 15 of them with arrivals."""
+        """Run 25 seconds, the first 15 of them with arrivals."""
         while self.now < 25_000.0:
             self.now += self.settings.tick_ms
             if self.rng.random() < 0.1 and self.now < 15_000.0:
@@ -116,8 +132,8 @@
             self.scheduled = [(at, event) for at, event in self.scheduled if at > self.now]
             batch: list[Event] = [TimerFired(0)]
             for event in due:
-                if isinstance(event, ClientDisconnected):
-                    self.check_answered(self.checker.records[-event.id])
+                if isinstance(event, DeadlineReached):
+                    self.check_answered(self.checker.records[event.job_id])
                 else:
                     batch.append(self.observe(event))
             for action in self.dispatcher.handle(self.now, batch):
@@ -127,7 +143,7 @@
         return self.checker
 
     def arrive(self) -> None:
-        """Schedule a request, and a look at it when its deadline has passed (marked by a negative id)."""
+        """Schedule a request, and its check at the deadline."""
         job_id = len(self.checker.records) + 1
         job_class = self.rng.choice(self.settings.classes)
         timeout_ms = self.rng.choice([job_class.deadline_ms, job_class.deadline_ms, 800.0])
@@ -137,7 +153,7 @@
         self.checker.records[job_id] = Record(job_class, self.now + timeout_ms)
         request = JobRequest(job_id, job_class.name, timeout_ms, work_ms, slots, affinity_key=key)
         self.scheduled.append((self.now, request))
-        self.scheduled.append((self.now + timeout_ms, ClientDisconnected(-job_id)))
+        self.scheduled.append((self.now + timeout_ms, DeadlineReached(job_id)))
 
     def change_list(self) -> None:
         """Schedule a change of one endpoint's state, most often to live."""
@@ -148,24 +164,24 @@
 
     def check_answered(self, record: Record) -> None:
         """At its deadline a request is answered, or an attempt is pending that may still answer it."""
-        is_pending = any(n not in record.ends for n in range(len(record.sends)))
-        assert record.over or is_pending, "unanswered"
+        is_pending = any(number not in record.ends for number in range(len(record.sends)))
+        assert record.is_over or is_pending, "unanswered"
 
     def observe(self, event: Event) -> Event:
-        """Have the checker take in an event; return it as the dispatcher gets it."""
+        """Have the checker apply an event; return it as the dispatcher gets it."""
         if isinstance(event, EndpointListUpdate):
-            self.checker.listed(event)
+            self.checker.on_list_update(event)
         if not isinstance(event, AttemptEnded):
             return event
         record = self.checker.records[event.id]
         record.ends[event.attempt] = event.outcome
-        is_closed = record.over or event.outcome is Outcome.SERVED
-        record.final += is_closed and not record.over
-        record.over = is_closed
+        is_closed = record.is_over or event.outcome is Outcome.SERVED
+        record.final_answers += is_closed and not record.is_over
+        record.is_over = is_closed
         return event._replace(is_job_closed=is_closed)
 
     def run_attempt(self, action: StartAttempt) -> None:
-        """Schedule what becomes of an attempt."""
+        """Schedule the events of an attempt."""
         record = self.checker.records[action.id]
         number = len(record.sends) - 1
         start = self.now + self.rng.choice([1.0, 5.0, 400.0])
@@ -178,22 +194,23 @@
         if start < end and not outcome.proves_not_started:
             self.scheduled.append((start, AttemptStarted(*attempt)))
             self.scheduled.append((0.5 * (start + end), AttemptProgressed(*attempt, 0.5)))
-        self.scheduled.append((end, AttemptEnded(*attempt, outcome, end - self.now, False)))
+        self.scheduled.append((end, AttemptEnded(*attempt, outcome, end - self.now, is_job_closed=False)))
 
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("may_hedge", [True, False])
-def test_random_scripts_keep_the_rules(seed: int, may_hedge: bool) -> None:
+def test_random_scripts_keep_the_rules(seed: int, *, may_hedge: bool) -> None:
     limits = Limits(max_attempts=3, may_cancel=True, may_hedge=may_hedge, sends_retry_after=True)
     checker = RandomScript(seed, settings(limits=limits, node_count=3)).run()
     assert len(checker.records) > 100
-    assert all(record.final == 1 for record in checker.records.values())
+    assert all(record.final_answers == 1 for record in checker.records.values())
     assert sum(len(record.sends) for record in checker.records.values()) > 40  # the scripts do send
 
 
-def play_violation(*actions: Action, job_class: JobClass, ended: Outcome | None = None) -> None:
+def check_actions(*actions: Action, job_class: JobClass, ended: Outcome | None = None) -> None:
+    """Have a checker check these actions for one job whose attempts end with this outcome."""
     checker = Checker(settings())
-    checker.listed(EndpointListUpdate(ListKind.SNAPSHOT, entries(1, "a") + entries(1, "b")))
+    checker.on_list_update(EndpointListUpdate(ListKind.SNAPSHOT, entries(1, "a") + entries(1, "b")))
     checker.records[1] = Record(job_class, 5000.0)
     for action in actions:
         checker.check(100.0, action)
@@ -226,4 +243,4 @@
     actions: tuple[Action, ...], job_class: JobClass, ended: Outcome | None, words: str
 ) -> None:
     with pytest.raises(AssertionError, match=words):
-        play_violation(*actions, job_class=job_class, ended=ended)
+        check_actions(*actions, job_class=job_class, ended=ended)
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""Rules 1 to 3, each with its corner cases, seen from outside the policy."""
+"""The answer rule, the repeat rule and the drain rule, each with its corner cases, seen from outside."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 NEVER_RAN = [Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.UNSENT]
 
 
-def finals(driver: DispatcherDriver, job_id: int) -> int:
+def count_final_answers(driver: DispatcherDriver, job_id: int) -> int:
     return len(driver.actions_of(RejectJob, job_id)) + len(driver.actions_of(FailJob, job_id))
 
 
-# --- rule 1: one final answer in time ------------------------------------------------------------
+# --- the answer rule: one final answer in time ----------------------------------------------------
 
 
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
@@ -38,14 +38,14 @@
     driver = DispatcherDriver(listed=[])
     driver.request(7, job_class, timeout_ms=3000.0)
     driver.run(2999.0)
-    assert finals(driver, 7) == 1
+    assert count_final_answers(driver, 7) == 1
     assert not driver.actions_of(StartAttempt, 7)
     driver.run(10_000.0)
-    assert finals(driver, 7) == 1
+    assert count_final_answers(driver, 7) == 1
 
 
 def test_clients_with_short_timeouts_are_served_within_them() -> None:
-    # Without this, short timeouts pass for late retries: all were rejected while the fleet was idle.
+    # Without this, short timeouts are taken for late retries, and rejected while the fleet is idle.
     driver = DispatcherDriver()
     for job_id in range(1, 4):
         driver.request(job_id, timeout_ms=5000.0, work_ms=50.0)
@@ -59,7 +59,7 @@
     driver = DispatcherDriver(listed=entries(1))
     driver.request_and_place(7, job_class)
     driver.run(5020.0)
-    assert finals(driver, 7) == 1
+    assert count_final_answers(driver, 7) == 1
 
 
 def test_an_answer_in_the_batch_of_the_deadline_is_not_followed_by_another() -> None:
@@ -67,9 +67,9 @@
     send = driver.request_and_place(7, "once")
     driver.handle(AttemptStarted(7, 0, send.endpoint))
     driver.now = 1000.0 + 5000.0
-    ended = AttemptEnded(7, 0, send.endpoint, Outcome.SERVED, 10.0, True)
+    ended = AttemptEnded(7, 0, send.endpoint, Outcome.SERVED, 10.0, is_job_closed=True)
     driver.handle(ended, TimerFired(0))
-    assert finals(driver, 7) == 0
+    assert count_final_answers(driver, 7) == 0
 
 
 def test_nothing_is_sent_for_a_request_whose_client_disconnected() -> None:
@@ -79,14 +79,14 @@
     driver.handle(EndpointListUpdate(ListKind.SNAPSHOT, entries(3)))
     driver.run(6000.0)
     assert not driver.actions_of(StartAttempt, 7)
-    assert finals(driver, 7) == 0
+    assert count_final_answers(driver, 7) == 0
 
 
 def test_a_timeout_of_zero_is_answered_at_once() -> None:
     driver = DispatcherDriver()
     driver.request(7, timeout_ms=0.0)
     driver.run(20.0)
-    assert finals(driver, 7) == 1
+    assert count_final_answers(driver, 7) == 1
     assert not driver.actions_of(StartAttempt, 7)
 
 
@@ -96,10 +96,10 @@
     driver.request_and_place(7, "once", work_ms=100.0)
     driver.run(1000.0)
     assert driver.actions_of(CancelAttempt, 7)
-    assert finals(driver, 7) == 1
+    assert count_final_answers(driver, 7) == 1
 
 
-# --- rule 2: no effect twice ---------------------------------------------------------------------
+# --- the repeat rule: no job runs twice unless its class allows it --------------------------------
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
@@ -165,14 +165,14 @@
     assert len(driver.actions_of(StartAttempt, 7)) == 1
 
 
-def let_endpoints_be_silent(driver: DispatcherDriver) -> None:
-    """Let all endpoints have had an attempt some seconds ago, and have reported nothing since."""
-    for endpoint in driver.dispatcher.endpoints.by_name.values():
+def silence_endpoints(driver: DispatcherDriver) -> None:
+    """Make all endpoints silent: they had an attempt some seconds ago, and have reported nothing since."""
+    for endpoint in driver.dispatcher._endpoints.by_name.values():
         endpoint.first_sent_at = driver.now - 4000.0
 
 
 @pytest.mark.parametrize("may_hedge", [False, True])
-def test_an_attempt_at_an_endpoint_that_was_never_heard_of_is_not_overdue_at_once(may_hedge: bool) -> None:
+def test_an_attempt_at_an_endpoint_without_any_report_is_not_overdue_at_once(*, may_hedge: bool) -> None:
     limits = Limits(max_attempts=4, may_cancel=True, may_hedge=may_hedge)
     driver = DispatcherDriver(settings(limits=limits))
     driver.request_and_place(7, work_ms=2000.0)
@@ -181,7 +181,7 @@
     assert not driver.actions_of(CancelAttempt, 7)
 
 
-def test_an_endpoint_that_was_never_heard_of_is_left_while_another_can_still_serve_the_job() -> None:
+def test_an_endpoint_without_any_report_is_left_while_another_can_still_serve_the_job() -> None:
     limits = Limits(max_attempts=4, may_cancel=True, may_hedge=False)
     driver = DispatcherDriver(settings(limits=limits))
     send = driver.request_and_place(7, work_ms=20.0)
@@ -199,7 +199,7 @@
 def test_two_attempts_are_never_pending_together_where_hedging_is_not_allowed() -> None:
     limits = Limits(max_attempts=4, may_cancel=True, may_hedge=False)
     driver = DispatcherDriver(settings(limits=limits))
-    let_endpoints_be_silent(driver)
+    silence_endpoints(driver)
     send = driver.request_and_place(7, work_ms=2000.0)
     driver.run(300.0)
     assert driver.actions_of(CancelAttempt, 7) == [CancelAttempt(7, 0, CancelReason.OVERDUE)]
@@ -211,7 +211,7 @@
 
 def test_a_job_that_has_not_started_is_hedged_and_the_loser_is_cancelled() -> None:
     driver = DispatcherDriver()
-    let_endpoints_be_silent(driver)
+    silence_endpoints(driver)
     driver.request_and_place(7, work_ms=2000.0)
     driver.run(300.0)
     sends = driver.actions_of(StartAttempt, 7)
@@ -228,10 +228,10 @@
         for number, send in enumerate(driver.actions_of(StartAttempt, 7)):
             driver.end_attempt(send, Outcome.OVERLOADED, number)
     assert len(driver.actions_of(StartAttempt, 7)) == LIMITS.max_attempts
-    assert finals(driver, 7) == 1
+    assert count_final_answers(driver, 7) == 1
 
 
-# --- rule 3: drains ------------------------------------------------------------------------------
+# --- the drain rule: nothing new is sent to what is not live --------------------------------------
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -196,7 +196,7 @@
     """Send every non-idempotent job a second time, whatever is known of the first attempt."""
     for node in cluster.nodes:
         assert node is not None
-        node.core._policy.context.safety.may_send = lambda job, endpoint, now: len(job.attempts) < 3  # type: ignore[method-assign]
+        node.core._policy._safety.may_send = lambda job, endpoint, now: len(job.attempts) < 3  # type: ignore[method-assign]
         # The engine refuses such attempts too.
         node.core._attempts._guard.may_start = lambda job, attempt, now: not job.is_closed  # type: ignore[method-assign]
 
@@ -204,7 +204,7 @@
 def _ignore_list_changes(cluster: SimulatedCluster) -> None:
     for node in cluster.nodes:
         assert node is not None
-        endpoints = node.core._policy.endpoints
+        endpoints = node.core._policy._endpoints
 
         def hear(event: EndpointListUpdate, real: Any = endpoints.update) -> None:
             if event.kind is not ListKind.DELTA:
@@ -216,7 +216,7 @@
 def _treat_all_as_warm(cluster: SimulatedCluster) -> None:
     for node in cluster.nodes:
         assert node is not None
-        node.core._policy.endpoints.slow_start.capacity_fraction = lambda endpoint, now: 1.0  # type: ignore[method-assign]
+        node.core._policy._slow_start.capacity_fraction = lambda endpoint, now: 1.0  # type: ignore[method-assign]
 
 
 def _omit_some_answers(cluster: SimulatedCluster) -> None:
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -16,7 +16,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
+
+MAX_TIMERS = 100_000  # in one call of `run`: more means that the dispatcher sets timers without end
 
 LOOKUP = JobClass(
     "lookup", priority_weight=1.0, latency_objective_ms=400.0, objective_stretch=2.0, deadline_ms=5000.0
@@ -40,11 +42,20 @@
     idempotency=Idempotency.NON_IDEMPOTENT,
 )
 LIMITS = Limits(max_attempts=4, may_cancel=True, may_hedge=True, sends_retry_after=True)
-RULES = Rules(20.0, 500.0, 0.2, 10_000.0, 3.0, 2000.0, 10_000.0)
+RULES = Rules(
+    response_slack_ms=20.0,
+    drain_grace_ms=500.0,
+    initial_capacity=0.2,
+    slow_start_ms=10_000.0,
+    overload_multiple=3.0,
+    overload_window_ms=2000.0,
+    poll_interval_ms=10_000.0,
+)
 
 
-def settings(**changes: Any) -> Settings:
-    base: dict[str, Any] = {
+def settings(**changes: object) -> Settings:
+    """Return settings with these fields changed."""
+    fields: dict[str, Any] = {
         "classes": (LOOKUP, KEYED, ONCE),
         "limits": LIMITS,
         "rules": RULES,
@@ -53,17 +64,19 @@
         "progress_interval_ms": 1000.0,
         "reports_start": True,
         "weight_by_work": True,
+        **changes,
     }
-    return Settings(**{**base, **changes})
+    return Settings(**fields)
 
 
-def entries(count: int, zone: str = "a", **changes: Any) -> list[EndpointEntry]:
-    base: dict[str, Any] = {"zone": zone, "weight": 4.0, "kind": "std"}
-    return [EndpointEntry(f"{zone}{i}", **{**base, **changes}) for i in range(count)]
+def entries(count: int, zone: str = "a", **changes: object) -> list[EndpointEntry]:
+    """Return live endpoints, named by their zone and a number, with these fields changed."""
+    fields: dict[str, Any] = {"zone": zone, "weight": 4.0, "kind": "std", **changes}
+    return [EndpointEntry(f"{zone}{number}", **fields) for number in range(count)]
 
 
 class DispatcherDriver:
-    """Drives a dispatcher event by event and keeps all actions that it returns."""
+    """Drives a dispatcher event by event and keeps all actions that it returns. Times are ms."""
 
     def __init__(
         self,
@@ -80,6 +93,7 @@
         self.handle(EndpointListUpdate(ListKind.CACHED, list(entries(4) if listed is None else listed)))
 
     def handle(self, *events: Event) -> list[Action]:
+        """Hand events of the present moment to the dispatcher; return its actions."""
         actions = self.dispatcher.handle(self.now, list(events))
         self.timers_at += [self.now + action.delay_ms for action in actions if isinstance(action, SetTimer)]
         self.actions += actions
@@ -89,7 +103,7 @@
         """Let time pass, firing the timers as they come due; return the actions."""
         end = self.now + duration
         actions: list[Action] = []
-        for _ in range(100_000):
+        for _ in range(MAX_TIMERS):
             due = min((at for at in self.timers_at if at <= end), default=None)
             if due is None:
                 self.now = end
@@ -97,27 +111,28 @@
             self.timers_at.remove(due)
             self.now = max(self.now, due)
             actions += self.handle(TimerFired(0))
-        pytest.fail("the dispatcher keeps setting timers without end")
+        pytest.fail("the dispatcher sets timers without end")
 
-    def request(self, job_id: int, job_class: str = "lookup", **changes: Any) -> list[Action]:
-        base: dict[str, Any] = {"timeout_ms": 5000.0, "work_ms": 300.0}
-        return self.handle(JobRequest(job_id, job_class, **{**base, **changes}))
+    def request(self, job_id: int, job_class: str = "lookup", **changes: object) -> list[Action]:
+        """Request a job with these fields changed; return the actions."""
+        fields: dict[str, Any] = {"timeout_ms": 5000.0, "work_ms": 300.0, **changes}
+        return self.handle(JobRequest(job_id, job_class, **fields))
 
-    def request_and_place(self, job_id: int, job_class: str = "lookup", **changes: Any) -> StartAttempt:
+    def request_and_place(self, job_id: int, job_class: str = "lookup", **changes: object) -> StartAttempt:
         """Request a job, let a round pass, and return its latest attempt."""
         self.request(job_id, job_class, **changes)
         self.run(60.0)
         return self.actions_of(StartAttempt, job_id)[-1]
 
-    def end_attempt(
-        self, send: StartAttempt, outcome: Outcome, attempt: int = 0, closed: bool | None = None
-    ) -> list[Action]:
-        over = outcome is Outcome.SERVED if closed is None else closed
-        return self.handle(AttemptEnded(send.id, attempt, send.endpoint, outcome, 10.0, over))
+    def end_attempt(self, send: StartAttempt, outcome: Outcome, attempt: int = 0) -> list[Action]:
+        """End an attempt 10 ms after its send; one that was served closes the job."""
+        is_closed = outcome is Outcome.SERVED
+        return self.handle(AttemptEnded(send.id, attempt, send.endpoint, outcome, 10.0, is_closed))
 
-    def actions_of(self, kind: type[A], job_id: int | None = None) -> list[A]:
+    def actions_of(self, kind: type[ActionT], job_id: int | None = None) -> list[ActionT]:
+        """Return all actions of a type so far, of all jobs or of one."""
         return [
-            a
-            for a in self.actions
-            if isinstance(a, kind) and (job_id is None or getattr(a, "id", None) == job_id)
+            action
+            for action in self.actions
+            if isinstance(action, kind) and (job_id is None or getattr(action, "id", None) == job_id)
         ]
--- a/tests/support/dispatcher_fleet.py
+++ b/tests/support/dispatcher_fleet.py
@@ -1,4 +1,4 @@
-"""Many dispatchers that share simulated endpoints, on a fake clock: what is harmless at one adds up here."""
+"""Many dispatchers that share simulated endpoints, in virtual time: what is harmless at one adds up here."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field, replace
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from burlmoor.policy.dispatcher import Dispatcher
 from burlmoor.types.actions import CancelAttempt, FailJob, RejectJob, SetTimer, StartAttempt
@@ -30,39 +30,62 @@
 NETWORK_DELAY_MS = 2.0  # one way, between a node and an endpoint
 
 
+class AttemptKey(NamedTuple):
+    """Identifies an attempt in the fleet."""
+
+    node: int
+    job: int
+    number: int
+
+
+class FleetJob(NamedTuple):
+    """A job that a client has sent."""
+
+    requested_at: float
+    work_ms: float
+    key: str
+
+
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint: so many jobs run at once, the others are queued in order."""
+    """An endpoint: as many jobs as it has slots run concurrently, the others are queued in order."""
 
     entry: EndpointEntry
     free_slots: int = 4
-    is_silent: bool = False  # it vanished: it reports nothing
+    is_silent: bool = False  # it has vanished and reports nothing
     is_faulty: bool = False  # it ends each job with an error at once
-    queue: deque[tuple[int, int, int]] = field(default_factory=deque)  # node, job, attempt
+    queue: deque[AttemptKey] = field(default_factory=deque)
 
 
-@dataclass
 class Fleet:
-    """Nodes, endpoints and a clock; jobs come by `request` and `generate_load`."""
-
-    settings: Settings
-    listed: Sequence[EndpointEntry]
-    seed: int = 1
-    slots: int = 4
-    now: float = 1000.0
-
-    def __post_init__(self) -> None:
-        self.rng = random.Random(self.seed)
-        count, given = self.settings.node_count, self.settings
-        self.nodes = [Dispatcher(replace(given, node_index=n), self.seed * 1000 + n) for n in range(count)]
+    """Nodes, endpoints and a clock; jobs come by `request` and `generate_load`. Times are ms."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        listed: Sequence[EndpointEntry],
+        seed: int = 1,
+        slots: int = 4,
+        now: float = 1000.0,
+    ) -> None:
+        self.listed = listed
+        self.slots = slots
+        self.now = now
+        self.rng = random.Random(seed)
+        self.nodes = [
+            Dispatcher(replace(settings, node_index=index), seed * 1000 + index)
+            for index in range(settings.node_count)
+        ]
         self.endpoints: dict[str, SimulatedEndpoint] = {}
-        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
-        self.schedule_count = self.last_job_id = 0
-        self.jobs: dict[int, tuple[float, float, str]] = {}  # requested at, work, key
-        self.attempt_counts: Counter[tuple[int, int]] = Counter()
-        self.pending_attempts: set[tuple[int, int, int]] = set()
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []  # when, in which order, what
+        self.schedule_count = 0
+        self.last_job_id = 0
+        self.jobs: dict[int, FleetJob] = {}
+        self.attempt_counts: Counter[tuple[int, int]] = Counter()  # by node and job
+        self.pending_attempts: set[AttemptKey] = set()
         self.final_answers: dict[int, str] = {}
-        self.sends: list[tuple[float, str, float]] = []  # when, to whom, work
+        # When, to which endpoint, the job's work: plain tuples, since a golden digest is over their text.
+        self.sends: list[tuple[float, str, float]] = []
         self.send_list(range(len(self.nodes)), ListKind.CACHED, self.listed)
 
     def schedule(self, when: float, action: Callable[[], None]) -> None:
@@ -89,7 +112,7 @@
     ) -> None:
         """Send a client's job to a random node, or to the one given."""
         self.last_job_id += 1
-        self.jobs[self.last_job_id] = (self.now, work_ms, key)
+        self.jobs[self.last_job_id] = FleetJob(self.now, work_ms, key)
         node = self.rng.randrange(len(self.nodes)) if node is None else node
         self.handle(node, JobRequest(self.last_job_id, job_class, timeout_ms, work_ms, affinity_key=key))
 
@@ -126,53 +149,51 @@
                         self.now + max(action.delay_ms, 1.0), lambda: self.handle(node, TimerFired(0))
                     )
                 case CancelAttempt():
-                    self._end_attempt(node, action.id, action.attempt, Outcome.CANCELLED)
+                    self._end_attempt(AttemptKey(node, action.id, action.attempt), Outcome.CANCELLED)
                 case RejectJob() | FailJob():
-                    self.final_answers.setdefault(action.id, "refused")  # the word in the golden record
+                    self.final_answers.setdefault(action.id, "refused")  # the word in the golden digest
 
     def _start_attempt(self, node: int, action: StartAttempt) -> None:
-        number, endpoint = self.attempt_counts[node, action.id], self.endpoints[action.endpoint]
+        endpoint = self.endpoints[action.endpoint]
+        attempt = AttemptKey(node, action.id, self.attempt_counts[node, action.id])
         self.attempt_counts[node, action.id] += 1
-        self.pending_attempts.add((node, action.id, number))
-        self.sends.append((self.now, action.endpoint, self.jobs[action.id][1]))
+        self.pending_attempts.add(attempt)
+        self.sends.append((self.now, action.endpoint, self.jobs[action.id].work_ms))
         if endpoint.is_faulty:
-            self._end_attempt(node, action.id, number, Outcome.ERROR, action.endpoint)
+            self._end_attempt(attempt, Outcome.ERROR, action.endpoint)
         elif not endpoint.is_silent:
-            endpoint.queue.append((node, action.id, number))
+            endpoint.queue.append(attempt)
             self.schedule(self.now + NETWORK_DELAY_MS, lambda: self._start_queued(endpoint))
 
     def _start_queued(self, endpoint: SimulatedEndpoint) -> None:
         while endpoint.queue and endpoint.free_slots > 0 and not endpoint.is_silent:
-            node, job, number = endpoint.queue.popleft()
-            if (node, job, number) not in self.pending_attempts:
+            attempt = endpoint.queue.popleft()
+            if attempt not in self.pending_attempts:
                 continue
             endpoint.free_slots -= 1
-            name = endpoint.entry.endpoint
-            self.handle(node, AttemptStarted(job, number, name))
-            self.schedule(
-                self.now + self.jobs[job][1], partial(self._finish_run, endpoint, node, job, number)
-            )
+            self.handle(attempt.node, AttemptStarted(attempt.job, attempt.number, endpoint.entry.endpoint))
+            ends_at = self.now + self.jobs[attempt.job].work_ms
+            self.schedule(ends_at, partial(self._finish_run, endpoint, attempt))
 
-    def _finish_run(self, endpoint: SimulatedEndpoint, node: int, job: int, number: int) -> None:
+    def _finish_run(self, endpoint: SimulatedEndpoint, attempt: AttemptKey) -> None:
         endpoint.free_slots += 1
         if not endpoint.is_silent:
-            self._end_attempt(node, job, number, Outcome.SERVED, endpoint.entry.endpoint)
+            self._end_attempt(attempt, Outcome.SERVED, endpoint.entry.endpoint)
         self._start_queued(endpoint)
 
-    def _end_attempt(self, node: int, job: int, number: int, outcome: Outcome, endpoint: str = "") -> None:
-        if (node, job, number) not in self.pending_attempts:
+    def _end_attempt(self, attempt: AttemptKey, outcome: Outcome, endpoint: str = "") -> None:
+        if attempt not in self.pending_attempts:
             return
-        self.pending_attempts.discard((node, job, number))
-        served = outcome is Outcome.SERVED
-        over = served or job in self.final_answers
-        if served:
+        self.pending_attempts.discard(attempt)
+        node, job, number = attempt
+        is_closed = outcome is Outcome.SERVED or job in self.final_answers
+        if outcome is Outcome.SERVED:
             self.final_answers.setdefault(job, "served")
-        at, elapsed = self.now + NETWORK_DELAY_MS, self.now - self.jobs[job][0]
-        self.schedule(
-            at, lambda: self.handle(node, AttemptEnded(job, number, endpoint, outcome, elapsed, over))
-        )
-
-    def share_answered(self, answer: str, key: str | None = None) -> float:
-        """Return the share of all jobs, or of a key's, that got this answer."""
-        jobs = [job for job, (_, _, each) in self.jobs.items() if key in (None, each)]
+        elapsed_ms = self.now - self.jobs[job].requested_at
+        event = AttemptEnded(job, number, endpoint, outcome, elapsed_ms, is_closed)
+        self.schedule(self.now + NETWORK_DELAY_MS, lambda: self.handle(node, event))
+
+    def fraction_answered(self, answer: str, key: str | None = None) -> float:
+        """Return the fraction of all jobs, or of a key's, that got this answer."""
+        jobs = [job_id for job_id, job in self.jobs.items() if key in (None, job.key)]
         return sum(self.final_answers.get(job) == answer for job in jobs) / len(jobs)
