--- a/burlmoor/downstream/http.py
+++ b/burlmoor/downstream/http.py
@@ -166,7 +166,8 @@
     def encode_response(self, response: Response) -> bytes:
         """Encode the response to the open request; afterwards the next request may arrive.
 
-        Raises `NoOpenRequestError`.
+        Raises:
+            NoOpenRequestError: no request is open.
         """
         if not self.has_open_request:
             raise NoOpenRequestError
--- a/burlmoor/downstream/job_headers.py
+++ b/burlmoor/downstream/job_headers.py
@@ -116,7 +116,11 @@
 
 
 def _parse_integer(fields: _Fields, name: bytes) -> int | None:
-    """Parse a header's integer, which is not negative; None where there is no such header."""
+    """Parse a header's integer, which is not negative; None where there is no such header.
+
+    Raises:
+        InvalidHeaderError: the header is no such integer.
+    """
     text = fields.get(name)
     if text is None:
         return None
@@ -126,7 +130,11 @@
 
 
 def _parse_request_info(text: str) -> dict[str, float]:
-    """Parse `Request-Info: name=value,name=value`, what a job requires of its executor."""
+    """Parse `Request-Info: name=value,name=value`, the requirements of a job on its executor.
+
+    Raises:
+        InvalidHeaderError: a requirement has no valid value.
+    """
     requirements: dict[str, float] = {}
     for part in text.split(",") if text else ():
         name, _, value = part.partition("=")
--- a/burlmoor/engine/core.py
+++ b/burlmoor/engine/core.py
@@ -44,6 +44,7 @@
         self.job_log = JobLog(log, self.counters)
         self.jobs = JobRegistry(self.job_log)
         self.deadlines = DeadlineQueue(settings.classes)
-        self.policy = PolicyDriver(Dispatcher(settings, seed), self.jobs, log, wake)
+        self.dispatcher = Dispatcher(settings, seed)
+        self.policy = PolicyDriver(self.dispatcher, self.jobs, log, wake)
         self.deferral = DeferralNotifier(self.jobs, self.deadlines, clock, wake)
         self.lifecycle = JobLifecycle(self.jobs, self.policy, self.deferral, self.job_log, clock)
--- a/burlmoor/engine/deferral_controller.py
+++ b/burlmoor/engine/deferral_controller.py
@@ -20,6 +20,7 @@
     from burlmoor.engine.job_registry import JobRegistry
     from burlmoor.engine.policy_driver import PolicyDriver
     from burlmoor.log import EventLogger
+    from burlmoor.policy.dispatcher import Dispatcher
     from burlmoor.types.events import JobRequest
 
 
@@ -32,6 +33,7 @@
         jobs: JobRegistry,
         deadlines: DeadlineQueue,
         policy: PolicyDriver,
+        dispatcher: Dispatcher,
         lifecycle: JobLifecycle,
         clock: Callable[[], float],
         log: EventLogger,
@@ -40,6 +42,7 @@
         self._jobs = jobs
         self._deadlines = deadlines
         self._policy = policy
+        self._dispatcher = dispatcher
         self._lifecycle = lifecycle
         self._clock = clock
         self._log = log
@@ -60,7 +63,7 @@
             self._reject_deferred_jobs()
 
     def _releasable_slots(self) -> float:
-        return self._policy.releasable_slots(self._clock())
+        return self._dispatcher.releasable_slots(self._clock())
 
     def _reject_deferred_jobs(self) -> None:
         deferred = [job for job in self._jobs if job.deferred_request is not None and not job.is_closed]
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -54,7 +54,14 @@
             core.jobs, self._attempts, core.lifecycle, core.policy, upstream, discovery, core.log
         )
         self._deferral_controller = DeferralController(
-            core.deferral, core.jobs, core.deadlines, core.policy, core.lifecycle, core.clock, core.log
+            core.deferral,
+            core.jobs,
+            core.deadlines,
+            core.policy,
+            core.dispatcher,
+            core.lifecycle,
+            core.clock,
+            core.log,
         )
         self._stepped_at = -math.inf
 
--- a/burlmoor/engine/policy_driver.py
+++ b/burlmoor/engine/policy_driver.py
@@ -7,7 +7,6 @@
 from typing import TYPE_CHECKING
 
 from burlmoor.log_events import PolicyFailed
-from burlmoor.policy.statistics.snapshot import restore_snapshot, take_snapshot
 from burlmoor.types.events import (
     EndpointListUpdate,
     HandoverChanged,
@@ -22,15 +21,11 @@
     from burlmoor.engine.job_registry import JobRegistry
     from burlmoor.log import EventLogger
     from burlmoor.policy.dispatcher import Dispatcher
-    from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
     from burlmoor.types.actions import Action
     from burlmoor.types.endpoint_list import EndpointEntry, ListKind
     from burlmoor.types.events import Event
     from burlmoor.types.outcome import Outcome
 
-# Of the free slots at endpoints: released jobs leave the rest to the jobs that arrive meanwhile.
-_RELEASABLE_SHARE = 0.8
-
 
 class PolicyDriver:
     """Collects events between two calls of the policy; `wake` is called on the first of each batch."""
@@ -91,23 +86,6 @@
             self._log(PolicyFailed(error=repr(error)))
             return ()
 
-    def releasable_slots(self, now: float) -> float:
-        """Return the slots that deferred jobs may take now.
-
-        A share of the warm endpoints' capacity, less what is in flight or queued.
-        """
-        endpoints = self._policy.endpoints
-        capacity = _RELEASABLE_SHARE * endpoints.warm_capacity(now)
-        return capacity - endpoints.slots_in_flight - self._policy.rounds.queued_slots()
-
-    def take_statistics_snapshot(self, now: float) -> StatisticsSnapshot:
-        """Return the policy's statistics, for another process of this node."""
-        return take_snapshot(self._policy.statistics, self._policy.endpoints.by_name, now)
-
-    def restore_statistics_snapshot(self, snapshot: StatisticsSnapshot, now: float) -> None:
-        """Continue from the statistics of another process, for the endpoints that the policy knows by now."""
-        restore_snapshot(self._policy.statistics, self._policy.endpoints.by_name, snapshot, now)
-
     def _with_remaining_timeout(self, event: Event, now: float) -> Event:
         """Return a job request with the time that remains of its timeout when the policy gets it.
 
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -67,7 +67,7 @@
         nursery: trio.Nursery,
         log: EventLogger,
     ) -> None:
-        sock.setblocking(False)
+        sock.settimeout(0.0)
         self._sock: socket.socket | None = sock
         self._observer = observer
         self._nursery = nursery
@@ -251,7 +251,7 @@
         raise SocketPathTooLongError(temporary_path)
     sock = _create_socket()
     try:
-        sock.setblocking(False)
+        sock.settimeout(0.0)
         with suppress(FileNotFoundError):
             temporary_path.unlink()
         sock.bind(str(temporary_path))
--- a/burlmoor/lifecycle/state_transfer.py
+++ b/burlmoor/lifecycle/state_transfer.py
@@ -27,7 +27,7 @@
         return Snapshot(
             overrides=self._admin.overrides,
             endpoints=self._directory.snapshot(),
-            statistics=self._core.policy.take_statistics_snapshot(self._core.clock()),
+            statistics=self._core.dispatcher.take_statistics_snapshot(self._core.clock()),
             job_ids=self._core.jobs.ids(),
             downstream=len(self._server.connections),
             upstream=self._pool.open_count,
@@ -38,5 +38,5 @@
         self._admin.replace(snapshot.overrides)
         self._endpoint_updater.restore(snapshot.endpoints)
         self._engine.step()  # the policy gets the list first: statistics are restored for its endpoints
-        self._core.policy.restore_statistics_snapshot(snapshot.statistics, self._core.clock())
+        self._core.dispatcher.restore_statistics_snapshot(snapshot.statistics, self._core.clock())
         self._core.jobs.add_ids_in_other_process(snapshot.job_ids)
--- a/burlmoor/simulation/gossip.py
+++ b/burlmoor/simulation/gossip.py
@@ -128,7 +128,11 @@
     # --- the network ----------------------------------------------------------------------------
 
     def transmit(self, sender: str, datagrams: list[Datagram]) -> None:
-        """Send a node's datagrams over the network."""
+        """Send a node's datagrams over the network.
+
+        Raises:
+            DatagramTooLargeError: a message does not fit into a datagram.
+        """
         for destination, message in datagrams:
             data, count = encode(message)
             if count < len(message.members) or len(data) > MAX_DATAGRAM_BYTES:
--- a/burlmoor/testbed/clients.py
+++ b/burlmoor/testbed/clients.py
@@ -128,7 +128,8 @@
     ) -> HttpMessage | None:
         """Write the request and read the answer; None where the connection ends first.
 
-        Raises trio.ClosedResourceError where the client is to disconnect before the answer.
+        Raises:
+            trio.ClosedResourceError: the client is to disconnect before the answer.
         """
         try:
             await stream.write(outgoing.start_line, outgoing.body, **outgoing.headers)
--- a/burlmoor/testbed/fleet/addresses.py
+++ b/burlmoor/testbed/fleet/addresses.py
@@ -76,7 +76,11 @@
 
 
 def parse_link_address(address: str) -> Link:
-    """Return the ends of the link that has this address; raises LinkAddressError where it is no link's."""
+    """Return the ends of the link that has this address.
+
+    Raises:
+        LinkAddressError: the address is no link's.
+    """
     number = int(ipaddress.IPv4Address(address)) - _LINKS
     if not 0 <= number < MAX_PER_KIND * MAX_PER_KIND:
         raise LinkAddressError(address)
@@ -101,7 +105,11 @@
 
 
 def find_free_ports() -> Ports:
-    """Return consecutive ports that nobody on loopback listens on now; raises NoFreePortsError."""
+    """Return consecutive ports on which no process listens on loopback now.
+
+    Raises:
+        NoFreePortsError: there are none.
+    """
     # Each process begins its search elsewhere, so that fleets that start together seldom collide.
     rows = range(*_PORT_RANGE, len(Ports._fields))
     begin = os.getpid() % len(rows)
--- a/burlmoor/testbed/fleet/discovery_faults.py
+++ b/burlmoor/testbed/fleet/discovery_faults.py
@@ -24,7 +24,11 @@
         self._discovery = discovery
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time, inject it for a node, and end it; raises UnsupportedFaultError."""
+        """Wait for the fault's time, inject it for a node, and end it.
+
+        Raises:
+            UnsupportedFaultError: the fault is of another group.
+        """
         await sleep_until(self._record, fault.start)
         node = self._node_names[number]
         begin_interval(self._record, fault, node)
--- a/burlmoor/testbed/fleet/executor_faults.py
+++ b/burlmoor/testbed/fleet/executor_faults.py
@@ -36,7 +36,11 @@
         self._discovery = discovery
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time, inject it into an executor, and end it; raises UnsupportedFaultError."""
+        """Wait for the fault's time, inject it into an executor, and end it.
+
+        Raises:
+            UnsupportedFaultError: the fault is of another group.
+        """
         await sleep_until(self._record, fault.start)
         name = self._record.executor_names()[number]
         interval = begin_interval(self._record, fault, name)
--- a/burlmoor/testbed/fleet/node_faults.py
+++ b/burlmoor/testbed/fleet/node_faults.py
@@ -43,7 +43,11 @@
         self._rng = random.Random(record.plan.seed)
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time and inject it into a node; raises UnsupportedFaultError."""
+        """Wait for the fault's time and inject it into a node.
+
+        Raises:
+            UnsupportedFaultError: the fault is of another group.
+        """
         await sleep_until(self._record, fault.start)
         match fault.kind:
             case FaultKind.NODE_PAUSE:
--- a/burlmoor/testbed/fleet/node_processes.py
+++ b/burlmoor/testbed/fleet/node_processes.py
@@ -97,7 +97,11 @@
         self._starting.add(number)
 
     async def wait_until_ready(self, number: int) -> None:
-        """Wait until a node accepts jobs; raises ProcessError where it ends by itself."""
+        """Wait until a node accepts jobs.
+
+        Raises:
+            ProcessError: it has ended by itself.
+        """
         address = (node_address(number), self._ports.node_http)
         while True:
             with suppress(OSError):
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -135,7 +135,11 @@
 
 
 def read_record(folder: Path) -> RunRecord:
-    """Return the record that a folder holds; raises RecordError where there is none."""
+    """Return the record that a folder contains.
+
+    Raises:
+        RecordError: it contains none.
+    """
     try:
         return msgspec.json.decode(gzip.decompress((folder / _RECORD_FILE).read_bytes()), type=RunRecord)
     except (OSError, EOFError, msgspec.DecodeError) as error:
--- a/burlmoor/testbed/fleet/schedule_file.py
+++ b/burlmoor/testbed/fleet/schedule_file.py
@@ -40,7 +40,11 @@
 
 
 def parse_schedule(text: str) -> FaultSchedule:
-    """Return the schedule that an INI file holds; raises ScheduleError."""
+    """Return the schedule that an INI file contains.
+
+    Raises:
+        ScheduleError: the file is no valid schedule.
+    """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_file(StringIO(text))
@@ -85,14 +89,22 @@
 
 
 def _check_kind(section: str, values: dict[str, str]) -> None:
-    """Raise ScheduleError where the kind is none of a schedule's; a missing one is found later."""
+    """Check the kind of a fault; a missing one is found later.
+
+    Raises:
+        ScheduleError: the kind is none of a schedule's.
+    """
     kind = values.get("what")
     if kind is not None and kind not in SCHEDULED_FAULTS:
         raise ScheduleError(section, f"invalid what {kind!r}, allowed are {', '.join(SCHEDULED_FAULTS)}")
 
 
 def _check_fault(section: str, fault: Fault) -> None:
-    """Raise ScheduleError where the values are of the right types, but out of range."""
+    """Check values that are of the right types.
+
+    Raises:
+        ScheduleError: a value is out of range.
+    """
     # Also false for nan.
     if not (0.0 <= fault.start < _MAX_SECONDS and 0.0 <= fault.duration < _MAX_SECONDS):
         raise ScheduleError(section, f"invalid at or lasts, must be seconds from 0 to {_MAX_SECONDS:.0f}")
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -93,7 +93,11 @@
             self._nursery.start_soon(self._relay, stream, direction)
 
     async def _relay(self, accepted: trio.SocketStream, direction: LinkDirection) -> None:
-        """Connect to the other end and relay both directions until one of the connections is over."""
+        """Connect to the other end and relay both directions until one of the connections is over.
+
+        Raises:
+            LinkResetError: the link is reset.
+        """
         connected: trio.SocketStream | None = None
         try:
             ends = parse_link_address(accepted.socket.getsockname()[0])
@@ -159,7 +163,11 @@
         both_directions.cancel()
 
     async def _receive(self, source: trio.SocketStream, link: DirectedLink) -> bytes:
-        """Receive the next chunk once faults let it pass; raises LinkResetError or an error of the stream."""
+        """Receive the next chunk once faults let it pass.
+
+        Raises:
+            LinkResetError: the link is reset, by a fault or by the peer.
+        """
         data = await source.receive_some(_CHUNK_BYTES)
         if self._faults:
             data = await self._apply_to_chunk(data, link)
@@ -168,7 +176,11 @@
         return data
 
     async def _apply_to_chunk(self, data: bytes, link: DirectedLink) -> bytes:
-        """Apply this direction's faults: wait, corrupt the data, or raise LinkResetError."""
+        """Apply this direction's faults: wait, corrupt the data, or reset the link.
+
+        Raises:
+            LinkResetError: a fault resets the link.
+        """
         for fault in [each for each in self._faults if each.affects(link)]:
             match fault.kind:
                 case FaultKind.LINK_DELAY:
--- a/burlmoor/testbed/network_link.py
+++ b/burlmoor/testbed/network_link.py
@@ -161,6 +161,10 @@
                 await self._sink.socket_stream.send_eof()
 
     def _raise_if_reset(self) -> None:
-        """Raise trio.BrokenResourceError where the source has reset the connection."""
+        """Check that the source has not reset the connection.
+
+        Raises:
+            trio.BrokenResourceError: it has.
+        """
         if self._was_reset:
             raise trio.BrokenResourceError
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -102,7 +102,9 @@
     ) -> None:
         """Write the files, start the process, and wait until it is ready.
 
-        Raises NodeExitedError where the process ends instead, and trio.TooSlowError after 30 s.
+        Raises:
+            NodeExitedError: the process has ended instead.
+            trio.TooSlowError: 30 s have passed.
         """
         self._write_config(settings, discovery_address, known_list)
         environment = self._make_environment()
@@ -218,7 +220,9 @@
 ) -> HttpMessage:
     """Send one request on a new connection and return the response.
 
-    Raises NoAnswerError where none is complete within 5 s, and OSError where the connection is refused.
+    Raises:
+        NoAnswerError: none is complete within 5 s.
+        OSError: the connection is refused.
     """
     stream = await connect(address)
     try:
--- a/burlmoor/transport/address.py
+++ b/burlmoor/transport/address.py
@@ -25,7 +25,11 @@
 
 
 def parse_address(text: str) -> SocketAddress:
-    """Parse `host:port`; raises InvalidAddressError if the text is not that."""
+    """Parse `host:port`.
+
+    Raises:
+        InvalidAddressError: the text is not of that form.
+    """
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) <= _MAX_PORT):
         raise InvalidAddressError(text)
--- a/burlmoor/transport/ring_buffer.py
+++ b/burlmoor/transport/ring_buffer.py
@@ -47,7 +47,11 @@
         return self.limit - self._size
 
     def write(self, data: bytes) -> None:
-        """Append all of `data`; raises BufferFullError if it exceeds `free_space`."""
+        """Append all of `data`.
+
+        Raises:
+            BufferFullError: the data exceeds `free_space`.
+        """
         if len(data) > self.free_space:
             raise BufferFullError(len(data), self.free_space)
         if self._size + len(data) > len(self._data):
@@ -66,7 +70,11 @@
         return memoryview(self._data)[self._head : min(self._head + self._size, len(self._data))]
 
     def consume(self, count: int) -> None:
-        """Remove the first `count` buffered bytes; raises BufferUnderrunError if there are fewer."""
+        """Remove the first `count` buffered bytes.
+
+        Raises:
+            BufferUnderrunError: there are fewer.
+        """
         if not 0 <= count <= self._size:
             raise BufferUnderrunError(count, self._size)
         self._size -= count
--- a/burlmoor/transport/sockets.py
+++ b/burlmoor/transport/sockets.py
@@ -33,7 +33,8 @@
 def bind_socket(address: SocketAddress | tuple[str, int]) -> socket.socket:
     """Open a socket that is bound to `address`: connections are refused until it listens.
 
-    Raises OSError if the address is not free.
+    Raises:
+        OSError: the address is not free.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/burlmoor/transport/stream.py
+++ b/burlmoor/transport/stream.py
@@ -130,9 +130,11 @@
             self.outbound.consume(sent_count)
 
     async def drain(self) -> None:
-        """Wait until the kernel has accepted all that is buffered.
+        """Wait until the kernel has accepted all buffered bytes.
 
-        Raises OSError if the connection breaks.
+        Raises:
+            StreamClosedError: the stream was closed meanwhile.
+            OSError: the connection broke.
         """
         while self.outbound:
             if self._drain_ended is not None:
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -27,10 +27,8 @@
             assert await call_admin(harness, "/executors/disable", "e0") == (
                 200, {"ready": True, "state": "open", "drained": False, "out": ["e0"]},
             )  # fmt: skip
-        seq = 1
         listed: list[dict[str, Any]] = [{"e0": "active", "e1": "active"}, {"e1": "active"}]
-        for hosts in (*listed, listed[0]):
-            seq += 1
+        for seq, hosts in enumerate((*listed, listed[0]), start=2):
             await harness.publish(seq, **hosts)
             await harness.wait_until(lambda seq=seq: harness.components.directory.version == seq)  # type: ignore[misc]
             assert {await serve_job(harness, f"{seq}-{ref}") for ref in range(4)} == {"e1"}
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -48,9 +48,7 @@
     elif how == "is rejected":
         actions: list[Action] = [RejectJob(parent.number)]
         harness.core.lifecycle.on_attempt_ended(parent.attempts[-1], Outcome.OVERLOADED)
-        monkeypatch.setattr(
-            harness.core.policy._policy, "handle", lambda *_: [actions.pop()] if actions else []
-        )
+        monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: [actions.pop()] if actions else [])
     elif how == "client disconnects":
         harness.core.lifecycle.on_client_disconnected(parent)
     else:
--- a/tests/deferred/test_release.py
+++ b/tests/deferred/test_release.py
@@ -27,7 +27,7 @@
     job = harness.find_job("c")
     assert harness.started_ids()[-1] == "c"
     assert 2500.0 < job.deadline - harness.now < 3000.0
-    known = harness.core.policy._policy.context.jobs.by_id[job.number]
+    known = harness.core.dispatcher._jobs.by_id[job.number]
     # The latency objective counts from the release: nothing of it was spent on earlier tries.
     assert known.objective_at == pytest.approx(job.admitted_at + known.objective_ms, abs=10.0)
     harness.finish_attempt("c")
@@ -49,23 +49,23 @@
 def test_deferral_credit_grows_with_the_deferral_and_is_bounded() -> None:
     harness = DeferralHarness(full_credit_ms=5000.0)
     requests: list[JobRequest] = []
-    handle = harness.core.policy._policy.handle
+    handle = harness.core.dispatcher.handle
 
     def spy(now: float, events: Any) -> list[Action]:
         requests.extend(event for event in events if isinstance(event, JobRequest))
         return handle(now, events)
 
-    harness.core.policy._policy.handle = spy  # type: ignore[method-assign]
+    harness.core.dispatcher.handle = spy  # type: ignore[method-assign]
     for ref, wait in (("a", 1000.0), ("b", 60_000.0)):
         harness.submit_deferred(
             ref, not_before_unix_ms=UNIX_EPOCH_MS + harness.now + wait, timeout_ms=100_000.0
         )
     harness.advance(61_000.0)
     assert [round(request.deferral_credit, 1) for request in requests] == [0.2, 1.0]
-    policy = harness.core.policy._policy
+    policy = harness.core.dispatcher
     harness.submit(request_id="plain")
     harness.advance(2.0)
-    jobs = {job.id: job for job in policy.context.jobs.by_id.values()}
+    jobs = {job.id: job for job in policy._jobs.by_id.values()}
     assert max(job.priority for job in jobs.values()) - min(job.priority for job in jobs.values()) <= 1.01
 
 
--- a/tests/engine/test_cancelling.py
+++ b/tests/engine/test_cancelling.py
@@ -93,9 +93,7 @@
     harness.engine.answer_all_by(harness.now + 100.0)
     # In the step of the answer, its attempt has ended and its cancel is only on its way.
     again = StartAttempt(attempt.job.number, other)
-    monkeypatch.setattr(
-        harness.core.policy._policy, "handle", lambda *_: [again] if attempt.has_ended else []
-    )
+    monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: [again] if attempt.has_ended else [])
     harness.advance(200.0)
     assert client.answers == [Failed()]
     assert harness.started_attempts == [attempt]
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -76,7 +76,7 @@
     def broken(*_given: Any) -> list[Action]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(harness.core.policy._policy, "handle", broken)
+    monkeypatch.setattr(harness.core.dispatcher, "handle", broken)
     harness.advance(901.0)
     assert client.answers == [answer]
     assert {"policy-failed", "answered-at-deadline"} <= set(harness.logged_events)
@@ -150,7 +150,7 @@
     harness = EngineHarness()
     client, attempt = harness.submit_and_start("once")
     rejection: list[Action] = [RejectJob(attempt.job.number, 50.0), FailJob(attempt.job.number)]
-    monkeypatch.setattr(harness.core.policy._policy, "handle", lambda *_: rejection)
+    monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: rejection)
     harness.core.lifecycle.on_attempt_progressed(attempt, 0.5)
     harness.advance(10.0)
     assert client.answers == [Failed()]
@@ -162,7 +162,7 @@
     harness.core.lifecycle.on_attempt_ended(attempt, Outcome.RESET)
     again: list[Action] = [StartAttempt(attempt.job.number, attempt.endpoint)]
     monkeypatch.setattr(
-        harness.core.policy._policy,
+        harness.core.dispatcher,
         "handle",
         lambda *_: again.pop() and [StartAttempt(1, attempt.endpoint)] if again else [],
     )
--- a/tests/golden/test_files_of_the_release_before.py
+++ b/tests/golden/test_files_of_the_release_before.py
@@ -47,7 +47,7 @@
     statistics = msgspec.msgpack.decode(SNAPSHOT, type=Snapshot).statistics
     driver = DispatcherDriver(listed=entries(4), seed=2)
     restore(driver, statistics)
-    restored = driver.dispatcher.endpoints.by_name
+    restored = driver.dispatcher._endpoints.by_name
     assert set(restored) == set(statistics.endpoints)
     for name, written in statistics.endpoints.items():
         assert restored[name].capacity == written.capacity
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -198,7 +198,7 @@
     """Send every non-idempotent job a second time, whatever is known of the first attempt."""
     for node in cluster.nodes:
         assert node is not None
-        node.core.policy._policy.context.safety.may_send = lambda job, endpoint, now: len(job.attempts) < 3  # type: ignore[method-assign]
+        node.core.dispatcher._safety.may_send = lambda job, endpoint, now: len(job.attempts) < 3  # type: ignore[method-assign]
         # The engine refuses such attempts too.
         node.engine._attempts._guard.may_start = lambda job, attempt, now: not job.is_closed  # type: ignore[method-assign]
 
@@ -206,7 +206,7 @@
 def _ignore_list_changes(cluster: SimulatedCluster) -> None:
     for node in cluster.nodes:
         assert node is not None
-        endpoints = node.core.policy._policy.endpoints
+        endpoints = node.core.dispatcher._endpoints
 
         def update_unless_delta(
             event: EndpointListUpdate, update: Callable[[EndpointListUpdate], None] = endpoints.update
@@ -220,7 +220,7 @@
 def _treat_all_as_warm(cluster: SimulatedCluster) -> None:
     for node in cluster.nodes:
         assert node is not None
-        node.core.policy._policy.endpoints.slow_start.capacity_fraction = lambda endpoint, now: 1.0  # type: ignore[method-assign]
+        node.core.dispatcher._slow_start.capacity_fraction = lambda endpoint, now: 1.0  # type: ignore[method-assign]
 
 
 def _omit_some_answers(cluster: SimulatedCluster) -> None:
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -34,7 +34,7 @@
     for inner in ast.walk(node):
         if isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef):
             names.add(inner.name)
-        elif isinstance(inner, ast.Attribute):
+        elif isinstance(inner, ast.Attribute) and isinstance(inner.ctx, ast.Store):
             names.add(inner.attr)
         elif isinstance(inner, ast.Name) and isinstance(inner.ctx, ast.Store):
             names.add(inner.id)
@@ -48,17 +48,17 @@
     return sorted(set(re.findall(r"`([^`\n]+)`", (ROOT / "docs" / page).read_text())))
 
 
-def tests_on_the_page_of_races() -> list[str]:
+def names_on_the_page_of_races() -> list[str]:
     """The tests in the last column of the page's tables."""
     rows = [row for row in RACES_PAGE.read_text().splitlines() if row.startswith("| ")]
     return sorted({name for row in rows for name in re.findall(r"`(\w+)`", row.split("|")[4])})
 
 
 def test_the_page_of_races_names_tests() -> None:
-    assert len(tests_on_the_page_of_races()) > 30
+    assert len(names_on_the_page_of_races()) > 30
 
 
-@pytest.mark.parametrize("name", tests_on_the_page_of_races())
+@pytest.mark.parametrize("name", names_on_the_page_of_races())
 def test_a_test_on_the_page_of_races_exists(name: str) -> None:
     assert name in TEST_NAMES
 
