--- a/burlmoor/membership/member.py
+++ b/burlmoor/membership/member.py
@@ -67,7 +67,8 @@
     @property
     def process_precedence(self) -> ProcessPrecedence:
         """The part of the precedence that identifies the process."""
-        return ProcessPrecedence(self.generation, self.nonce)
+        generation, nonce, _, _ = self.precedence
+        return ProcessPrecedence(generation, nonce)
 
     @property
     def is_member(self) -> bool:
--- a/burlmoor/testbed/http_server.py
+++ b/burlmoor/testbed/http_server.py
@@ -9,6 +9,7 @@
 import trio
 
 from burlmoor.testbed.http_stream import HttpStream
+from burlmoor.testbed.ports import listen_at_free_port
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -18,13 +19,13 @@
 
 
 class HttpServer:
-    """A listening socket on loopback and the connections accepted on it; by default at a port of its own."""
+    """A listening socket on loopback and the connections accepted on it; by default at a free port."""
 
     def __init__(
         self,
         serve: Callable[[HttpStream], Awaitable[object]],
         nursery: trio.Nursery,
-        address: tuple[str, int] = ("127.0.0.1", 0),
+        address: tuple[str, int] | None = None,
     ) -> None:
         self._address = address
         self._serve = serve
@@ -34,13 +35,10 @@
 
     async def open(self) -> str:
         """Listen, at the previous address if there was one, and return it as `host:port`."""
-        sock = trio.socket.socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        await sock.bind(self._address)
-        sock.listen(_BACKLOG)
+        sock = listen_at_free_port(_BACKLOG) if self._address is None else _listen_at(self._address)
         host, port = sock.getsockname()
         self._address = (host, port)
-        self._listener = trio.SocketListener(sock)
+        self._listener = trio.SocketListener(trio.socket.from_stdlib_socket(sock))
         self._nursery.start_soon(self._accept_connections, self._listener)
         return f"{host}:{port}"
 
@@ -77,3 +75,12 @@
         if self._listener is not None:
             self._listener.socket.close()
             self._listener = None
+
+
+def _listen_at(address: tuple[str, int]) -> socket.socket:
+    """Return a socket that listens at an address, also if connections of an earlier one still close there."""
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind(address)
+    sock.listen(_BACKLOG)
+    return sock
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -4,9 +4,7 @@
 
 import json
 import os
-import secrets
 import signal
-import socket
 import subprocess
 import sys
 from contextlib import suppress
@@ -17,6 +15,7 @@
 
 from burlmoor.errors import BurlmoorError
 from burlmoor.testbed.http_stream import HttpMessage, connect
+from burlmoor.testbed.ports import find_free_port
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -29,9 +28,6 @@
 _RESPONSE_TIMEOUT_SECONDS = 5.0
 _SEED = "5eed"
 _SOCKETS = 4096
-_FIRST_PORT = 30_000  # above the ports of whole fleets
-_FIRST_EPHEMERAL_PORT = 32_768  # of those that the kernel gives to connections
-_PORTS = range(_FIRST_PORT, _FIRST_EPHEMERAL_PORT)
 _PRODUCT_VARIABLES = ("RELAY_", "BURLMOOR_")
 
 
@@ -54,18 +50,6 @@
         self.path = path
 
 
-def free_port() -> int:
-    """Return a port of 127.0.0.1 that is not in use now, and that the kernel gives to no other socket.
-
-    Until the node binds it, a connection from this address could otherwise get it for its own end.
-    """
-    while True:
-        port = secrets.choice(_PORTS)
-        with suppress(OSError), socket.socket() as sock:
-            sock.bind(("127.0.0.1", port))
-            return port
-
-
 class NodeProcess:
     """One node's files, its process and its log; the folder is made where it is missing.
 
@@ -83,8 +67,8 @@
     ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self.name = name
-        self.address = ("127.0.0.1", free_port())
-        self.admin_address = ("127.0.0.1", free_port())
+        self.address = ("127.0.0.1", find_free_port())
+        self.admin_address = ("127.0.0.1", find_free_port())
         self.process: trio.Process | None = None
         self.log: list[dict[str, Any]] = []
         self.environment: dict[str, str] = {}
--- a/tests/support/service_process.py
+++ b/tests/support/service_process.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import signal
-import socket
 from pathlib import Path
 
 import msgspec
 import trio
 
 from burlmoor.testbed.http_stream import HttpMessage, HttpStream
+from burlmoor.testbed.ports import find_free_port
 from tests.support.polling import TIMEOUT_SECONDS, poll_until
 
 ROOT = Path(__file__).parents[2]
@@ -17,9 +17,7 @@
 
 def find_free_address() -> str:
     """An address of this host at which nothing listens, as `host:port`."""
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{sock.getsockname()[1]}"
+    return f"127.0.0.1:{find_free_port()}"
 
 
 class ServiceProcess:
