--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -24,7 +24,7 @@
 
 
 class UnexpectedStatusError(BurlmoorError):
-    """Discovery has answered with another status than 200 OK."""
+    """Discovery has responded with a status other than 200 OK."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}, expected 200")
@@ -39,9 +39,9 @@
 
 
 class DiscoveryClient:
-    """Owns the calls to discovery and has each list applied to the directory.
+    """Owns the calls to discovery; the updater applies each list to the directory.
 
-    Whatever goes wrong with a call, the node continues with the list that it has while the lease on it lasts.
+    If a call fails, the node continues with its present list for as long as the lease on it is valid.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.first_contact = trio.Event()  # set once the list may be used
 
     def set_address(self, address: str) -> None:
-        """Call discovery at another address, at once; what is in flight at the old one is cancelled."""
+        """Call discovery at another address immediately; a call to the old address is cancelled."""
         if address == self._address:
             return
         self._pool.close_idle_to(self._address)
@@ -81,7 +81,7 @@
         """Do nothing: the watch runs from the start and never ends, as the policy requests."""
 
     def fetch(self) -> None:
-        """Ask for the full list with the next call."""
+        """Request the full list with the next call."""
         self._schedule.request_full_list()
 
     async def run(self) -> None:
@@ -152,7 +152,7 @@
         """Send the request, and return the body of the response.
 
         Raises:
-            UnexpectedStatusError: the response is no list.
+            UnexpectedStatusError: the response's status is not 200 OK.
         """
         version = self._directory.version
         path = _PATH
--- a/burlmoor/discovery/list_lease.py
+++ b/burlmoor/discovery/list_lease.py
@@ -3,7 +3,7 @@
 Pure: no socket and no clock; times are in seconds. Discovery may change the list at any moment, and a node
 counts as notified of a change at the latest `NOTIFICATION_SECONDS` later, whether or not the change has
 arrived. So a list is valid for that long after discovery last confirmed it. The lease is checked whenever
-something is sent: a process that was stalled must not send before a timer shows that time has passed.
+something is sent: a process that was stalled may reach a send before the timer that ends the lease.
 
 What renews the lease:
 
@@ -16,11 +16,11 @@
 What does not renew it:
 
 - silence: to a node, a partition looks the same as a discovery that hangs;
-- a refusal or reset after a silence: it may be one that a partition has held back. The second in a row does;
+- a refusal or reset after a silence: a partition may have delayed it. The second in a row does;
 - anything but an answer once the lease has expired.
 
-A process that has just started was given a list of unknown age. It has no lease until discovery has answered
-with a list: that discovery is down now shows nothing of what was announced before.
+A process that has just started has a list of unknown age. It has no lease until discovery has answered with
+a list: that discovery is down now says nothing about earlier announcements.
 
 Where lists are pushed, the agent is on this machine; it is silent while discovery is down, and the list stays
 valid.
@@ -54,15 +54,15 @@
         self._call_started_at = 0.0
         self._call_wait_seconds = 0.0
         self._failures = 0  # in a row
-        # How many failures in a row show that discovery is down; infinite where only an answer helps.
+        # How many failures in a row renew the lease; infinite where only an answer does.
         self._failures_needed = math.inf
 
     def on_start(self, now: float) -> None:
-        """Note that the calls begin now."""
+        """Set the time limit for first contact; the calls begin now."""
         self._expires_at = now + FIRST_CONTACT_SECONDS
 
     def on_call_started(self, now: float, wait_seconds: float) -> None:
-        """Note that a call is made now, whose answer discovery may delay by `wait_seconds`."""
+        """Record that a call starts now, whose answer discovery may delay by `wait_seconds`."""
         self._call_started_at = now
         self._call_wait_seconds = wait_seconds
 
@@ -84,7 +84,7 @@
         if not self.is_confirmed or now >= self._expires_at:
             self._failures_needed = math.inf
         elif result is not CallResult.FAILED:
-            self._failures_needed = 1  # a response: it can be reached
+            self._failures_needed = 1  # a response shows that discovery can be reached
         if self._failures >= self._failures_needed:
             self._renew(now, _QUEUE_ALLOWANCE_SECONDS)
 
@@ -99,7 +99,7 @@
 
     @property
     def awaits_second_failure(self) -> bool:
-        """Whether the last call may have failed only because a partition healed; the next one will show."""
+        """Whether the last call may have failed only because a partition healed; the next one shows it."""
         return self._failures == 1 and self._failures_needed > 1
 
     def on_address_changed(self, now: float) -> None:
--- a/burlmoor/discovery/schedule.py
+++ b/burlmoor/discovery/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of calls to discovery: when the next is made, what for, and when its answer is overdue.
+"""The schedule of calls to discovery: when the next starts, what it requests, when it times out.
 
 Pure: no socket and no clock. It is notified how each call ended and returns the next one. All times are in
 seconds. A *watch* is a long poll: discovery answers it once something has changed, or when its wait is over.
@@ -26,10 +26,10 @@
 just started uses its old list only once discovery has answered (`list_lease.py`); after a failed call the
 deadline is `_FAILED_CALL_FACTOR` times the poll interval of the settings, if that is less.
 
-Where lists are pushed, the address is that of an agent on this machine, which answers at once and at no cost.
-The node counts as notified of what the agent has, watch or no watch, so there is no jitter and no growing
-backoff: a failed call is repeated well within the drain rule's 250 ms, and until the agent answers again, its
-calls wait no longer than that either.
+Where lists are pushed, the address is that of an agent on this machine, which answers immediately and at no
+cost. The node counts as notified of what the agent has, with or without a watch, so there is no jitter and no
+growing backoff: a failed call is repeated well within the drain rule's 250 ms, and until the agent answers
+again, its calls wait no longer than that either.
 """
 
 from __future__ import annotations
@@ -51,13 +51,14 @@
 _MAX_FIRST_JITTER_SECONDS = 2.5
 # Before a new call where no connection was established: discovery has not seen the last one, and a node that
 # was partitioned needs an answer soon after the partition heals.
-_MIN_RECONNECT_SECONDS, _MAX_RECONNECT_SECONDS = 0.05, 0.25
-_MIN_BACKOFF_SECONDS = 0.1  # before the first call after a failure, where a fleet's calls fit at once
+_MIN_RECONNECT_SECONDS = 0.05
+_MAX_RECONNECT_SECONDS = 0.25
+_MIN_BACKOFF_SECONDS = 0.1  # before the first call after a failure, where a fleet's calls need no jitter
 _MAX_BACKOFF_SECONDS = 2.0
 _MAX_BACKOFF_DOUBLINGS = 16
 _MIN_JITTER_FRACTION = 0.25  # of the jitter, before the first call after a failure
 _FAILED_CALL_FACTOR = 4.0  # times the poll interval: the notification deadline after a failed call
-_RECOVERY_WAIT_SECONDS = 0.1  # a watch's wait after a failure: whether calls are answered shows soon
+_RECOVERY_WAIT_SECONDS = 0.1  # a watch's wait after a failure, so that it is answered soon
 _AGENT_RETRY_SECONDS = 0.1  # before a new call to an agent, where one has failed
 _AGENT_ALLOWANCE_SECONDS = 0.1  # until an agent's answer is overdue, while it is silent
 
@@ -69,15 +70,15 @@
     TIMED_OUT = enum.auto()  # no answer in time
     UNREACHABLE = enum.auto()  # no connection was established, or it broke without a sign of discovery
     FAILED = enum.auto()  # refused or reset
-    REJECTED = enum.auto()  # answered with another status than 200
-    INVALID = enum.auto()  # answered with something that is no list
+    REJECTED = enum.auto()  # answered with a status other than 200
+    INVALID = enum.auto()  # answered with something that is not a list
 
 
 class DiscoveryCall(NamedTuple):
-    """The next call: when it starts, what it asks for, and how long its answer may take."""
+    """The next call: when it starts, what it requests, and how long its answer may take."""
 
     start_at: float
-    is_full_list: bool  # else a watch, which asks for changes
+    is_full_list: bool  # False: a watch, which requests changes
     wait_seconds: float  # how long discovery may hold a watch back until something changes
     timeout_seconds: float
 
@@ -102,7 +103,7 @@
         fleet_seconds = min(NOTIFICATION_SECONDS, _CALL_COST_SECONDS * node_count)
         self._max_jitter_seconds = 0.0 if has_agent else max(0.0, fleet_seconds - _QUEUE_TIMEOUT_SECONDS)
         self._max_first_jitter_seconds = min(self._max_jitter_seconds, _MAX_FIRST_JITTER_SECONDS)
-        self.failures = 0  # calls in a row that did not bring a list
+        self.failures = 0  # calls in a row that returned no list
         self._is_full_list_wanted = False  # with the next call
         self._was_full_list_requested = False  # by the last call
         self._next_start = 0.0
@@ -113,7 +114,7 @@
         self._last_answer = 0.0
 
     def on_start(self, now: float, *, has_list: bool) -> None:
-        """Schedule the first call; a node without an old list asks for the full one at once."""
+        """Schedule the first call; a node without a list requests the full one immediately."""
         self._is_full_list_wanted = not has_list
         self._is_recovering = has_list  # so that the first call is answered soon, changes or not
         self._last_answer = now
@@ -132,12 +133,12 @@
             return _AGENT_ALLOWANCE_SECONDS
         if self._is_continued or self._has_agent:
             return _OVERDUE_ALLOWANCE_SECONDS
-        # Without the addition, a rejection at the end of the queue's time would be taken for silence wherever
-        # discovery is some way off, and a whole fleet would suspend its lists while discovery is down.
+        # Without the addition, a rejection after the queue timeout would be taken for silence wherever the
+        # network adds a delay, and a whole fleet would suspend its lists while discovery is down.
         return _QUEUE_TIMEOUT_SECONDS + _OVERDUE_ALLOWANCE_SECONDS
 
     def on_call_started(self, now: float) -> None:
-        """Note that the next call is made now."""
+        """Record that the next call starts now."""
         self._last_start = now
         self._was_full_list_requested = self._is_full_list_wanted
 
@@ -168,31 +169,32 @@
         self._notification_deadline = math.inf
         self._last_answer = now
         self._next_start = now
-        # A full list that was wanted only after this call had started is still to come.
+        # A full list that was requested after this call had started is still pending.
         self._is_full_list_wanted = self._is_full_list_wanted and not self._was_full_list_requested
 
     def _retry_delay(self, allowance: float, now: float, *, is_timeout: bool) -> float:
         """Draw the backoff with jitter before the next call, so that it still meets its deadline."""
         if is_timeout:
-            # Silence is no sign that discovery is overloaded, so a small fleet calls again at once.
-            backoff = least = 0.0
+            # Silence is no sign that discovery is overloaded, so a small fleet calls again immediately.
+            backoff = min_delay = 0.0
         else:
             backoff = self._backoff()
-            least = max(0.5 * backoff, _MIN_JITTER_FRACTION * self._max_jitter_seconds)
-        latest = self._notification_deadline - _QUEUE_TIMEOUT_SECONDS
-        if latest - now <= least:
+            min_delay = max(0.5 * backoff, _MIN_JITTER_FRACTION * self._max_jitter_seconds)
+        latest_start = self._notification_deadline - _QUEUE_TIMEOUT_SECONDS
+        if latest_start - now <= min_delay:
             # Too late for the earliest change: meet the deadline of those since this call was made.
-            latest = self._last_start + allowance - _QUEUE_TIMEOUT_SECONDS
-        # Without the lower bound, a call whose deadline has passed would be repeated at once without end.
-        most = max(min(least, 0.5 * _MIN_BACKOFF_SECONDS), latest - now)
-        return self._rng.uniform(min(least, most), min(max(backoff, self._max_jitter_seconds), most))
+            latest_start = self._last_start + allowance - _QUEUE_TIMEOUT_SECONDS
+        # Without the lower bound, a call whose deadline has passed would be repeated without a pause.
+        max_delay = max(min(min_delay, 0.5 * _MIN_BACKOFF_SECONDS), latest_start - now)
+        wanted_delay = max(backoff, self._max_jitter_seconds)
+        return self._rng.uniform(min(min_delay, max_delay), min(wanted_delay, max_delay))
 
     def _backoff(self) -> float:
         doublings = min(self.failures - 1, _MAX_BACKOFF_DOUBLINGS)
         return min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2.0**doublings)
 
     def notification_deadline(self) -> float:
-        """Return when the node counts as notified of what it may have missed; infinity if that is nothing."""
+        """Return when the node counts as notified of changes that it may have missed; infinity if of none."""
         return self._notification_deadline
 
     def age_seconds(self, now: float) -> float:
@@ -200,11 +202,11 @@
         return now - self._last_answer
 
     def request_full_list(self) -> None:
-        """Ask for the full list with the next call."""
+        """Request the full list with the next call."""
         self._is_full_list_wanted = True
 
     def on_address_changed(self, now: float) -> None:
-        """Ask for the full list at once: discovery is at another address, whose versions are its own."""
+        """Request the full list immediately: versions of discovery at another address are not comparable."""
         self.failures = 0
         self._is_full_list_wanted = True
         self._next_start = now
--- a/burlmoor/downstream/accepted_socket.py
+++ b/burlmoor/downstream/accepted_socket.py
@@ -19,7 +19,7 @@
 
 _INBOUND_BUFFER_BYTES = 16 * 1024
 _OUTBOUND_BUFFER_BYTES = 128 * 1024
-WRITE_TIMEOUT_SECONDS = 5.0  # in which a client has to read a response
+WRITE_TIMEOUT_SECONDS = 5.0  # within which a client has to read a response
 # How long, and how much, a peer may still write after the last response.
 _LINGER_SECONDS = 1.0
 LINGER_BYTES = 8 << 20
@@ -61,9 +61,9 @@
         self.note_close(CloseReason.ERROR)
 
     def send(self, data: bytes) -> bool:
-        """Write the data, in a task of its own what the kernel doesn't accept now.
+        """Write the data; a separate task writes what the kernel doesn't accept now.
 
-        Returns whether that is possible: if not, the connection is about to be closed.
+        Returns False if that failed, so that the connection is about to be closed.
         """
         try:
             self.stream.send(data)
@@ -88,7 +88,7 @@
             self.scope.cancel()
 
     async def finish(self, *, may_have_unread_input: bool, has_rejected_body: bool) -> None:
-        """Wait until the peer has been sent the last response, and has had the time to read it.
+        """Wait until the last response has been written and the peer has had time to read it.
 
         Raises OSError if the connection breaks.
         """
@@ -98,9 +98,9 @@
             await self._linger(has_rejected_body=has_rejected_body)
 
     async def _linger(self, *, has_rejected_body: bool) -> None:
-        """Let the response reach a client that still writes: a close at once would reset the connection.
+        """Give a client that still writes time to read the response: a close now would reset the connection.
 
-        A body that was announced is read to its end, since its client may read only once it has written.
+        A rejected body is read to its end, since its client may not read before it has written all of it.
         """
         self.stream.shut_down_sending()
         deadline = trio.current_time() + _LINGER_SECONDS
@@ -112,9 +112,9 @@
             await self.stream.discard_until_end(max_bytes)
 
     def close(self, default_reason: CloseReason) -> None:
-        """Close the socket and count the reason: the first one noted, or this one."""
+        """Close the socket and count the reason: the first one noted, or `default_reason`."""
         if self.stream.is_closed:
-            return  # or passed to another process
+            return  # closed before, or passed to another process
         reason = self._close_reason or default_reason
         self._counters.count(CounterGroup.CLIENT_CLOSES, reason.value)
         self.stream.close()
--- a/burlmoor/downstream/callbacks.py
+++ b/burlmoor/downstream/callbacks.py
@@ -43,18 +43,18 @@
 
 
 class CallbackResult(Enum):
-    """What became of a call-back."""
+    """The result of handling a call-back."""
 
     ACCEPTED = "accepted"
-    UNKNOWN = "unknown"  # no open attempt here is the one that it names
+    UNKNOWN = "unknown"  # it names no open attempt of this process
     INVALID = "invalid"
 
 
 def handle_callback(jobs: JobRegistry, lifecycle: JobLifecycle, body: bytes) -> CallbackResult:
     """Report a call-back to the engine.
 
-    A call-back may arrive twice, before the 202, or for an attempt of a job that is closed: then no attempt
-    is found and nothing changes, and the executor still gets its response.
+    It may arrive before the 202, and counts then too. One for an attempt that has ended, such as a repeated
+    one, changes nothing, and the executor still gets its response.
     """
     try:
         event = _DECODER.decode(body)
--- a/burlmoor/downstream/connection.py
+++ b/burlmoor/downstream/connection.py
@@ -26,9 +26,9 @@
 
 
 class DownstreamConnection:
-    """Owns the requests and responses of one accepted connection. It is the `Responder` of its job.
+    """Owns the requests and responses of one accepted connection. Implements `Responder` for its job.
 
-    `has_been_used` tells whether a complete request has arrived. `state_since` is when the connection was
+    `has_been_used` is whether a complete request has arrived. `state_since` is when the connection was
     accepted, began to receive its present request, or wrote its last response; `last_received_at` is when
     bytes last arrived.
     """
@@ -53,7 +53,7 @@
         self._peers = peers
         self._drain = drain
         self._nursery = nursery
-        self._job: Job | None = None  # whose answer the client waits for
+        self._job: Job | None = None  # the job whose answer the client waits for
         self._is_processing = False
         self.has_been_used = has_been_used
         self.state_since = trio.current_time() if has_been_used else accepted_socket.accepted_at
@@ -87,9 +87,9 @@
     # --- reading --------------------------------------------------------------------------------
 
     def serve_without_task(self) -> bool:
-        """Handle what has arrived with the connection; return whether the connection ends with that.
+        """Handle the input that has already arrived; return whether the connection is closed after that.
 
-        Most connections are call-backs of one request each: those need no task of their own.
+        Most connections carry one call-back each, and need no task.
         """
         try:
             if self._stream.receive_now() is ReceiveResult.DATA:
@@ -123,9 +123,9 @@
     async def _read(self) -> None:
         while not self.is_finished:
             if not self._stream.inbound.free_space:
-                # Without this, jobs would run for clients that have disconnected: a close arrives behind what
-                # was written. A client that keeps writing has more than one request open, so the rest is
-                # discarded, and the response closes the connection.
+                # Without this, jobs would run for clients that have disconnected: a close can only be read
+                # after everything written before it. A client that keeps writing has more than one request
+                # open, so the rest is discarded, and the response closes the connection.
                 self._http.stop_reading()
                 await self._stream.discard_until_end(LINGER_BYTES)
                 return
@@ -134,7 +134,7 @@
             self.process_input()
 
     def process_input(self) -> None:
-        """Handle the requests among what was read, until one has to wait for its response."""
+        """Handle the buffered requests, until one has to wait for its response."""
         # Without this, the answer of a job admitted from a connection that is being closed would be lost.
         if self._is_processing or self._socket.scope.cancel_called:
             return
@@ -164,12 +164,12 @@
         elif isinstance(result, JobCallback):
             self._nursery.start_soon(self._forward_callback, result.body)
         else:
-            # Noted first: after an error in what follows, its client counts as disconnected.
+            # Set first: if the next call fails, the client counts as disconnected.
             self._job = result
             self._handler.on_job_admitted(result)
 
     def respond(self, answer: FinalAnswer) -> None:
-        """Send the client its job's one final answer."""
+        """Send the client the one final answer of its job."""
         self._job = None
         self._write_response(self._handler.on_job_answered(answer))
         self.process_input()
@@ -200,14 +200,14 @@
     # --- closing --------------------------------------------------------------------------------
 
     def close_soon(self, reason: CloseReason) -> None:
-        """Close the connection soon."""
+        """Stop reading and close the connection, now if there is nothing left to write."""
         self._socket.note_close(reason)
         self._socket.scope.cancel()
         if self.is_finished and not self.has_unsent:
             self._close_socket()
 
     def close_now(self) -> None:
-        """Close the connection now; a client that waits on it gets no response any more."""
+        """Close the connection now; a client that waits for a response gets none."""
         self._close_socket()
         if self._job is not None:
             self._handler.on_client_disconnected(self._job)
--- a/burlmoor/downstream/connection_set.py
+++ b/burlmoor/downstream/connection_set.py
@@ -17,14 +17,14 @@
 if TYPE_CHECKING:
     from burlmoor.downstream.eviction import TrackedConnection
 
-_FULL_RETRY_SECONDS = 0.05  # after which a full set is looked at again, unless a connection ends before
-# Connections that waiting clients leave to call-backs: one in so many, at least so many.
-_CALLBACK_SHARE = 8
-_MIN_FOR_CALLBACKS = 4
+_FULL_RETRY_SECONDS = 0.05  # before eviction is tried again on a full set, unless a connection ends first
+# Connections reserved for call-backs, which waiting clients may not use: one in so many, and a minimum.
+_CONNECTIONS_PER_RESERVED = 8
+_MIN_RESERVED = 4
 
 
 class ConnectionSet:
-    """Owns which connections are open, their limit, and how many clients wait for an answer."""
+    """Owns the open connections, their limit, and the number of clients that wait for an answer."""
 
     def __init__(self, max_connections: int) -> None:
         self._connections: set[TrackedConnection] = set()
@@ -46,7 +46,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether as many connections are open as may be."""
+        """Whether the connection limit is reached."""
         return len(self._connections) >= self._max_connections
 
     @property
@@ -75,7 +75,7 @@
         self._connection_ended.set()
 
     async def wait_for_capacity(self) -> None:
-        """Wait until a connection ends, or for so long that one may be evicted by now."""
+        """Wait until a connection ends, for a limited time, since one may have become evictable by then."""
         self._connection_ended = trio.Event()
         with trio.move_on_after(_FULL_RETRY_SECONDS):
             await self._connection_ended.wait()
@@ -93,8 +93,8 @@
         Without this, waiting clients could use all connections: with none left for the call-backs that
         answer them, all would wait until their deadlines.
         """
-        for_callbacks = max(_MIN_FOR_CALLBACKS, self._max_connections // _CALLBACK_SHARE)
-        return self._waiting_client_count < self._max_connections - for_callbacks
+        reserved = max(_MIN_RESERVED, self._max_connections // _CONNECTIONS_PER_RESERVED)
+        return self._waiting_client_count < self._max_connections - reserved
 
     def on_client_waiting(self) -> None:
         """Count a client whose job has been admitted."""
@@ -109,7 +109,7 @@
     def evict_one(self) -> bool:
         """Close one connection to make room: first unused, then idle, then stalled ones.
 
-        Returns whether there was one that may be closed.
+        Returns False if none may be closed.
         """
         connection = select_for_eviction(self._connections, trio.current_time())
         if connection is None:
--- a/burlmoor/downstream/drain.py
+++ b/burlmoor/downstream/drain.py
@@ -12,7 +12,7 @@
 
 
 class ServiceState(IntEnum):
-    """How far the node stops serving its clients. Each state does all that the ones before it do."""
+    """How far the node has stopped serving its clients. Each state includes the ones before it."""
 
     ACCEPTING = 0
     UNREADY = 1  # readiness checks fail; connected clients are served as before
@@ -21,7 +21,7 @@
 
 
 class ScheduledState(NamedTuple):
-    """A state that is reached so many seconds after the shutdown or drain began."""
+    """A state, and how long after the begin of a shutdown or drain it is reached."""
 
     after_seconds: float
     state: ServiceState
@@ -29,7 +29,7 @@
 
 Schedule = tuple[ScheduledState, ...]  # the latest state first
 
-# From SIGTERM until SIGKILL may follow: the longest deadline, this at most, and a margin.
+# The time from SIGTERM to SIGKILL: the longest deadline of a job, this at most, and a margin.
 _MAX_COUNTED_DEADLINE_SECONDS = 3.0
 _GRACE_MARGIN_SECONDS = 0.7
 _MAX_GRACE_PERIOD_SECONDS = _MAX_COUNTED_DEADLINE_SECONDS + _GRACE_MARGIN_SECONDS
@@ -80,13 +80,13 @@
 class DrainController:
     """Owns when a graceful shutdown and a drain began; the state follows from the time since then.
 
-    No task moves it, so a drain can be ended, or overtaken by a shutdown, at any point without leftovers.
+    No task advances the state, so a drain can be ended, or followed by a shutdown, at any point.
     `grace_period_seconds` is the time from SIGTERM until SIGKILL may follow.
     """
 
     def __init__(self, grace_period_seconds: float = _MAX_GRACE_PERIOD_SECONDS) -> None:
         self._shutdown_schedule = _build_shutdown_schedule(grace_period_seconds)
-        # After SIGTERM, by when jobs that were admitted late are answered: SIGKILL would lose them.
+        # How long after SIGTERM jobs admitted late are answered at the latest: SIGKILL would lose them.
         self.answer_within_seconds = max(
             grace_period_seconds - _ANSWER_MARGIN_SECONDS, _MIN_ANSWER_SHARE * grace_period_seconds
         )
@@ -113,7 +113,7 @@
         return self._drain_began_at is not None
 
     def begin_shutdown(self, seconds_ago: float = 0.0) -> None:
-        """Begin a graceful shutdown as of so many seconds ago; one that has begun continues unchanged."""
+        """Begin a graceful shutdown as of `seconds_ago`; one that has begun continues unchanged."""
         if self._shutdown_began_at is None:
             self._shutdown_began_at = trio.current_time() - seconds_ago
 
--- a/burlmoor/downstream/eviction.py
+++ b/burlmoor/downstream/eviction.py
@@ -13,8 +13,8 @@
 
     from burlmoor.types.reasons import CloseReason
 
-# In which a request has to arrive; for the first one counted from the accept. Clients may take 2 s to write a
-# request, and one that never ends is closed within 3 s.
+# Within which a request has to arrive, for the first one counted from the accept. Clients may take 2 s to
+# write a request, and the connection of one that never ends is closed within 3 s.
 _REQUEST_TIMEOUT_SECONDS = 2.6
 _IDLE_TIMEOUT_SECONDS = 120.0  # for which a connection may be idle after its first request
 # After which a connection may be closed to make room for others.
@@ -25,7 +25,7 @@
 
 
 class TrackedConnection(Protocol):
-    """What the set of connections needs to know of each, and does to it."""
+    """A connection, as `ConnectionSet` requires it."""
 
     @property
     def is_idle(self) -> bool:
@@ -60,14 +60,14 @@
         """When bytes last arrived."""
 
     def close_soon(self, reason: CloseReason) -> None:
-        """Close the connection soon."""
+        """Stop reading and close the connection, now if there is nothing left to write."""
 
     def pass_to_successor(self) -> None:
         """Pass the connection to the process that has taken over, if it is idle."""
 
 
 class EvictionPriority(IntEnum):
-    """The kinds of connections that may be evicted, in the order in which they are."""
+    """The kinds of connections that may be evicted, in the order of eviction."""
 
     UNUSED = 0  # no request has been begun yet
     IDLE = 1
@@ -82,7 +82,7 @@
 
 
 def select_for_eviction(connections: Iterable[TrackedConnection], now: float) -> TrackedConnection | None:
-    """Select the connection that is evicted where another one needs its place; None if all are kept."""
+    """Select the connection to evict in favour of a new one; None if none may be evicted."""
     candidates = [
         (rank, connection)
         for connection in connections
@@ -94,10 +94,10 @@
 
 
 def _eviction_rank(connection: TrackedConnection, now: float) -> EvictionRank | None:
-    """Return the rank of a connection, or None while it is kept.
+    """Return the rank of a connection, or None while it may not be evicted.
 
-    Clients write their first request at once, and a slow one keeps writing: a connection on which nothing
-    arrives is probably no client's.
+    Clients write their first request immediately, and slow ones keep writing: a connection on which nothing
+    arrives is probably not a client's.
     """
     if connection.is_awaiting_response or connection.has_unsent:
         return None
@@ -114,7 +114,7 @@
 
 
 def select_timed_out(connections: Iterable[TrackedConnection], now: float) -> list[TrackedConnection]:
-    """Select the connections that have been in their present state for longer than that may last."""
+    """Select the connections that have exceeded the time limit of their present state."""
     return [
         connection
         for connection in connections
--- a/burlmoor/downstream/http.py
+++ b/burlmoor/downstream/http.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 on the client's side of a connection, as a state machine: bytes in, requests and bytes out.
 
-Knows no socket and no clock. Executors' call-backs and readiness checks arrive here too.
+Uses no socket and no clock. Executors' call-backs and readiness checks arrive here too.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 
 
 class NoOpenRequestError(BurlmoorError, RuntimeError):
-    """A response was given where there is no open request: an error of the caller."""
+    """A response was to be encoded although no request is open: an error of the caller."""
 
 
 class HttpServerConnection:
-    """Owns the HTTP state of one accepted connection. One request at a time; the rest waits unread.
+    """Owns the HTTP state of one accepted connection. One request at a time; later input stays unparsed.
 
     - `has_open_request`: a request has arrived and has no response yet
     - `is_closing`: nothing more is read from this connection; it is closed after the open request's response
@@ -62,7 +62,7 @@
 
     @property
     def may_have_unread_input(self) -> bool:
-        """Whether input is, or may still arrive, that is not read here."""
+        """Whether there is unread input, or more may still arrive."""
         has_ended = self._http.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
         return not has_ended or bool(self._http.trailing_data[0])
 
@@ -72,7 +72,7 @@
         return not self.has_open_request and self._head is None and not self._http.trailing_data[0]
 
     def stop_reading(self) -> None:
-        """Read nothing more: the connection is closed, after the open request's response if there is one."""
+        """Stop reading: the connection is to be closed, after the open request's response if there is one."""
         self.is_closing = True
 
     def receive_data(self, data: bytes) -> ParsedRequest | None:
@@ -133,9 +133,9 @@
     def _reject(self, rejection: InvalidRequest) -> InvalidRequest:
         self.has_open_request = True
         self._note_method()
-        # Without this, clients could send the same again at once: so each rejection costs them a connection.
+        # Without this, clients could repeat invalid requests at no cost: a rejection closes the connection.
         self.stop_reading()
-        # h11 quotes what it could not read, up to 16 KiB of it: neither the log nor the response has that.
+        # h11 quotes up to 16 KiB of input that it can't parse, too much for the log and the response.
         return InvalidRequest(rejection.status, rejection.reason[:_MAX_REASON_LENGTH])
 
     def _route(self) -> ParsedRequest:
@@ -158,7 +158,7 @@
             return InvalidRequest(HTTPStatus.BAD_REQUEST, str(error))
 
     def encode_continue_response(self) -> bytes:
-        """Encode the interim response that a client waits for before it sends its body, if one does."""
+        """Encode 100 Continue if the client waits for it before it sends its body, else nothing."""
         if self._http.they_are_waiting_for_100_continue and not self.is_closing:
             return self._http.send(_CONTINUE) or b""
         return b""
--- a/burlmoor/downstream/interfaces.py
+++ b/burlmoor/downstream/interfaces.py
@@ -1,4 +1,4 @@
-"""What the downstream server requires of the parts that are attached to it while they are active."""
+"""Interfaces of the parts that are attached to the downstream server while they are active."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SuccessorProcess(Protocol):
-    """The process that accepts in this one's place after a handover."""
+    """The process that accepts connections in place of this one after a handover."""
 
     def pass_connection(self, sock: socket.socket, *, has_been_used: bool, age_seconds: float) -> None:
         """Take over an idle connection and its socket.
--- a/burlmoor/downstream/job_headers.py
+++ b/burlmoor/downstream/job_headers.py
@@ -21,13 +21,13 @@
 REQUEST_ID = re.compile(r"[0-9A-Za-z._~-]{1,64}")
 _DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 _INTEGER = re.compile(r"[0-9]{1,9}")
-# Printable, and short enough to be kept for every job: no publication bounds a key's length.
+# Printable, and short enough to be stored for every job: no specification limits a key's length.
 _IDEMPOTENCY_KEY = re.compile(r"[\x20-\x7e]{1,255}")
-_MAX_SLOTS = 64.0  # of one job; no executor has as many
+_MAX_SLOTS = 64.0  # of one job; no executor has more
 _SINGLE_HEADERS = frozenset(
     (b"request-id", b"request-timeout-ms", b"tenant", b"work-hint", b"client-retry", b"idempotency-key")
 )
-_SEGMENTS_WITHOUT_KEY = 2  # of a path split at "/": "", the class; the last of more is the affinity key
+_SEGMENTS_WITHOUT_KEY = 2  # "" and the class; the last segment of a longer path is the affinity key
 
 _Fields = dict[bytes, str]
 
@@ -53,7 +53,8 @@
 class JobSubmissionParser:
     """Parses the job submissions of all connections of a server.
 
-    `classes` are the names of the classes that jobs may have; in some a job has to have an idempotency key.
+    `classes` are the names of the job classes, `classes_requiring_key` of those whose jobs must have an
+    idempotency key.
     """
 
     def __init__(self, classes: Iterable[str], classes_requiring_key: Iterable[str] = ()) -> None:
@@ -116,10 +117,10 @@
 
 
 def _parse_integer(fields: _Fields, name: bytes) -> int | None:
-    """Parse a header's integer, which is not negative; None where there is no such header.
+    """Parse a header's non-negative integer; None where there is no such header.
 
     Raises:
-        InvalidHeaderError: the header is no such integer.
+        InvalidHeaderError: the header is not such an integer.
     """
     text = fields.get(name)
     if text is None:
--- a/burlmoor/downstream/peer_processes.py
+++ b/burlmoor/downstream/peer_processes.py
@@ -9,7 +9,7 @@
 
 
 class PeerProcesses:
-    """Owns which process idle connections are passed to, and where call-backs are forwarded.
+    """Owns the references to the process that idle connections are passed to, and to the forwarder.
 
     - `successor`: accepts in this process's place; None if there is none
     - `callback_forwarder`: forwards call-backs for unknown jobs; None if this process is the only one
@@ -20,9 +20,9 @@
         self.callback_forwarder: CallbackForwarder | None = None
 
     def attach_successor(self, successor: SuccessorProcess | None) -> None:
-        """Let idle connections be passed to this process from now on; None: to none."""
+        """Pass idle connections to this process from now on; None: to none."""
         self.successor = successor
 
     def attach_callback_forwarder(self, forwarder: CallbackForwarder | None) -> None:
-        """Let call-backs for unknown jobs be forwarded from now on; None: answer them here."""
+        """Forward call-backs for unknown jobs from now on; None: answer them here."""
         self.callback_forwarder = forwarder
--- a/burlmoor/downstream/request_handler.py
+++ b/burlmoor/downstream/request_handler.py
@@ -1,6 +1,6 @@
-"""What a parsed request does: it admits a job, delivers a call-back, or is answered at once.
+"""Handles parsed requests: admits jobs, delivers call-backs, and answers all others immediately.
 
-The rejections that need no policy are made here and in `http`; the policy's come as a job's final answer.
+Rejections that need no policy are made here and in `http`; those of the policy are final answers of jobs.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     ID_IN_USE = "the id is in use"
 
 
-# The connection is closed too: it leaves its place to call-backs, and to clients that retry elsewhere.
+# Closed too, so that the connection's place is free for call-backs.
 _NO_CAPACITY = Response(
     HTTPStatus.SERVICE_UNAVAILABLE, headers=((RETRY_AFTER, "0.5"),), closes_connection=True
 )
@@ -50,8 +50,7 @@
 _CALLBACK_ACCEPTED = Response(HTTPStatus.NO_CONTENT)
 _CALLBACK_INVALID = Response(HTTPStatus.BAD_REQUEST, b"not a job event\n", closes_connection=True)
 _CALLBACK_NOT_ACKNOWLEDGED = Response(HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True)
-# A readiness check needs no connection that lasts. Without the close, checkers that ask once and stay
-# connected would use up the connection limit.
+# Without the close, health checkers that stay connected after one check would use up the connection limit.
 _READY = Response(HTTPStatus.OK, b"ready\n", closes_connection=True)
 _NOT_READY = Response(HTTPStatus.SERVICE_UNAVAILABLE, b"taking no clients\n", closes_connection=True)
 
@@ -80,8 +79,8 @@
     def handle(self, request: ParsedRequest, responder: Responder) -> Response | Job | JobCallback:
         """Handle a request.
 
-        Returns its response; or the job that was admitted, whose answer `responder` is given later; or the
-        call-back, if `forward_callback` is to be called for its response.
+        Returns its response; or the admitted job, whose answer is passed to `responder` later; or the
+        call-back, if its response has to be requested with `forward_callback`.
         """
         match request:
             case JobSubmission():
@@ -118,18 +117,18 @@
         return response
 
     def on_job_admitted(self, job: Job) -> None:
-        """Note that a client waits for this job's answer."""
+        """Count the client, which waits for this job's answer."""
         self._connections.on_client_waiting()
         if self._peers.successor is not None:
             self._peers.successor.on_job_opened(job.id)
 
     def on_job_answered(self, answer: FinalAnswer) -> Response:
-        """Note that a client has its answer, and return that as the response to its submission."""
+        """Stop counting the client as waiting, and return the response to its submission."""
         self._connections.on_client_gone()
         return build_answer_response(answer)
 
     def on_client_disconnected(self, job: Job) -> None:
-        """Note that the client of this job gets no answer any more."""
+        """Handle that a client has disconnected before its job was answered."""
         self._connections.on_client_gone()
         self._lifecycle.on_client_disconnected(job)
 
@@ -146,7 +145,7 @@
     async def forward_callback(self, body: bytes) -> Response:
         """Return the response to a call-back once the process that knows its job has acknowledged it.
 
-        Without this, a result would be lost: the executor does not repeat what was answered.
+        Without this, a result would be lost: the executor does not repeat a call-back that was answered.
         """
         forwarder = self._peers.callback_forwarder
         is_acknowledged = forwarder is not None and await forwarder.forward_callback(body)
@@ -157,8 +156,8 @@
     def _is_ready(self) -> bool:
         """Return whether load balancers in front may send clients to this node.
 
-        Without the first case, the answer would be no while another process of this node accepts clients,
-        and load balancers would leave the node out for seconds.
+        Without the first case, this process would report the node as not ready while another process of it
+        accepts clients, and load balancers would send it no clients for seconds.
         """
         if self._peers.successor is not None:
             return not self._drain.is_drained
--- a/burlmoor/downstream/requests.py
+++ b/burlmoor/downstream/requests.py
@@ -1,4 +1,4 @@
-"""The requests that a downstream connection can carry, as parsed."""
+"""The parsed requests of a downstream connection."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """A request that is rejected as it stands, with this status; the reason is the response's body."""
+    """A request that is rejected without being handled, with this status and the reason as its body."""
 
     status: HTTPStatus
     reason: str
--- a/burlmoor/downstream/responses.py
+++ b/burlmoor/downstream/responses.py
@@ -1,4 +1,4 @@
-"""The responses that a downstream connection can carry, not yet encoded."""
+"""The responses of a downstream connection, before they are encoded."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     body: bytes = b""
     headers: tuple[tuple[str, str], ...] = ()
     closes_connection: bool = False
-    close_reason: CloseReason | None = None  # unless it is `LAST_RESPONSE`
+    close_reason: CloseReason | None = None  # None: `LAST_RESPONSE`
 
 
 _STATUS_OK = HTTPStatus.OK
--- a/burlmoor/downstream/server.py
+++ b/burlmoor/downstream/server.py
@@ -1,4 +1,4 @@
-"""The downstream server: accepts connections, serves them, and sweeps those past a limit."""
+"""The downstream server: accepts connections, serves them, and closes those past a time limit."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
     @property
     def address(self) -> SocketAddress:
-        """Where it listens."""
+        """The address at which it listens."""
         host, port = self._listener.getsockname()
         return SocketAddress(str(host), int(port))
 
@@ -80,8 +80,8 @@
         while True:
             await trio.lowlevel.wait_readable(self._listener)
             if self.connections.is_full and not self.connections.evict_one():
-                # Without this, the node would exceed its limit on sockets: the rest waits in the backlog
-                # until a connection ends.
+                # Without this, the node would exceed its limit on sockets: further connections wait in the
+                # backlog until one ends.
                 await self.connections.wait_for_capacity()
                 continue
             sock = await accept(self._listener, self._on_descriptors_exhausted)
@@ -132,7 +132,7 @@
     # --- closing --------------------------------------------------------------------------------
 
     async def sweep(self) -> None:
-        """Close periodically what is idle or stalled, in time for its peer to notice."""
+        """Periodically close the connections past a time limit, and idle ones while the node drains."""
         while True:
             await trio.sleep(_SWEEP_INTERVAL_SECONDS)
             self._sweep_once(trio.current_time())
--- a/burlmoor/endpoints/directory.py
+++ b/burlmoor/endpoints/directory.py
@@ -1,4 +1,4 @@
-"""The endpoint directory: the discovered list as this node has it, with overrides laid over it."""
+"""The endpoint directory: the discovered list as this node has it, with overrides applied."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
         return self.table.snapshot()
 
     def policy_entries(self, entries: Iterable[DiscoveredEndpoint]) -> list[EndpointEntry]:
-        """Convert entries to the policy's form, with the overrides laid over them."""
+        """Convert entries to the policy's form, with the overrides applied."""
         return [
             EndpointEntry(
                 endpoint=entry.name,
--- a/burlmoor/endpoints/discovered_list.py
+++ b/burlmoor/endpoints/discovered_list.py
@@ -22,7 +22,7 @@
     zone: str = msgspec.field(name="site", default="")
     kind: str = msgspec.field(name="class", default="")
     cell: int = msgspec.field(name="block", default=0)
-    health: str = "left"  # `active`, `leaving` or `left`; any other word counts as `left`
+    health: str = "left"  # `active`, `leaving` or `left`; any other value counts as `left`
     weight: float = msgspec.field(name="share", default=1.0)
     started_unix_ms: float = msgspec.field(name="born_ms", default=0.0)
 
@@ -40,5 +40,5 @@
     """A list of the discovery service: all endpoints, or those that changed since an earlier version."""
 
     version: int = msgspec.field(name="seq")
-    is_complete: bool = msgspec.field(name="whole", default=True)  # else only the changed entries
+    is_complete: bool = msgspec.field(name="whole", default=True)  # False: only the changed entries
     endpoints: list[DiscoveredEndpoint] = msgspec.field(name="hosts", default=[])
--- a/burlmoor/endpoints/endpoint_table.py
+++ b/burlmoor/endpoints/endpoint_table.py
@@ -9,7 +9,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """Where one process of an executor listens, and whether it wants new work."""
+    """The address, state and start of one process of an endpoint."""
 
     address: str  # `host:port`
     state: EndpointState
@@ -19,8 +19,8 @@
 class MergedList(NamedTuple):
     """The result of a merge."""
 
-    entries: list[DiscoveredEndpoint]  # the list's entries as they now hold
-    stale_addresses: list[str]  # whose idle connections belong to processes that are gone
+    entries: list[DiscoveredEndpoint]  # the list's entries as they were merged
+    stale_addresses: list[str]  # the addresses of processes that have been replaced or removed
 
 
 class EndpointTable:
@@ -49,14 +49,14 @@
         return DiscoveredList(self.version, is_complete=True, endpoints=list(self.entries.values()))
 
     def merge(self, update: DiscoveredList) -> MergedList:
-        """Merge a list: a complete one replaces all known entries, a partial one only those that it has."""
+        """Merge a list: a complete one replaces all known entries, a partial one only those it contains."""
         stale_addresses = self._remove_unlisted(update) if update.is_complete else []
         is_older = self.version is not None and update.version < self.version
         entries = []
         for received in update.endpoints:
             known = self._listed.get(received.name)
             entry = self._keep_drain(received, known) if is_older else received
-            # One that is gone keeps its address, so that its attempts can still be cancelled there.
+            # An endpoint that is gone keeps its address, so that attempts there can still be cancelled.
             address = entry.address or (known.address if known else "")
             listed = ListedEndpoint(address, entry.state, entry.started_unix_ms)
             if known is not None and _is_other_process(known, listed):
@@ -68,7 +68,7 @@
         return MergedList(entries, stale_addresses)
 
     def _remove_unlisted(self, update: DiscoveredList) -> list[str]:
-        """Remove the endpoints that a complete list doesn't have, and return their addresses."""
+        """Remove the endpoints that a complete list doesn't contain, and return their addresses."""
         names = {entry.name for entry in update.endpoints}
         removed = [name for name in self._listed if name not in names]
         for name in removed:
@@ -89,5 +89,5 @@
 
 
 def _is_other_process(known: ListedEndpoint, listed: ListedEndpoint) -> bool:
-    """Whether an endpoint's process has been replaced: the new one knows nothing of the old connections."""
+    """Return whether an endpoint's process has been replaced, so that its old connections are stale."""
     return (listed.address, listed.started_unix_ms) != (known.address, known.started_unix_ms)
--- a/burlmoor/endpoints/interfaces.py
+++ b/burlmoor/endpoints/interfaces.py
@@ -1,4 +1,4 @@
-"""What the updater of the endpoint list requires of the parts around it."""
+"""Interfaces that the updater of the endpoint list uses."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     """Is notified of each update of the endpoint list."""
 
     def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None:
-        """Handle an update: entries with the administrative overrides laid over them."""
+        """Handle an update: entries with the administrative overrides applied."""
 
 
 class LivenessObserver(Protocol):
-    """Is notified which endpoints may not be sent new work any more."""
+    """Is notified of endpoints that may no longer be sent new work."""
 
     def on_endpoints_not_live(self, names: frozenset[str]) -> None:
         """Handle that these endpoints, live until now, are draining, gone, or disabled."""
--- a/burlmoor/endpoints/list_updater.py
+++ b/burlmoor/endpoints/list_updater.py
@@ -52,7 +52,7 @@
     # --- administrative overrides -----------------------------------------------------------------
 
     def disable(self, name: str) -> None:
-        """Send no new work to this endpoint until it is enabled again; repeated, it changes nothing."""
+        """Send no new work to this endpoint until it is enabled again; no effect if it is disabled."""
         was_live = self._directory.find_reported_live(name) is not None
         if self._directory.overrides.disable(name, _unix_ms()):
             self._report([name])
@@ -60,13 +60,13 @@
                 self._report_not_live({name})
 
     def enable(self, name: str) -> None:
-        """Apply the list's state to this endpoint again; repeated, it changes nothing."""
+        """Apply the list's state to this endpoint again; no effect if it is not disabled."""
         entry = self._table.entries.get(name)
         listed_start_unix_ms = entry.started_unix_ms if entry else None
         if not self._directory.overrides.enable(name, listed_start_unix_ms, _unix_ms()):
             return
         if entry is not None:
-            # An idle connection may belong to an earlier process, and would lose the next job written to it.
+            # An idle connection may belong to an earlier process: the next job written to it would be lost.
             self._connections.close_idle_to(entry.address)
         self._report([name])
 
@@ -87,7 +87,7 @@
         self._is_suspension_logged = True
         self._log(EndpointListSuspended(age_seconds=age_seconds, version=self._table.version))
         if self._directory.is_suspended:
-            return  # from the start
+            return  # since the start, without a lease
         live_before = self._directory.reported_live_names()
         self._directory.set_suspended(is_suspended=True)
         self._report(list(self._table.entries))
@@ -115,7 +115,7 @@
         self._report_entries(ListKind.CACHED, entries)
 
     def restore(self, from_predecessor: DiscoveredList | None) -> None:
-        """Apply the list of the process before this one, which is newer than the cached one."""
+        """Apply the list of this process's predecessor, which is newer than the cached one."""
         if from_predecessor is not None:
             live_before = self._directory.reported_live_names()
             entries = self._merge(from_predecessor)
@@ -126,13 +126,13 @@
         """Apply a response of the discovery service; single invalid entries are logged and skipped.
 
         Raises:
-            InvalidEndpointListError: the response is no list; nothing has changed.
+            InvalidEndpointListError: the response is not a usable list; nothing has changed.
         """
         received = decode_list(body)
         live_before = self._table.live_names()
         if received.is_complete and not received.endpoints and live_before:
-            # A discovery service that has just started knows no endpoint. Following it would stop all work,
-            # and endpoints that are really gone refuse connections anyway.
+            # A discovery service that has just started knows no endpoint. To apply its list would stop all
+            # work, and endpoints that are really gone refuse connections anyway.
             raise InvalidEndpointListError(
                 field="hosts", value=received.endpoints, problem="empty, though executors were listed"
             )
@@ -148,7 +148,7 @@
             self._report_not_live(live_before)
 
     def _merge(self, update: DiscoveredList) -> list[DiscoveredEndpoint]:
-        """Merge a list with the known endpoints, and return its entries as they now hold."""
+        """Merge a list with the known endpoints, and return its entries as they were merged."""
         merged = self._table.merge(update)
         for address in merged.stale_addresses:
             self._connections.close_idle_to(address)
@@ -157,7 +157,7 @@
     # --- reports ----------------------------------------------------------------------------------
 
     def _report(self, names: Iterable[str]) -> None:
-        """Report the entries of those of these endpoints that are listed."""
+        """Report the entries of the named endpoints, except for those that are not listed."""
         entries = [self._table.entries[name] for name in names if name in self._table]
         if entries:
             self._report_entries(ListKind.DELTA, entries)
@@ -166,7 +166,7 @@
         self._list_observer.on_endpoint_list(kind, self._directory.policy_entries(entries))
 
     def _report_not_live(self, live_before: set[str]) -> None:
-        """Report those of these endpoints that are not live any more."""
+        """Report the endpoints in `live_before` that are no longer live."""
         names = frozenset(name for name in live_before if self._directory.find_reported_live(name) is None)
         if names:
             self._liveness_observer.on_endpoints_not_live(names)
--- a/burlmoor/endpoints/list_validation.py
+++ b/burlmoor/endpoints/list_validation.py
@@ -20,10 +20,10 @@
 
 
 class InvalidEndpointListError(BurlmoorError, ValueError):
-    """A response of the discovery service that is no usable list.
+    """A response of the discovery service that is not a usable list.
 
-    `field` is the path of the invalid field in the response (`body` where that is no list at all), `value`
-    its value (the start of the body where that is not known), `problem` what is wrong.
+    `field` is the path of the invalid field in the response (`body` if it is not a list at all), `value` the
+    field's value (the start of the body if that is unknown), `problem` what is wrong.
     """
 
     def __init__(self, field: str, value: object, problem: str) -> None:
@@ -53,7 +53,7 @@
     """Decode a response of the discovery service.
 
     Raises:
-        InvalidEndpointListError: it is no list; the error names the field.
+        InvalidEndpointListError: it is not a list; the error names the field.
     """
     try:
         decoded = _DECODER.decode(body)
@@ -93,7 +93,7 @@
 
 
 class _Precedence(NamedTuple):
-    """Orders entries of one endpoint: the later start holds, and of equal starts the one that drains."""
+    """Orders entries of one endpoint: the later start wins, and for equal starts the draining entry."""
 
     started_unix_ms: float
     is_draining: bool
--- a/burlmoor/endpoints/overrides.py
+++ b/burlmoor/endpoints/overrides.py
@@ -1,4 +1,4 @@
-"""Administrative overrides of single endpoints, laid over discovery's list."""
+"""Administrative overrides of single endpoints, applied to discovery's list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class EndpointOverrides(msgspec.Struct):
     """The administrative overrides of endpoints, by name; times are Unix times in ms.
 
-    Stored in the overrides file and handed over to the next process: the encoded names stay.
+    Stored in the overrides file and handed over to the next process: the encoded names must not change.
     """
 
     # Disabled endpoints, which get no new work, and since when.
@@ -19,7 +19,7 @@
     enabled_since: dict[str, float] = msgspec.field(name="started", default={})
 
     def names(self) -> set[str]:
-        """Return the names of all endpoints that an override concerns."""
+        """Return the names of all endpoints with an override."""
         return {*self.disabled_since, *self.enabled_since}
 
     def is_disabled(self, name: str) -> bool:
@@ -27,7 +27,7 @@
         return name in self.disabled_since
 
     def disable(self, name: str, now_unix_ms: float) -> bool:
-        """Disable an endpoint; False, and nothing changed, if it is disabled already."""
+        """Disable an endpoint; return False, without a change, if it is disabled already."""
         if name in self.disabled_since:
             return False
         self.disabled_since[name] = now_unix_ms
@@ -37,14 +37,14 @@
     def enable(self, name: str, listed_start_unix_ms: float | None, now_unix_ms: float) -> bool:
         """Enable an endpoint again, whose listed start is `listed_start_unix_ms` (None: it is not listed).
 
-        False, and nothing changed, if it is not disabled.
+        Returns False, without a change, if it is not disabled.
         """
         disabled_since = self.disabled_since.pop(name, None)
         if disabled_since is None:
             return False
         if listed_start_unix_ms is None or listed_start_unix_ms < disabled_since:
-            # Without this, slow start would be left out for a process that was restarted while it was
-            # disabled: the list has the new start only later.
+            # Without this, a process that was restarted while it was disabled would get no slow start: the
+            # list has its new start only later.
             self.enabled_since[name] = now_unix_ms
         return True
 
--- a/burlmoor/transport/address.py
+++ b/burlmoor/transport/address.py
@@ -18,7 +18,7 @@
 
 
 class SocketAddress(NamedTuple):
-    """An IPv4 address or host name, and a TCP port: what the standard library's sockets take."""
+    """An IPv4 address or host name and a TCP port, as the standard library's sockets accept it."""
 
     host: str
     port: int
--- a/burlmoor/transport/sockets.py
+++ b/burlmoor/transport/sockets.py
@@ -24,7 +24,11 @@
 
 
 def open_listening_socket(address: SocketAddress | tuple[str, int]) -> socket.socket:
-    """Open a socket that listens at `address`; raises OSError if that is not possible."""
+    """Open a socket that listens at `address`.
+
+    Raises:
+        OSError: the address is not free.
+    """
     sock = bind_socket(address)
     start_listening(sock)
     return sock
@@ -48,14 +52,18 @@
 
 
 def start_listening(sock: socket.socket) -> None:
-    """Let a bound socket listen; raises OSError if another one listens there."""
+    """Start listening on a bound socket.
+
+    Raises:
+        OSError: another socket listens at its address.
+    """
     sock.listen(_LISTEN_BACKLOG)
 
 
 def adopt_listening_socket(inherited_fd: int) -> socket.socket:
-    """Use a listening socket that was inherited.
+    """Create a socket object for an inherited listening socket.
 
-    It is never bound or shut down here, since other processes accept from it too.
+    The socket must not be bound or shut down here, since other processes accept from it too.
     """
     sock = socket.socket(fileno=inherited_fd)
     sock.settimeout(0.0)  # non-blocking
@@ -65,16 +73,16 @@
 async def accept(
     sock: socket.socket, on_descriptors_exhausted: Callable[[OSError], None]
 ) -> socket.socket | None:
-    """Accept a connection that waits on a listening socket; None if there is none.
+    """Accept a pending connection of a listening socket; None if there is none.
 
-    Where no descriptor is left, the error is given to `on_descriptors_exhausted`.
+    `on_descriptors_exhausted` is called with the error if no descriptor is left.
     """
     try:
         return sock.accept()[0]
     except (BlockingIOError, InterruptedError):
         return None
     except OSError as error:
-        # Without this, the node would loop without pause, or end, when descriptors run out.
+        # Without this, the node would loop without a pause, or end, when descriptors run out.
         if error.errno in DESCRIPTORS_EXHAUSTED:
             on_descriptors_exhausted(error)
         await trio.sleep(_ACCEPT_RETRY_SECONDS)
@@ -84,7 +92,11 @@
 async def connect(address: str, buffer_limit: int) -> SocketStream:
     """Connect to `host:port`; the buffers hold `buffer_limit` bytes in each direction.
 
-    Raises OSError if the connection fails, and InvalidAddressError. The caller bounds the time.
+    The caller limits the time.
+
+    Raises:
+        OSError: the connection failed.
+        InvalidAddressError: the address is not `host:port`.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/burlmoor/transport/stream.py
+++ b/burlmoor/transport/stream.py
@@ -15,14 +15,14 @@
 
 _RECEIVE_BYTES = 16384
 _DISCARD_PAUSE_SECONDS = 0.05  # between reads from a peer that sends without end
-# Values of SO_LINGER: close(), or the end of the process,
-_LINGER_OFF = struct.pack("ii", 0, 0)  # sends the end behind what was written
-_LINGER_RESET = struct.pack("ii", 1, 0)  # discards what was written and sends a reset
+# Values of SO_LINGER, which apply to close() and to the end of the process:
+_LINGER_OFF = struct.pack("ii", 0, 0)  # the kernel delivers what was written, then ends the connection
+_LINGER_RESET = struct.pack("ii", 1, 0)  # the kernel discards what was written and sends a reset
 _DISCARD_BUFFER = bytearray(128 * 1024)  # receives what is discarded; shared, since it is never read
 
 
 class ReceiveResult(Enum):
-    """What an attempt to read brought."""
+    """The result of reading without waiting."""
 
     DATA = "data"
     END = "end"  # the peer has ended its side
@@ -37,7 +37,7 @@
 
 
 class SocketStream:
-    """Owns one socket, what was read from it, and what still has to be written to it.
+    """Owns one socket, the bytes read from it, and the bytes still to be written to it.
 
     Raises OSError if the socket can't be set up.
     """
@@ -48,7 +48,7 @@
         self._sock: socket.socket | None = sock
         self.inbound = RingBuffer(inbound_limit)
         self.outbound = RingBuffer(outbound_limit)
-        self._drain_ended: trio.Event | None = None  # of the task that waits until the socket is writable
+        self._drain_ended: trio.Event | None = None  # set when the present drain has written or failed
 
     @property
     def is_closed(self) -> bool:
@@ -91,7 +91,7 @@
     async def discard_until_end(self, max_bytes: int) -> None:
         """Read and discard until the peer ends its side.
 
-        What exceeds `max_bytes` is read slowly, so that a peer that sends without end costs little.
+        Bytes beyond `max_bytes` are read slowly, so that a peer that sends without end costs little.
         """
         remaining_bytes = max_bytes
         while True:
@@ -120,7 +120,7 @@
             self.outbound.write(data)
 
     def flush(self) -> None:
-        """Write what the kernel accepts now of what is buffered."""
+        """Write as many buffered bytes as the kernel accepts now."""
         sock = self._open_socket()
         while self.outbound:
             try:
@@ -138,7 +138,7 @@
         """
         while self.outbound:
             if self._drain_ended is not None:
-                # Without this, two tasks could wait on one socket, which trio answers with an error.
+                # Without this, two tasks could wait on one socket, which trio rejects with an error.
                 await self._drain_ended.wait()
                 continue
             self._drain_ended = trio.Event()
@@ -168,10 +168,10 @@
                 self._sock.shutdown(socket.SHUT_WR)
 
     def set_reset_on_close(self, *, is_on: bool) -> bool:
-        """Let the close of the socket, also by the end of this process, discard what was not delivered yet.
+        """Set whether a close, also by the end of this process, discards the bytes not delivered yet.
 
-        If it is off, the kernel continues to deliver that, for minutes if the peer is unreachable.
-        Returns whether the socket is set so now.
+        Otherwise the kernel continues to deliver them, for minutes if the peer is unreachable. Returns
+        whether the option has been set.
         """
         if self._sock is None:
             return False
@@ -183,7 +183,7 @@
         return True
 
     def detach(self) -> socket.socket | None:
-        """Return the socket, still open, and let go of it; tasks that wait on it are woken."""
+        """Release the socket and return it, still open; tasks that wait on it are woken."""
         sock, self._sock = self._sock, None
         if sock is not None:
             trio.lowlevel.notify_closing(sock)
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -75,14 +75,14 @@
     # --- what the engine requires -----------------------------------------------------------------
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Start the attempt; its end is reported to the engine, unless the endpoint accepts the job."""
+        """Start the attempt; unless the endpoint accepts it, its outcome is reported to the engine."""
         self._nursery.start_soon(self._run, attempt, self.in_flight.add(attempt))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel the attempt: by closing its connection before the 202, and by a DELETE.
+        """Cancel the attempt: before the 202 by closing its connection, and by a DELETE.
 
-        Before the 202 the close is not enough, since the 202 may be on its way and the job run; nor is the
-        DELETE, since the request may be on its way. A job that is over needs only one of the two.
+        Before the 202 neither is enough alone: the 202 may be in transit and the job running, or the request
+        may still be in transit when the DELETE arrives. An attempt that has ended needs only one of the two.
         """
         in_flight = self.in_flight.find(attempt)
         if in_flight is None:
@@ -101,7 +101,7 @@
     # --- one attempt ------------------------------------------------------------------------------
 
     def abandon(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> None:
-        """Cancel an attempt that this node can't continue; it ends with `outcome` once that is confirmed."""
+        """Cancel an attempt that this node can't continue; once confirmed, it ends with `outcome`."""
         if self._lifecycle.begin_cancellation(attempt, outcome, reason):
             self.cancel_attempt(attempt)
 
@@ -109,7 +109,7 @@
         try:
             with in_flight.scope:
                 outcome = await self._exchange(attempt, in_flight)
-                # A cancelled attempt ends by its endpoint's answer, not by the error of its connection.
+                # A cancelled attempt ends when its endpoint confirms that, not when its connection fails.
                 if outcome is not None and not attempt.is_over:
                     self._lifecycle.on_attempt_ended(attempt, outcome)
         except Exception as error:  # noqa: BLE001
@@ -135,7 +135,7 @@
             response = await self._read_response(attempt, connection)
         except BrokenResponseError as error:
             if attempt.is_over:
-                return None  # its connection was closed here
+                return None  # this node has closed the connection
             self._pool.on_connection_broken(connection)
             connection.close(CloseReason.BROKEN)
             return self._handle_broken_response(attempt, error)
@@ -164,7 +164,7 @@
     def _handle_broken_response(self, attempt: Attempt, error: BrokenResponseError) -> Outcome | None:
         """Return the outcome if the endpoint or the network has ended the exchange; else cancel the attempt.
 
-        Where it is this node that ends it, the endpoint may have accepted the job.
+        Where this node ends the exchange, the endpoint may have accepted the job.
         """
         if isinstance(error, ConnectionEndedError) or isinstance(error.__cause__, OSError):
             return Outcome.RESET
--- a/burlmoor/upstream/cancellation.py
+++ b/burlmoor/upstream/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancels attempts at their endpoints by DELETE, each until its endpoint has confirmed that."""
+"""Cancels attempts at their endpoints by DELETE, repeated until the endpoint confirms it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from burlmoor.upstream.pool import ConnectionPool
 
 _FIRST_TIMEOUT_SECONDS = 0.45  # of the first call, whose pooled connection may have fallen silent
-_TIMEOUT_SECONDS = 2.0  # of the calls after it, on new connections, and where no confirmation is awaited
+_TIMEOUT_SECONDS = 2.0  # of later calls, on new connections, and of calls that need no confirmation
 _FIRST_PAUSE_SECONDS = 0.1  # between two calls; doubled after each
 _MAX_PAUSE_SECONDS = 1.0
 
@@ -25,8 +25,8 @@
 class AttemptCanceller:
     """Owns the DELETE calls; makes none unless `may_cancel`.
 
-    A cancellation is reported to the engine once the endpoint has answered. A refused connection is no
-    answer: an endpoint whose connections are all in use refuses further ones, and continues its jobs.
+    A cancellation is reported to the engine once the endpoint has answered. A refused connection is not
+    an answer: an endpoint whose connections are all in use refuses further ones, and continues its jobs.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._pool = pool
         self._nursery = nursery
         self._log = log
-        self._attempts: set[Attempt] = set()  # whose cancellation is not confirmed
+        self._attempts: set[Attempt] = set()  # those whose cancellation is not confirmed
         self._paused_count = 0  # how many of them are between two calls
 
     @property
@@ -52,7 +52,7 @@
         return len(self._attempts) - self._paused_count
 
     def cancel(self, attempt: Attempt) -> None:
-        """Start to cancel an attempt, unless that has begun before."""
+        """Start the cancellation of an attempt, unless one is in progress."""
         if self._may_cancel and attempt not in self._attempts:
             self._attempts.add(attempt)
             self._nursery.start_soon(self._cancel, attempt)
@@ -88,7 +88,7 @@
                 response = await self._pool.call(attempt.address, b"DELETE", path, must_connect=must_connect)
                 return response.status < HTTPStatus.INTERNAL_SERVER_ERROR
         except (ConnectError, RequestNotSentError, BrokenResponseError):
-            return False  # whether it has arrived is not known
+            return False  # the endpoint may or may not have received the DELETE
         return False
 
     async def _pause(self, seconds: float) -> None:
--- a/burlmoor/upstream/connection.py
+++ b/burlmoor/upstream/connection.py
@@ -16,19 +16,19 @@
     """What a connection requires of its pool."""
 
     def return_connection(self, connection: PooledConnection) -> None:
-        """Add a connection that can carry another request to the idle ones."""
+        """Add a connection that can carry another request to the idle connections."""
 
     def on_connection_closed(self, reason: CloseReason) -> None:
         """Count a connection that was closed, by the reason."""
 
     def on_request_not_withdrawn(self, address: str) -> None:
-        """Handle that a connection was closed whose unanswered request may still be delivered."""
+        """Handle the close of a connection whose unanswered request may still be delivered."""
 
 
 class PooledConnection:
     """Owns one connection to an endpoint and the request that is in flight on it.
 
-    Times are trio's, in seconds.
+    Times are those of trio's clock, in seconds.
     """
 
     def __init__(self, pool: ConnectionOwner, address: str, stream: SocketStream, body_limit: int) -> None:
@@ -36,8 +36,8 @@
         self.address = address
         self._stream = stream
         self._http = HttpClientConnection(address, body_limit)
-        self._has_open_request = False  # whether a response is awaited that is not complete
-        # From the start, since the process may be killed at any moment.
+        self._has_open_request = False  # whether its response is not complete yet
+        # Set now, since the process may be killed at any moment.
         self._resets_on_close = stream.set_reset_on_close(is_on=True)
         self.is_reused = False  # whether it has carried a request before this one
         self.idle_since = 0.0
@@ -60,7 +60,7 @@
         """Read the complete response.
 
         Raises:
-            BrokenResponseError: the connection ended before it, or the bytes are no response.
+            BrokenResponseError: the connection ended first, or the bytes are not a valid response.
         """
         while True:
             try:
@@ -97,11 +97,11 @@
             self.close(CloseReason.LAST_RESPONSE)
 
     def record_idle(self, now: float) -> None:
-        """Note that the connection is idle from now on."""
+        """Record that the connection is idle from now on."""
         self.idle_since = now
 
     def record_reuse(self, now: float) -> None:
-        """Note that the connection, idle until now, carries another request."""
+        """Record that the idle connection is reused for another request."""
         self.is_reused = True
         self.reused_at = now
 
@@ -110,11 +110,11 @@
         return self._stream.is_idle_open()
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection; repeated, it changes nothing.
+        """Close the connection; closing it again has no effect.
 
-        A request that has no complete response is withdrawn: what is not delivered yet never will be. Without
-        this, an executor that was partitioned would receive it once it is reachable again, when it may drain,
-        the job may run elsewhere, or the client may have its answer.
+        A request without a complete response is withdrawn: bytes that are not delivered yet never will be.
+        Without this, a partitioned executor would receive them once it is reachable again. By then it may be
+        draining, the job may run elsewhere, or the client may have its answer.
         """
         if not self._stream.is_closed:
             if not self._has_open_request:
--- a/burlmoor/upstream/errors.py
+++ b/burlmoor/upstream/errors.py
@@ -1,4 +1,4 @@
-"""Errors on a connection to an endpoint, by what they show of the request."""
+"""Errors on a connection to an endpoint, distinguished by what is known of the request."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class ResponseTooLongError(BrokenResponseError):
-    """The response's body exceeds what is allowed, `limit` bytes."""
+    """The response's body is longer than the `limit`, in bytes."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(f"the response is too long, {limit} bytes are allowed")
@@ -62,8 +62,8 @@
 def is_sign_of_peer(error: BaseException) -> bool:
     """Return whether an error shows that the peer's machine can be reached.
 
-    It does where the peer has refused, reset or answered something. What the local machine reports of a
-    connection that is silent (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH), or of itself, does not.
+    A refusal, a reset or any response is sent by the peer's machine. Errors that the local machine reports
+    of a silent connection (ETIMEDOUT, EHOSTUNREACH, ENETUNREACH), or of itself, show nothing.
     """
     cause: BaseException | None = error
     while cause is not None:
--- a/burlmoor/upstream/http.py
+++ b/burlmoor/upstream/http.py
@@ -1,6 +1,6 @@
 """The client's side of an HTTP connection as a state machine over h11, to endpoints and to discovery.
 
-Knows no socket and no clock.
+Uses no socket and no clock.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 class HttpClientConnection:
     """Owns the HTTP state of one connection: one request, then its response, then the next request.
 
-    `body_limit` is the most bytes that a response's body may have.
+    `body_limit` is the maximum length of a response's body in bytes.
     """
 
     def __init__(self, host: str, body_limit: int) -> None:
@@ -43,7 +43,7 @@
     def encode_request(
         self, method: bytes, path: bytes, headers: Iterable[tuple[str, str]] = (), body: bytes = b""
     ) -> bytes:
-        """Encode a request, whose bytes are to be sent next."""
+        """Encode a request; its bytes have to be sent next."""
         self._response_head = None
         self._body = bytearray()
         fields = [("Host", self._host), *headers]
@@ -55,7 +55,7 @@
         return data + (self._http.send(_END_OF_MESSAGE) or b"")
 
     def receive(self, data: bytes) -> Response | None:
-        """Handle received bytes (none: the connection has ended); return the response once it is complete.
+        """Handle received bytes (empty: the connection has ended); return the response once it is complete.
 
         Raises:
             BrokenResponseError: the connection ended before that, or the bytes are invalid.
--- a/burlmoor/upstream/in_flight.py
+++ b/burlmoor/upstream/in_flight.py
@@ -21,11 +21,11 @@
     """An attempt that waits for its 202. `RequestSender` sets what has been written."""
 
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    connection: PooledConnection | None = None  # from the request's first byte on
+    connection: PooledConnection | None = None  # None until the request's first byte is written
     is_written: bool = False  # whether the request's last byte has been written
 
     def abort(self) -> None:
-        """Stop sending: from this moment on, no further byte of the request is sent."""
+        """Stop sending: no further byte of the request is written from now on."""
         if self.connection is not None:
             self.connection.close(CloseReason.ATTEMPT_CANCELLED)
         self.scope.cancel()
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -22,16 +22,16 @@
     from burlmoor.transport.stream import SocketStream
     from burlmoor.upstream.http import Response
 
-_RESPONSE_LIMIT_BYTES = 256 * 1024  # an executor's body holds 64 KiB at most
-# A connection that breaks within this time of its reuse counts as closed by its peer before.
+_RESPONSE_LIMIT_BYTES = 256 * 1024  # executors' bodies have 64 KiB at most
+# A connection that breaks within this time after its reuse counts as closed by its peer before that.
 _STALE_BREAK_SECONDS = 0.25
 # Within this time, a second response to the last request may still arrive on a connection.
 REUSE_DELAY_SECONDS = 0.05
-_SHORTENED_SECONDS = 30.0  # for which a stale connection shortens the idle limit of the others
+_SHORTENED_SECONDS = 30.0  # how long a stale connection shortens the idle limit of the others
 
 
 class ConnectionPool:
-    """Owns the idle connections by address, the freshest last, and counts all open ones.
+    """Owns the idle connections by address, the most recently used last, and counts all open ones.
 
     A connection carries its next request after it has been idle for at least `reuse_delay_seconds` and at
     most `idle_limit_seconds`.
@@ -60,7 +60,7 @@
         self._shortened_until = 0.0
         self.open_count = 0
 
-    # --- stale connections ------------------------------------------------------------------------
+    # --- the connection limit ---------------------------------------------------------------------
 
     @property
     def max_connections(self) -> int:
@@ -71,6 +71,8 @@
         """Change how many connections may be open; those that are open now stay."""
         self._max_connections = max_connections
 
+    # --- stale connections ------------------------------------------------------------------------
+
     @property
     def is_reuse_risky(self) -> bool:
         """Whether a pooled connection has recently turned out to be closed by its peer."""
@@ -81,21 +83,25 @@
         return self._shortened_limit_seconds if self.is_reuse_risky else self.idle_limit_seconds
 
     def on_connection_broken(self, connection: PooledConnection) -> None:
-        """Keep idle connections for less time if a reused one broke before its response.
+        """Shorten the idle limit for a while if a reused connection broke before its response.
 
         Without this, peers that drop idle connections sooner than the settings say, and don't show it, would
         lose request after request: a request written to such a connection may have run.
         """
         now = trio.current_time()
         if connection.is_reused and now < connection.reused_at + _STALE_BREAK_SECONDS:
-            half_its_idle_time = 0.5 * (connection.reused_at - connection.idle_since)
-            self._shortened_limit_seconds = min(self._max_idle_seconds(), half_its_idle_time)
+            half_idle_seconds = 0.5 * (connection.reused_at - connection.idle_since)
+            self._shortened_limit_seconds = min(self._max_idle_seconds(), half_idle_seconds)
             self._shortened_until = now + _SHORTENED_SECONDS
 
     # --- use --------------------------------------------------------------------------------------
 
     async def acquire(self, address: str) -> PooledConnection:
-        """Take the freshest idle connection or open one; ConnectError if none is established in time."""
+        """Take the most recently used idle connection, or open one.
+
+        Raises:
+            ConnectError: none was established in time, or every connection is busy.
+        """
         return self._take_idle(address) or await self.connect(address)
 
     def _take_idle(self, address: str) -> PooledConnection | None:
@@ -112,7 +118,7 @@
         return None
 
     async def connect(self, address: str) -> PooledConnection:
-        """Open a connection, even if one is idle.
+        """Open a new connection, even if there is an idle one.
 
         Raises:
             ConnectError: it was not established in time, or every connection is busy.
@@ -150,7 +156,7 @@
         try:
             response = await connection.exchange(method, path)
         except ResponseTooLongError:
-            raise  # the peer has answered: the connection was not stale
+            raise  # the peer has responded, so the connection was not stale
         except (RequestNotSentError, BrokenResponseError):
             if not connection.is_reused:
                 raise
@@ -162,7 +168,7 @@
         return response
 
     def return_connection(self, connection: PooledConnection) -> None:
-        """Add a connection that has received its response to the idle ones."""
+        """Add a connection that has received its complete response to the idle connections."""
         connection.record_idle(trio.current_time())
         self._idle.setdefault(connection.address, []).append(connection)
 
@@ -179,7 +185,7 @@
     # --- closing ----------------------------------------------------------------------------------
 
     def close_oldest_idle(self) -> bool:
-        """Close the connection that has been idle longest; False if none is idle."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         candidates = (idle[0] for idle in self._idle.values() if idle)
         oldest = min(candidates, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
@@ -205,7 +211,7 @@
 
 
 def _close_if_unusable(connection: PooledConnection, expired_since: float) -> bool:
-    """Close an idle connection that may not be reused; return whether it was one.
+    """Close an idle connection if it may not be reused; return whether it was closed.
 
     A request written to a connection that its peer has closed would end as a reset.
     """
--- a/burlmoor/upstream/request_sender.py
+++ b/burlmoor/upstream/request_sender.py
@@ -22,7 +22,7 @@
 
 
 class RequestPayload(Protocol):
-    """What an attempt passes on of its job's request, unchanged."""
+    """The parts of a job's request that its attempts pass on unchanged."""
 
     @property
     def method(self) -> bytes:
@@ -34,7 +34,7 @@
 
     @property
     def body(self) -> bytes:
-        """The body, perhaps empty."""
+        """The body, possibly empty."""
 
     @property
     def idempotency_key(self) -> str:
@@ -60,25 +60,25 @@
         """Write the complete request, and return the connection that its response will arrive on.
 
         Raises:
-            SendPreconditionError: the attempt must not be sent any more.
+            SendPreconditionError: the attempt must no longer be sent.
             ConnectError: there is no connection.
             RequestNotSentError: the connection broke before the last byte; the job has not run.
         """
-        # On a pooled connection that turns out to be dead a non-idempotent job would be lost.
+        # A non-idempotent job would be lost on a pooled connection that turns out to be closed.
         must_connect = attempt.job.is_non_idempotent and self._pool.is_reuse_risky
         while True:
             endpoint = check_send_precondition(attempt, self._directory)
             open_connection = self._pool.connect if must_connect else self._pool.acquire
             connection = await open_connection(endpoint.address)
             try:
-                # All may have changed during the connect. Nothing suspends from here to the first byte.
+                # Job and list may have changed during the connect. Nothing suspends before the first byte.
                 recheck_send_precondition(attempt, self._directory, endpoint)
                 await self._write(attempt, endpoint, connection, in_flight)
             except RequestNotSentError:
                 connection.close(CloseReason.BROKEN)
                 if must_connect or not connection.is_reused:
                     raise
-                # An idle connection that had gone stale: the request was not sent, so it may be sent again.
+                # A stale idle connection: the request was not sent, so another connection may carry it.
                 must_connect = True
                 continue
             except BaseException:
--- a/burlmoor/upstream/send_precondition.py
+++ b/burlmoor/upstream/send_precondition.py
@@ -22,7 +22,7 @@
 
 
 def check_send_precondition(attempt: Attempt, directory: EndpointDirectory) -> ListedEndpoint:
-    """Check that an attempt may be sent now, and return the endpoint that it is to be sent to.
+    """Check that an attempt may be sent now, and return the endpoint to send it to.
 
     Three things must hold:
 
@@ -36,7 +36,7 @@
     No other task may run between this check and the first byte: the caller must not suspend in between.
 
     Raises:
-        SendPreconditionError: one of them does not hold.
+        SendPreconditionError: one of the conditions does not hold.
     """
     if attempt.is_over or attempt.job.is_closed:
         raise SendPreconditionError(attempt, "the job is closed or the attempt is over")
@@ -49,10 +49,10 @@
 def recheck_send_precondition(
     attempt: Attempt, directory: EndpointDirectory, connected_to: ListedEndpoint
 ) -> None:
-    """Check again once connected, and that the connection leads to the same process of the endpoint.
+    """Check again once connected, and check that the endpoint is still the process connected to.
 
     Raises:
-        SendPreconditionError: the attempt must not be sent on this connection.
+        SendPreconditionError: the attempt must not use this connection.
     """
     if check_send_precondition(attempt, directory) != connected_to:
         raise SendPreconditionError(attempt, "the endpoint is another process now")
--- a/burlmoor/upstream/withdrawal.py
+++ b/burlmoor/upstream/withdrawal.py
@@ -21,14 +21,14 @@
 # From the notification that an endpoint drains until its unaccepted attempts are withdrawn. The drain rule
 # allows 0.25 s, of which the event loop may be stalled for 0.15 s.
 _WITHDRAW_AFTER_SECONDS = 0.1
-# The same, until one that still waits counts as a violation.
+# From the same notification until an attempt that is still unaccepted counts as a violation.
 _VIOLATION_AFTER_SECONDS = 0.25
 
 
 class AttemptWithdrawal:
-    """Cancels attempts that their endpoint, which is not live any more, has not accepted.
+    """Cancels the unaccepted attempts at endpoints that are no longer live.
 
-    Without this, a request that a partition holds back would arrive at an endpoint that drains.
+    Without this, a request that a partition has delayed could arrive at a draining endpoint.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         in_flight = self._attempts.in_flight.find(attempt)
         if in_flight is None or attempt.is_cancelling or self._directory.find_live(attempt.endpoint):
             return
-        # A request of which not all was written has not run.
+        # A request that was not written completely has not run.
         outcome = Outcome.RESET if in_flight.is_written else Outcome.UNREACHABLE
         self._attempts.abandon(attempt, outcome, CancelReason.ENDPOINT_NOT_LIVE)
         self._log(
