--- a/burlmoor/policy/action_batch.py
+++ b/burlmoor/policy/action_batch.py
@@ -15,7 +15,7 @@
         self._actions: list[Action] = []
 
     def start(self) -> None:
-        """Start a batch; what a call that raised an exception has left is discarded."""
+        """Start an empty batch, and discard the actions of a call that raised an exception."""
         self._actions = []
 
     def add(self, action: Action) -> None:
@@ -23,5 +23,5 @@
         self._actions.append(action)
 
     def finish(self) -> list[Action]:
-        """Return the actions since `start`."""
+        """Return the actions added since `start`."""
         return self._actions
--- a/burlmoor/policy/admission.py
+++ b/burlmoor/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: a request becomes a job with an objective, a deadline and a priority."""
+"""Admission: turns a request into a job with an objective, a deadline and a priority."""
 
 from __future__ import annotations
 
@@ -14,14 +14,13 @@
     from burlmoor.types.events import JobRequest
     from burlmoor.types.settings import JobClass, Settings
 
-# What each part adds to a job's priority at most.
+# The most that each component adds to a job's priority.
 SHORT_OBJECTIVE_WEIGHT = 1.0
 QUOTA_WEIGHT = 1.0
 WEIGHT_DENSITY_WEIGHT = 8.0
-DEFERRAL_WEIGHT = (
-    1.0  # of a job that was deferred: as much as a short objective, far less than priority weight
-)
-# Of jobs: sent even where they are unlikely to finish in time, so that a wrong estimate is corrected.
+DEFERRAL_WEIGHT = 1.0  # for a job that was deferred
+# The fraction of jobs that are sent even where they are unlikely to finish in time, so that a wrong estimate
+# is corrected.
 EXPLORATION_FRACTION = 0.06
 
 
@@ -37,7 +36,7 @@
         self._shortest_objective_ms = max(1.0, min(job_class.latency_objective_ms for job_class in classes))
 
     def admit(self, request: JobRequest, now: float) -> ScheduledJob:
-        """Return the job for a request; a class that is not known counts as the first one."""
+        """Return the job for a request; an unknown class is treated as the first class."""
         job_class = self._classes.get(request.job_class) or self._settings.classes[0]
         work_ms = request.work_ms
         if not 0.0 < work_ms < math.inf:
@@ -58,11 +57,11 @@
         objective_ms = min(stretched_ms, job_class.deadline_ms)
         deadline_at = now + request.timeout_ms
         # Time for which a job was deferred is not time spent on earlier attempts.
-        given_ms = request.timeout_ms + request.deferred_ms
-        longest_ms = self._statistics.demand.record_timeout(job_class.name, given_ms)
-        # The objective counts from the client's first attempt. A client whose timeout is shorter than the
-        # objective is in a hurry rather than on a late attempt: its whole timeout counts.
-        spent_ms = longest_ms - given_ms if request.timeout_ms >= objective_ms else 0.0
+        allowed_ms = request.timeout_ms + request.deferred_ms
+        longest_ms = self._statistics.demand.record_timeout(job_class.name, allowed_ms)
+        # The objective is measured from the client's first attempt. A timeout shorter than the objective
+        # means a client in a hurry rather than a late attempt: nothing is subtracted for earlier attempts.
+        spent_ms = longest_ms - allowed_ms if request.timeout_ms >= objective_ms else 0.0
         objective_at = min(deadline_at, now + objective_ms - spent_ms)
         useful_until = deadline_at if job_class.late_fraction > 0.0 else objective_at
         return JobTimes(objective_ms, objective_at, useful_until, deadline_at)
@@ -70,7 +69,7 @@
     def _weigh(
         self, request: JobRequest, job_class: JobClass, work_ms: float, objective_ms: float, now: float
     ) -> JobWeights:
-        """Compute what the job counts by class and tenant, and count it as requested."""
+        """Compute the job's weights by class and tenant, and record it in the statistics of requests."""
         demand, class_weights = self._statistics.demand, self._statistics.class_weights
         weight = job_class.priority_weight * (work_ms if self._settings.weight_by_work else 1.0)
         demand.record_weight(weight, now)
--- a/burlmoor/policy/attempt_events.py
+++ b/burlmoor/policy/attempt_events.py
@@ -1,4 +1,4 @@
-"""What the policy does when an attempt starts, progresses, is cancelled or ends."""
+"""Handlers for the start, the progress, the cancellation and the end of an attempt."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AttemptEventHandler:
-    """Handles the events of attempts; one of an attempt that has ended already is ignored."""
+    """Handles the events of attempts; events of an attempt that has already ended are ignored."""
 
     def __init__(
         self,
@@ -67,14 +67,14 @@
             self._safety.on_response_started(job)
 
     def on_cancelling(self, event: AttemptCancelling, now: float) -> None:
-        """Record the cancel, and retry the job where that is safe while the attempt is pending."""
+        """Record the cancellation, and retry the job if that is safe while the attempt is pending."""
         found = self._jobs.find_pending_attempt(event.id, event.attempt)
         if found is not None:
             self._outcomes.record_cancelling(found.attempt, event.outcome, now)
             self._retries.on_cancelling(found.job, event.outcome, now)
 
     def on_ended(self, event: AttemptEnded, now: float) -> None:
-        """Record the outcome; close the job that it answers, retry or abandon the others."""
+        """Record the outcome, then close the job if it is answered, or else retry or abandon it."""
         found = self._jobs.find_pending_attempt(event.id, event.attempt)
         if found is None:
             return
--- a/burlmoor/policy/attempts.py
+++ b/burlmoor/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Sending attempts."""
+"""Sends attempts to the selected endpoints."""
 
 from __future__ import annotations
 
--- a/burlmoor/policy/dispatch_rounds.py
+++ b/burlmoor/policy/dispatch_rounds.py
@@ -20,9 +20,9 @@
     from burlmoor.policy.model.job import ScheduledJob
     from burlmoor.policy.statistics.run_statistics import RunStatistics
 
-ROUND_TICKS = 3.0  # a round gathers jobs for about this many ticks
+ROUND_TICKS = 3.0  # jobs are queued for a round for about this many ticks
 RETRY_TICKS = 1.0  # a retry waits for a round for about this many ticks at most
-MIN_JITTER, MAX_JITTER = 0.5, 1.5  # times the ticks
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # factors of the ticks
 PRIORITY_PER_ROUND_WAITED = 0.05
 MAX_FAILED_PLACEMENTS = 4  # a round ends after this many consecutive jobs without an endpoint
 # A job is urgent if it would miss its objective by waiting for this many rounds and then running for this
@@ -32,7 +32,7 @@
 
 
 class DispatchRounds:
-    """The queue of jobs that wait for an endpoint, and the rounds that empty it."""
+    """Queues jobs that wait for an endpoint, and places them in rounds."""
 
     def __init__(
         self,
@@ -56,30 +56,30 @@
         self.next_round_at = math.inf
 
     def enqueue(self, job: ScheduledJob, now: float, ticks: float = ROUND_TICKS) -> None:
-        """Queue a job for a round that comes after about this many ticks at most."""
+        """Queue a job for a round that is run after about this many ticks at most."""
         job.is_queued = True
         self.queue[job.id] = job
         self.next_round_at = min(self.next_round_at, self._jittered(now, ticks))
 
     def enqueue_retry(self, job: ScheduledJob, now: float) -> None:
-        """Queue a job again whose attempt has failed; it counts as having waited for a round."""
+        """Requeue a job whose attempt has failed; it counts as having waited for a round."""
         job.rounds_waited += 1
         self.enqueue(job, now, RETRY_TICKS)
 
     @staticmethod
     def withdraw(job: ScheduledJob) -> None:
-        """Give a job no further attempt in the next round: one of its attempts has started."""
+        """Exclude a job from the next round, since one of its attempts has started."""
         job.is_queued = False
 
     def _jittered(self, now: float, ticks: float) -> float:
         return now + ticks * self._tick_ms * self._rng.uniform(MIN_JITTER, MAX_JITTER)
 
     def queued_slots(self) -> float:
-        """Return the slots that the jobs in the queue need."""
+        """Return the total of slots that the queued jobs need."""
         return sum(job.slots for job in self.queue.values())
 
     def run(self, now: float) -> None:
-        """Shed load, then place jobs, urgent ones first; the others wait, with more priority."""
+        """Shed load, then place jobs, urgent ones first; those not placed wait with a higher priority."""
         self.next_round_at = math.inf
         slowness = self._runs.slowness_of_fleet(now)
         queue = self._shedder.shed(self._take_queued(), slowness, self._round_ms, now)
@@ -97,7 +97,7 @@
             self.next_round_at = self._jittered(now, ROUND_TICKS)
 
     def _take_queued(self) -> list[ScheduledJob]:
-        """Return the queued jobs in order of priority; `_place_all` queues again those that have to wait."""
+        """Return the queued jobs in order of priority; `_place_all` requeues those that have to wait."""
         queue = [job for job in self.queue.values() if job.is_queued and not job.is_closed]
         for job in queue:
             job.is_queued = False
@@ -106,12 +106,12 @@
 
     def _place_all(self, queue: list[ScheduledJob], state: RoundState, now: float) -> None:
         self.queue = {}
-        failed_in_a_row = 0
+        consecutive_failures = 0
         for job in sorted(queue, key=lambda job: not job.is_urgent):
-            if failed_in_a_row < MAX_FAILED_PLACEMENTS and self._place(job, state, now):
-                failed_in_a_row = 0
+            if consecutive_failures < MAX_FAILED_PLACEMENTS and self._place(job, state, now):
+                consecutive_failures = 0
                 continue
-            failed_in_a_row += 1
+            consecutive_failures += 1
             job.is_queued = True
             job.rounds_waited += 1
             self.queue[job.id] = job
--- a/burlmoor/policy/dispatcher.py
+++ b/burlmoor/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The entry of the policy: `Dispatcher` handles the events of one moment and returns the actions decided on.
+"""The entry point of the policy: `Dispatcher` handles batches of events and returns the actions decided on.
 
 Events and actions are in `burlmoor/types`; the design is in `docs/design.md`. A job is admitted (admission),
 queued until a round (dispatch_rounds) selects an endpoint for it (endpoint_selection) or sheds it
@@ -22,10 +22,9 @@
 
     from burlmoor.types.settings import Settings
 
-RELEASABLE_FRACTION = (
-    0.8  # of the warm capacity: released jobs leave the rest to the jobs that arrive meanwhile
-)
-TIMER_TOKEN = 0  # one timer at a time: what has to be done follows from the moment at which it fires
+# The fraction of the warm capacity that deferred jobs may use; the rest is for jobs that arrive meanwhile.
+RELEASABLE_FRACTION = 0.8
+TIMER_TOKEN = 0  # shared by all timers: what is due follows from the time, not from the token
 
 
 class Dispatcher:
@@ -52,7 +51,7 @@
         self._rounds = components.rounds
         self._retries = components.retries
         self._timer_at = math.inf
-        # Each handler takes its own type of event, which only this table knows.
+        # `Any`: each handler accepts only the type of event under which it is listed.
         self._handlers: dict[type, Callable[[Any, float], None]] = {
             ev.EndpointListUpdate: self._on_endpoint_list,
             ev.JobRequest: self._on_job_request,
@@ -77,19 +76,19 @@
         return self._actions.finish()
 
     def releasable_slots(self, now: float) -> float:
-        """Return the slots that deferred jobs may take now.
+        """Return the number of slots that deferred jobs may use now.
 
-        A fraction of the warm endpoints' capacity, less what is in flight or queued.
+        This is a fraction of the warm endpoints' capacity, less the slots that are in flight or queued.
         """
         capacity = RELEASABLE_FRACTION * self._load.warm_capacity(now)
         return capacity - self._load.slots_in_flight - self._rounds.queued_slots()
 
     def take_statistics_snapshot(self, now: float) -> StatisticsSnapshot:
-        """Return the statistics, for another process of this node."""
+        """Return a snapshot of the statistics for another process of this node."""
         return take_snapshot(self._statistics, self._endpoints.by_name, now)
 
     def restore_statistics_snapshot(self, snapshot: StatisticsSnapshot, now: float) -> None:
-        """Continue from another process's statistics; only those of endpoints known here are restored."""
+        """Restore another process's statistics, except for endpoints that are unknown here."""
         restore_snapshot(self._statistics, self._endpoints.by_name, snapshot, now)
 
     def _run_due(self, now: float) -> None:
@@ -99,7 +98,7 @@
             timer = self._timers.pop()
             if timer.job is None:
                 self._actions.add(WatchEndpoints())
-            elif timer.at == timer.job.check_at:  # else another check has replaced this one
+            elif timer.at == timer.job.check_at:  # otherwise a later check has replaced it
                 self._retries.check(timer.job, now)
         if self._rounds.next_round_at <= now:
             self._rounds.run(now)
--- a/burlmoor/policy/endpoint_eligibility.py
+++ b/burlmoor/policy/endpoint_eligibility.py
@@ -1,4 +1,4 @@
-"""Which candidates may take a job: capacity, outliers, reservations and the retry-safety rules."""
+"""Endpoint eligibility: capacity, outliers, reservations and the retry-safety rules."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from burlmoor.policy.model.job import ScheduledJob
     from burlmoor.policy.safety import RetrySafety
 
-WIDE_JOB_SLOTS = 2.5  # an endpoint is reserved for a job of more slots than this
+WIDE_JOB_SLOTS = 2.5  # a job of more slots than this may have an endpoint reserved for it
 MAX_RESERVED_FRACTION = 0.25  # of all endpoints
 
 
 class EndpointEligibility:
-    """The conditions of a placement, and the endpoints reserved in this round for wide jobs."""
+    """Decides which endpoints are eligible for a job, and reserves endpoints for wide jobs for one round."""
 
     def __init__(self, endpoints: KnownEndpoints, outliers: OutlierDetector, safety: RetrySafety) -> None:
         self._endpoints = endpoints
@@ -32,7 +32,7 @@
         self._reserved.clear()
 
     def eligible(self, job: ScheduledJob, candidates: list[Endpoint], now: float) -> Iterator[Endpoint]:
-        """Iterate over the candidates that may have capacity for the job and that the rules allow."""
+        """Iterate over the candidates that have capacity for the job and that the rules allow."""
         tried = [attempt.endpoint for attempt in job.attempts]
         idempotency = job.job_class.idempotency
         for endpoint in dict.fromkeys(candidates):
@@ -47,7 +47,7 @@
                 yield endpoint
 
     def reserve(self, job: ScheduledJob, candidates: list[Endpoint], now: float) -> None:
-        """Reserve an endpoint for a wide job: others would take each slot there as it becomes free."""
+        """Reserve an endpoint for a wide job; otherwise other jobs would use each slot as it becomes free."""
         limit = MAX_RESERVED_FRACTION * len(self._endpoints.by_name)
         if job.slots <= WIDE_JOB_SLOTS or len(self._reserved) >= limit:
             return
--- a/burlmoor/policy/endpoint_scoring.py
+++ b/burlmoor/policy/endpoint_scoring.py
@@ -1,6 +1,6 @@
-"""How good a choice an endpoint is for a job: the on-time probability, less penalties.
+"""Scores an endpoint for a job by the on-time probability, less penalties.
 
-On a saturated fleet a job also has to reach a minimum yield; for the yield of a job and of an endpoint see
+On a saturated fleet a job also has to reach a minimum yield; the yields of jobs and endpoints are defined in
 `burlmoor.policy.statistics.endpoint_statistics`.
 """
 
@@ -18,29 +18,29 @@
     from burlmoor.policy.statistics.node_statistics import NodeStatistics
     from burlmoor.types.settings import Settings
 
-ESTIMATE_MARGIN = 1.16  # factor of an expected time before it is compared with the remaining time
-MIN_ON_TIME_PROBABILITY = 0.2  # an endpoint where it is less is not used
-MIN_RELATIVE_PROBABILITY = 0.5  # nor one where it is less than this fraction of the fastest kind's
-MIN_YIELD_FRACTION = 0.6  # of the endpoint's mean yield: what a job has to yield on a saturated fleet
+ESTIMATE_MARGIN = 1.16  # factor applied to an expected time before it is compared with the remaining time
+MIN_ON_TIME_PROBABILITY = 0.2  # below it an endpoint is not used
+MIN_RELATIVE_PROBABILITY = 0.5  # of the fastest kind's on-time probability: a minimum as well
+MIN_YIELD_FRACTION = 0.6  # of the endpoint's mean yield: the minimum on a saturated fleet
 PREFERENCE_WEIGHT = 0.05  # of a preference among endpoints, relative to the on-time probability
-FETCH_WEIGHT = 2.0  # of the fraction of the run spent on fetching a key, in which other jobs wait
+FETCH_WEIGHT = 2.0  # of the fraction of the run spent on fetching a key, while other jobs wait
 MAX_SPEED = 2.0  # in work per time; more speed is no reason to prefer an endpoint
 MIN_REMAINING_MS = 1e-3
-NOMINAL_FASTEST_SLOWNESS = 1.0  # while no kind of endpoint has been used
+NOMINAL_FASTEST_SLOWNESS = 1.0  # assumed while no kind of endpoint has been used
 
 
 @dataclass(frozen=True, slots=True)
 class RoundState:
-    """What is the same for all placements of one dispatch round."""
+    """The state of the fleet that all placements of one dispatch round share."""
 
-    load_half_life: float
+    load_half_life: float  # of evidence on load, ms
     saturation: float  # from 0 to 1: how full the fleet is
     is_mostly_urgent: bool
 
 
 @dataclass(slots=True)
 class Selection:
-    """An endpoint for a job, and what is expected of it there."""
+    """An endpoint for a job, and the job's expected time and yield there."""
 
     endpoint: Endpoint
     loss: float  # the lower the better
@@ -50,7 +50,7 @@
 
 
 class EndpointScorer:
-    """Scores endpoints for one job in one round; what is the same for all of them is computed once."""
+    """Scores endpoints for one job in one round; values that all endpoints share are computed once."""
 
     def __init__(
         self,
@@ -86,12 +86,12 @@
     def _compute_min_probability(self) -> float:
         job, now = self._job, self._now
         fastest = self._runs.slowness_of_fastest_kind(now, NOMINAL_FASTEST_SLOWNESS)
-        least_ms = ESTIMATE_MARGIN * fastest * job.work_ms
-        best = self._on_time_probability(job.job_class.name, least_ms, self._remaining_ms, now)
+        fastest_ms = ESTIMATE_MARGIN * fastest * job.work_ms
+        best = self._on_time_probability(job.job_class.name, fastest_ms, self._remaining_ms, now)
         return max(MIN_ON_TIME_PROBABILITY, MIN_RELATIVE_PROBABILITY * best)
 
     def score(self, endpoint: Endpoint, *, is_key_cached: bool) -> Selection | None:
-        """Return what to expect of the job there; None where it may not, or should not, be sent."""
+        """Return the expected result of sending the job there; None if it may not or should not be sent."""
         job, runs, now = self._job, self._runs, self._now
         fraction = self._slow_start.capacity_fraction(endpoint, now)
         fetch_ms = 0.0 if is_key_cached else self._cache_miss_ms
@@ -122,6 +122,6 @@
         return Selection(endpoint, loss, fetch_ms > 0.0, expected_ms, expected_yield)
 
     def _is_below_minimum_yield(self, endpoint: Endpoint, expected_yield: float) -> bool:
-        """Return whether other jobs yield so much more there that this one should leave them the slot."""
+        """Return whether other jobs yield so much more there that this job should leave the slot to them."""
         fraction = MIN_YIELD_FRACTION * self._state.saturation
         return expected_yield < fraction * self._measured.mean_yield(endpoint, self._now)
--- a/burlmoor/policy/endpoint_selection.py
+++ b/burlmoor/policy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: a job goes to the best of a few endpoints, if one is likely to finish it in time."""
+"""Endpoint selection: the best of a few candidates is selected, if it is likely to finish the job in time."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
         self._assigned: list[Endpoint] = []  # endpoints in slow start that are candidates for each job
 
     def start_round(self, now: float) -> None:
-        """Update what has changed since the previous round."""
+        """Update the outliers, the reservations and the assigned endpoints for a new round."""
         self._eligibility.start_round()
         self._assigned = self._slow_start.assigned_endpoints(now)
 
     def select(self, job: ScheduledJob, state: RoundState, now: float) -> Selection | None:
-        """Return the best endpoint for a job; None where it has to wait."""
+        """Return the best endpoint for a job; None if the job has to wait."""
         kind = job.job_class.required_kind
         orders = self._endpoints.candidates(kind).affinity
         affinity = self._affinity.select(orders, job.key, job.key_fraction, now)
--- a/burlmoor/policy/endpoints/affinity.py
+++ b/burlmoor/policy/endpoints/affinity.py
@@ -14,9 +14,9 @@
     from burlmoor.policy.endpoints.slow_start import SlowStart
     from burlmoor.policy.model.endpoint import Endpoint
 
-MAX_KEYS = 1000  # whose order is cached
-MIN_AFFINITY_ENDPOINTS = 4  # for a key's jobs; few, since each further one has to fetch the key
-AFFINITY_HEADROOM = 1.5  # times the endpoints that a key's jobs fill, where that is more
+MAX_KEYS = 1000  # with a cached order
+MIN_AFFINITY_ENDPOINTS = 4  # for a key's jobs; few, since each further endpoint has to fetch the key
+AFFINITY_HEADROOM = 1.5  # factor of the number of endpoints that a key's jobs fill
 _HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash: spreads bits that differ little
 _HASH_RANGE = 2**32
 
@@ -54,14 +54,14 @@
 
 
 class AffinitySet(NamedTuple):
-    """The endpoints for the jobs of one key; both are empty for jobs without one."""
+    """The endpoints for the jobs of one key; both lists are empty for jobs without a key."""
 
     usable: list[Endpoint]
-    with_key: list[Endpoint]  # where other nodes' jobs have brought the key
+    with_key: list[Endpoint]  # endpoints that are expected to have fetched the key for jobs of other nodes
 
 
 class AffinitySelector:
-    """Selects the endpoints that may get the jobs of a key at this moment."""
+    """Selects the endpoints that may get the jobs of a key."""
 
     def __init__(self, slow_start: SlowStart, outliers: OutlierDetector, rng: random.Random) -> None:
         self._slow_start = slow_start
@@ -71,9 +71,9 @@
     def select(self, orders: AffinityOrders, key: str, key_fraction: float, now: float) -> AffinitySet:
         """Return the endpoints for a key that this fraction of all jobs with a key has.
 
-        The next in the key's order replaces an endpoint that is ejected. A key of many jobs has more
-        endpoints, and those in slow start, which take little, don't count: otherwise jobs would be rejected
-        while endpoints are free.
+        An ejected endpoint is replaced by the next one in the key's order. A key with many jobs gets more
+        endpoints. Endpoints in slow start have little capacity and are not counted: otherwise jobs would be
+        rejected while endpoints are free.
         """
         if not key:
             return AffinitySet([], [])
--- a/burlmoor/policy/endpoints/candidates.py
+++ b/burlmoor/policy/endpoints/candidates.py
@@ -1,4 +1,4 @@
-"""The endpoints that may take a job of a kind, drawn at random by weight or found by key."""
+"""The endpoints that can run the jobs of a kind, drawn at random by weight or ordered by key."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.affinity = AffinityOrders(self.local + self.remote)
 
     def sample(self, rng: random.Random, local_count: int, remote_count: int) -> list[Endpoint]:
-        """Draw endpoints, each as likely as its weight says; one may be drawn twice."""
+        """Draw endpoints with probabilities in proportion to their weights, with replacement."""
         local: list[Endpoint] = []
         remote: list[Endpoint] = []
         if self.local:
--- a/burlmoor/policy/endpoints/fleet_load.py
+++ b/burlmoor/policy/endpoints/fleet_load.py
@@ -1,4 +1,4 @@
-"""What this node's attempts hold at the endpoints, and how full the fleet is."""
+"""The slots and memory in use by this node's attempts at the endpoints, and the saturation of the fleet."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FleetLoad:
-    """Counts the slots and memory that this node's attempts hold; times are ms."""
+    """Counts the slots and memory that this node's attempts use. Times are ms."""
 
     def __init__(
         self,
@@ -26,9 +26,8 @@
         self._slow_start = slow_start
         self._recently_freed = recently_freed
         self._node_count = node_count
-        self.slots_in_flight = (
-            0.0  # held by this node's attempts, also at endpoints that are no longer listed
-        )
+        # Of this node's attempts, including those at endpoints that are no longer listed.
+        self.slots_in_flight = 0.0
 
     def acquire(self, endpoint: Endpoint, job: ScheduledJob, now: float) -> None:
         """Count an attempt that is sent to the endpoint."""
@@ -60,9 +59,9 @@
         Twice, since of many nodes each alone holds little.
         """
         capacity = sum(endpoint.capacity for endpoint in self._endpoints.live)
-        held = self.slots_in_flight * self._node_count
-        return min(1.0, held / max(1.0, 2.0 * capacity))
+        fleet_slots_in_flight = self.slots_in_flight * self._node_count
+        return min(1.0, fleet_slots_in_flight / max(1.0, 2.0 * capacity))
 
     def parallel_slots(self) -> float:
-        """Return how many slots work for this node's jobs: those in flight, or its part of the fleet."""
+        """Return how many slots serve this node's jobs: those in flight, or its part of the fleet."""
         return max(1.0, self.slots_in_flight, self._endpoints.live_weight / self._node_count)
--- a/burlmoor/policy/endpoints/known_endpoints.py
+++ b/burlmoor/policy/endpoints/known_endpoints.py
@@ -1,6 +1,6 @@
-"""The endpoints that the policy knows, with what it has measured of each.
+"""The endpoints that the policy knows, with their statistics.
 
-They follow the updates of the engine. The list itself, its version and the overrides are those of
+They are updated by the engine's events. The list itself, its version and the overrides belong to
 `burlmoor.endpoints.directory`.
 """
 
@@ -48,7 +48,7 @@
             known.weight = max(entry.weight, MIN_WEIGHT)
             if entry.started_at == known.entry.started_at and entry.state is not EndpointState.GONE:
                 return
-            # A restarted process holds none of this node's jobs, and the statistics of the old one are void.
+            # A restarted process has none of this node's jobs, and the old statistics do not apply to it.
             self.by_name.pop(entry.endpoint).is_live = False
         if entry.state is not EndpointState.GONE:
             rank = self._slow_start.rank_of_node(hash_name(entry.endpoint))
--- a/burlmoor/policy/endpoints/outcomes.py
+++ b/burlmoor/policy/endpoints/outcomes.py
@@ -14,7 +14,7 @@
     from burlmoor.policy.statistics.node_statistics import NodeStatistics
 
 FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE)
-MIN_SILENT_MS = 500.0  # a cancel or timeout is a fault if the endpoint was silent for this long
+MIN_SILENT_MS = 500.0  # a cancellation or timeout is a fault if the endpoint was silent for longer
 CLEAN_SLOWNESS = 1.5  # a late job counts as clean if its slowness relative to the kind is less
 PROGRESS_WEIGHT = 0.5  # of a run time estimated from progress
 
@@ -94,8 +94,10 @@
         self._statistics.estimates.record(class_name, attempt.expected_ms, now - attempt.sent_at, now)
         is_in_time = now <= job.objective_at
         if not job.is_closed:
-            counted = 1.0 if is_in_time else job.job_class.late_fraction
-            self._statistics.class_weights.record_served(class_name, counted * job.objective_weight, now)
+            objective_fraction = 1.0 if is_in_time else job.job_class.late_fraction
+            self._statistics.class_weights.record_served(
+                class_name, objective_fraction * job.objective_weight, now
+            )
         run_ms = now - attempt.started_at if attempt.started_at is not None else elapsed_ms
         if job.key:
             run_ms = runs.record_cache_use(
--- a/burlmoor/policy/endpoints/outlier_detection.py
+++ b/burlmoor/policy/endpoints/outlier_detection.py
@@ -17,14 +17,14 @@
 
 
 class OutlierDetector:
-    """Ejects endpoints that fail, unless most of them do: then the fault is likely to be on this side."""
+    """Ejects endpoints that fail, unless most of them do: then the fault is probably at this node."""
 
     def __init__(self) -> None:
         self.is_wary = True  # whether one fault is enough to keep non-idempotent jobs away
         self.is_ejecting = True
 
     def update(self, live: Sequence[Endpoint]) -> None:
-        """Count the failing endpoints: where they are more than half, faults are disregarded."""
+        """Count the failing endpoints; if more than half of all fail, faults are disregarded."""
         faults = [endpoint.consecutive_faults for endpoint in live]
         self.is_wary = 2 * sum(count > 0 for count in faults) <= len(faults)
         self.is_ejecting = 2 * sum(count >= EJECTION_FAULTS for count in faults) <= len(faults)
@@ -40,10 +40,10 @@
         ]
 
     def may_receive(self, endpoint: Endpoint, idempotency: Idempotency, now: float) -> bool:
-        """Return whether the endpoint's faults allow that a job is sent there.
+        """Return whether the endpoint's faults allow a job to be sent there.
 
-        An ejected endpoint is probed by one idempotent job at a time. Without this, endpoints that fail at
-        once, and so are always free, attract most jobs.
+        An ejected endpoint is probed by one idempotent job at a time. Without this, endpoints that fail
+        immediately, and so are always free, would attract most jobs.
         """
         faults = endpoint.consecutive_faults
         if faults < EJECTION_FAULTS:
--- a/burlmoor/policy/endpoints/poll_backoff.py
+++ b/burlmoor/policy/endpoints/poll_backoff.py
@@ -1,4 +1,4 @@
-"""When the endpoint list is polled next, where it is not pushed."""
+"""The backoff of polls of the endpoint list, for nodes that have to poll it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 STEP_FRACTION = 0.1  # of the poll interval: the first backoff
 MAX_BACKOFF_DOUBLINGS = 3
 FIRST_POLL_SPREAD_STEPS = 4.0  # over which the nodes' polls are spread
-MIN_JITTER, MAX_JITTER = 0.5, 1.5  # times the backoff
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # factors of the backoff
 
 
 class PollBackoff:
@@ -31,5 +31,5 @@
         return step_ms * self._rng.uniform(0.0, FIRST_POLL_SPREAD_STEPS)
 
     def reset(self) -> None:
-        """End the backoff: a list has come."""
+        """Reset the backoff after a list was received."""
         self._failed_polls = 0
--- a/burlmoor/policy/endpoints/recently_freed.py
+++ b/burlmoor/policy/endpoints/recently_freed.py
@@ -11,7 +11,7 @@
 
 
 class RecentlyFreed:
-    """The few endpoints that had a free slot most recently: all that a node knows of free capacity."""
+    """A bounded set of the endpoints that had a free slot most recently."""
 
     def __init__(self, max_size: int) -> None:
         self._max_size = max_size
--- a/burlmoor/policy/endpoints/slow_start.py
+++ b/burlmoor/policy/endpoints/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: the budget of an endpoint that has just started, over all nodes together.
+"""Slow start: the budget of a recently started endpoint, which all nodes share.
 
-An endpoint in slow start has a fraction of its capacity. No node knows what the others send it, so each keeps
-within its part of a common budget. The parts follow an order of the nodes that each endpoint has by itself
-and that all nodes agree on; see "Dividing a slow-start budget" in docs/design.md.
+An endpoint in slow start has a fraction of its capacity. No node knows what the others send to it, so each
+stays within its part of a common budget. The parts follow from an order of the nodes that is specific to each
+endpoint and that all nodes agree on; see "Dividing a slow-start budget" in docs/design.md.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
     from burlmoor.policy.statistics.node_statistics import NodeStatistics
     from burlmoor.types.settings import Settings
 
-# Of an endpoint's budget, what the nodes plan to use: in the worst case they use 3 times as much.
+# The fraction of an endpoint's budget that the nodes plan to use; in the worst case they use 3 times as much.
 MIN_PLANNED_FRACTION = 0.3
-SINGLE_NODE_PLANNED_FRACTION = 0.5  # few nodes save up and owe little
-PLANNED_FRACTION_STEP = 0.005  # less for each node
+SINGLE_NODE_PLANNED_FRACTION = 0.5  # higher, since few nodes save up and overdraw little credit
+PLANNED_FRACTION_STEP = 0.005  # subtracted for each node
 MAX_JOB_COST = 2.0  # an endpoint in slow start gets no job of more than this many times the mean cost
-MAX_BUDGET_FRACTION = 0.5  # nor one that takes more than this fraction of its budget
-MAX_CREDIT_JOBS = 1.0  # a node saves up one job at most, and owes one at most
+MAX_BUDGET_FRACTION = 0.5  # nor a job that needs more than this fraction of its budget
+MAX_CREDIT_JOBS = 1.0  # a node saves at most one job, and overdraws its credit by at most one
 MIN_SPEED, MAX_SPEED = 0.5, 1.5  # of a kind, relative to the fleet
-SCARCE_BUDGET_FACTOR = 3.0  # a budget of fewer jobs than a third of the nodes goes to few of them
+SCARCE_BUDGET_FACTOR = 3.0  # a budget of fewer jobs than the nodes divided by this is scarce
 REASSIGN_FRACTION = 0.1  # of the overload window: how often a node's assigned endpoints are updated
 
 
 class SlowStartBudget(NamedTuple):
-    """What an endpoint in slow start can take within an overload window, in jobs of mean cost."""
+    """The budget of an endpoint in slow start for one overload window, in jobs of mean cost."""
 
     total_jobs: float
-    node_jobs: float  # what this node may send of it
+    node_jobs: float  # this node's part
 
 
 class SlowStart:
@@ -46,7 +46,7 @@
         self._node_index = settings.node_index
         self._statistics = statistics
         self._rng = rng
-        # What the tenants may send together by their quotas.
+        # The sum of the tenants' quotas.
         self._planned_jobs_per_ms = sum(tenant.quota_per_second for tenant in settings.tenants) / 1000.0
         self._planned_fraction = max(
             MIN_PLANNED_FRACTION, SINGLE_NODE_PLANNED_FRACTION - PLANNED_FRACTION_STEP * self._node_count
@@ -58,7 +58,7 @@
         self._is_handed_over = False  # whether another process of this node uses its budgets now
 
     def set_live_endpoints(self, live: Sequence[Endpoint]) -> None:
-        """Set the live endpoints. The budgets of those that left are not divided among the others."""
+        """Set the live endpoints. The budgets of removed ones are not divided among the others."""
         self._live = live
         self._reassign_at = 0.0
         self._peak_live_count = max(self._peak_live_count, len(live))
@@ -98,21 +98,21 @@
         return max(1.0, (endpoint.slots_in_flight + slots) / (fraction * endpoint.capacity))
 
     def budget(self, endpoint: Endpoint, now: float) -> SlowStartBudget:
-        """Return what an endpoint in slow start can take within a window, and this node's part of it."""
+        """Return the budget of an endpoint in slow start for one window, and this node's part of it."""
         sustainable = self._sustainable_work_per_ms(endpoint, now)
         weighted = self._rules.overload_multiple * max(endpoint.weight, sustainable)
         sustainable = weighted * self.capacity_fraction(endpoint, now)
         total = sustainable * self._rules.overload_window_ms / self._statistics.demand.mean_cost
-        for_each, for_some = divmod(self._planned_fraction * total, self._node_count)
+        jobs_per_node, remaining_jobs = divmod(self._planned_fraction * total, self._node_count)
         if self._is_handed_over:
             return SlowStartBudget(total, 0.0)
-        extra = max(0.0, min(1.0, for_some - endpoint.slow_start_rank))
-        return SlowStartBudget(total, for_each + extra)
+        extra = max(0.0, min(1.0, remaining_jobs - endpoint.slow_start_rank))
+        return SlowStartBudget(total, jobs_per_node + extra)
 
     def _sustainable_work_per_ms(self, endpoint: Endpoint, now: float) -> float:
-        """Return the work per ms that an endpoint of this kind can take after its slow start.
+        """Return the work per ms that an endpoint of this kind can sustain after its slow start.
 
-        It follows from the tenants' quotas, else from the capacity of such endpoints.
+        It follows from the tenants' quotas, or without quotas from the capacity of the kind's warm endpoints.
         """
         runs = self._statistics.runs
         of_kind = runs.slowness_of_kind(endpoint.kind, now)
@@ -126,7 +126,7 @@
         return min(warm, default=0.0) / of_kind
 
     def assigned_endpoints(self, now: float) -> list[Endpoint]:
-        """Return the endpoints in slow start that few nodes, and this one among them, may send to.
+        """Return the endpoints in slow start that only few nodes, including this one, may send to.
 
         They are candidates for each job of this node, since hardly any other node sends them jobs.
         """
@@ -142,7 +142,7 @@
         return budget.node_jobs > 0.0 and SCARCE_BUDGET_FACTOR * budget.total_jobs < self._node_count
 
     def has_credit(self, endpoint: Endpoint, cost: float, now: float) -> bool:
-        """Return whether the slow-start rule lets this node send a job of this cost to the endpoint."""
+        """Return whether the slow-start rule allows this node to send a job of this cost to the endpoint."""
         budget = self.budget(endpoint, now)
         elapsed = now - endpoint.slow_start_credit_at
         gained = budget.node_jobs * elapsed / self._rules.overload_window_ms
@@ -154,5 +154,5 @@
         return endpoint.slow_start_credit >= min(1.0, jobs)
 
     def charge(self, endpoint: Endpoint, cost: float) -> None:
-        """Subtract a job that is sent to the endpoint from the credit."""
+        """Subtract the cost of a job that is sent to the endpoint from the credit."""
         endpoint.slow_start_credit -= cost / self._statistics.demand.mean_cost
--- a/burlmoor/policy/job_checks.py
+++ b/burlmoor/policy/job_checks.py
@@ -13,11 +13,11 @@
     from burlmoor.policy.timer_queue import TimerQueue
     from burlmoor.types.settings import Settings
 
-MAX_SILENT_INTERVALS = 1.5  # an attempt that is silent for this many progress intervals is taken to hang
+MAX_SILENT_INTERVALS = 1.5  # an attempt that is silent for longer, in progress intervals, is assumed to hang
 
 
 class JobChecks:
-    """Schedules the checks of jobs, by what their attempts should have reported by then."""
+    """Schedules checks of jobs for the times by which their attempts should have reported."""
 
     def __init__(self, settings: Settings, start_delays: StartDelayStatistics, timers: TimerQueue) -> None:
         interval_ms = settings.progress_interval_ms
@@ -34,22 +34,22 @@
         return now + self._max_silence_ms
 
     def postpone(self, attempt: ScheduledAttempt, now: float) -> None:
-        """Check the attempt after the longest silence from now: it has reported, or was just checked."""
+        """Postpone the attempt's check, since it has reported or was just checked."""
         attempt.check_at = now + self._max_silence_ms
 
     @staticmethod
     def check_no_later_than(attempt: ScheduledAttempt, at: float) -> None:
-        """Check the attempt at this moment at the latest."""
+        """Check the attempt at this time at the latest."""
         attempt.check_at = min(attempt.check_at, at)
 
     def schedule_first(self, job: ScheduledJob) -> None:
-        """Schedule the check before the deadline of a job that has just been admitted."""
+        """Schedule the check of a newly admitted job, shortly before its deadline."""
         self._timers.schedule_check(job, job.deadline_at - self._tick_ms)
 
     def schedule_next(self, job: ScheduledJob, now: float) -> None:
         """Schedule the next check of a job whose attempts are pending."""
-        moments = [attempt.check_at for attempt in job.pending_attempts() if not attempt.is_cancelling]
-        moments.append(job.deadline_at - self._tick_ms)
+        check_times = [attempt.check_at for attempt in job.pending_attempts() if not attempt.is_cancelling]
+        check_times.append(job.deadline_at - self._tick_ms)
         if now < job.useful_until:
-            moments.append(job.useful_until)
-        self._timers.schedule_check(job, max(min(moments), now + self._tick_ms))
+            check_times.append(job.useful_until)
+        self._timers.schedule_check(job, max(min(check_times), now + self._tick_ms))
--- a/burlmoor/policy/load_shedding.py
+++ b/burlmoor/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: rejects queued jobs that can't be in time any more or that exceed the fleet's capacity."""
+"""Load shedding: rejects queued jobs that can't finish in time any more or that exceed the capacity."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from burlmoor.policy.policy_warnings import WarningLimiter
     from burlmoor.policy.statistics.run_statistics import RunStatistics
 
-MAX_QUEUE_LOAD = 0.8  # of the queued jobs' objectives: the time that the jobs will have taken
+MAX_QUEUE_LOAD = 0.8  # the sum of the queued jobs' response times, relative to that of their objectives
 UNKNOWN_FASTEST_SLOWNESS = 0.5  # time per unit of work while no kind of endpoint has been used: optimistic
 
 
@@ -32,7 +32,7 @@
     def shed(
         self, queue: list[ScheduledJob], slowness: float, round_ms: float, now: float
     ) -> list[ScheduledJob]:
-        """Reject what can't be in time any more and what exceeds the capacity; return the other jobs.
+        """Reject the jobs that can no longer finish in time or that exceed the capacity; return the others.
 
         The queue is in order of priority; `slowness` is the fleet's time per unit of work.
         """
@@ -40,19 +40,19 @@
         parallel_slots = self._load.parallel_slots()
         remaining: list[ScheduledJob] = []
         excess: list[ScheduledJob] = []
-        ahead_ms = taken_ms = objectives_ms = 0.0
+        ahead_ms = response_ms = objectives_ms = 0.0
         for job in queue:
-            least_ms = 0.0 if job.is_exploratory else fastest * job.work_ms
-            if now + least_ms > max(job.useful_until, now):
+            min_run_ms = 0.0 if job.is_exploratory else fastest * job.work_ms
+            if now + min_run_ms > max(job.useful_until, now):
                 if not job.pending_attempts():
                     self._jobs.abandon(job, EndReason.TOO_LATE)
                 continue
             if job.rounds_waited > 0:
-                # ATHOS, equation 2: the time that queued jobs will have taken, against their objectives.
+                # ATHOS, equation 2: the response times expected of the queued jobs, against their objectives.
                 ahead_ms += slowness * job.work_ms * job.slots / parallel_slots
-                taken_ms += now - (job.objective_at - job.objective_ms) + ahead_ms + slowness * job.work_ms
+                response_ms += now - (job.objective_at - job.objective_ms) + ahead_ms + slowness * job.work_ms
                 objectives_ms += job.objective_ms + round_ms
-            is_overload = taken_ms > MAX_QUEUE_LOAD * objectives_ms
+            is_overload = response_ms > MAX_QUEUE_LOAD * objectives_ms
             is_excess = is_overload and job.rounds_waited > 0 and not job.attempts
             (excess if is_excess else remaining).append(job)
         self._reject_excess(excess, now)
--- a/burlmoor/policy/model/__init__.py
+++ b/burlmoor/policy/model/__init__.py
@@ -1,8 +1,8 @@
-"""What the policy stores of a job, of an attempt and of an endpoint.
+"""The policy's model of jobs, attempts and endpoints.
 
-A job and an attempt exist twice in a node. `burlmoor.engine.job` has the engine's `Job` and `Attempt`: the
-client's connection, the payload and the final answer. `ScheduledJob` and `ScheduledAttempt` here are the
-policy's: estimates, priority and deadlines. Neither side holds the other's objects. They exchange the events
-and actions of `burlmoor/types`, in which a job is named by its number (`Job.number` is `ScheduledJob.id`) and
-an attempt by its number within the job.
+The engine and the policy each have their own objects for a job and its attempts. The engine's `Job` and
+`Attempt` (`burlmoor.engine.job`) have the client's connection, the payload and the final answer; the policy's
+`ScheduledJob` and `ScheduledAttempt` have estimates, priority and deadlines. Neither side refers to the
+other's objects. They exchange the events and actions of `burlmoor/types`, which identify a job by its number
+(`Job.number` is `ScheduledJob.id`) and an attempt by its number within the job.
 """
--- a/burlmoor/policy/model/attempt.py
+++ b/burlmoor/policy/model/attempt.py
@@ -21,21 +21,21 @@
     number: int  # counts from 0 within the job
     endpoint: Endpoint
     sent_at: float
-    expected_ms: float  # from the send to its end
+    expected_ms: float  # expected time from the send to the end
     is_cache_miss: bool
-    check_at: float  # when it is checked if the endpoint has reported nothing of it by then
+    check_at: float  # when it is checked, unless the endpoint reports on it before
     started_at: float | None = None
     outcome: Outcome | None = None  # None until it has ended
-    is_cancelling: bool = False  # by the node; pending until its endpoint is known not to hold the job
+    is_cancelling: bool = False  # the node has cancelled it, and the endpoint may still hold the job
     is_overdue: bool = False
-    awaits_late_retry: bool = False  # whether it is retried at the last moment that leaves time for it
+    awaits_late_retry: bool = False  # the job is redistributed at the last time that allows it
 
     def mark_overdue(self) -> None:
-        """Count it as overdue at its endpoint: it should have started by now."""
+        """Count the attempt as overdue at its endpoint: it should have started by now."""
         self.is_overdue = True
         self.endpoint.overdue_attempts += 1
 
     def clear_overdue(self) -> None:
-        """Count it as overdue no longer: it has started or ended."""
+        """Stop counting the attempt as overdue: it has started or ended."""
         self.endpoint.overdue_attempts -= self.is_overdue
         self.is_overdue = False
--- a/burlmoor/policy/model/decayed_mean.py
+++ b/burlmoor/policy/model/decayed_mean.py
@@ -18,9 +18,9 @@
 
     def add(self, now: float, value: float, half_life: float, weight: float = 1.0) -> None:
         """Add one piece of evidence."""
-        keep: float = 0.5 ** ((now - self.updated_at) / half_life)
-        self.total = self.total * keep + value * weight
-        self.weight = self.weight * keep + weight
+        decay: float = 0.5 ** ((now - self.updated_at) / half_life)
+        self.total = self.total * decay + value * weight
+        self.weight = self.weight * decay + weight
         self.updated_at = now
 
     def decayed_total(self, now: float, half_life: float) -> float:
@@ -29,5 +29,5 @@
 
     def read(self, now: float, half_life: float, prior: float, prior_weight: float = 1.0) -> float:
         """Return the mean, with `prior` counted as evidence of the weight `prior_weight`."""
-        keep: float = 0.5 ** ((now - self.updated_at) / half_life)
-        return (self.total * keep + prior * prior_weight) / (self.weight * keep + prior_weight)
+        decay: float = 0.5 ** ((now - self.updated_at) / half_life)
+        return (self.total * decay + prior * prior_weight) / (self.weight * decay + prior_weight)
--- a/burlmoor/policy/model/endpoint.py
+++ b/burlmoor/policy/model/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as a node knows it: its list entry, the node's own load on it, and what was measured."""
+"""One endpoint as a node knows it: its list entry, the node's own load on it, and its statistics."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 # jobs while endpoints are idle.
 INITIAL_CAPACITY_SLOTS = 4.0
 MIN_WEIGHT = 1e-3  # a listed weight of 0 would divide by zero
-CAPACITY_DECREASE = 0.9  # multiplicative decrease of the capacity after a late start or an overload answer
+CAPACITY_DECREASE = 0.9  # factor for the capacity after a late start or an overload response
 
 
 def hash_name(endpoint: str) -> int:
@@ -23,10 +23,10 @@
 
 
 class Endpoint:
-    """What one node knows of one endpoint. Times are ms of the node's clock.
+    """The state and the statistics that one node has of one endpoint. Times are ms of the node's clock.
 
-    Each group of fields has one owner, the class named above it; a statistics snapshot restores what was
-    measured.
+    Each group of fields has one owner, the class named above it. Restoring a statistics snapshot also
+    sets the measured fields.
     """
 
     def __init__(self, entry: EndpointEntry, slow_start_rank: int = 0) -> None:
@@ -39,9 +39,9 @@
         self.name_hash = hash_name(entry.endpoint)
         self.is_live = entry.state is EndpointState.LIVE
         # FleetLoad
-        self.slots_in_flight = 0.0  # held by this node's own attempts, as is the memory
+        self.slots_in_flight = 0.0  # by this node's own attempts, as is the memory
         self.memory_in_flight = 0.0
-        # Keys that own jobs have fetched, the most recent last, and since when they are cached.
+        # Keys of this node's jobs, the most recent last, with the time of the last send.
         self.cached_keys: dict[str, float] = {}
         # RunStatistics
         self.slowness = DecayedMean()  # time taken per unit of hinted work
@@ -50,12 +50,12 @@
         self.start_delay = DecayedMean()
         self.capacity = max(INITIAL_CAPACITY_SLOTS, self.weight)  # own slots that may be in flight
         # EndpointStatistics
-        self.clean_rate = DecayedMean()  # of attempts: the fraction that ended without a fault and in time
+        self.clean_rate = DecayedMean()  # the fraction of attempts that ended without a fault and in time
         self.log_yield = DecayedMean()  # logarithm of the yield of the jobs sent here
         # OutcomeRecorder
         self.last_reported_at = -math.inf  # when it last reported a start or progress, or served a job
         # AttemptSender
-        self.first_sent_at = math.inf  # when this process sent it its first attempt
+        self.first_sent_at = math.inf  # when this process sent the first attempt
         # OutlierDetector
         self.consecutive_faults = 0
         self.next_probe_at = -math.inf  # when an ejected endpoint may get a job as a probe
@@ -67,22 +67,22 @@
         self.slow_start_credit_at = 0.0
 
     def has_reported_since(self, moment: float) -> bool:
-        """Return whether it has reported anything to this process since then."""
+        """Return whether the endpoint has reported anything to this process since `moment`."""
         return self.last_reported_at >= moment
 
     def is_silent_since(self, moment: float) -> bool:
-        """Return whether it has reported nothing since then, although it had an attempt of this process.
+        """Return whether the endpoint had an attempt of this process and has reported nothing since `moment`.
 
         The first attempts of a new process wait for connections, which is no sign of a fault.
         """
         return self.first_sent_at < moment and not self.has_reported_since(moment)
 
     def is_available(self) -> bool:
-        """Return whether it is listed as live and no attempt of this node there is overdue."""
+        """Return whether the endpoint is listed as live and has no overdue attempt of this node."""
         return self.is_live and not self.overdue_attempts
 
     def deduplicates_with(self, other: Endpoint, scope: DeduplicationScope) -> bool:
-        """Return whether each of the two drops repeats of what the other has run."""
+        """Return whether each of the two endpoints drops repeats of jobs that the other has run."""
         if scope is DeduplicationScope.ALL:
             return True
         if self.zone != other.zone:  # cells are numbered within their zone
@@ -90,7 +90,7 @@
         return scope is DeduplicationScope.ZONE or self.entry.cell == other.entry.cell
 
     def has_capacity(self, slots: float, memory: float) -> bool:
-        """Return whether a job fits; one that no endpoint could ever hold fits an empty one."""
+        """Return whether a job fits; an endpoint without jobs of this node accepts any job."""
         if self.slots_in_flight <= 0.0:
             return True
         return (
@@ -98,11 +98,11 @@
         )
 
     def increase_capacity(self) -> None:
-        """Raise the capacity additively: about one slot for as many prompt starts as it has slots."""
+        """Raise the capacity additively, by about one slot per `capacity` prompt starts."""
         self.capacity += 1.0 / self.capacity
 
     def decrease_capacity(self) -> None:
-        """Lower the capacity: the endpoint has shown that it is loaded."""
+        """Lower the capacity multiplicatively, since the endpoint is loaded."""
         self.capacity = max(1.0, CAPACITY_DECREASE * self.capacity)
 
     def record_cached_key(self, key: str, now: float) -> None:
--- a/burlmoor/policy/model/job.py
+++ b/burlmoor/policy/model/job.py
@@ -11,11 +11,11 @@
 
 
 class JobTimes(NamedTuple):
-    """When a job has to be answered, in ms."""
+    """The objective and the deadline of a job, in ms."""
 
     objective_ms: float  # its class's latency objective, stretched by its work
     objective_at: float
-    useful_until: float  # an answer yields nothing after it
+    useful_until: float  # a later answer yields nothing
     deadline_at: float
 
 
@@ -23,7 +23,7 @@
     """The weights and the priority of a job, relative to other jobs."""
 
     weight: float  # priority weight, with the class weight
-    objective_weight: float  # what it adds to the operators' objective, within its tenant's quota
+    objective_weight: float  # its contribution to the operators' objective, within its tenant's quota
     priority: float
 
 
@@ -53,7 +53,7 @@
         self.cost = work_ms * request.slots
         self.objective_ms, self.objective_at, self.useful_until, self.deadline_at = times
         self.weight, self.objective_weight, self.priority = weights
-        self.key_fraction = key_fraction  # of all jobs with a key: those that have this one
+        self.key_fraction = key_fraction  # the fraction of all jobs with a key that have this one
         self.is_exploratory = is_exploratory  # sent even where it is unlikely to finish in time
         # RetrySafety
         self.attempts: list[ScheduledAttempt] = []
@@ -71,7 +71,7 @@
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     def possibly_run_attempts(self) -> list[ScheduledAttempt]:
-        """Return the attempts that are not proved to have never run."""
+        """Return the attempts that may have run: their outcome is unknown, or does not prove the contrary."""
         return [
             attempt
             for attempt in self.attempts
--- a/burlmoor/policy/open_jobs.py
+++ b/burlmoor/policy/open_jobs.py
@@ -12,7 +12,7 @@
     from burlmoor.policy.safety import RetrySafety
     from burlmoor.types.reasons import EndReason
 
-MIN_RETRY_AFTER_FRACTION = 0.5  # of the longest one
+MIN_RETRY_AFTER_FRACTION = 0.5  # of the longest Retry-After
 
 
 class PendingAttempt(NamedTuple):
@@ -43,9 +43,9 @@
         return PendingAttempt(job, job.attempts[number])
 
     def abandon(self, job: ScheduledJob, reason: EndReason) -> None:
-        """Reject the job, or fail it where a rejection is not safe, with a random Retry-After.
+        """Reject the job with a random Retry-After, or fail it if a rejection is not safe.
 
-        Every rejection comes from here. Callers: `LoadShedder` and `RetryPolicy`, which give the reason.
+        All of the policy's rejections are made here, for `LoadShedder` and `RetryPolicy`.
         """
         fraction = self._rng.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
         self._safety.finish(job, fraction * self._max_retry_after_ms, reason)
--- a/burlmoor/policy/policy_warnings.py
+++ b/burlmoor/policy/policy_warnings.py
@@ -15,14 +15,14 @@
 
 
 class PolicyWarning(Enum):
-    """What the policy warns of; the value is the text in the log."""
+    """One kind of warning; the value is the text in the log."""
 
     OVERLOAD = "overload: refusing the least worth"
     SILENT_ENDPOINTS = "silent executors: moving repeatable work away"
 
 
 class WarningLimiter:
-    """Logs a warning once in an interval, not once for each job."""
+    """Logs each kind of warning at most once per interval."""
 
     def __init__(self, actions: ActionBatch) -> None:
         self._actions = actions
--- a/burlmoor/policy/redistribution_budget.py
+++ b/burlmoor/policy/redistribution_budget.py
@@ -7,7 +7,7 @@
 
 
 class RedistributionBudget:
-    """A token bucket that each send fills a little and each redistribution takes a token from.
+    """A token bucket to which each send adds a fraction of a token; each redistribution takes one.
 
     Without it redistribution feeds an overload, since the job may run at both endpoints.
     """
@@ -16,7 +16,7 @@
         self._tokens = MAX_TOKENS
 
     def record_send(self) -> None:
-        """Add what a send allows."""
+        """Add the fraction of a token that a send allows."""
         self._tokens = min(MAX_TOKENS, self._tokens + TOKENS_PER_SEND)
 
     def has_token(self) -> bool:
@@ -24,5 +24,5 @@
         return self._tokens >= 1.0
 
     def take_token(self) -> None:
-        """Count a redistribution."""
+        """Take a token for one redistribution."""
         self._tokens -= 1.0
--- a/burlmoor/policy/retries.py
+++ b/burlmoor/policy/retries.py
@@ -54,7 +54,7 @@
         self._warnings = warnings
 
     def check(self, job: ScheduledJob, now: float) -> None:
-        """Check a job of which its endpoints should have reported something by now."""
+        """Check a job whose endpoints should have reported progress by now."""
         if job.is_closed or job.is_streaming:
             return
         has_started = any(attempt.started_at is not None for attempt in job.pending_attempts())
@@ -62,7 +62,7 @@
             self._jobs.abandon(job, EndReason.DEADLINE)
             return
         if now >= job.useful_until and not has_started:
-            # A job that is no longer useful and has not started must free its slots.
+            # A job that has not started, and whose result would be useless by now, must free its slots.
             self._jobs.abandon(job, EndReason.NOT_STARTED)
             return
         for attempt in job.pending_attempts():
@@ -84,7 +84,7 @@
             self._redistribute(job, attempt, reason, now)
 
     def _handle_overdue(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
-        """Send nothing more to the endpoint until the attempt starts, which is queued behind others there."""
+        """Mark the attempt overdue; its endpoint, which queues jobs, gets nothing more until it starts."""
         endpoint = attempt.endpoint
         start_delays = self._statistics.start_delays
         retry_ms = attempt.expected_ms + start_delays.start_grace(endpoint.zone)
@@ -93,7 +93,7 @@
         if endpoint.is_silent_since(now - SILENT_ENDPOINT_MS):
             self._redistribute_unstarted(job, attempt, now)
         elif not endpoint.has_reported_since(now - SILENT_ENDPOINT_MS) and now < job.useful_until - retry_ms:
-            # It may be remote or down: wait as long as another endpoint can still serve the job afterwards.
+            # The endpoint may be remote or down: wait as long as another one can still serve the job in time.
             attempt.awaits_late_retry = True
             self._checks.check_no_later_than(attempt, job.useful_until - retry_ms)
 
@@ -103,10 +103,10 @@
             self._redistribute(job, attempt, CancelReason.OVERDUE, now)
 
     def _may_redistribute_unstarted(self, job: ScheduledJob, now: float) -> bool:
-        """Return whether a job that has not started may be sent elsewhere.
+        """Return whether a job that has not started may be redistributed.
 
-        Without these limits redistribution feeds an overload, since the job may run at both endpoints: it is
-        for few jobs, and while other endpoints start jobs promptly.
+        Without these limits redistribution feeds an overload, since the job may run at both endpoints.
+        Therefore it is limited to few jobs, and to times when other endpoints start jobs promptly.
         """
         prompt_fraction = self._statistics.start_delays.prompt_fraction(now)
         return (
@@ -118,7 +118,7 @@
     def _redistribute(
         self, job: ScheduledJob, attempt: ScheduledAttempt, reason: CancelReason, now: float
     ) -> None:
-        """Send a job elsewhere, where its class allows a repeat and attempts are left."""
+        """Send a job to another endpoint, if its class allows a repeat and attempts are left."""
         if job.is_queued or not self._limits.may_cancel:
             return
         if len(job.attempts) >= self._limits.max_attempts:
@@ -136,9 +136,9 @@
             self.retry_or_abandon(job, now)
 
     def retry_or_abandon(self, job: ScheduledJob, now: float) -> None:
-        """Queue a job again whose attempt brought no result where that is safe, else abandon it.
+        """Requeue a job whose attempt brought no result, or abandon it if that is not safe.
 
-        Where a cancelled attempt is still pending, and prevents a retry, the job waits for its end.
+        If a cancelled attempt that is still pending prevents a retry, the job waits for that attempt to end.
         """
         pending = job.pending_attempts()
         if job.is_queued or any(not attempt.is_cancelling for attempt in pending):
--- a/burlmoor/policy/safety.py
+++ b/burlmoor/policy/safety.py
@@ -1,4 +1,4 @@
-"""The retry-safety rules, which every send, final answer and cancel has to keep.
+"""The retry-safety rules, to which every send, final answer and cancellation has to conform.
 
 The answer rule: a request gets exactly one final answer, before its deadline. The repeat rule: a job that may
 have run is neither run again nor rejected, which invites a retry, unless its class allows a repeat.
@@ -20,14 +20,14 @@
 
 
 class RetrySafety:
-    """Keeps both rules: every send, rejection, failure and cancel of every job passes here."""
+    """Enforces both rules: every send, rejection, failure and cancellation of a job is made here."""
 
     def __init__(self, limits: Limits, actions: ActionBatch) -> None:
         self._limits = limits
         self._actions = actions
 
     def may_send(self, job: ScheduledJob, endpoint: Endpoint, now: float) -> bool:
-        """Return whether both rules allow one more attempt, at this endpoint."""
+        """Return whether both rules allow one more attempt at this endpoint."""
         if job.is_closed or job.is_streaming or now >= job.deadline_at:
             return False
         if len(job.attempts) >= self._limits.max_attempts:
@@ -45,7 +45,7 @@
         return is_in_window and first.endpoint.deduplicates_with(endpoint, job.job_class.deduplication_scope)
 
     def may_reject(self, job: ScheduledJob) -> bool:
-        """Return whether the job may be rejected: a retry by its client is harmless."""
+        """Return whether the job may be rejected, that is, whether a retry by its client is harmless."""
         idempotency = job.job_class.idempotency
         is_scope_all = job.job_class.deduplication_scope is DeduplicationScope.ALL
         may_repeat = idempotency is Idempotency.IDEMPOTENT or (
@@ -59,10 +59,10 @@
         self._actions.add(StartAttempt(job.id, attempt.endpoint.id, 0.0))
 
     def finish(self, job: ScheduledJob, retry_after_ms: float, reason: EndReason) -> None:
-        """Give the one final answer: a rejection where the repeat rule allows it, else a failure."""
+        """Give the one final answer: a rejection if the repeat rule allows it, otherwise a failure."""
         if job.is_closed or job.is_streaming:
             return
-        # The Retry-After is given also where the platform's own clients ignore it: others may read it.
+        # Retry-After is sent even if the platform's own clients ignore it, since other clients may read it.
         if self.may_reject(job):
             self._actions.add(RejectJob(job.id, retry_after_ms, reason))
         else:
@@ -70,11 +70,11 @@
         self.close(job)
 
     def on_response_started(self, job: ScheduledJob) -> None:
-        """Bind the job to the attempt whose response has begun: no other attempt, cancel or final answer."""
+        """Bind the job to the attempt whose response has begun: no other attempt, cancellation or answer."""
         job.is_streaming = True
 
     def close(self, job: ScheduledJob) -> None:
-        """End the request: nothing more is sent for it."""
+        """Close the job and cancel its pending attempts; nothing more is sent for it."""
         if not job.is_closed:
             job.is_closed = True
             for attempt in job.pending_attempts():
@@ -87,6 +87,6 @@
                 self.cancel(job, attempt, CancelReason.SUPERSEDED)
 
     def cancel(self, job: ScheduledJob, attempt: ScheduledAttempt, reason: CancelReason) -> None:
-        """Cancel one attempt, where the settings allow it and no response has begun."""
+        """Cancel one attempt, if the settings allow it and no response has begun."""
         if self._limits.may_cancel and not job.is_streaming:
             self._actions.add(CancelAttempt(job.id, attempt.number, reason))
--- a/burlmoor/policy/statistics/class_weights.py
+++ b/burlmoor/policy/statistics/class_weights.py
@@ -1,10 +1,10 @@
-"""How much a unit of each class's priority weight adds to the operators' objective.
+"""The class weights: how much a unit of each class's priority weight adds to the operators' objective.
 
 The objective is a sum of two parts: the fraction of all priority weight that is served in time, and that
 fraction for the worst-served class. A job adds to the first by its part of all weight, and to the second only
 where its class is the worst, but there by its part of that class's weight, which is more. Which class is the
-worst is known only roughly, so each counts as the worst the more, the further it lies behind (a softmin):
-the weights then move evenly and don't oscillate.
+worst is known only roughly, so each class is treated as the worst to a degree that grows as its served
+fraction falls (a softmin): the weights then change smoothly and don't oscillate.
 
 Priority weights are in any unit, times in ms.
 """
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from burlmoor.types.settings import ObjectiveWeights
 
-EVIDENCE_HALF_LIFE_MS = 60_000.0  # long: the objective counts whole days, and one node sees little of one
-PRIOR_JOBS = 5.0  # jobs taken as served that each class starts with
+EVIDENCE_HALF_LIFE_MS = 60_000.0  # long: the objective covers days, and one node has a small sample
+PRIOR_JOBS = 5.0  # each class starts as if this many of its jobs had been served
 SOFTMIN_SCALE = 0.1  # a class whose served fraction is this much lower is e times as likely to be the worst
 RECOMPUTE_INTERVAL_MS = 200.0
 MIN_CLASS_FRACTION = 0.02  # of all priority weight: a class with less is weighted as if it had this much
@@ -55,7 +55,7 @@
 
     def _compute_weights(self, now: float) -> dict[str, float]:
         objective_total = self._objective.overall + self._objective.worst_class
-        # All decayed to the same moment, so that they can be compared.
+        # All are decayed to the same time, so that they can be compared.
         requested = {
             name: mean.decayed_total(now, EVIDENCE_HALF_LIFE_MS) for name, mean in self.requested.items()
         }
@@ -64,17 +64,19 @@
             return {}
         fractions = {name: self._served_fraction(name, weight, now) for name, weight in requested.items()}
         worst = min(fractions.values())
-        claims = {name: math.exp((worst - served) / SOFTMIN_SCALE) for name, served in fractions.items()}
-        all_claims = sum(claims.values())
+        softmin_terms = {
+            name: math.exp((worst - served) / SOFTMIN_SCALE) for name, served in fractions.items()
+        }
+        softmin_total = sum(softmin_terms.values())
         weights = {}
-        for name, claim in claims.items():
+        for name, term in softmin_terms.items():
             class_fraction = max(MIN_CLASS_FRACTION, requested[name] / total)
-            as_worst = self._objective.worst_class * claim / all_claims / class_fraction
+            as_worst = self._objective.worst_class * term / softmin_total / class_fraction
             weights[name] = (self._objective.overall + as_worst) / objective_total
         return weights
 
     def _served_fraction(self, class_name: str, requested_weight: float, now: float) -> float:
-        """Return the fraction of a class's priority weight that was served, near 1 while jobs are few."""
+        """Return the fraction of a class's priority weight that was served; near 1 while it has few jobs."""
         mean = self.served.get(class_name)
         served = mean.decayed_total(now, EVIDENCE_HALF_LIFE_MS) if mean is not None else 0.0
         requested = self.requested[class_name]
--- a/burlmoor/policy/statistics/demand.py
+++ b/burlmoor/policy/statistics/demand.py
@@ -15,9 +15,9 @@
 COST_HALF_LIFE_MS = 64_000.0  # of the mean cost: long, so that nodes that see few jobs agree on it
 MIN_MEAN_COST = 1e-3
 MAX_TRACKED_KEYS = 1000
-KEY_PRIOR_JOBS = 10.0  # of other keys: keeps a key's fraction low while few jobs have been seen
-CURRENT_JOB_WEIGHT = 0.5  # of the job itself, left out of its key's fraction
-UNHINTED_WORK_FRACTION = 0.5  # of its objective: the work of a class's job while none was served
+KEY_PRIOR_JOBS = 10.0  # with other keys: keeps a key's fraction low while few jobs have arrived
+CURRENT_JOB_WEIGHT = 0.5  # subtracted, so that a job does not raise its own key's fraction
+UNHINTED_WORK_FRACTION = 0.5  # of the class's objective: the work assumed while no job was served
 INITIAL_WEIGHT_DENSITY = 1e-9  # priority weight per ms of work, until a job has arrived
 
 
@@ -39,7 +39,7 @@
         self._jobs_by_key: dict[str, DecayedMean] = {}  # the least recently used first
 
     def estimate_work(self, job_class: JobClass, now: float) -> float:
-        """Return the work in ms of a job that comes without a hint."""
+        """Return the estimated work in ms of a job without a hint."""
         prior = UNHINTED_WORK_FRACTION * job_class.latency_objective_ms
         return max(1.0, self.run_by_class[job_class.name].read(now, EVIDENCE_HALF_LIFE_MS, prior))
 
@@ -77,7 +77,7 @@
     def record_tenant(self, tenant: str, now: float) -> float:
         """Count a job of this tenant; return the fraction of its jobs that is within its quota."""
         quota = self.quotas_per_second.get(tenant, 0.0)
-        # Unknown tenants have one entry together: names that clients choose must not fill the memory.
+        # Unknown tenants share one entry: names that clients choose must not exhaust memory.
         jobs = self.jobs_by_tenant[tenant if tenant in self.quotas_per_second else ""]
         jobs.add(now, 1.0, EVIDENCE_HALF_LIFE_MS)
         per_second = jobs.weight * math.log(2.0) / EVIDENCE_HALF_LIFE_MS * 1000.0
--- a/burlmoor/policy/statistics/endpoint_snapshot.py
+++ b/burlmoor/policy/statistics/endpoint_snapshot.py
@@ -1,4 +1,4 @@
-"""The stored form of what a node has measured of one endpoint."""
+"""The stored form of the statistics of one endpoint."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class CreditSnapshot(NamedTuple):
-    """What a node may still send during slow start, in jobs of mean cost; an array of two numbers."""
+    """The credit of a node during slow start, in jobs of mean cost; stored as an array of two numbers."""
 
     jobs: float
     age_ms: float
 
 
 class EndpointSnapshot(msgspec.Struct):
-    """What was measured of one endpoint. Times are ms."""
+    """The statistics of one endpoint. Times are ms."""
 
     capacity: float = msgspec.field(name="room")
     consecutive_faults: int = msgspec.field(name="faults")
@@ -55,7 +55,7 @@
 
 
 def restore_endpoint(endpoint: Endpoint, snapshot: EndpointSnapshot, now: float) -> None:
-    """Set what was measured of an endpoint to its snapshot."""
+    """Set the statistics of an endpoint to a snapshot."""
     endpoint.capacity = snapshot.capacity
     endpoint.consecutive_faults = snapshot.consecutive_faults
     endpoint.last_reported_at = now - snapshot.last_reported_age
--- a/burlmoor/policy/statistics/endpoint_statistics.py
+++ b/burlmoor/policy/statistics/endpoint_statistics.py
@@ -1,6 +1,6 @@
-"""How cleanly attempts end at endpoints, and what the time of their slots yields.
+"""The clean rates of endpoints, and the yields of the jobs sent there.
 
-The yield of a job at an endpoint is the priority weight that a ms of a slot is expected to bring there: the
+The yield of a job at an endpoint is the priority weight that a ms of a slot is expected to produce there: the
 job's weight times its on-time probability, divided by the time for which it holds the slot. The mean yield of
 an endpoint is the geometric mean over the jobs sent there recently. On a full fleet a job has to reach a
 minimum yield, a fraction of that mean (`EndpointScorer`).
@@ -22,7 +22,7 @@
 
 PRIOR_CLEAN_RATE = 1.0
 CLEAN_RATE_PRIOR_WEIGHT = 4.0
-UNKNOWN_LOG_YIELD = -5.0  # before any job was sent: so low that no job is held back for it
+UNKNOWN_LOG_YIELD = -5.0  # before any job was sent: low, so that every job reaches the minimum yield
 MIN_YIELD = 1e-9
 
 
@@ -56,7 +56,7 @@
         self.fleet_clean_rate.add(now, float(is_clean), EVIDENCE_HALF_LIFE_MS)
 
     def record_yield(self, endpoint: Endpoint, expected_yield: float, now: float) -> None:
-        """Count a job that is sent there, by its expected yield in priority weight per ms of a slot."""
+        """Count a job sent to the endpoint, by its expected yield in priority weight per ms of a slot."""
         log_yield = math.log(max(expected_yield, MIN_YIELD))
         for mean in (endpoint.log_yield, self.kind_log_yield[endpoint.kind], self.fleet_log_yield):
             mean.add(now, log_yield, EVIDENCE_HALF_LIFE_MS)
--- a/burlmoor/policy/statistics/estimate_errors.py
+++ b/burlmoor/policy/statistics/estimate_errors.py
@@ -1,6 +1,6 @@
 """The distribution of the errors of the expected response times, by class, and the on-time probability.
 
-The ratio of the time taken to the time expected is taken to be lognormal.
+The ratio of the actual to the expected time is assumed to be lognormal.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 from burlmoor.policy.model.decayed_mean import DecayedMean
 
-PRIOR_LOG_DEVIATION = 0.4  # standard deviation of the logarithm of taken over expected time, without evidence
+PRIOR_LOG_DEVIATION = 0.4  # standard deviation of log(actual / expected time) without evidence
 PRIOR_JOBS = 5.0  # the weight of the prior
 MIN_LOG_VARIANCE = 0.01
-MAX_LOG_ERROR = 2.0  # of one job, either way
+MAX_LOG_ERROR = 2.0  # of one job, in either direction
 HALF_LIFE_MS = 30_000.0
 RECOMPUTE_INTERVAL_MS = 100.0
 LOGISTIC_SLOPE = 1.702  # of the logistic function that approximates the normal distribution function
@@ -23,7 +23,7 @@
 
 
 class ErrorDistribution:
-    """The distribution of the logarithm of taken over expected time."""
+    """The distribution of log(actual / expected time)."""
 
     __slots__ = ("computed_at", "deviation", "mean")
 
--- a/burlmoor/policy/statistics/evidence.py
+++ b/burlmoor/policy/statistics/evidence.py
@@ -1,4 +1,4 @@
-"""How fast evidence on endpoints and demand loses its weight, and what a figure falls back to weighs."""
+"""The half-life of evidence on endpoints and demand, and the weight of priors."""
 
 EVIDENCE_HALF_LIFE_MS = 8000.0
-KIND_PRIOR_WEIGHT = 2.0  # of the kind's figure for an endpoint, and of the fleet's for a kind
+KIND_PRIOR_WEIGHT = 2.0  # of a kind's figure as an endpoint's prior, and of the fleet's as a kind's
--- a/burlmoor/policy/statistics/run_statistics.py
+++ b/burlmoor/policy/statistics/run_statistics.py
@@ -20,11 +20,9 @@
 MIN_WORK_MS = 1e-3
 NOMINAL_SLOWNESS = 1.0  # without evidence
 PRIOR_RUN_MS = 500.0
-ALL_CLASSES_PRIOR_WEIGHT = (
-    3.0  # of the endpoint's slowness over all classes, where one class has little evidence
-)
+ALL_CLASSES_PRIOR_WEIGHT = 3.0  # of the endpoint's slowness over all classes, as the prior of one class
 CACHE_PRIOR_WEIGHT = 4.0
-MAX_RUN_RATIO = 4.0  # by which the slowness of one run counts as more, or less, than its kind's
+MAX_RUN_RATIO = 4.0  # bound on the ratio of one run's slowness to its kind's, in either direction
 MIN_RUN_FRACTION = 0.25  # of a run that fetched its key: the least that counts as the run without the fetch
 
 
@@ -36,12 +34,12 @@
         self.kind_slowness: dict[str, DecayedMean] = defaultdict(DecayedMean)
         self.mean_work = DecayedMean()
         self.mean_run = DecayedMean()
-        # The time that jobs took beyond the expected run, where their key was cached and where not.
+        # The run time of jobs beyond the expected one, if their key was cached and if it was not.
         self.cache_hit_excess = DecayedMean()
         self.cache_miss_excess = DecayedMean()
 
     def load_half_life(self, now: float) -> float:
-        """Return the half-life of evidence on load: as long as two jobs run."""
+        """Return the half-life of evidence on load: twice the mean run time."""
         return 2.0 * self.mean_run.read(now, EVIDENCE_HALF_LIFE_MS, PRIOR_RUN_MS)
 
     def work_class(self, work_ms: float, now: float) -> int:
@@ -70,7 +68,7 @@
         return of_class.read(now, EVIDENCE_HALF_LIFE_MS, mean, ALL_CLASSES_PRIOR_WEIGHT)
 
     def cache_miss_penalty(self, now: float) -> float:
-        """Return how much longer a job takes where its key is not cached."""
+        """Return how much longer a job runs if its key is not cached."""
         miss = self.cache_miss_excess.read(now, EVIDENCE_HALF_LIFE_MS, 0.0, CACHE_PRIOR_WEIGHT)
         hit = self.cache_hit_excess.read(now, EVIDENCE_HALF_LIFE_MS, 0.0, CACHE_PRIOR_WEIGHT)
         return max(0.0, miss - hit)
@@ -78,15 +76,15 @@
     def record_run(
         self, endpoint: Endpoint, work_ms: float, run_ms: float, now: float, weight: float = 1.0
     ) -> float:
-        """Count a job that ran, or by its progress will run, for `run_ms`.
+        """Count a job that has run for `run_ms`, or is expected to by its progress.
 
-        Return its slowness relative to that of the endpoint's kind.
+        Return the job's slowness relative to that of the endpoint's kind.
         """
         of_kind = self.slowness_of_kind(endpoint.kind, now)
         # Bounded, so that one heavy job doesn't make the endpoint that ran it look slow.
         ratio = run_ms / max(work_ms, MIN_WORK_MS)
         ratio = max(of_kind / MAX_RUN_RATIO, min(MAX_RUN_RATIO * of_kind, ratio))
-        # By work, so that the overhead of small jobs doesn't make every endpoint look slow.
+        # Weighted by work, so that the overhead of small jobs doesn't make every endpoint look slow.
         mean_work = self.mean_work.read(now, EVIDENCE_HALF_LIFE_MS, work_ms)
         weight *= min(1.0, work_ms / max(mean_work, MIN_WORK_MS))
         of_class = endpoint.slowness_by_work_class[self.work_class(work_ms, now)]
--- a/burlmoor/policy/statistics/snapshot.py
+++ b/burlmoor/policy/statistics/snapshot.py
@@ -1,7 +1,7 @@
-"""A node's statistics in a form from which another process of the same node can continue.
+"""Snapshots of a node's statistics, from which another process of the same node continues.
 
-Moments are stored as ages, since each process has its own clock. The MessagePack form is what an older or
-newer release reads at a handover: its field names, given to `msgspec.field`, don't change.
+Times are stored as ages, since each process has its own clock. Older and newer releases read the MessagePack
+form at a handover, so the field names given to `msgspec.field` must not change.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 def _single_means(statistics: NodeStatistics) -> dict[str, DecayedMean]:
-    """Return the means of which there is one, by their names in the snapshot."""
+    """Return the means that are not kept by kind, class or tenant, by their names in the snapshot."""
     runs, endpoints = statistics.runs, statistics.endpoints
     return {
         "fleet_slow": runs.fleet_slowness,
@@ -81,7 +81,7 @@
 def take_snapshot(
     statistics: NodeStatistics, endpoints: Mapping[str, Endpoint], now: float
 ) -> StatisticsSnapshot:
-    """Return a snapshot of a node's statistics and of what was measured of these endpoints."""
+    """Return a snapshot of the statistics of a node and of these endpoints."""
     start_delays, demand, estimates = statistics.start_delays, statistics.demand, statistics.estimates
     return StatisticsSnapshot(
         endpoints={endpoint.id: take_endpoint(endpoint, now) for endpoint in endpoints.values()},
--- a/burlmoor/policy/statistics/start_delay_statistics.py
+++ b/burlmoor/policy/statistics/start_delay_statistics.py
@@ -1,4 +1,4 @@
-"""How long jobs wait at endpoints before they start. Times are ms."""
+"""Statistics of the start delays: how long jobs wait at endpoints before they start. Times are ms."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 PRIOR_FASTEST_START_MS = 25.0
 PRIOR_PROMPT_FRACTION = 1.0
-GRACE_TICKS = 4.0  # how long a start notification may take: this many ticks of the clock
-GRACE_FASTEST_STARTS = 3.0  # and this many times the fastest start of the zone
-FASTEST_START_GROWTH = 1.02  # per start: lets the fastest start follow a network that has become slower
+GRACE_TICKS = 4.0  # a start notification may take this many ticks
+GRACE_FASTEST_STARTS = 3.0  # plus this many times the zone's fastest start
+FASTEST_START_GROWTH = 1.02  # per start, so that the fastest start follows a network that has become slower
 NOT_STARTED_WEIGHT = 0.5  # of evidence from an attempt that has not started yet
-OVERLOAD_WEIGHT = 2.0  # of evidence from an overload answer
+OVERLOAD_WEIGHT = 2.0  # of evidence from an overload response
 
 
 class StartDelayStatistics:
@@ -34,10 +34,10 @@
         self.fastest_start_ms: dict[str, float] = {}  # by zone
 
     def expected_delay(self, endpoint: Endpoint, now: float, half_life: float) -> float:
-        """Return the expected wait at this endpoint, from recent start delays, else those of its kind.
+        """Return the expected wait at this endpoint, from its recent start delays or those of its kind.
 
-        For its kind in its zone, too, recent delays take precedence over usual ones: one of many nodes has
-        rarely used this endpoint, and a burst is over in seconds.
+        For the kind in its zone, too, recent delays take precedence over typical ones: in a tier of many
+        nodes, each has rarely used a given endpoint, and a burst is over in seconds.
         """
         zone_and_kind = (endpoint.zone, endpoint.kind)
         typical = self.typical_start_delay[zone_and_kind].read(now, EVIDENCE_HALF_LIFE_MS, 0.0)
@@ -58,12 +58,12 @@
     ) -> None:
         """Count an attempt that started, or is overdue, `delay_ms` after it was sent."""
         fastest = self.fastest_start_ms.get(endpoint.zone, delay_ms)
-        # Close to the least delay: time spent in a queue is not the network's.
+        # Kept close to the minimum, since time spent in a queue is not network delay.
         self.fastest_start_ms[endpoint.zone] = min(delay_ms, FASTEST_START_GROWTH * fastest)
         half_life = self._runs.load_half_life(now)
-        # One that has not started would have waited longer still: it shows no wait below the expected one.
-        least_ms = 0.0 if has_started else self.expected_delay(endpoint, now, half_life)
-        wait_ms = max(0.0, delay_ms - fastest, least_ms)
+        # A job that has not started yet will wait longer still: its wait is at least the expected one.
+        min_wait_ms = 0.0 if has_started else self.expected_delay(endpoint, now, half_life)
+        wait_ms = max(0.0, delay_ms - fastest, min_wait_ms)
         weight = 1.0 if has_started else NOT_STARTED_WEIGHT
         is_prompt = delay_ms <= self.start_grace(endpoint.zone)
         self.prompt_start_rate.add(now, float(is_prompt), EVIDENCE_HALF_LIFE_MS, weight)
@@ -74,7 +74,7 @@
         zone_and_kind = (endpoint.zone, endpoint.kind)
         endpoint.start_delay.add(now, wait_ms, half_life, weight)
         self.typical_start_delay[zone_and_kind].add(now, wait_ms, EVIDENCE_HALF_LIFE_MS, weight)
-        if has_started:  # one that has not may hang, which is no sign of a burst
+        if has_started:  # an attempt that has not started may hang, which is no sign of a burst
             self.recent_start_delay[zone_and_kind].add(now, wait_ms, half_life)
 
     def record_overload(self, endpoint: Endpoint, now: float) -> None:
--- a/burlmoor/policy/timer_queue.py
+++ b/burlmoor/policy/timer_queue.py
@@ -11,15 +11,15 @@
 
 
 class Timer(NamedTuple):
-    """A check of a job, or a poll of the endpoint list, at a moment in ms."""
+    """A check of a job, or a poll of the endpoint list, at a time in ms."""
 
     at: float
-    sequence: int  # timers of one moment come due in the order in which they were scheduled
+    sequence: int  # timers with the same time fire in the order in which they were scheduled
     job: ScheduledJob | None  # None: a poll
 
 
 class TimerQueue:
-    """Timers in the order in which they come due. Times are ms of the node's clock."""
+    """Timers in the order in which they fire. Times are ms of the node's clock."""
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
@@ -39,7 +39,7 @@
         heapq.heappush(self._heap, Timer(at, self._count, job))
 
     def next_at(self) -> float:
-        """Return when the first timer comes due; infinity if there is none."""
+        """Return when the first timer fires; infinity if there is none."""
         return self._heap[0].at if self._heap else math.inf
 
     def pop(self) -> Timer:
