--- a/burlmoor/clock.py
+++ b/burlmoor/clock.py
@@ -1,4 +1,4 @@
-"""The node's one clock: milliseconds that only go forward."""
+"""The node's clock: monotonic, in milliseconds."""
 
 from __future__ import annotations
 
@@ -20,5 +20,5 @@
         return time.monotonic() * 1000.0 - self._monotonic_zero_ms
 
     def from_unix(self, unix_ms: float) -> float:
-        """Convert a Unix time; 0 (long ago) stays 0, and a time over a day back becomes 0."""
+        """Convert a Unix time; 0 (long ago) remains 0, and a time over a day before the start becomes 0."""
         return max(0.0, unix_ms - self._unix_zero_ms) if unix_ms > 0.0 else 0.0
--- a/burlmoor/counters.py
+++ b/burlmoor/counters.py
@@ -1,6 +1,6 @@
 """Counts of what happens to jobs, attempts and connections, by reason.
 
-The log is bounded in rate and leaves lines out; the counts are complete.
+The log is rate-limited and drops lines; the counts are complete.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class CounterGroup(Enum):
-    """What is counted; the value is its name in the log."""
+    """A group of counts; the value is its name in the log."""
 
     JOBS = "jobs"  # by answer and reason
     RETRIES = "retries"  # attempts after the first, by the outcome of the one before
@@ -23,7 +23,7 @@
 
 
 class EventCounters:
-    """Owns the counts of one process, in all and since they were last taken."""
+    """Owns the counts of one process: the totals, and the changes since they were last taken."""
 
     def __init__(self) -> None:
         self._totals: dict[CounterGroup, Counter[str]] = {group: Counter() for group in CounterGroup}
@@ -34,11 +34,11 @@
         self._totals[group][reason] += 1
 
     def totals(self) -> Counts:
-        """Return all counts by group and reason; groups without any are left out."""
+        """Return all counts by group and reason; empty groups are omitted."""
         return {group.value: dict(counts) for group, counts in self._totals.items() if counts}
 
     def take_changes(self) -> Counts:
-        """Return what was counted since the last call, as `totals` does."""
+        """Return the counts since the last call, in the form of `totals`."""
         changes = {
             group.value: dict(counts - self._taken[group])
             for group, counts in self._totals.items()
--- a/burlmoor/engine/__init__.py
+++ b/burlmoor/engine/__init__.py
@@ -1,1 +1,1 @@
-"""A job's life in one node: admission, deadlines, attempts, deferral and exactly one final answer."""
+"""The lifecycle of jobs in one node: admission, deadlines, attempts, deferral and the one final answer."""
--- a/burlmoor/engine/action_executor.py
+++ b/burlmoor/engine/action_executor.py
@@ -35,7 +35,7 @@
 
 
 class ActionExecutor:
-    """Passes each action to the part of the node that it concerns."""
+    """Passes each action to the component that carries it out."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
             try:
                 self._execute(action, now)
             except Exception as error:  # noqa: BLE001
-                # Without this, one action's fault would end the node, or keep the others from being done.
+                # Without this, an error in one action would end the node or prevent the other actions.
                 self._log(ActionFailed(action=repr(action), error=repr(error)))
 
     def _execute(self, action: Action, now: float) -> None:
@@ -94,7 +94,7 @@
         job = self._jobs.find_by_number(number)
         if job is None or job.is_closed:
             return
-        # Without this, a client would be told that a retry is harmless for a job that must not run twice.
+        # A rejection invites a retry, so a job that must not run twice fails instead.
         if isinstance(answer, Rejected) and job.is_non_idempotent and job.may_have_run():
             answer = Failed()
         self._lifecycle.answer(job, answer, reason)
--- a/burlmoor/engine/answers.py
+++ b/burlmoor/engine/answers.py
@@ -1,4 +1,4 @@
-"""The final answers that a job can get (protocol: "Clients to nodes"), and who receives them."""
+"""The final answers of jobs (protocol: "Clients to nodes"), and the interface that sends them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """An executor has run the job; `body` is the result that it gave."""
+    """An executor has run the job; `body` is its result."""
 
     body: bytes
 
@@ -17,7 +17,7 @@
 class Rejected:
     """The job is rejected: it has not run or may run again, so that a retry is harmless."""
 
-    retry_after_ms: float = 0.0  # advice for Retry-After; 0: no advice
+    retry_after_ms: float = 0.0  # value for Retry-After; 0: none
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DependencyFailed:
-    """The job has not run and can't, because of a job that it depends on: a retry would end the same way."""
+    """The job has not run and can't, because of a job that it depends on; a retry would fail the same way."""
 
     reason: str
 
--- a/burlmoor/engine/attempt_controller.py
+++ b/burlmoor/engine/attempt_controller.py
@@ -20,7 +20,7 @@
 
 
 class AttemptController:
-    """Has upstream do what the policy and the deadlines require of attempts."""
+    """Starts, cancels and expires attempts through upstream."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._job_log = job_log
 
     def start(self, action: StartAttempt, now: float) -> None:
-        """Start an attempt as the policy requests, or end it unsent if it can't be started any more."""
+        """Start an attempt at the policy's request; end it as unsent if it may not be started."""
         job = self._jobs.find_by_number(action.id)
         if job is None:
             return
@@ -58,7 +58,7 @@
             self._upstream.start_attempt(attempt)
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Cancel an attempt as the policy requests."""
+        """Cancel an attempt at the policy's request."""
         job = self._jobs.find_by_number(action.id)
         if job is not None and 0 <= action.attempt < len(job.attempts):
             reason = action.reason or CancelReason.JOB_OVER
@@ -69,16 +69,16 @@
             self._upstream.cancel_attempt(attempt)
 
     def expire(self, now: float) -> list[Job]:
-        """Time out the attempts that are due, and all attempts of the jobs that are due.
+        """Time out expired attempts, and all attempts of expired jobs.
 
-        Returns the jobs that were open when their deadline came.
+        Returns the jobs that were open at their deadline.
         """
         expired_jobs: list[Job] = []
         while (item := self._deadlines.pop_expired(now)) is not None:
             if isinstance(item, Attempt):
                 self._time_out(item, now)
             elif not item.is_closed:
-                # An attempt that is cancelled here may still run: nothing is sent for the job from now on.
+                # An attempt that is cancelled here may still run, so the job must not be sent again.
                 item.deadline = min(item.deadline, now)
                 for attempt in item.open_attempts():
                     self._time_out(attempt, now)
--- a/burlmoor/engine/attempt_guard.py
+++ b/burlmoor/engine/attempt_guard.py
@@ -1,6 +1,6 @@
-"""Whether an attempt may be started: the one guard of first attempts, retries and hedged requests.
+"""The guard that decides whether an attempt may be started: first attempts, retries and hedged requests.
 
-What is checked right before the first byte, after all waiting: `upstream/send_precondition.py`.
+The check immediately before the first byte is in `upstream/send_precondition.py`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class AttemptGuard:
-    """Refuses attempts that would break a rule, whatever the policy has asked for."""
+    """Refuses attempts that would break a rule, whatever the policy requests."""
 
     def __init__(self, limits: Limits, invariants: InvariantMonitor) -> None:
         self._max_attempts = limits.max_attempts
@@ -26,7 +26,7 @@
         """Return whether a new attempt of the job may be started now."""
         if job.is_closed or now >= job.deadline or attempt.number >= self._max_attempts:
             return False
-        # A call-back names its attempt by request and endpoint, so an endpoint gets one attempt of a job.
+        # A call-back identifies its attempt by request and endpoint, so a job has one attempt per endpoint.
         if any(earlier.endpoint == attempt.endpoint for earlier in job.attempts):
             return False
         if job.is_non_idempotent and job.may_have_run():
@@ -38,7 +38,7 @@
         return True
 
     def _record_violation(self, invariant: Invariant, attempt: Attempt) -> None:
-        """Count what the policy must not ask for (`policy/safety.py`)."""
+        """Record a request that the policy must not make (`policy/safety.py`)."""
         self._invariants.record_violation(
             invariant, job_id=attempt.job.id, endpoint=attempt.endpoint, attempt=attempt.number
         )
--- a/burlmoor/engine/core.py
+++ b/burlmoor/engine/core.py
@@ -1,4 +1,4 @@
-"""The parts of the engine that need neither executors nor discovery; these report to them."""
+"""The components of the engine to which upstream and discovery report; they depend on neither."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class EngineCore:
-    """Builds and holds the state of the engine; each reporter is given the part that owns what it reports.
+    """Builds the components that own the engine's state; upstream and discovery report to these.
 
     `clock` gives ms; `wake` is called when `Engine.next_due` may return an earlier time than before.
     """
--- a/burlmoor/engine/deadlines.py
+++ b/burlmoor/engine/deadlines.py
@@ -1,4 +1,4 @@
-"""When jobs and attempts run out of time."""
+"""The deadlines of jobs and attempts."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 class DeadlineQueue:
-    """Computes deadlines, and returns jobs and attempts once theirs have passed.
+    """Computes deadlines, and returns jobs and attempts whose deadlines have passed.
 
     Times are in ms on the engine's clock.
 
-    Entries with the same deadline come out in the order in which they were scheduled.
+    Entries with the same deadline are returned in the order in which they were scheduled.
     """
 
     def __init__(self, classes: tuple[JobClass, ...]) -> None:
-        self.answer_by = math.inf  # by when a node that shuts down answers jobs that it still admits
+        self.answer_by = math.inf  # at a shutdown: the latest deadline of newly admitted jobs
         self._class_deadlines_ms = {job_class.name: job_class.deadline_ms for job_class in classes}
         self._entries: list[tuple[float, int, Job | Attempt]] = []
         self._last_entry_number = 0
 
     def class_deadline_ms(self, request: JobRequest) -> float:
-        """Return the longest that a request of this class may be open with the policy, in ms."""
+        """Return the longest time that the policy may have a request of this class open, in ms."""
         return self._class_deadlines_ms.get(request.job_class, math.inf)
 
     def deadline_after(self, now: float, timeout_ms: float) -> float:
-        """Return when a job with this timeout has to be answered, the node's shutdown considered."""
+        """Return the deadline of a job with this timeout, bounded by the node's shutdown."""
         return min(now + timeout_ms, self.answer_by)
 
     def schedule(self, at: float, item: Job | Attempt) -> None:
-        """Have `pop_expired` return the item once `at` has come."""
+        """Schedule the item to be returned by `pop_expired` from `at` on."""
         self._last_entry_number += 1
         heapq.heappush(self._entries, (at, self._last_entry_number, item))
 
@@ -44,7 +44,7 @@
         return self._entries[0][0] if self._entries else math.inf
 
     def pop_expired(self, now: float) -> Job | Attempt | None:
-        """Remove and return the earliest item whose time has come; None if there is none."""
+        """Remove and return the earliest expired item; None if there is none."""
         if self._entries and self._entries[0][0] <= now:
             return heapq.heappop(self._entries)[2]
         return None
--- a/burlmoor/engine/deferral.py
+++ b/burlmoor/engine/deferral.py
@@ -1,4 +1,4 @@
-"""The protocol between the engine and the queue that holds deferred jobs."""
+"""The interface between the engine and the deferred-job queue."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 
 class RunConditions(NamedTuple):
-    """What a deferred job waits for."""
+    """The conditions for which a deferred job waits."""
 
     after: tuple[str, ...]  # ids of the jobs that have to be served first
     not_before_unix_ms: float  # 0: no such condition
-    size_bytes: int  # of the request body, which stays in memory meanwhile
+    size_bytes: int  # of the request body, which remains in memory while the job is deferred
 
 
 class ReleasedJob(NamedTuple):
-    """A deferred job may run now."""
+    """A deferred job that may run now."""
 
     id: str
-    credit: float  # from 0 to 1: the priority that it gets for the time it was deferred
+    credit: float  # from 0 to 1: added priority for the time for which it was deferred
 
 
 class EndedJob(NamedTuple):
-    """A deferred job is not to run: its final answer."""
+    """A deferred job that must not run, with its final answer."""
 
     id: str
     answer: FinalAnswer
@@ -47,13 +47,13 @@
 class JobDeferral(Protocol):
     """A queue of deferred jobs.
 
-    It is notified of every job, deferred or not, and decides in `step`, never earlier, which of the deferred
-    jobs to release or to end. Times are in ms on the engine's clock.
+    It is notified of every job, deferred or not. Only `step` decides which of the deferred jobs to release or
+    to end. Times are in ms on the engine's clock.
     """
 
     @property
     def max_deferral_ms(self) -> float:
-        """The longest that a job may be deferred."""
+        """The longest time for which a job may be deferred."""
 
     def on_job_opened(self, request_id: str) -> None:
         """Note that the node has admitted a job."""
@@ -64,10 +64,10 @@
     def defer(
         self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
-        """Hold a job that was just opened until its conditions are met, or its deadline at most."""
+        """Defer a newly opened job until its conditions are met, but not beyond its deadline."""
 
     def next_due(self, now: float) -> float:
-        """Return when `step` is needed next."""
+        """Return when `step` has to be called next."""
 
     def step(self, now: float, free_slots: Callable[[], float]) -> Iterable[ReleasedJob | EndedJob]:
-        """Return the jobs to release or to end now; `free_slots` returns the slots known to be free."""
+        """Return the jobs to release or to end now; `free_slots` returns the number of free slots."""
--- a/burlmoor/engine/deferral_controller.py
+++ b/burlmoor/engine/deferral_controller.py
@@ -1,4 +1,4 @@
-"""Carries out what the deferred-job queue decides: jobs are released to the policy, or answered."""
+"""Carries out the decisions of the deferred-job queue: jobs are released to the policy, or answered."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         self._log = log
 
     def step(self, now: float) -> None:
-        """Release or end the jobs that the queue says."""
+        """Release or end the jobs that the queue has selected."""
         queue = self._deferral.queue
         if queue is None:
             return
@@ -56,8 +56,8 @@
             for decision in queue.step(now, self._releasable_slots):
                 self._apply(decision, now)
         except Exception as error:  # noqa: BLE001
-            # Without this, a fault of the queue would end the node, and the jobs it holds would get no
-            # answer. They are rejected, and no job is deferred from then on.
+            # Without this, an error in the queue would end the node, and the deferred jobs would get no
+            # answer. They are rejected, and no job is deferred from now on.
             self._log(DeferredQueueFailed(error=repr(error)))
             self._deferral.disable()
             self._reject_deferred_jobs()
@@ -84,8 +84,9 @@
     def _release(self, job: Job, request: JobRequest, credit: float, now: float) -> None:
         """Hand a deferred job to the policy.
 
-        The class's deadline counts from here: what remains of the client's timeout may be longer, or less.
-        The policy is given the difference; without it, a job released late would look like a retry.
+        The class's deadline is measured from the release, within the rest of the client's timeout. The policy
+        also gets the time by which deferral has shortened the timeout; without it, a job released late would
+        look like a retry.
         """
         job.deferred_request = None
         class_deadline_ms = self._deadlines.class_deadline_ms(request)
--- a/burlmoor/engine/deferral_notifier.py
+++ b/burlmoor/engine/deferral_notifier.py
@@ -1,4 +1,4 @@
-"""The queue that may defer jobs, if there is one, and what it is notified of."""
+"""Notifies the deferred-job queue, if there is one, of the jobs that open and close."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
         return self._queue
 
     def enable(self, queue: JobDeferral) -> None:
-        """Let jobs with run conditions be deferred in this queue; it is notified of those that are open."""
+        """Defer jobs with run conditions in this queue from now on, and notify it of the open jobs."""
         self._queue = queue
         for job in self._jobs:
             if not job.is_closed:
                 queue.on_job_opened(job.id)
 
     def disable(self) -> None:
-        """Defer no job from now on."""
+        """Stop deferring jobs."""
         self._queue = None
 
     def longest_timeout_ms(self, request: JobRequest, conditions: RunConditions | None) -> float:
-        """Return the longest that a request with these conditions may be open, in ms."""
+        """Return the longest time that a request with these conditions may be open, in ms."""
         if self._queue is None or conditions is None:
             return self._deadlines.class_deadline_ms(request)
         return self._queue.max_deferral_ms
@@ -70,14 +70,14 @@
         self._wake()
 
     def on_job_closed(self, job: Job, answer: FinalAnswer | None) -> None:
-        """Notify the queue that a job is closed; None if its client has disconnected."""
+        """Notify the queue that a job is closed; `answer` is None if its client has disconnected."""
         if self._queue is None:
             return
-        # The queue answers nobody from in here. Without this, a chain of dependent jobs would end in one
-        # recursion and block the event loop.
+        # The queue ends dependent jobs later, in `step`: here, a long chain of them would end recursively and
+        # block the event loop.
         self._queue.on_job_ended(job.id, answer, self._clock())
         self._wake()
 
     def next_due(self) -> float:
-        """Return when the queue has something to decide next; infinity without a queue."""
+        """Return when the queue has to be stepped next; infinity without a queue."""
         return self._queue.next_due(self._clock()) if self._queue is not None else math.inf
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -1,8 +1,9 @@
 """One node's jobs from admission to their final answer, without sockets.
 
-The engine admits jobs, hands events to the policy, has its actions carried out, and gives each job exactly
-one final answer in time, also where the policy fails. It knows no HTTP: clients stand behind `Responder`,
-executors behind `Upstream`, the discovery service behind `Discovery`. All times are in ms on its clock.
+The engine admits jobs, passes events to the policy, carries out the policy's actions, and gives each job
+exactly one final answer in time, even if the policy fails. It does not depend on HTTP: it reaches clients
+through `Responder`, executors through `Upstream` and the discovery service through `Discovery`. All times are
+in ms on its clock.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 class Engine:
     """Admits jobs, and steps the policy, the deadlines and the deferred-job queue.
 
-    Jobs are closed, and attempts ended, by `JobLifecycle` alone.
+    Only `JobLifecycle` closes jobs and ends attempts.
     """
 
     def __init__(self, core: EngineCore, upstream: Upstream, discovery: Discovery) -> None:
@@ -75,12 +76,12 @@
     ) -> Job | None:
         """Admit a request that has been received completely; return None if its id is in use.
 
-        With conditions, and where jobs may be deferred, the policy gets the job once it is released.
+        If it has run conditions and jobs may be deferred, the policy gets the job once it is released.
         """
         if self._jobs.is_id_in_use(request_id):
             return None
-        # Without this limit, a client's timeout could hold a job, and a node that shuts down, far longer
-        # than its class may take.
+        # Without this limit, a client's timeout could keep a job open, and delay a shutdown, far beyond the
+        # deadline of its class.
         timeout_ms = min(request.timeout_ms, self._deferral.longest_timeout_ms(request, conditions))
         now = self._clock()
         job = Job(
@@ -90,7 +91,7 @@
             class_name=request.job_class,
             payload=payload,
             received_at=now,
-            # The policy is not told of a shutdown: the difference would look like time spent elsewhere.
+            # A shutdown shortens only this deadline: a shorter timeout would look like a retry to the policy.
             deadline=self._deadlines.deadline_after(now, timeout_ms),
             is_non_idempotent=request.job_class in self._non_idempotent_classes,
         )
@@ -103,7 +104,7 @@
         return job
 
     def answer_all_by(self, at: float, received_after: float = -math.inf) -> None:
-        """Answer all jobs by then, whatever their deadline: open ones too, if they were received later."""
+        """Answer by `at` all new jobs, and the open jobs that were received after `received_after`."""
         self._deadlines.answer_by = at
         for job in self._jobs:
             if not job.is_closed and job.received_at > received_after and job.deadline > at:
@@ -112,7 +113,7 @@
         self._wake()
 
     def next_due(self) -> float:
-        """Return when `step` is needed next; infinity if only an event can make it so."""
+        """Return when `step` has to be called next; infinity if nothing is due before the next event."""
         earliest = self._stepped_at + self._tick_ms
         if self._policy.has_events():
             return earliest
@@ -120,7 +121,7 @@
         return max(due, earliest)
 
     def step(self) -> None:
-        """Expire deadlines, hand the policy the events so far and carry out its actions."""
+        """Expire deadlines, pass the pending events to the policy and carry out its actions."""
         now = self._stepped_at = self._clock()
         expired_jobs = self._attempts.expire(now)
         self._deferral_controller.step(now)
--- a/burlmoor/engine/interfaces.py
+++ b/burlmoor/engine/interfaces.py
@@ -1,4 +1,4 @@
-"""What the engine requires of the parts around it."""
+"""The interfaces through which the engine uses upstream and discovery."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Upstream(Protocol):
-    """The executors' side: starts attempts, cancels them and checks health."""
+    """Starts attempts at executors, cancels them and checks health."""
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Start the attempt; its end is reported to `JobLifecycle.on_attempt_ended`."""
@@ -17,7 +17,7 @@
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel the attempt at its endpoint.
 
-        `JobLifecycle.on_attempt_cancelled` is called once the endpoint is known not to hold the job any more.
+        `JobLifecycle.on_attempt_cancelled` is called once the endpoint is known not to have the job.
         """
 
     def check_health(self, endpoint: str) -> None:
@@ -28,7 +28,7 @@
     """The client of the discovery service; lists are reported to `PolicyDriver.on_endpoint_list`."""
 
     def watch(self) -> None:
-        """Keep a watch on the endpoint list from now on."""
+        """Watch the endpoint list from now on."""
 
     def fetch(self) -> None:
         """Fetch the complete endpoint list once."""
--- a/burlmoor/engine/job_lifecycle.py
+++ b/burlmoor/engine/job_lifecycle.py
@@ -9,7 +9,7 @@
 - *Deferred*: only where the job has run conditions (`DeferralController`); the policy does not know it yet.
 - *With the policy*: queued or sent; the policy starts and cancels attempts (`AttemptController`).
 - *Closed*: `answer` has given the client the one final answer, or `on_client_disconnected` has found that it
-  needs none. Nothing is sent for the job any more.
+  needs none. Nothing more is sent for the job.
 - *Forgotten*: closed, and all attempts have ended (`JobRegistry.forget_if_done`).
 
 An attempt:
@@ -70,12 +70,12 @@
     # --- the job ----------------------------------------------------------------------------------
 
     def answer(self, job: Job, answer: FinalAnswer, reason: EndReason | None = None) -> None:
-        """Close an open job and give its client the final answer; `reason` unless it is a result."""
+        """Close an open job and send its client the final answer, with a reason unless it is a result."""
         self._close(job, answer, reason)
         job.responder.respond(answer)
 
     def answer_in_place_of_policy(self, job: Job, answer: FinalAnswer, reason: EndReason) -> None:
-        """Answer a job that the policy has left open, and notify the policy of that."""
+        """Answer a job that the policy has left open, and notify the policy that it is closed."""
         self.answer(job, answer, reason)
         self._report_closed(job)
 
@@ -93,7 +93,7 @@
         self._deferral.on_job_closed(job, answer)
 
     def _report_closed(self, job: Job) -> None:
-        """Notify the policy of a job that was closed without it, unless it never knew the job."""
+        """Notify the policy of a job that was closed without it, unless the job was still deferred."""
         if job.deferred_request is None:
             self._policy.post(ClientDisconnected(job.number))
         self._jobs.forget_if_done(job)
@@ -116,10 +116,10 @@
     def begin_cancellation(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> bool:
         """Make an open attempt a cancelling one; it ends with `outcome` once its endpoint has confirmed that.
 
-        Returns whether its endpoint is to be asked to cancel it: not if the attempt had ended already.
+        Returns whether the cancellation has to be sent to its endpoint: not if the attempt had already ended.
 
-        Without the confirmation, the job could be sent again while the first endpoint runs it: that may have
-        accepted the job just before the cancellation arrives, and one that is unreachable never gets it.
+        Without the confirmation, the job could be sent again while the first endpoint runs it: the endpoint
+        may accept the job just before the cancellation arrives, or be unreachable and never receive it.
         """
         if attempt.has_ended:
             return False
@@ -129,7 +129,7 @@
             self._job_log.on_attempt_cancelled(attempt, reason, self._clock())
         job = attempt.job
         if job.is_closed or job.is_non_idempotent:
-            self._end_cancelled(attempt)  # it is not sent again in any case
+            self._end_cancelled(attempt)  # the job is not sent again in any case
         elif is_first:
             self._policy.post(AttemptCancelling(job.number, attempt.number, attempt.endpoint, outcome))
         return True
--- a/burlmoor/engine/job_log.py
+++ b/burlmoor/engine/job_log.py
@@ -83,20 +83,21 @@
     return round(at - job.received_at, 1)
 
 
-def _describe(attempt: Attempt) -> AttemptTimeline:
-    """Return an attempt's state changes; those that have not occurred are left out."""
+def _state_change_ms(job: Job, at: float | None) -> float | UnsetType:
+    """Return when a state change occurred, in ms after the receipt; `UNSET` if it has not."""
+    return UNSET if at is None else _milliseconds_after_receipt(job, at)
 
-    def after_receipt(at: float | None) -> float | UnsetType:
-        return UNSET if at is None else _milliseconds_after_receipt(attempt.job, at)
 
+def _describe(attempt: Attempt) -> AttemptTimeline:
+    """Return an attempt's state changes; those that have not occurred are omitted."""
     return AttemptTimeline(
         endpoint=attempt.endpoint,
         selected=_milliseconds_after_receipt(attempt.job, attempt.sent_at),
-        written=after_receipt(attempt.written_at),
-        accepted=after_receipt(attempt.accepted_at),
-        started=after_receipt(attempt.started_at),
-        cancelled=after_receipt(attempt.cancelled_at),
-        ended=after_receipt(attempt.ended_at),
+        written=_state_change_ms(attempt.job, attempt.written_at),
+        accepted=_state_change_ms(attempt.job, attempt.accepted_at),
+        started=_state_change_ms(attempt.job, attempt.started_at),
+        cancelled=_state_change_ms(attempt.job, attempt.cancelled_at),
+        ended=_state_change_ms(attempt.job, attempt.ended_at),
         cancel_reason=UNSET if attempt.cancel_reason is None else attempt.cancel_reason.value,
         outcome=UNSET if attempt.outcome is None else attempt.outcome.value,
     )
--- a/burlmoor/engine/job_registry.py
+++ b/burlmoor/engine/job_registry.py
@@ -12,7 +12,7 @@
 
 
 class JobRegistry:
-    """Holds each job until it is closed and all its attempts have ended."""
+    """Stores each job until it is closed and all its attempts have ended."""
 
     def __init__(self, job_log: JobLog) -> None:
         self._job_log = job_log
@@ -61,7 +61,7 @@
         return next((attempt for attempt in job.open_attempts() if attempt.endpoint == endpoint), None)
 
     def forget_if_done(self, job: Job) -> None:
-        """Drop a job that is closed and has no open attempt; any other stays."""
+        """Drop the job if it is closed and has no open attempt."""
         if not job.is_closed or job.open_attempts():
             return
         if self._by_number.pop(job.number, None) is not None:
@@ -69,7 +69,7 @@
             self._job_log.on_job_over(job)
 
     def ids(self) -> list[str]:
-        """Return the request ids of all jobs held here, closed ones with open attempts included."""
+        """Return the request ids of all stored jobs, including closed ones with open attempts."""
         return list(self._by_id)
 
     def count_open(self) -> int:
--- a/burlmoor/engine/policy_driver.py
+++ b/burlmoor/engine/policy_driver.py
@@ -63,7 +63,7 @@
         return bool(self._events)
 
     def set_timer(self, at: float, token: int) -> None:
-        """Have a `TimerFired` event with this token in the first batch from `at` on."""
+        """Set a timer: the first batch from `at` on has a `TimerFired` event with this token."""
         heapq.heappush(self._timers, (at, token))
 
     def next_timer(self) -> float:
@@ -71,7 +71,7 @@
         return self._timers[0][0] if self._timers else math.inf
 
     def decide(self, now: float) -> Sequence[Action]:
-        """Hand the policy all events so far, timers included, and return the actions that it decides on."""
+        """Pass all pending events and expired timers to the policy, and return its actions."""
         while self._timers and self._timers[0][0] <= now:
             self._events.append(TimerFired(heapq.heappop(self._timers)[1]))
         events = [self._with_remaining_timeout(event, now) for event in self._events]
@@ -81,8 +81,8 @@
         try:
             return self._policy.handle(now, events)
         except Exception as error:  # noqa: BLE001
-            # Without this, one fault of the policy would end the node; its jobs still get their answers
-            # at their deadlines.
+            # Without this, an error in the policy would end the node. The jobs still get their answers at
+            # their deadlines.
             self._log(PolicyFailed(error=repr(error)))
             return ()
 
--- a/burlmoor/invariants.py
+++ b/burlmoor/invariants.py
@@ -1,7 +1,7 @@
 """The rules on attempts that must hold on every path, and the count of each violation seen at run time.
 
-The guards that keep these rules (`engine/attempt_guard.py`, `upstream/send_precondition.py`) refuse what
-would break one. What is counted here is a defect of the node, also where a guard has refused it.
+The guards that enforce these rules (`engine/attempt_guard.py`, `upstream/send_precondition.py`) refuse any
+step that would break one. Each violation counted here is a defect of the node, even if a guard prevented it.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
     """One rule; the value is its name in the log."""
 
     SEND = "send"  # a request is written only to an endpoint that is live, and to its present process
-    WITHDRAW = "withdraw"  # no unaccepted request stays at an endpoint that is not live any more
+    WITHDRAW = "withdraw"  # no unaccepted request remains at an endpoint that is no longer live
     REPEAT = "repeat"  # a non-idempotent job that may have run is not sent again
-    SIMULTANEOUS = "simultaneous"  # no more attempts of a job are out at a time than settings allow
+    SIMULTANEOUS = "simultaneous"  # no more attempts of a job are open concurrently than settings allow
     START = "start"  # nothing is written for a job that is closed
     CLOSE = "close"  # a connection with an unanswered request is closed by a reset
 
@@ -61,5 +61,5 @@
         )
 
     def counts(self) -> dict[str, int]:
-        """Return how often each invariant was violated, by its name; those that were not are left out."""
+        """Return how often each invariant was violated, by its name; those never violated are omitted."""
         return {invariant.value: count for invariant, count in self._counts.items()}
--- a/burlmoor/log.py
+++ b/burlmoor/log.py
@@ -1,4 +1,4 @@
-"""The node's log: one JSON line an event on standard error, bounded in rate."""
+"""The node's log: one JSON line per event on standard error, limited in rate."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Lines of one event in a window; the first line of the next window says how many were dropped.
+# Per event; the first line of the next window reports how many lines were dropped.
 _MAX_LINES_PER_WINDOW = 10
 _MAX_LINES_OF_EVENT: Mapping[type[LogEvent], int] = {
-    JobEnded: 200,  # one line a job, which an incident cannot do without
+    JobEnded: 200,  # one line per job, needed to analyse an incident
 }
 _WINDOW_SECONDS = 10.0
 
@@ -27,7 +27,7 @@
 
 
 class EventLog:
-    """Owns the log's stream, and how many lines of each event the current window has."""
+    """Owns the log's stream, and the number of lines of each event in the current window."""
 
     def __init__(
         self, node: str, sink: BinaryIO | None = None, clock: Callable[[], float] = time.time
@@ -39,7 +39,7 @@
         self._line_counts: Counter[type[LogEvent]] = Counter()
 
     def __call__(self, event: LogEvent) -> None:
-        """Write one line, unless the window has enough of this event."""
+        """Write one line, unless the window has reached its limit for this event."""
         now = self._clock()
         if now >= self._window_start + _WINDOW_SECONDS:
             self._start_window(now)
--- a/burlmoor/log_events.py
+++ b/burlmoor/log_events.py
@@ -2,7 +2,7 @@
 
 `docs/on-call.md` says what each event means to an operator. To add one, add a class here and a row there; the
 tag is the event's name, and a field is written under its own name unless `msgspec.field(name=...)` gives
-another. Fields that are `UNSET` are left out of the line.
+another. Fields that are `UNSET` are omitted from the line.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Started(LogEvent, tag="started", frozen=True, kw_only=True):
-    """The node accepts clients."""
+    """The node has started and accepts clients."""
 
     listen: str  # `host:port`
     version: int | None  # of the endpoint list; None: there is no list yet
@@ -51,7 +51,7 @@
 
 
 class ReloadFailed(LogEvent, tag="reload-failed", frozen=True, kw_only=True):
-    """The configuration that SIGHUP asked for is invalid; nothing has changed."""
+    """The configuration read after SIGHUP is invalid; nothing has changed."""
 
     error: str
 
@@ -60,7 +60,7 @@
     """A signal has begun the graceful shutdown."""
 
     open_jobs: int
-    stalled_seconds: float  # for how long the process did not run before it received the signal
+    stalled_seconds: float  # how long the process was stalled before it received the signal
 
 
 class ShutdownFinished(LogEvent, tag="shutdown-finished", frozen=True, kw_only=True):
@@ -71,7 +71,7 @@
 
 
 class Counts(LogEvent, tag="counts", frozen=True, kw_only=True):
-    """How often each thing has happened since the last such line, by reason."""
+    """The counts since the last line of this event, by group and reason."""
 
     jobs: dict[str, int] | UnsetType = UNSET
     retries: dict[str, int] | UnsetType = UNSET
@@ -86,7 +86,7 @@
 
 
 class LogDropped(LogEvent, tag="log-dropped", frozen=True, kw_only=True):
-    """Lines were left out of the last window."""
+    """Lines were dropped in the last window."""
 
     events: dict[str, int]  # how many lines, by event
 
@@ -109,7 +109,7 @@
 
 
 class JobEnded(LogEvent, tag="job-ended", frozen=True, kw_only=True):
-    """A job has ended in another way than by the result of its only attempt."""
+    """A job has ended, other than by the result of its only attempt."""
 
     id: str
     job_class: str
@@ -120,7 +120,7 @@
 
 
 class AnsweredAtShutdown(LogEvent, tag="answered-at-shutdown", frozen=True, kw_only=True):
-    """A job was still open when a shutdown had to answer everything."""
+    """A job was still open at the end of a shutdown, when all jobs have to be answered."""
 
     id: str
 
@@ -143,7 +143,7 @@
 
 
 class AttemptWithdrawn(LogEvent, tag="attempt-withdrawn", frozen=True, kw_only=True):
-    """An attempt was cancelled because its endpoint stopped being live before it had accepted the job."""
+    """An attempt was cancelled because its endpoint ceased to be live before it accepted the job."""
 
     id: str
     endpoint: str
@@ -195,7 +195,7 @@
 
 
 class DescriptorsExhausted(LogEvent, tag="descriptors-exhausted", frozen=True, kw_only=True):
-    """No file descriptor was left for a new connection."""
+    """No file descriptor was available for a new connection."""
 
     error: str
 
@@ -239,7 +239,7 @@
 
 
 class EndpointListResumed(LogEvent, tag="endpoint-list-resumed", frozen=True, kw_only=True):
-    """There is a lease on the endpoint list again."""
+    """The lease on the endpoint list is valid again."""
 
     version: int | None
 
--- a/burlmoor/simulator_adapter/dispatcher_host.py
+++ b/burlmoor/simulator_adapter/dispatcher_host.py
@@ -51,12 +51,12 @@
         return json.dumps({"parts": replies}, separators=(",", ":"))
 
     def _handle_rows(self, now: float, instance: int, rows: Sequence[Row]) -> list[Row]:
-        """Start and end dispatchers, and return the decisions of the one that remains."""
+        """Start and end dispatchers, and return the decisions of the last one started."""
         events: list[Event] = []
         for row in rows:
             parsed = parse_row(row)
             if isinstance(parsed, Spawn | Kill):
-                # Nobody waits for decisions on earlier events: their dispatcher has ended.
+                # Earlier events need no decisions, since their dispatcher has ended.
                 self._dispatchers.pop(instance, None)
                 events.clear()
                 if isinstance(parsed, Spawn):
--- a/burlmoor/simulator_adapter/event_parsing.py
+++ b/burlmoor/simulator_adapter/event_parsing.py
@@ -156,14 +156,14 @@
 
 
 class Spawn(NamedTuple):
-    """A dispatcher starts, in the place of the one before it if there was one."""
+    """The start of a dispatcher, which replaces any previous one of the instance."""
 
     seed: int
     settings: Settings
 
 
 class Kill(NamedTuple):
-    """A dispatcher ends."""
+    """The end of a dispatcher."""
 
 
 def parse_row(row: Row) -> Event | Spawn | Kill | None:
--- a/burlmoor/simulator_adapter/wire.py
+++ b/burlmoor/simulator_adapter/wire.py
@@ -1,4 +1,4 @@
-"""What both directions of the simulator's wire share: rows, and the error for a line that can't be parsed."""
+"""The row type and the parse error that both directions of the simulator's wire share."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class LineElement(Enum):
-    """What a line consists of; the value is its name in an error's text."""
+    """An element of a line; the value is its name in an error's text."""
 
     BATCH = "a batch"
     EVENT = "an event"
 
 
 class MalformedLineError(BurlmoorError):
-    """A line that is not of this wire; `expected` is what could not be parsed there."""
+    """A line can't be parsed; `expected` is the element that was expected."""
 
     def __init__(self, expected: LineElement, cause: Exception) -> None:
         super().__init__(f"not {expected.value}: {cause!r}")
--- a/burlmoor/types/actions.py
+++ b/burlmoor/types/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the policy asks its host to take; `id` is the job's number in the policy's events."""
+"""The actions that the policy requests of its host; `id` is the job's number in the policy's events."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class RejectJob(NamedTuple):
-    """Final answer: rejected, a retry is harmless."""
+    """Give the final answer: rejected; a retry is harmless."""
 
     id: int
-    retry_after_ms: float = 0.0  # advice for the client; 0: none
+    retry_after_ms: float = 0.0  # for the client; 0: none
     reason: EndReason | None = None
 
 
 class FailJob(NamedTuple):
-    """Final answer: failed. The client is not told whether the job has run."""
+    """Give the final answer: failed. The client does not learn whether the job has run."""
 
     id: int
     reason: EndReason | None = None
 
 
 class CancelAttempt(NamedTuple):
-    """Cancel one attempt, whose outcome is CANCELLED unless another one is on its way already."""
+    """Cancel one attempt; it ends as CANCELLED unless another outcome is reported before."""
 
     id: int
     attempt: int
@@ -40,14 +40,14 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired` event; timers can't be cancelled."""
+    """Request a `TimerFired` event; timers can't be cancelled."""
 
     delay_ms: float
     token: int  # returned in the event
 
 
 class WatchEndpoints(NamedTuple):
-    """Keep a watch on the endpoint list from now on."""
+    """Watch the endpoint list from now on."""
 
 
 class FetchEndpoints(NamedTuple):
--- a/burlmoor/types/endpoint_list.py
+++ b/burlmoor/types/endpoint_list.py
@@ -7,24 +7,24 @@
 
 
 class EndpointState(Enum):
-    """The state of an endpoint as the list has it."""
+    """The state of an endpoint in the endpoint list."""
 
     LIVE = "live"
-    DRAINING = "draining"  # finishes what it has; nothing new may be sent
-    GONE = "gone"  # removed; among changes only
+    DRAINING = "draining"  # finishes its jobs; nothing new may be sent
+    GONE = "gone"  # removed; only in a DELTA
 
 
 class ListKind(Enum):
-    """What an `EndpointListUpdate` holds."""
+    """The kind of an `EndpointListUpdate`, by the entries that it has."""
 
     DELTA = "changes"  # the entries that changed
     SNAPSHOT = "full"  # all entries
-    CACHED = "cached"  # all entries as this node last saw them; perhaps stale
-    FAILED = "failed"  # nothing: a call failed or the watch ended, and the list so far stays in force
+    CACHED = "cached"  # all entries of the last list that this node received; may be stale
+    FAILED = "failed"  # none: a call failed or the watch ended; the previous list remains valid
 
 
 class EndpointEntry(NamedTuple):
-    """One endpoint as the list has it."""
+    """One entry of the endpoint list."""
 
     endpoint: str  # its name, the same at every node
     state: EndpointState = EndpointState.LIVE
--- a/burlmoor/types/events.py
+++ b/burlmoor/types/events.py
@@ -19,19 +19,19 @@
 
 
 class JobRequest(NamedTuple):
-    """A request that the node has admitted: it has to get one final answer within its timeout."""
+    """A request that the node has admitted; it must get one final answer within its timeout."""
 
     id: int
     job_class: str
     timeout_ms: float  # from this event on
     work_ms: float = 0.0  # expected time on a standard core; 0: not known
-    slots: float = 1.0  # that it takes at an endpoint
-    memory: float = 0.0  # units that it takes at an endpoint, where memory counts
+    slots: float = 1.0  # that it occupies at an endpoint
+    memory: float = 0.0  # units that it occupies at an endpoint, where memory is limited
     tenant: str = ""
-    affinity_key: str = ""  # what the request is about; "": none
+    affinity_key: str = ""  # identifies the data that the job needs; "": none
     is_client_retry: bool = False  # where clients mark their retries
-    deferred_ms: float = 0.0  # how much of the client's timeout the job was deferred
-    deferral_credit: float = 0.0  # from 0 to 1: the priority that this has earned
+    deferred_ms: float = 0.0  # the part of the client's timeout for which the job was deferred
+    deferral_credit: float = 0.0  # from 0 to 1: added priority for the deferral
 
 
 class AttemptStarted(NamedTuple):
@@ -43,7 +43,7 @@
 
 
 class AttemptProgressed(NamedTuple):
-    """The endpoint has done a fraction, from 0 to 1, of the job."""
+    """The endpoint has completed a fraction, from 0 to 1, of the job."""
 
     id: int
     attempt: int
@@ -65,22 +65,22 @@
     id: int
     attempt: int
     endpoint: str
-    outcome: Outcome  # with which it will end, unless the endpoint reports another one before
+    outcome: Outcome  # of the attempt, unless the endpoint reports another one first
 
 
 class AttemptEnded(NamedTuple):
-    """How an attempt ended; each attempt that the policy starts ends exactly once."""
+    """The end of an attempt; each attempt that the policy starts ends exactly once."""
 
     id: int
     attempt: int
     endpoint: str
     outcome: Outcome
     elapsed_ms: float  # since the attempt was sent
-    is_job_closed: bool  # whether the job needs no final answer any more
+    is_job_closed: bool  # whether the job no longer needs a final answer
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has disconnected, or the host has answered the job itself: it needs no answer any more."""
+    """The client has disconnected, or the host has answered the job itself: no answer is needed."""
 
     id: int
 
@@ -107,7 +107,7 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer that the policy set has come due."""
+    """A timer that the policy has set has fired."""
 
     token: int
 
--- a/burlmoor/types/outcome.py
+++ b/burlmoor/types/outcome.py
@@ -8,10 +8,10 @@
 class Outcome(Enum):
     """How an attempt ended."""
 
-    SERVED = "served"  # the endpoint gave a result
+    SERVED = "served"  # the endpoint returned a result
     ERROR = "error"  # the endpoint reported a failure; the job may have run
     OVERLOADED = "full"  # rejected or handed back by the endpoint, not started
-    TIMEOUT = "timeout"  # the node stopped waiting; the job may have run, or may yet
+    TIMEOUT = "timeout"  # the node stopped waiting; the job may have run, or may still run
     UNREACHABLE = "unreachable"  # no connection, or it broke before the request was written
     RESET = "reset"  # the connection or the job's process was lost; the job may have run
     CANCELLED = "cancelled"  # the node cancelled it; the job may have run
--- a/burlmoor/types/payload.py
+++ b/burlmoor/types/payload.py
@@ -1,4 +1,4 @@
-"""What a job carries from its client to an executor."""
+"""The payload of a job: the part of a client's request that an executor receives."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What is passed on to an executor unchanged."""
+    """The parts of a request that are forwarded to an executor unchanged."""
 
     method: bytes
     path: bytes
     body: bytes
-    idempotency_key: str = ""  # by which executors know a repeat
+    idempotency_key: str = ""  # by which executors recognize a repeat; "": none
--- a/burlmoor/types/reasons.py
+++ b/burlmoor/types/reasons.py
@@ -8,12 +8,12 @@
 class EndReason(Enum):
     """Why a job ended without a result; the value is its name in the log."""
 
-    OVERLOAD = "overload"  # shed: the queue holds more than can be in time
-    TOO_LATE = "too-late"  # queued for so long that no endpoint can be in time any more
+    OVERLOAD = "overload"  # shed: the queue has more jobs than can finish in time
+    TOO_LATE = "too-late"  # queued for so long that no endpoint can finish it in time
     NOT_STARTED = "not-started"  # its attempts had not started when an answer was no longer useful
     DEADLINE = "deadline"  # the deadline is near, or has passed
     NO_RETRY = "no-retry"  # an attempt brought no answer, and another one is not allowed or not useful
-    SHUTDOWN = "shutdown"  # this process ends
+    SHUTDOWN = "shutdown"  # the process shuts down
     RUN_CONDITIONS = "run-conditions"  # ended while deferred
     DISCONNECTED = "client-disconnected"
 
@@ -24,9 +24,9 @@
     OVERDUE = "overdue"  # not started in the time that a start usually takes
     SILENT = "silent"  # started, and reports no progress
     SUPERSEDED = "superseded"  # another attempt of its job has started
-    JOB_OVER = "job-over"  # its job needs no answer any more
+    JOB_OVER = "job-over"  # its job no longer needs an answer
     OUT_OF_TIME = "out-of-time"  # its own deadline or its job's has passed
-    ENDPOINT_NOT_LIVE = "endpoint-not-live"  # drains or is gone, and had not accepted the job
+    ENDPOINT_NOT_LIVE = "endpoint-not-live"  # draining or removed, and had not accepted the job
     NO_RESPONSE = "no-response"  # neither accepted nor rejected in time
     INVALID_RESPONSE = "invalid-response"
     INTERNAL_ERROR = "internal-error"
@@ -38,10 +38,10 @@
     PEER_CLOSED = "peer-closed"
     LAST_RESPONSE = "last-response"  # after a response that ends the connection
     INVALID_REQUEST = "invalid-request"
-    TIMED_OUT = "timed-out"  # in its present state for longer than that may last
-    MADE_ROOM = "made-room"  # evicted: another connection needed its place
+    TIMED_OUT = "timed-out"  # in one state for longer than its time limit
+    MADE_ROOM = "made-room"  # evicted in favour of another connection
     IDLE = "idle"  # unused for too long, or one of too many idle ones
-    SHUTDOWN = "shutdown"  # idle while the node sends its clients away
+    SHUTDOWN = "shutdown"  # idle during a graceful shutdown
     ENDPOINT_CHANGED = "endpoint-changed"  # the endpoint is another process now
     ATTEMPT_CANCELLED = "attempt-cancelled"  # its attempt was cancelled
     BROKEN = "broken"  # an error of the socket, or no valid response
--- a/burlmoor/types/settings.py
+++ b/burlmoor/types/settings.py
@@ -18,7 +18,7 @@
 
 
 class Idempotency(Enum):
-    """What it does to run a job of a class twice."""
+    """The effect of running a job of a class twice."""
 
     IDEMPOTENT = "repeatable"
     IDEMPOTENT_WITH_KEY = "keyed"  # repeats are dropped within the deduplication scope, for a while
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and what it may send."""
+    """One tenant and its quota."""
 
     name: str
     share: float = 0.0  # of the service, from 0 to 1
@@ -61,29 +61,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a node may do."""
+    """What a node is allowed to do."""
 
     max_attempts: int = 3  # of one job
     may_cancel: bool = False
     may_check_health: bool = False
-    may_hedge: bool = False  # have two attempts of a job open at a time
+    may_hedge: bool = False  # have two attempts of a job open concurrently
     sends_retry_after: bool = False
     max_retry_after_ms: float = 1000.0  # the longest that clients follow
     connect_timeout_ms: float = 250.0
 
     @property
     def max_open_attempts(self) -> int:
-        """How many attempts of one job may be open at once."""
+        """How many attempts of one job may be open concurrently."""
         return 2 if self.may_hedge else 1
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules that every node has to keep by itself."""
+    """The parameters of the rules that every node has to keep."""
 
     response_slack_ms: float = 0.0  # how long after the client's deadline an answer still counts
-    drain_grace_ms: float = 1000.0  # within which sends to a draining or removed endpoint have to stop
-    initial_capacity: float = 0.2  # the fraction of its capacity that a started executor has at least
+    drain_grace_ms: float = 1000.0  # sends to a draining or removed endpoint have to stop within it
+    initial_capacity: float = 0.2  # the fraction of its capacity that an executor has at least when it starts
     slow_start_ms: float = 10_000.0  # after which it has all of it
     overload_multiple: float = 2.0  # a load of more than this many times its present capacity,
     overload_window_ms: float = 2000.0  # for this long, brings down an executor in slow start
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectiveWeights:
-    """How much the parts of the result count beside one another."""
+    """The relative weights of the components of the result."""
 
     overall: float = 1.0
     worst_class: float = 0.0
