--- a/burlmoor/deferred/__init__.py
+++ b/burlmoor/deferred/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs deferred until other jobs are served or a time has come. Imported only where `[waiting]` is on."""
+"""Jobs deferred until other jobs are served or until a given time. Imported only if `[waiting]` is on."""
 
 from burlmoor.deferred.conditions import ConditionParser
 from burlmoor.deferred.queue import DeferredJobQueue
--- a/burlmoor/deferred/conditions.py
+++ b/burlmoor/deferred/conditions.py
@@ -1,4 +1,4 @@
-"""The codec of the two headers with which a client has its job deferred. No I/O, no clock.
+"""Parses the two headers with which a client defers its job. No I/O, no clock.
 
 `Run-After: ID[, ID...]` may be given on several lines, as any list (RFC 9110, section 5.6.1: empty elements
 are ignored); `Not-Before: T` is Unix time in ms, once.
@@ -17,7 +17,7 @@
 
 _RUN_AFTER = b"run-after"
 _NOT_BEFORE = b"not-before"
-# As errors name them.
+# The spellings used in error messages.
 _RUN_AFTER_NAME = "Run-After"
 _NOT_BEFORE_NAME = "Not-Before"
 _UNIX_MS = re.compile(r"[0-9]{1,15}")
@@ -32,7 +32,7 @@
     def parse(
         self, headers: Sequence[tuple[bytes, bytes]], request_id: str, size_bytes: int
     ) -> RunConditions | None:
-        """Return the conditions of a request with a body of this size; None where it has none.
+        """Return the conditions of a request with a body of this size, or None if it has none.
 
         Raises:
             InvalidConditionError: a header is invalid; the text names it.
--- a/burlmoor/deferred/cycle_search.py
+++ b/burlmoor/deferred/cycle_search.py
@@ -1,4 +1,4 @@
-"""Finds out whether a new job would close a cycle of dependencies."""
+"""Detects whether a new job would close a cycle of dependencies."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 ) -> bool:
     """Return whether one of `dependencies` depends, directly or not, on the job `request_id`.
 
-    `jobs` are the deferred jobs by id, `dependents` those that depend on an id. The search goes from both
-    sides in turn, up from the dependencies and down from the dependents, and ends when either side is
-    exhausted: a job that no other depends on, or that depends on none that is deferred, costs nothing.
+    `jobs` are the deferred jobs by id; `dependents` are, by id, the deferred jobs that depend on it. The
+    search is bidirectional, up from the dependencies and down from the dependents, and ends when either side
+    is exhausted. So it is trivial for a job without dependents or without deferred dependencies.
     """
     if request_id in dependencies:
         return True
@@ -43,7 +43,7 @@
 
 
 def _visit(ids: Iterable[str], visited: set[str], pending: list[str]) -> None:
-    """Add the ids that are new to both collections."""
+    """Add the ids that were not visited yet to both collections."""
     found = set(ids) - visited
     visited |= found
     pending.extend(found)
--- a/burlmoor/deferred/deferred_job.py
+++ b/burlmoor/deferred/deferred_job.py
@@ -1,4 +1,4 @@
-"""One deferred job, and why it waits."""
+"""A deferred job, and the reasons for deferral."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class DeferralReason(Enum):
-    """Why a job is deferred (the first four), or why its deferral ends without its release."""
+    """Why a job is deferred (the first four), or why its deferral ended without its release."""
 
     DEPENDENCY_OPEN = "jobs"  # a job that it depends on is open
     DEPENDENCY_UNKNOWN = "unknown"  # a job that it depends on has not been admitted here yet
     NOT_BEFORE = "time"  # its not-before time has not passed
     RELEASE_PENDING = "turn"  # all conditions are met, and it is not released yet
     DEPENDENCY_FAILED = "parent"  # a job that it depends on was not served
-    CYCLE = "cycle"  # a job that it depends on depends on it
+    CYCLE = "cycle"  # a job that it depends on depends on it in turn
     CAPACITY_REACHED = "full"  # a limit on deferred jobs is reached
-    TOO_LATE = "hopeless"  # the rest of its client's timeout does not suffice for its work
+    TOO_LATE = "hopeless"  # the remaining time of its client's timeout is less than its work needs
     DRAINING = "closed"  # the node drains or shuts down
 
 
 @dataclass(slots=True, eq=False)
 class DeferredJob:
-    """One deferred job and which of its conditions are not met; times in ms on the engine's clock."""
+    """A deferred job and its unmet conditions; times are in ms on the engine's clock."""
 
     id: str
     deferred_at: float
@@ -45,12 +45,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether something is to be done: it is runnable, or its deferral ends."""
+        """Whether it can leave the graph: it is runnable, or its deferral has ended."""
         return self.is_runnable or self.end_reason is not None
 
     @property
     def reason(self) -> DeferralReason:
-        """Why it is deferred now, or why its deferral ends."""
+        """Why it is deferred, or why its deferral ended."""
         if self.end_reason is not None:
             return self.end_reason
         if self.unknown_dependencies:
--- a/burlmoor/deferred/dependency_graph.py
+++ b/burlmoor/deferred/dependency_graph.py
@@ -1,12 +1,12 @@
-"""The graph of which deferred job depends on which: events and times in, ready jobs out. No I/O, no clock.
+"""The dependency graph of the deferred jobs: a state machine that turns events and times into ready jobs.
 
-A job is *open* from its admission until it ends; a deferred job is open too. The history says for a while
-whether a job that has ended was served. A deferred job is *runnable* once every job that it depends on was
-served and its not-before time has passed; its deferral *ends* as soon as one of them has ended otherwise.
-Both put it into a queue of ready jobs, from which `pop_ready` takes one at a time, so that a chain of any
-length is handled without recursion and in pieces.
+A job is *open* from its admission until it ends; a deferred job is open too. For a limited time, the history
+records whether an ended job was served. A deferred job is *runnable* once every job that it depends on was
+served and its not-before time has passed; its deferral *ends* as soon as one of them ends in any other way.
+In both cases the job is appended to the queue of ready jobs. `pop_ready` returns one of them at a time, so a
+chain of any length is processed without recursion and in bounded steps.
 
-Times: `now` is ms on a clock that only goes forward; `unix_now` is Unix time in ms, which may step.
+No I/O, no clock: `now` is monotonic time in ms; `unix_now` is Unix time in ms, which may step.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GraphLimits:
-    """How much a graph may hold."""
+    """Limits on the size of a graph and on the age of its entries."""
 
-    max_jobs: int  # deferred at a time
+    max_jobs: int  # concurrently deferred
     max_dependents: int  # deferred jobs that may depend on one job
     unknown_timeout_ms: float  # how long a dependency may be unknown
-    history_ms: float  # how long it is remembered how a job has ended
-    history_size: int  # ended jobs that are remembered
+    history_ms: float  # how long the outcome of an ended job is remembered
+    history_size: int  # how many ended jobs are remembered
 
 
 class DependencyGraph:
-    """Owns every deferred job, the ids of all open ones, and how those that ended lately have ended."""
+    """Owns the deferred jobs, the ids of all open jobs, and the outcomes of those that ended recently."""
 
     def __init__(self, limits: GraphLimits) -> None:
         self.limits = limits
@@ -65,14 +65,14 @@
         return list(self._dependents.get(request_id, ()))
 
     def on_job_opened(self, request_id: str) -> None:
-        """Note that the node has admitted a job, deferred or not."""
+        """Record that the node has admitted a job, deferred or not."""
         self._open_ids.add(request_id)
         self._history.discard(request_id)
         for dependent in self._dependents.get(request_id, {}).values():
             dependent.unknown_dependencies.discard(request_id)
 
     def on_job_ended(self, request_id: str, now: float, *, was_served: bool) -> None:
-        """Note that a job has ended: served, or in any other way, its client's disconnect included."""
+        """Record that a job has ended: served or otherwise, including by its client's disconnect."""
         self._open_ids.discard(request_id)
         self.remove(request_id)
         self._history.record(request_id, now, was_served=was_served)
@@ -95,7 +95,7 @@
         now: float,
         unix_now: float,
     ) -> DeferredJob:
-        """Defer a job that was just opened; it may be runnable, or its deferral ended, at once."""
+        """Defer a job that was just opened; it may be runnable, or its deferral may end, immediately."""
         job = DeferredJob(request_id, now, latest_release_at, not_before_unix_ms)
         is_full = len(self.jobs) >= self.limits.max_jobs
         self.jobs[request_id] = job
@@ -114,7 +114,7 @@
         return job
 
     def remove(self, request_id: str) -> None:
-        """Remove a job that is released or has ended; those that depend on it stay."""
+        """Remove a job that is released or has ended; the jobs that depend on it remain."""
         job = self.jobs.pop(request_id, None)
         if job is None:
             return
@@ -140,14 +140,14 @@
             self.end_deferral(job, reason)
 
     def next_due(self, now: float, unix_now: float) -> float:
-        """Return when `pop_ready` may have a job next, on the clock of `now`."""
+        """Return when `pop_ready` is to be called next, on the clock of `now`."""
         if self._ready:
             return now
         not_before_due = now + max(0.0, self._not_before_timers.next_due() - unix_now)
         return min(self._unknown_timers.next_due(), self._latest_release_timers.next_due(), not_before_due)
 
     def pop_ready(self, now: float, unix_now: float) -> DeferredJob | None:
-        """Return a job that is runnable or whose deferral ends, each once; None if there is none now."""
+        """Return the next job that is runnable or whose deferral has ended, once; None if there is none."""
         self._expire_timers(now, unix_now)
         while self._ready:
             job = self._ready.popleft()
--- a/burlmoor/deferred/job_history.py
+++ b/burlmoor/deferred/job_history.py
@@ -1,4 +1,4 @@
-"""How the jobs that ended recently have ended."""
+"""The outcomes of jobs that ended recently."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
         return request_id in self._ended
 
     def record(self, request_id: str, now: float, *, was_served: bool) -> None:
-        """Add a job that has ended; the latest end of an id counts."""
+        """Record how a job ended, replacing an earlier record of the same id."""
         self._ended[request_id] = (now, was_served)
         self._ended.move_to_end(request_id)
 
     def discard(self, request_id: str) -> None:
-        """Forget a job whose id is open again."""
+        """Remove a job whose id is open again."""
         self._ended.pop(request_id, None)
 
     def was_served(self, request_id: str) -> bool:
@@ -31,7 +31,7 @@
         return self._ended.get(request_id, (0.0, False))[1]
 
     def trim(self, now: float, max_age_ms: float, max_count: int) -> None:
-        """Forget what ended longer ago than `max_age_ms`, and the oldest beyond `max_count`."""
+        """Remove jobs that ended more than `max_age_ms` ago, and the oldest beyond `max_count`."""
         oldest = now - max_age_ms
         while self._ended:
             request_id, (ended_at, _) = next(iter(self._ended.items()))
--- a/burlmoor/deferred/queue.py
+++ b/burlmoor/deferred/queue.py
@@ -1,7 +1,6 @@
-"""The queue of deferred jobs: accepts them within its limits, and decides which to release and to end.
+"""The queue of deferred jobs: accepts jobs within its limits, and decides which to release and which to end.
 
-It knows no socket and no thread. The engine passes it the time in ms on its own clock; Unix time is read from
-the clock that the queue is given.
+No I/O, no threads. The engine passes the time on its own clock, in ms; Unix time is read from `unix_clock`.
 """
 
 from __future__ import annotations
@@ -29,10 +28,10 @@
     from burlmoor.log import EventLogger
     from burlmoor.types.events import JobRequest
 
-_MAX_DECISIONS_PER_STEP = 100  # so that a long chain doesn't block the event loop
+_MAX_DECISIONS_PER_STEP = 100  # so that a long chain of jobs doesn't block the event loop
 _MAX_RETRY_AFTER_MS = 3_600_000.0
-_MIN_RETRY_AFTER_FRACTION = 0.5  # of the longest advice, from which the advice is drawn at random
-_UNIX_CLOCK_CHECK_MS = 1000.0  # after which Unix time is read again while a job waits for it: it may step
+_MIN_RETRY_AFTER_FRACTION = 0.5  # lower bound of the random Retry-After, of the longest one
+_UNIX_CLOCK_CHECK_MS = 1000.0  # between reads while a job waits for a time, since Unix time may step
 _DEPENDENCY_FAILURES = {
     DeferralReason.DEPENDENCY_FAILED: "a job that this one runs after was not served",
     DeferralReason.CYCLE: "a job that this one runs after runs after this one",
@@ -64,8 +63,8 @@
 class DeferredJobQueue:
     """Owns the dependency graph, the limits on it, the release of runnable jobs, and the status snapshot.
 
-    `max_connections` are the downstream connections that the node may have; `max_retry_after_ms` is the most
-    that rejections advise. It is the engine's `JobDeferral`.
+    The engine uses it as its `JobDeferral`. `max_connections` is the node's limit on downstream connections;
+    `max_retry_after_ms` is the longest Retry-After of a rejection.
     """
 
     def __init__(
@@ -109,30 +108,30 @@
 
     @property
     def status_by_id(self) -> Map[str, DeferredJobStatus]:
-        """All deferred jobs as of the last step; the map itself never changes."""
+        """The deferred jobs as of the last step, as an immutable map."""
         return self._status.by_id
 
     def apply_options(self, options: DeferredOptions, now: float) -> None:
-        """Use these options for new jobs; those deferred already keep the times that they were given."""
+        """Use these options for new jobs; jobs that are already deferred keep their times."""
         self._options = options
         self.max_deferral_ms = options.max_deferral_ms
         self._graph.limits = _graph_limits(options, self._max_connections)
         self._release_queue.bucket = AdaptiveTokenBucket(options.release_rate, options.release_burst, now)
 
     def set_draining(self, *, is_draining: bool) -> None:
-        """Set whether the node drains: then all deferrals end, and so do those of new jobs."""
+        """Set whether the node drains; while it does, the deferral of every job, present or new, ends."""
         if is_draining and not self._is_draining and self._entries:
             self._log(DeferralsEnded(jobs=len(self._entries)))
             self._graph.end_all()
         self._is_draining = is_draining
 
     def on_job_opened(self, request_id: str) -> None:
-        """Note that the node has admitted a job."""
+        """Record that the node has admitted a job."""
         self._graph.on_job_opened(request_id)
         self._status.mark_changed(self._graph.dependents_of(request_id))
 
     def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
-        """Note that a job has ended with this answer; None if its client has disconnected."""
+        """Record that a job has ended with this answer; None if its client has disconnected."""
         self._status.mark_changed(self._graph.dependents_of(request_id))
         was_served = isinstance(answer, Served)
         self._graph.on_job_ended(request_id, now, was_served=was_served)
@@ -141,15 +140,14 @@
             return
         self._released_ids.discard(request_id)
         if was_served or isinstance(answer, Rejected):
-            # Without this, released jobs would overload the endpoints: where some are rejected, fewer are
-            # released at a time.
+            # Without this, released jobs would overload the endpoints: rejections reduce the release rate.
             self._release_queue.bucket.adjust_rate(now, was_served=was_served)
             self._window.adjust_size(now, was_served=was_served)
 
     def defer(
         self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
-        """Hold a job that was just opened; `step` returns the decision on it, never earlier."""
+        """Defer a job that was just opened; the decision on it is returned by a later `step`."""
         latest_release_at = deadline - request.work_ms - self._options.min_remaining_ms
         unix_now = self._unix_clock()
         exceeds_bytes = self.body_bytes + conditions.size_bytes > self._options.max_body_bytes
@@ -167,7 +165,7 @@
         self._status.mark_changed((request_id,))
 
     def next_due(self, now: float) -> float:
-        """Return when `step` is needed next."""
+        """Return when `step` is to be called next."""
         due = min(self._graph.next_due(now, self._unix_clock()), self._release_queue.next_due(now))
         return min(due, now + _UNIX_CLOCK_CHECK_MS) if self._graph.has_not_before_timers else due
 
@@ -183,7 +181,7 @@
         return decisions
 
     def _process_ready_jobs(self, now: float, decisions: list[ReleasedJob | EndedJob]) -> None:
-        """End the deferrals that are to end, and queue runnable jobs for their release."""
+        """Answer jobs whose deferral has ended, and queue runnable jobs for release."""
         unix_now = self._unix_clock()
         while len(decisions) < _MAX_DECISIONS_PER_STEP:
             job = self._graph.pop_ready(now, unix_now)
@@ -196,13 +194,13 @@
             answer = self._final_answer(job, unix_now)
             decisions.append(EndedJob(job.id, answer))
             self.rejected_count += 1
-            # Noted here, not once the engine has answered: so a long chain ends at once, not one job a step.
+            # Recorded here, not once the engine has answered, so that a long chain needs few steps.
             self.on_job_ended(job.id, answer, now)
 
     def _release_jobs(
         self, now: float, free_slots: Callable[[], float], decisions: list[ReleasedJob | EndedJob]
     ) -> None:
-        remaining_slots: float | None = None  # looked up only where a job may be released
+        remaining_slots: float | None = None  # computed only if a job may be released
         while len(decisions) < _MAX_DECISIONS_PER_STEP and self._has_releasable_job():
             if remaining_slots is None:
                 remaining_slots = free_slots()
@@ -216,7 +214,7 @@
             decisions.append(self._release(release.item, now))
 
     def _has_releasable_job(self) -> bool:
-        """Drop what has ended from the head of the release queue; return whether a job is left."""
+        """Drop ended jobs from the head of the release queue; return whether a job is left."""
         while (job := self._release_queue.first()) is not None:
             # A job may be submitted again under its id while its earlier entry is still in the queue.
             entry = self._entries.get(job.id)
@@ -238,7 +236,7 @@
             return DependencyFailed(_DEPENDENCY_FAILURES[job.end_reason])
         retry_after_ms = self._max_retry_after_ms * self._rng.uniform(_MIN_RETRY_AFTER_FRACTION, 1.0)
         if job.end_reason is DeferralReason.TOO_LATE and job.not_before_unix_ms > unix_now:
-            # Before its time the job can't run here either.
+            # The job can't run before its not-before time.
             retry_after_ms = min(_MAX_RETRY_AFTER_MS, job.not_before_unix_ms - unix_now)
         return Rejected(retry_after_ms)
 
--- a/burlmoor/deferred/rate_control.py
+++ b/burlmoor/deferred/rate_control.py
@@ -1,8 +1,8 @@
-"""How fast runnable jobs are released, so that they don't overload the executors. No I/O, no clock.
+"""Rate control for the release of runnable jobs, which protects executors from overload. No I/O, no clock.
 
-A job is released while endpoints are known to have free slots, within a congestion window, and otherwise by a
-token bucket. So a thundering herd fills idle endpoints and no more, and under full load deferred jobs are
-still released at a steady rate.
+Jobs are released to known free slots of endpoints within a congestion window, and otherwise by a token
+bucket. So a thundering herd only fills idle endpoints, and under full load deferred jobs are still released
+at a steady rate.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class AdaptiveTokenBucket:
-    """Tokens that fill at `rate` a second up to `burst`; the rate follows the answers of released jobs.
+    """A token bucket that fills at `rate` a second up to `burst`, and adapts its rate to answers.
 
-    It rises evenly with each released job that was served and falls by a factor with each that was rejected
-    (additive increase, multiplicative decrease: Chiu and Jain, 1989), between a tenth of the full rate and
-    all of it. Times are in ms.
+    The rate increases by a constant with each released job that was served and decreases by a factor with
+    each that was rejected (additive increase, multiplicative decrease: Chiu and Jain, 1989), between a tenth
+    of the full rate and the full rate. Times are in ms.
     """
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
@@ -46,7 +46,7 @@
         return True
 
     def adjust_rate(self, now: float, *, was_served: bool) -> None:
-        """Adjust the rate to a released job that was served, or rejected."""
+        """Adjust the rate after a released job was served or rejected."""
         self._fill(now)
         if was_served:
             rate = self.rate + _RATE_INCREASE_FRACTION * self._full_rate
@@ -57,7 +57,7 @@
             self._tokens = min(self._tokens, 1.0)  # no burst right after a rejection
 
     def next_token_at(self, now: float) -> float:
-        """Return when there is a token."""
+        """Return when the next token is available."""
         self._fill(now)
         return now + max(0.0, 1.0 - self._tokens) * 1000.0 / self.rate
 
@@ -68,9 +68,9 @@
 
 
 class CongestionWindow:
-    """How many released jobs may be open at once where endpoints seem to have free slots.
+    """Limits how many released jobs may be open while endpoints seem to have free slots.
 
-    The free slots that a node sees are shared with other nodes, and may be out of date. So the window grows
+    Free slots are shared with other nodes, and a node's view of them may be out of date. So the window grows
     by one with each job served until the first rejection, then by one a window, and halves after a rejection
     (RFC 5681, sections 3.1 and 3.2, with jobs for segments). Rejections within 200 ms count once.
     """
@@ -81,7 +81,7 @@
         self._decreased_at = -math.inf
 
     def adjust_size(self, now: float, *, was_served: bool) -> None:
-        """Adjust the window to a released job that was served, or rejected."""
+        """Adjust the window after a released job was served or rejected."""
         if was_served:
             increase = 1.0 if self.size < self._slow_start_threshold else 1.0 / self.size
             self.size = min(_MAX_WINDOW, self.size + increase)
--- a/burlmoor/deferred/release_queue.py
+++ b/burlmoor/deferred/release_queue.py
@@ -1,4 +1,4 @@
-"""The runnable jobs, the one with the earliest latest-release time first. No I/O, no clock."""
+"""A priority queue of runnable jobs, ordered by latest-release time. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Release(NamedTuple, Generic[_Item]):
-    """An item that is released, and the slots that it takes."""
+    """A released item, and the slots that it needs."""
 
     item: _Item
     slots: float
 
 
 class ReleaseQueue(Generic[_Item]):
-    """Items that may be released, by the latest time of their release, and the bucket that lets them go."""
+    """Items ordered by their latest-release time, and the token bucket that limits their release."""
 
     def __init__(self, bucket: AdaptiveTokenBucket) -> None:
         self.bucket = bucket
@@ -31,20 +31,20 @@
         return len(self._heap)
 
     def push(self, latest_release_at: float, slots: float, item: _Item) -> None:
-        """Add an item that takes so many slots; those with equal times go in the order they came."""
+        """Add an item that needs this many slots; items with equal times are released first in, first out."""
         self._last_number += 1
         heapq.heappush(self._heap, (latest_release_at, self._last_number, slots, item))
 
     def first(self) -> _Item | None:
-        """Return the item that is released next; None where the queue is empty."""
+        """Return the item to be released next; None if the queue is empty."""
         return self._heap[0][3] if self._heap else None
 
     def drop_first(self) -> None:
-        """Remove the first item, which is not to be released any more."""
+        """Remove the first item without releasing it."""
         heapq.heappop(self._heap)
 
     def pop_releasable(self, now: float, free_slots: float) -> Release[_Item] | None:
-        """Remove the first item if it fits the free slots or there is a token; None if it has to wait."""
+        """Remove the first item if it fits the free slots or a token is available; return None if not."""
         if not self._heap:
             return None
         _, _, slots, item = self._heap[0]
@@ -54,5 +54,5 @@
         return Release(item, slots)
 
     def next_due(self, now: float) -> float:
-        """Return when a token lets the next item go; infinity where the queue is empty."""
+        """Return when a token for the next item is available; infinity if the queue is empty."""
         return self.bucket.next_token_at(now) if self._heap else math.inf
--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -18,7 +18,7 @@
 
 
 class DeferredService:
-    """Turns deferral on and off; turned off, no new job is deferred and those deferred already stay so."""
+    """Turns deferral on and off; when off, no new job is deferred, but already deferred jobs remain."""
 
     def __init__(
         self, core: EngineCore, server: DownstreamServer, admin: AdminService, seed: int, log: EventLogger
@@ -57,7 +57,7 @@
         self._admin.attach_status_provider(AdminPath.DEFERRED_JOBS, self._status)
 
     def _on_draining(self, *, is_draining: bool) -> None:
-        """Pass a change of the drain state on; disconnect a queue that is turned off and empty."""
+        """Pass the drain state to the queue; detach the queue if deferral is off and it is empty."""
         if self.queue is None:
             return
         self.queue.set_draining(is_draining=is_draining)
--- a/burlmoor/deferred/status.py
+++ b/burlmoor/deferred/status.py
@@ -1,4 +1,4 @@
-"""The status of the deferred jobs as JSON: counted from a snapshot, in pieces, while the node works on."""
+"""The status of the deferred jobs as JSON, computed from a snapshot without blocking the event loop."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
     from burlmoor.deferred.queue import DeferredJobQueue
 
-_ENTRIES_PER_PIECE = 2000  # counted between two chances for other tasks to run
+_ENTRIES_PER_BATCH = 2000  # counted between two checkpoints, at which other tasks can run
 
 
 async def build_status(queue: DeferredJobQueue, clock: Callable[[], float]) -> dict[str, Any]:
-    """Return counts and the oldest deferral, by class and reason, all of one moment; times in ms."""
+    """Return consistent counts by class and reason, and the age of the oldest deferral in ms."""
     statuses = queue.status_by_id
     now = clock()
     body_bytes = queue.body_bytes
@@ -28,7 +28,7 @@
         by_class[status.job_class] += 1
         by_reason[status.reason] += 1
         oldest[status.job_class] = min(status.deferred_at, oldest.get(status.job_class, status.deferred_at))
-        if number % _ENTRIES_PER_PIECE == 0:
+        if number % _ENTRIES_PER_BATCH == 0:
             await trio.lowlevel.checkpoint()
     return {
         "waiting": len(statuses),
--- a/burlmoor/deferred/status_snapshot.py
+++ b/burlmoor/deferred/status_snapshot.py
@@ -1,4 +1,4 @@
-"""A map of the deferred jobs for operators, which readers may go through while jobs come and go."""
+"""A snapshot of the deferred jobs for operators, which readers can iterate while the queue changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DeferredJobStatus(NamedTuple):
-    """One deferred job, as operators see it."""
+    """The status of one deferred job, as shown to operators."""
 
     job_class: str
     reason: str  # a value of `DeferralReason`
@@ -20,18 +20,18 @@
 
 
 class StatusSnapshot:
-    """An immutable map that is replaced in one step; readers keep the one that they have."""
+    """An immutable map that is replaced atomically; readers keep the version that they hold."""
 
     def __init__(self) -> None:
         self.by_id: Map[str, DeferredJobStatus] = Map()
-        self._changed_ids: dict[str, None] = {}  # a set in the order of changes
+        self._changed_ids: dict[str, None] = {}  # an ordered set
 
     def mark_changed(self, request_ids: Iterable[str]) -> None:
-        """Note that the status of these jobs may have changed."""
+        """Record that the status of these jobs may have changed."""
         self._changed_ids.update(dict.fromkeys(request_ids))
 
     def refresh(self, find_status: Callable[[str], DeferredJobStatus | None]) -> None:
-        """Look up the changed jobs and replace the map; `find_status` returns None for a job that is gone."""
+        """Update the changed jobs and replace the map; `find_status` returns None for a job to remove."""
         if not self._changed_ids:
             return
         with self.by_id.mutate() as statuses:
--- a/burlmoor/deferred/timer_queue.py
+++ b/burlmoor/deferred/timer_queue.py
@@ -1,4 +1,4 @@
-"""A queue of items by time, from which any item can be cancelled."""
+"""A priority queue of timers that can be cancelled."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TimerQueue(Generic[_Item]):
-    """Times and the item due at each: O(log n) to schedule, O(1) amortised to cancel."""
+    """Items by the time at which they are due: O(log n) to schedule, O(1) amortised to cancel."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int]] = []
@@ -29,22 +29,22 @@
         return self._last_id
 
     def cancel(self, timer_id: int) -> None:
-        """Remove an item; one that is removed already changes nothing."""
+        """Remove an item; does nothing if it was removed before."""
         if self._items.pop(timer_id, None) is None:
             return
-        # Without this, cancelled entries would hold memory until times that lie far ahead.
+        # Without this, cancelled entries would use memory until their times have passed.
         if len(self._heap) > _MIN_COMPACTION_SIZE + 2 * len(self._items):
             self._heap = [entry for entry in self._heap if entry[1] in self._items]
             heapq.heapify(self._heap)
 
     def next_due(self) -> float:
-        """Return the earliest time; infinity where the queue is empty."""
+        """Return the earliest time; infinity if the queue is empty."""
         while self._heap and self._heap[0][1] not in self._items:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
 
     def pop_due(self, now: float) -> _Item | None:
-        """Remove and return the earliest item whose time has come; None if there is none."""
+        """Remove and return the earliest item that is due; None if there is none."""
         if self.next_due() > now:
             return None
         return self._items.pop(heapq.heappop(self._heap)[1])
