--- a/burlmoor/membership/codec.py
+++ b/burlmoor/membership/codec.py
@@ -1,12 +1,11 @@
 """Encoding of membership messages: one datagram with as many member states as fit into 256 bytes.
 
     a message: magic 1, version 1, kind 1, sequence number 4, digest 4, node to ping (length 1, bytes),
-    states,
-        CRC-32 of all before 4
+        states, CRC-32 of all preceding bytes 4
     a state: name (length 1, bytes), IPv4 address 4, port 2, generation 4, nonce 2, incarnation 2, status 1
 
 Numbers are field sizes in bytes; integers are in network byte order. `decode` raises `InvalidDatagramError`,
-and no other error, for whatever is foreign, truncated, altered or of another version.
+and no other error, for any datagram that is foreign, truncated, corrupted or of another version.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-MAX_DATAGRAM_BYTES = 256  # the platform's protocol allows no more
+MAX_DATAGRAM_BYTES = 256  # the limit of the platform's protocol
 MAX_NAME_BYTES = 64  # of a node's name
 _MAGIC = 0xB7
 _VERSION = 1
@@ -43,7 +42,7 @@
 
 
 class DatagramField(enum.Enum):
-    """The part of a datagram that is invalid."""
+    """The parts of a datagram that can be invalid."""
 
     LENGTH = "length"
     MAGIC_AND_VERSION = "magic_and_version"
@@ -55,7 +54,7 @@
 
 
 class InvalidDatagramError(BurlmoorError, ValueError):
-    """A datagram is not a valid message; says which field, its value, and what is allowed."""
+    """A datagram is not a valid message; the error names the invalid field, its value and allowed values."""
 
     def __init__(self, field: DatagramField, value: object, allowed: str) -> None:
         super().__init__(f"invalid datagram: {field.value} is {value!r}, expected {allowed}")
@@ -65,12 +64,12 @@
 
 
 class MessageKind(enum.IntEnum):
-    """What a message is for."""
+    """The purpose of a message."""
 
-    PING = 1  # to be answered with an ACK
-    ACK = 2  # the answer, with the ping's sequence number
-    PING_REQUEST = 3  # asks the recipient to ping `node_to_ping` and to pass the ACK on
-    SYNC = 4  # a part of the sender's full state; asks for the recipient's
+    PING = 1  # requests an ACK
+    ACK = 2  # the response, with the ping's sequence number
+    PING_REQUEST = 3  # requests that the recipient pings `node_to_ping` and relays the ACK
+    SYNC = 4  # a part of the sender's full state; requests the recipient's
     GOSSIP = 5  # states only
 
 
@@ -105,7 +104,7 @@
 
 class _DecodedName(NamedTuple):
     name: str
-    next_offset: int  # of the bytes behind it
+    next_offset: int  # of the first byte after the name
 
 
 def _encode_state(state: MemberState) -> bytes:
@@ -136,7 +135,7 @@
 def split_into_messages(
     kind: MessageKind, sequence_number: int, digest: int, sender: MemberState, states: Sequence[MemberState]
 ) -> list[Message]:
-    """Spread states over as few messages as carry them all, each with the sender's own state first."""
+    """Split states into as few messages as possible, each with the sender's own state first."""
     messages: list[Message] = []
     remaining = list(states)
     while remaining or not messages:
@@ -153,7 +152,7 @@
     """Decode a datagram.
 
     Raises:
-        InvalidDatagramError: the datagram is anything but a complete message of this version.
+        InvalidDatagramError: the datagram is not a complete message of this version.
     """
     if not _MIN_DATAGRAM_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
         allowed = f"{_MIN_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES} bytes"
@@ -188,10 +187,10 @@
 
 
 def _decode_states(data: bytes, offset: int) -> tuple[MemberState, ...]:
-    """Decode all states from an offset on.
+    """Decode the states from an offset to the end of the data.
 
     Raises:
-        InvalidDatagramError: there is no state, or one without a name.
+        InvalidDatagramError: there is no state, or a state has no name.
     """
     states: list[MemberState] = []
     while offset < len(data):
--- a/burlmoor/membership/dissemination.py
+++ b/burlmoor/membership/dissemination.py
@@ -1,8 +1,8 @@
 """Dissemination: states piggybacked on every message, gossip rounds and full state exchanges.
 
-Every message carries the states that most need sending, each a bounded number of times. It also carries a
-digest of the sender's table: where the digests of two nodes differ while neither has anything left to gossip,
-they exchange all states. Without that, partitions that declared each other dead would never agree again.
+Every message carries the most urgent states; each state is sent a bounded number of times. It also carries a
+digest of the sender's table. If the digests of two nodes differ when there is nothing left to gossip, they
+exchange all states. Without that, partitions that have declared each other dead would never converge.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
     from burlmoor.membership.member_table import MemberTable
     from burlmoor.membership.parameters import ProtocolParameters
 
-_STATES_PER_DATAGRAM = 10  # about as many fit
+_STATES_PER_DATAGRAM = 10  # approximately
 
 
 class Datagram(NamedTuple):
-    """One message for one address."""
+    """A message and its destination."""
 
     destination: Address
     message: Message
@@ -46,14 +46,14 @@
         self._rng = rng
         self._parameters = parameters
         self._next_sync_at = -math.inf
-        self._differing_peer: Address | None = None  # a node whose digest differed when it was last heard
+        self._differing_peer: Address | None = None  # a node whose digest differed in its latest message
 
     # --- composing messages ---------------------------------------------------------------------
 
     def compose(
         self, name: str, kind: MessageKind, sequence_number: int = 0, node_to_ping: str = ""
     ) -> Datagram:
-        """Compose a message to a node, with the state that it needs to refute, if there is one."""
+        """Compose a message to a node; it includes the recipient's known state unless that is `ALIVE`."""
         state = self._table.remote.get(name)
         to_refute = state if state is not None and state.status is not MemberStatus.ALIVE else None
         return self._compose(self._table.address_of(name), kind, sequence_number, node_to_ping, to_refute)
@@ -61,7 +61,7 @@
     def compose_reply(
         self, address: Address, kind: MessageKind, sequence_number: int, requester: MemberState
     ) -> Datagram:
-        """Compose a reply, with the requester's state if this node knows one that takes precedence."""
+        """Compose a reply; it includes the requester's state if this node knows one that takes precedence."""
         known = self._table.remote.get(requester.name)
         newer = known if known and known.precedence > requester.precedence else None
         return self._compose(address, kind, sequence_number, "", newer)
@@ -74,7 +74,7 @@
         node_to_ping: str,
         recipient_state: MemberState | None,
     ) -> Datagram:
-        """Put this node's own state first, then what concerns the recipient, then the most urgent gossip."""
+        """Compose a message of this node's own state, the recipient's state and the most urgent gossip."""
         states = [self._table.local.state]
         if recipient_state is not None:
             states.append(recipient_state)
@@ -97,7 +97,7 @@
     # --- gossip rounds --------------------------------------------------------------------------
 
     def gossip_if_due(self, now: float) -> list[Datagram]:
-        """Gossip if a round is due; with nothing to gossip, exchange all states where digests differ."""
+        """Gossip if a round is due; without anything to gossip, exchange all states with a differing peer."""
         if now < self.next_gossip_at:
             return []
         self.next_gossip_at = now + self._parameters.gossip_interval
@@ -112,7 +112,8 @@
 
     def _gossip_round(self) -> list[Datagram]:
         parameters = self._parameters
-        # Several datagrams at once where much is new, as when a whole cluster starts.
+        # Several datagrams to each member if there are many changes, for instance when a whole cluster
+        # starts.
         burst = min(parameters.max_gossip_burst, 1 + len(self._gossip_queue) // _STATES_PER_DATAGRAM)
         datagrams: list[Datagram] = []
         for name in self._table.sample_members(self._rng, parameters.gossip_fanout):
@@ -120,7 +121,7 @@
         return datagrams
 
     def announce_leave(self, fanout: int) -> list[Datagram]:
-        """Tell some members that this node shuts down; gossip carries it to the others."""
+        """Notify some members that this node shuts down; gossip spreads it to the others."""
         self._table.leave()
         names = self._table.sample_members(self._rng, fanout)
         return [self.compose(name, MessageKind.GOSSIP) for name in names]
@@ -128,7 +129,7 @@
     # --- full state exchange --------------------------------------------------------------------
 
     def on_sync(self, source: Address, now: float) -> list[Datagram]:
-        """Answer a full state exchange with all states, unless there was one just before."""
+        """Respond to a full state exchange with all states, unless there was one within the sync interval."""
         if now < self._next_sync_at:
             return []
         self._next_sync_at = now + self._parameters.sync_interval
--- a/burlmoor/membership/failure_detector.py
+++ b/burlmoor/membership/failure_detector.py
@@ -18,9 +18,9 @@
     from burlmoor.membership.member_table import MemberTable
     from burlmoor.membership.parameters import ProtocolParameters
 
-_REJOIN_PROBABILITY = 0.25  # of a ping to an absent node in a period, at least
-_MAX_REJOIN_PINGS_ALONE = 3  # at a time, by a node that knows no other member
-_CURRENT_PERIODS = 3.0  # without an acknowledgement for longer, a node's view may be out of date
+_REJOIN_PROBABILITY = 0.25  # least probability of a ping to an absent node in a period
+_MAX_REJOIN_PINGS_ALONE = 3  # in one period, by a node that knows no other member
+_CURRENT_PERIODS = 3.0  # protocol periods without an acknowledgement after which a view may be out of date
 
 
 @dataclass(slots=True)
@@ -28,14 +28,14 @@
     """A ping that has not been acknowledged yet."""
 
     name: str
-    ping_times_out_at: float  # then others are asked to ping
+    ping_times_out_at: float  # then ping requests are sent
     fails_at: float
     has_sent_ping_requests: bool = False
-    has_helper_response: bool = False  # whether a node that was asked to ping has said that it does
+    has_helper_response: bool = False  # whether a recipient of a ping request has responded
 
 
 class RelayedPing(NamedTuple):
-    """A ping on another node's behalf, whose acknowledgement is passed on."""
+    """A ping on behalf of another node, to which its acknowledgement is relayed."""
 
     requester: Address
     sequence_number: int  # the requester's
@@ -43,7 +43,7 @@
 
 
 class FailureDetector:
-    """Owns the probes in flight, of this node and on behalf of others."""
+    """Owns the pending probes, of this node and on behalf of others."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self._last_ack_at = -math.inf
 
     def has_recent_ack(self, now: float) -> bool:
-        """Whether another node has acknowledged a ping lately."""
+        """Whether another node has acknowledged a ping recently."""
         parameters = self._parameters
         recent = _CURRENT_PERIODS * parameters.protocol_period * self._health.multiplier
         return now - self._last_ack_at < recent + parameters.ping_timeout
@@ -74,9 +74,9 @@
     # --- time -----------------------------------------------------------------------------------
 
     def on_suspension(self, now: float) -> None:
-        """Forget all probes after this process was suspended, and probe at once.
+        """Discard all probes after this process was suspended, and make the next one due immediately.
 
-        Without this, the node would accuse members whose answers came while it could not read them.
+        Without this, the node would suspect members whose acknowledgements arrived during the suspension.
         """
         self._probes.clear()
         self._relayed_pings.clear()
@@ -96,7 +96,7 @@
         return datagrams
 
     def probe_if_due(self, now: float) -> list[Datagram]:
-        """Ping the next member if a probe is due, and now and then a node that is absent."""
+        """Ping the next member if a probe is due, and occasionally an absent node."""
         if now < self.next_probe_at:
             return []
         interval = self._parameters.protocol_period * self._health.multiplier
@@ -125,7 +125,7 @@
         return self._dissemination.compose(name, MessageKind.PING, self._sequence_number)
 
     def _ping_absent(self) -> list[Datagram]:
-        """Ping nodes that are absent: they may have returned, or may not know of this node yet."""
+        """Ping absent nodes at random: they may have returned, or may not know of this node yet."""
         absent = self._table.absent_names()
         if not absent:
             return []
@@ -138,7 +138,7 @@
         return [self._ping(name) for name in self._rng.sample(absent, count)]
 
     def _request_pings(self, name: str, sequence_number: int) -> list[Datagram]:
-        """Ask some members to ping a member that has not answered."""
+        """Send ping requests for a member that has not acknowledged a ping."""
         helpers = self._table.sample_members(self._rng, self._parameters.ping_request_fanout, excluding=name)
         return [
             self._dissemination.compose(helper, MessageKind.PING_REQUEST, sequence_number, name)
@@ -147,18 +147,18 @@
 
     def _on_probe_failed(self, probe: PendingProbe, now: float) -> list[Datagram]:
         if not probe.has_helper_response:
-            # Lifeguard: nobody answers, so this node itself may be the one that is cut off or slow.
+            # Lifeguard: no node responds, so this node itself may be partitioned or slow.
             self._health.degrade()
         if probe.name not in self._table.remote:
             return []
         self._table.suspect(probe.name, now)
-        # Lifeguard's buddy system: the suspect learns of it first, so that it can refute in time.
+        # Lifeguard's buddy system: the suspect is notified first, so that it can refute in time.
         return [self._dissemination.compose(probe.name, MessageKind.PING)]
 
     # --- messages -------------------------------------------------------------------------------
 
     def on_ack(self, message: Message, now: float) -> list[Datagram]:
-        """Complete the probe that a node acknowledges, or pass the acknowledgement on to who requested it."""
+        """Complete the acknowledged probe, or relay the acknowledgement to the requester of the ping."""
         self._last_ack_at = now
         if self._probes.pop(message.sequence_number, None) is not None:
             self._health.improve()
@@ -171,7 +171,7 @@
         return [reply]
 
     def on_ping_request(self, message: Message, source: Address, now: float) -> list[Datagram]:
-        """Ping a member on behalf of another node, and tell that node so."""
+        """Ping a member on behalf of another node, and notify that node."""
         if message.node_to_ping not in self._table.remote:
             return []
         self._relayed_pings = {
@@ -186,7 +186,7 @@
         return [accepted, ping]
 
     def on_helper_response(self, sequence_number: int) -> None:
-        """Note that a node that was asked to ping does so: then it is not this node that is cut off."""
+        """Record the response to a ping request, which shows that this node is not partitioned itself."""
         probe = self._probes.get(sequence_number)
         if probe is not None:
             probe.has_helper_response = True
--- a/burlmoor/membership/gossip_queue.py
+++ b/burlmoor/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Which members' states are still to be gossiped, and how often each has been transmitted."""
+"""The members whose states are still to be gossiped, and how often each has been transmitted."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 
 class _Urgency(NamedTuple):
+    """The sort key of a queued state; the lowest is the most urgent."""
+
     is_routine: bool
     transmissions: int
 
@@ -22,25 +24,24 @@
         self._transmissions: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Count the members whose state is still to be sent."""
+        """Return the number of members whose state is still to be sent."""
         return len(self._transmissions)
 
     def enqueue(self, name: str) -> None:
-        """Have a member's state sent, from the first transmission on."""
+        """Queue a member's latest state, with no transmissions so far."""
         self._transmissions[name] = 0
 
     def select_most_urgent(self, count: int, state_of: Callable[[str], MemberState]) -> list[str]:
         """Select the members whose states go into the next datagram.
 
-        Suspicions and refutations go before members that merely exist; then those transmitted least.
+        Suspicions, refutations and departures precede routine states; then those with the fewest
+        transmissions.
         """
+        return sorted(self._transmissions, key=lambda name: self._urgency(state_of(name), name))[:count]
 
-        def sort_key(name: str) -> _Urgency:
-            state = state_of(name)
-            is_routine = state.status is MemberStatus.ALIVE and state.incarnation == 0
-            return _Urgency(is_routine, self._transmissions[name])
-
-        return sorted(self._transmissions, key=sort_key)[:count]
+    def _urgency(self, state: MemberState, name: str) -> _Urgency:
+        is_routine = state.status is MemberStatus.ALIVE and state.incarnation == 0
+        return _Urgency(is_routine, self._transmissions[name])
 
     def count_transmissions(self, names: Iterable[str]) -> None:
         """Record that these members' states were sent once more."""
--- a/burlmoor/membership/local_health.py
+++ b/burlmoor/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Local health (Lifeguard's Local Health Multiplier): how far a node distrusts its own failure detection."""
+"""Local health (Lifeguard's Local Health Multiplier): how little a node trusts its own failure detection."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class LocalHealth:
-    """A score from 0, healthy, to 8.
+    """Owns the health score, from 0 (healthy) to 8.
 
-    A node that is slow itself would accuse others of what is its own fault. So whatever hints at that raises
-    the score, and the score stretches the node's protocol period and its timeouts.
+    A node that is slow itself would suspect others by mistake. So each sign of that raises the score, and the
+    score stretches the node's protocol period and its timeouts.
     """
 
     def __init__(self) -> None:
@@ -21,9 +21,9 @@
         return 1 + self.score
 
     def degrade(self) -> None:
-        """Count a hint that this node is the unhealthy one."""
+        """Raise the score after a sign that this node itself is unhealthy."""
         self.score = min(_MAX_SCORE, self.score + 1)
 
     def improve(self) -> None:
-        """Count a probe that was acknowledged in time."""
+        """Lower the score after a probe that was acknowledged in time."""
         self.score = max(0, self.score - 1)
--- a/burlmoor/membership/local_member.py
+++ b/burlmoor/membership/local_member.py
@@ -1,4 +1,4 @@
-"""The state that a node announces of itself: its incarnation, its generation, refutations."""
+"""This node's own state: its incarnation, its generation, refutations."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from burlmoor.membership.local_health import LocalHealth
 
-_MAX_GENERATION_RAISES = 6  # within the interval below; more show that another process claims the same name
+_MAX_GENERATION_RAISES = 6  # within the interval below; beyond it the name is contested
 _RAISE_INTERVAL_SECONDS = 30.0
 
 
@@ -23,15 +23,15 @@
         self._generation_raised_at: list[float] = []
 
     def leave(self) -> None:
-        """Announce the shutdown: no later state of this generation can replace it."""
+        """Set the final state, which no later state of this generation can replace."""
         self.state = self.state._replace(incarnation=MAX_INCARNATION, status=MemberStatus.LEFT)
 
     def on_remote_state(self, remote: MemberState, now: float) -> bool:
-        """Refute or outbid what another node believes of this one, if that takes precedence."""
+        """Refute or supersede a state of this node that another node believes, if it takes precedence."""
         if remote.precedence <= self.state.precedence or self.state.status is MemberStatus.LEFT:
             return False
         if remote.process_precedence == self.state.process_precedence:
-            # Lifeguard: being suspected hints at one's own slowness.
+            # Lifeguard: being suspected is a sign of local slowness.
             self._health.degrade()
             if remote.incarnation + 1 < MAX_INCARNATION:
                 self.state = self.state._replace(incarnation=remote.incarnation + 1)
@@ -39,11 +39,11 @@
         return self._raise_generation(remote.generation, now)
 
     def _raise_generation(self, known_generation: int, now: float) -> bool:
-        """Start a generation after the one that the cluster knows.
+        """Start a generation later than the one that the cluster knows.
 
-        That is of an earlier process of this node whose clock was ahead, or of another node with the same
-        name. Without the limit on raises, two nodes of one name would outbid each other for ever and flood
-        the cluster.
+        The known one belongs to an earlier process of this node whose clock was ahead, or to another node
+        with the same name. Without the limit, two nodes with one name would supersede each other without end
+        and flood the cluster.
         """
         self._generation_raised_at = [
             raised_at for raised_at in self._generation_raised_at if now - raised_at < _RAISE_INTERVAL_SECONDS
--- a/burlmoor/membership/member.py
+++ b/burlmoor/membership/member.py
@@ -1,7 +1,7 @@
-"""The state of one member as nodes gossip it, and which of two states takes precedence.
+"""The gossiped state of a member, and the precedence between states.
 
-States of one member are totally ordered, by its generation first, and the higher one takes precedence. So
-nodes that have received the same states, in whatever order and however often, believe the same: views
+The states of one member are totally ordered, first by generation, and the higher one takes precedence. So
+nodes that have received the same states, in any order and any number of times, have the same view: views
 converge.
 """
 
@@ -12,16 +12,15 @@
 
 Address = tuple[str, int]  # IPv4 address and port
 
-# The last incarnation of a generation: no state of that generation takes precedence over it but by its
-# status.
+# The last incarnation of a generation: within that generation, only a higher status takes precedence.
 MAX_INCARNATION = 0xFFFF
 
 
 class MemberStatus(enum.IntEnum):
-    """What a member is believed to be; within one incarnation, the higher takes precedence."""
+    """The believed status of a member; within one incarnation, the higher status takes precedence."""
 
     ALIVE = 0
-    SUSPECT = 1  # it has not answered a probe; it may refute this
+    SUSPECT = 1  # it has not acknowledged a probe; it may refute the suspicion
     DEAD = 2  # it did not refute the suspicion in time; it may still return, with a higher incarnation
     LEFT = 3  # it has announced that it shuts down
 
@@ -43,13 +42,13 @@
 
 
 class MemberState(NamedTuple):
-    """One member's state as some node believes it.
+    """One member's state as a node believes it.
 
-    Only the member itself announces a new generation, a new incarnation, and that it is alive. A generation
-    is one process: its number comes from the clock at the start and is raised where the cluster knows a later
+    Only the member itself announces a new generation, a new incarnation and the status `ALIVE`. A generation
+    identifies a process: its number is the clock at the start, and is raised if the cluster knows a later
     one, so a clock that was set back does no harm. The nonce, drawn at the start, distinguishes two processes
-    that claim one generation: the higher nonce takes precedence, and the other process raises its generation
-    once it learns of it. A higher incarnation refutes a suspicion.
+    that claim the same generation: the higher nonce takes precedence, and the other process raises its
+    generation once it learns of it. A higher incarnation refutes a suspicion.
     """
 
     name: str
@@ -61,7 +60,7 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The sort key of states of one member: the state with the higher one holds."""
+        """The sort key among the states of one member; the highest is believed."""
         return Precedence(self.generation, self.nonce, self.incarnation, self.status)
 
     @property
--- a/burlmoor/membership/member_table.py
+++ b/burlmoor/membership/member_table.py
@@ -1,4 +1,4 @@
-"""All members that a node knows, merged by precedence."""
+"""The table of all members that a node knows, merged by precedence."""
 
 from __future__ import annotations
 
@@ -15,9 +15,8 @@
     from burlmoor.membership.local_member import LocalMember
     from burlmoor.membership.suspicion import SuspicionTimers
 
-MAX_MEMBERS = (
-    4096  # members that are known at a time; without this, forged or stray states would fill the memory
-)
+# Without this limit, forged or stray states would fill the memory.
+MAX_MEMBERS = 4096
 
 
 class MemberTable:
@@ -35,7 +34,7 @@
     ) -> None:
         self.local = local
         self.configured = configured
-        self.remote: dict[str, MemberState] = {}  # all but this node, in the order in which they became known
+        self.remote: dict[str, MemberState] = {}  # all other nodes, in the order in which they became known
         self.version = 0
         self._suspicions = suspicions
         self._gossip_queue = gossip_queue
@@ -58,9 +57,9 @@
         return self.remote.get(name, self.local.state)
 
     def address_of(self, name: str) -> Address:
-        """Return where to send to a node: as configured here, otherwise as gossiped.
+        """Return the address of a node: the configured one if there is one, otherwise the gossiped one.
 
-        A gossiped address may be one that only other nodes can reach it by.
+        This node may not be able to reach a gossiped address.
         """
         return self.configured.get(name) or self.state_of(name).address
 
@@ -88,7 +87,7 @@
     # --- changing -------------------------------------------------------------------------------
 
     def merge(self, state: MemberState, reported_by: str, now: float) -> None:
-        """Believe a state if it takes precedence over the present one, or count it as a confirmation."""
+        """Store a state if it takes precedence, or count it as a confirmation of an equal suspicion."""
         if state.name == self.local.state.name:
             self._merge_local(state, now)
             return
@@ -101,7 +100,7 @@
             self._suspicions.confirm(state.name, reported_by)
 
     def suspect(self, name: str, now: float) -> None:
-        """Suspect a member on this node's own observation, or confirm the suspicion that exists."""
+        """Suspect a member because of a failed probe of this node, or confirm an existing suspicion."""
         state = self.remote[name]
         reporter = self.local.state.name
         if state.status is MemberStatus.ALIVE:
@@ -119,7 +118,7 @@
         self._on_changed(self.local.state.name)
 
     def remove_gone(self, now: float, retention_seconds: float) -> None:
-        """Remove the members that have been dead, or have left, for this long."""
+        """Remove the members that have been dead, or left, for at least this time."""
         for name, since in list(self._gone_since.items()):
             if now >= since + retention_seconds:
                 del self._gone_since[name]
--- a/burlmoor/membership/probe_schedule.py
+++ b/burlmoor/membership/probe_schedule.py
@@ -1,4 +1,4 @@
-"""Which member to probe next."""
+"""Selects the member to probe next."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class ProbeSchedule:
-    """Takes turns: this node's successors in a hash ring, one each, then one of all members at random.
+    """Alternates between this node's successors in a hash ring, a turn each, and a random member.
 
-    All nodes share the ring, so each member has a fixed number of nodes that probe it once in a period, and a
-    crash is found within one period. Random probes alone, as in SWIM, would leave that to chance.
+    All nodes share the ring, so each member is probed once in a period by a fixed number of nodes, and a
+    crash is detected within one period. Random probes alone, as in SWIM, have no such bound.
     """
 
     def __init__(self, table: MemberTable, rng: random.Random, successors: int) -> None:
@@ -30,22 +30,22 @@
         self._rng = rng
         self._successors = successors
         self._turns = 0
-        self._shuffled: list[str] = []  # members to probe yet in the present random round
+        self._shuffled: list[str] = []  # members still to be probed in the current random round
         self._ring: list[RingPosition] = []  # all other members
-        self._ring_version = -1  # the table's version that the ring was made of
+        self._ring_version = -1  # the table's version from which the ring was built
 
     @property
     def turns_per_period(self) -> int:
-        """Turns in one protocol period."""
+        """The number of turns in one protocol period."""
         return self._successors + 1
 
     @property
     def is_random_turn(self) -> bool:
-        """Whether the latest turn was the random one; so it is before the first."""
+        """Whether the latest turn was the random one; also True before the first turn."""
         return self._turns % self.turns_per_period == 0
 
     def next_member(self) -> str | None:
-        """Select the member to probe in the next turn; None where there is none, or it is gone meanwhile."""
+        """Select the member to probe in the next turn; None if there is none or it is no longer a member."""
         ring = self._current_ring()
         if not ring:
             return None
--- a/burlmoor/membership/suspicion.py
+++ b/burlmoor/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: members that did not answer, who confirms that, and when they are declared dead."""
+"""Suspicions of unresponsive members: their confirmations and timeouts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """One suspected member's timer."""
+    """The suspicion of one member."""
 
     started_at: float
     confirmed_by: set[str] = field(default_factory=set)  # the nodes known to suspect it
@@ -26,7 +26,7 @@
         self._suspicions: dict[str, Suspicion] = {}
 
     def start(self, name: str, suspected_by: str, now: float) -> None:
-        """Begin to suspect a member."""
+        """Start the suspicion of a member."""
         self._suspicions[name] = Suspicion(now, {suspected_by})
 
     def confirm(self, name: str, suspected_by: str) -> None:
@@ -51,7 +51,7 @@
         ]
 
     def _timeout(self, confirmations: int) -> float:
-        """Compute how long a suspicion lasts in seconds (Lifeguard): the more confirm it, the shorter."""
+        """Return the timeout of a suspicion in seconds (Lifeguard): more confirmations shorten it."""
         parameters = self._parameters
         fanout = parameters.ping_request_fanout
         confirmed_fraction = math.log(min(confirmations, fanout) + 1.0) / math.log(fanout + 1.0)
--- a/burlmoor/membership/swim.py
+++ b/burlmoor/membership/swim.py
@@ -1,15 +1,17 @@
 """Cluster membership by SWIM with Lifeguard's additions, as a pure state machine.
 
-After SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018). The parts:
+Sources: SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018). The parts:
 
-- `failure_detector`: pings members; one that does not answer is pinged by others on request, then suspected
-- `suspicion`: a suspected member may refute it by a higher incarnation; otherwise it is declared dead, the
-  sooner the more nodes confirm
+- `failure_detector`: pings members; a member that does not acknowledge is pinged by others on request, and
+then
+  suspected
+- `suspicion`: a suspected member may refute the suspicion by a higher incarnation; otherwise it is declared
+  dead, the sooner the more nodes confirm the suspicion
 - `member_table`, `local_member`: the states of all members, and of this node, merged by precedence
 - `dissemination`: states piggybacked on every message, gossip rounds and full state exchanges
 - `local_health`: a node that seems slow itself stretches its own timeouts
 
-Fed with messages and the time in seconds; returns the datagrams to send.
+The caller passes messages and the time in seconds, and sends the datagrams that are returned.
 """
 
 from __future__ import annotations
@@ -33,11 +35,11 @@
     from collections.abc import Mapping
 
 
-_NONCE_LIMIT = 0x10000  # a nonce is drawn from 1 to this, excluded
+_NONCE_LIMIT = 0x10000  # exclusive upper bound of nonces, which start at 1
 
 
 class Membership:
-    """One node's membership protocol. It learns of nodes that are not `configured` from those that are."""
+    """The membership protocol of one node. Nodes that are not `configured` are discovered by gossip."""
 
     def __init__(
         self,
@@ -72,14 +74,14 @@
         return self._table.local.is_name_contested
 
     def view(self, now: float) -> MembershipView:
-        """Return the present view."""
+        """Return the current view."""
         table = self._table
         members = {**table.remote, self.local.name: self.local}
         is_current = self._detector.has_recent_ack(now) or not table.configured
         return MembershipView(table.version, self.local, members, len(table.configured) + 1, is_current)
 
     def digest(self) -> int:
-        """Return a checksum that two nodes share if they believe the same."""
+        """Return a checksum of the view, equal at two nodes if their views are."""
         return self._table.digest()
 
     def next_step_at(self) -> float:
@@ -89,7 +91,7 @@
     # --- events ---------------------------------------------------------------------------------
 
     def step(self, now: float) -> list[Datagram]:
-        """Act on what has become due."""
+        """Handle all timeouts that have expired; probe and gossip if due."""
         self._check_suspension(now)
         datagrams = self._detector.check_timeouts(now)
         for name in self._suspicions.find_expired(now):
@@ -100,11 +102,11 @@
         return datagrams
 
     def on_message(self, message: Message, source: Address, now: float) -> list[Datagram]:
-        """Merge the states of a message that has arrived, and answer it."""
+        """Merge the states of a received message, and respond to it."""
         self._check_suspension(now)
         sender = message.sender
         if sender.name == self.local.name and sender.process_precedence == self.local.process_precedence:
-            return []  # this process's own message, come back
+            return []  # a message of this process itself
         for state in message.members:
             self._table.merge(state, sender.name, now)
         datagrams = self._respond(message, source, now)
@@ -133,10 +135,10 @@
                 return self._dissemination.on_sync(source, now)
 
     def _check_suspension(self, now: float) -> None:
-        """Notice that this process was suspended, by a long pause between two calls.
+        """Detect by a long pause between two calls that this process was suspended.
 
-        Without this, the node would accuse others of what it missed itself, and act on a view that is out of
-        date: it may have been declared dead meanwhile.
+        Without this, the node would suspect members whose messages it missed, and rely on a view that is out
+        of date: the node may have been declared dead meanwhile.
         """
         previous = self._last_called_at
         self._last_called_at = now
--- a/burlmoor/membership/view.py
+++ b/burlmoor/membership/view.py
@@ -11,20 +11,20 @@
 
 
 class MembershipView(NamedTuple):
-    """The members of the cluster as this node believes them."""
+    """The members of the cluster as known to this node."""
 
     version: int  # rises with every change
     local: MemberState
-    members: Mapping[str, MemberState]  # all that are known, whatever their status, this node included
-    configured_count: int  # nodes that the configuration names, this one included
-    is_current: bool  # whether this node has been running and has received an acknowledgement lately
+    members: Mapping[str, MemberState]  # all known nodes, of any status, including this one
+    configured_count: int  # configured nodes, including this one
+    is_current: bool  # whether this node has received an acknowledgement recently
 
     @property
     def member_names(self) -> tuple[str, ...]:
-        """The names of those that count as members, sorted, so in the same order on every node."""
+        """The names of the members, sorted so that the order is the same on every node."""
         return tuple(sorted(name for name, state in self.members.items() if state.is_member))
 
     @property
     def has_majority(self) -> bool:
-        """Whether most of the configured nodes are members; a node without may be in a minority partition."""
+        """Whether most configured nodes are members; otherwise this node may be in a minority partition."""
         return self.is_current and 2 * len(self.member_names) > self.configured_count
