--- a/burlmoor/admin/__init__.py
+++ b/burlmoor/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP server and what operators override."""
+"""The admin server for operators, and administrative overrides."""
--- a/burlmoor/admin/http.py
+++ b/burlmoor/admin/http.py
@@ -1,4 +1,4 @@
-"""The HTTP state machine of one admin connection, which carries one call: bytes in, a call and bytes out."""
+"""The HTTP state machine of one admin connection, which handles a single call. No I/O."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AdminConnection:
-    """Owns the HTTP state of one call. Knows no socket and no clock."""
+    """Owns the HTTP state of one call. No I/O, no clock."""
 
     def __init__(self) -> None:
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
@@ -29,7 +29,7 @@
         self._body = bytearray()
 
     def receive(self, data: bytes) -> AdminRequest | AdminResponse | None:
-        """Read bytes; return the call once it is complete, or the response that rejects it."""
+        """Parse received bytes; return the call once it is complete, or the response that rejects it."""
         try:
             self._http.receive_data(data)
             return self._parse_events()
@@ -66,7 +66,7 @@
             return reject(HTTPStatus.BAD_REQUEST, 'the body is not {"name": "ID"}')
 
     def encode_response(self, response: AdminResponse) -> bytes:
-        """Return the bytes of the response, which closes the connection."""
+        """Encode a response; it announces that the connection closes."""
         body = msgspec.json.encode(response.body) + b"\n"
         headers = [
             ("Content-Type", "application/json"),
--- a/burlmoor/admin/overrides.py
+++ b/burlmoor/admin/overrides.py
@@ -1,4 +1,4 @@
-"""What operators have set, and the file that keeps it for the node's next process."""
+"""Administrative overrides, and the file that stores them for the node's next process."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class OverridesFile:
-    """Owns the file of the overrides; without a path they are in memory only, and nothing is read."""
+    """Owns the overrides file; without a path, nothing is loaded or saved."""
 
     def __init__(self, path: Path | None, log: EventLogger) -> None:
         self._path = path
         self._log = log
 
     def load(self) -> Overrides | None:
-        """Return what the file holds; None where there is no file, or an invalid one, which is logged."""
+        """Return the stored overrides; None if there is no file, or an invalid one, which is logged."""
         if self._path is None or not self._path.exists():
             return None
         try:
@@ -43,13 +43,13 @@
             return None
 
     def save(self, overrides: Overrides) -> None:
-        """Replace what the file holds; a failure is logged, and leaves it as it was."""
+        """Replace the stored overrides; a failure is logged and leaves the file unchanged."""
         if self._path is None:
             return
-        # The name is this process's own: the node's other process writes, too.
+        # The name is unique to this process, since the node's other process may write too.
         new_file = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
-            # Replaced in one step: a process that ends here leaves the old file or the new one, complete.
+            # Replaced atomically: a crash leaves either the complete old file or the complete new one.
             new_file.write_bytes(msgspec.json.encode(overrides))
             new_file.replace(self._path)
         except OSError as error:
--- a/burlmoor/admin/requests.py
+++ b/burlmoor/admin/requests.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a node, and the responses, as types that codec, server and service share."""
+"""The requests and responses of the admin server, shared by codec, server and service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AdminPath(StrEnum):
-    """The operations, each by the path under which operators call it."""
+    """The operations of the admin server, by path."""
 
     READY = "/ready"
     DISABLE_EXECUTOR = "/executors/disable"
@@ -23,22 +23,22 @@
 
     @property
     def is_query(self) -> bool:
-        """Whether the operation only shows state; the others set an override."""
+        """Whether the operation only reads state; the others set an override."""
         return self in {AdminPath.READY, AdminPath.DEFERRED_JOBS}
 
     @property
     def method(self) -> bytes:
-        """The one HTTP method that the path allows."""
+        """The only HTTP method that the path allows."""
         return b"GET" if self.is_query else b"POST"
 
     @property
     def names_executor(self) -> bool:
-        """Whether the body has to name an executor."""
+        """Whether the body must name an executor."""
         return self in {AdminPath.DISABLE_EXECUTOR, AdminPath.ENABLE_EXECUTOR}
 
 
 class AdminRequest(NamedTuple):
-    """A valid call; `name` is the executor's, where the operation has one."""
+    """A valid call; `name` is the executor's name, or empty if the operation has none."""
 
     path: AdminPath
     name: str = ""
@@ -54,25 +54,25 @@
 
 
 class AdminError(msgspec.Struct):
-    """The body of a response that rejects a call, which has changed nothing."""
+    """The body of the response to a rejected call, which has changed nothing."""
 
     error: str
 
 
 class AdminResponse(NamedTuple):
-    """What an operator gets; a subsystem's own status is a plain JSON object."""
+    """The response to a call; the status of a subsystem is a plain JSON object."""
 
     status: HTTPStatus
     body: NodeStatus | AdminError | dict[str, Any]
 
 
 def reject(status: HTTPStatus, error: str) -> AdminResponse:
-    """Return the response to a call that is not carried out."""
+    """Return the response to a rejected call."""
     return AdminResponse(status, AdminError(error))
 
 
 class AdminHandler(Protocol):
-    """What carries out the operators' calls."""
+    """Carries out the calls that the admin server receives."""
 
     async def handle(self, request: AdminRequest) -> AdminResponse:
-        """Carry out a call; one that is rejected has changed nothing."""
+        """Carry out a call; a rejected call changes nothing."""
--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -1,4 +1,4 @@
-"""The admin server: one call a connection, answered in time whatever the callers and the node do."""
+"""The admin server: one call per connection, with bounded time, memory and connections."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
     from burlmoor.log import EventLogger
 
-_RESPONSE_LIMIT = 1 << 20  # bytes: each executor may be disabled, and is named; memory is allocated as needed
-_REQUEST_TIMEOUT_SECONDS = 0.7  # for a call to arrive: its response is due within 1 s
-_LINGER_SECONDS = 0.1  # for a response to reach a caller that still writes
-_MAX_CONNECTIONS = 12  # concurrent; beyond them the oldest is closed
+_RESPONSE_LIMIT = 1 << 20  # bytes: enough to list every executor as disabled; memory is allocated on demand
+_REQUEST_TIMEOUT_SECONDS = 0.7  # for a call to arrive; its response is due within 1 s
+_LINGER_SECONDS = 0.1  # for a response to reach a caller that is still sending
+_MAX_CONNECTIONS = 12  # concurrent; beyond it the oldest one is closed
 
 
 class AdminServer:
-    """Owns the operators' listening socket and the open connections, at most `_MAX_CONNECTIONS` of them."""
+    """Owns the listening socket for operators and the open connections, at most `_MAX_CONNECTIONS`."""
 
     def __init__(
         self, handler: AdminHandler, listen: tuple[str, int], nursery: trio.Nursery, log: EventLogger
@@ -38,12 +38,12 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address on which the server listens."""
         host, port = self._listener.getsockname()
         return str(host), int(port)
 
     async def run(self) -> None:
-        """Accept until cancelled."""
+        """Accept connections until cancelled."""
         while True:
             await trio.lowlevel.wait_readable(self._listener)
             sock = await accept(self._listener, self._on_descriptors_exhausted)
@@ -60,7 +60,7 @@
             sock.close()
             return
         if len(self._connections) >= _MAX_CONNECTIONS:
-            # Without this, callers that send nothing would lock others out. The oldest one is closed.
+            # Without this, idle callers would lock others out.
             oldest = next(iter(self._connections))
             self._connections.pop(oldest).cancel()
         scope = trio.CancelScope()
@@ -72,9 +72,9 @@
             with scope:
                 await self._serve_call(stream)
         except (OSError, BufferError):
-            pass  # the caller is gone
+            pass  # the caller has disconnected
         except Exception as error:  # noqa: BLE001
-            # The boundary of a connection's task: without this, one call's fault would end the node.
+            # The outermost handler of the connection's task: an error in one call must not end the node.
             self._log(AdminConnectionFailed(error=repr(error)))
         finally:
             self._connections.pop(stream, None)
@@ -98,6 +98,6 @@
     async def _finish(self, stream: SocketStream) -> None:
         with trio.move_on_after(_LINGER_SECONDS):
             await stream.drain()
-            # Closing while the caller still writes would lose the response in a reset.
+            # Closing while the caller is still sending would cause a reset, which may discard the response.
             stream.shut_down_sending()
             await stream.discard_until_end(BODY_LIMIT)
--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -1,4 +1,4 @@
-"""Carries out the operators' calls on the node: overrides of endpoints, drains, and what shows its state."""
+"""Carries out the operators' calls: endpoint overrides, drains, and queries of the node's state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.log import EventLogger
 
-# As the operators' page gives them.
+# As documented in docs/on-call.md.
 _STATE_NAMES = {
     ServiceState.ACCEPTING: "open",
     ServiceState.UNREADY: "away",
@@ -31,7 +31,7 @@
 
 
 class AdminService:
-    """Owns the overrides file, and whether this process counts as ready."""
+    """Owns the overrides file and the readiness of this process."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._drain = drain
         self._file = OverridesFile(path, log)
         self._log = log
-        self._has_inherited_drain = False  # whether the drain began before this process did
+        self._has_inherited_drain = False  # whether the drain began before this process started
         self._is_serving = False
         self._forward_override: OverrideForwarder | None = None
         self._status_providers: dict[AdminPath, StatusProvider] = {}
@@ -57,23 +57,23 @@
         return self._is_serving
 
     def on_serving_changed(self, *, is_serving: bool) -> None:
-        """Note whether this process accepts clients, or another process of the node in its place."""
+        """Record whether this process accepts clients; if not, another process of the node does."""
         self._is_serving = is_serving
 
     def attach_override_forwarder(self, forward: OverrideForwarder) -> None:
-        """Pass each call that was carried out to the node's other processes from now on."""
+        """Forward each override that was applied to the node's other processes."""
         self._forward_override = forward
 
     def attach_status_provider(self, path: AdminPath, provider: StatusProvider) -> None:
-        """Show the status of a subsystem that is on, at this path."""
+        """Show the status of a subsystem at this path."""
         self._status_providers[path] = provider
 
     def detach_status_provider(self, path: AdminPath) -> None:
-        """Show no status at this path any more: the subsystem is off."""
+        """Stop showing a status at this path, since the subsystem is off."""
         self._status_providers.pop(path, None)
 
     async def handle(self, request: AdminRequest) -> AdminResponse:
-        """Carry out a call; one that is rejected has changed nothing."""
+        """Carry out a call; a rejected call changes nothing."""
         if request.path is AdminPath.READY:
             return self._check_readiness()
         if request.path.is_query:
@@ -84,15 +84,15 @@
         self._file.save(self.overrides)
         self._log(OverrideApplied(call=request.path, name=request.name))
         if self._forward_override is not None:
-            # A success holds for the whole node: the other process may still send jobs, too.
+            # A success must hold for the whole node, and the other process may still send jobs.
             await self._forward_override(request)
         return AdminResponse(
             HTTPStatus.OK, self._status(is_ready=self._drain.state is ServiceState.ACCEPTING)
         )
 
     def _check_readiness(self) -> AdminResponse:
-        # Without the inherited drain, the upgrade of a drained node would never end: its old process waits
-        # until the new one is ready.
+        # Without the exception for an inherited drain, the upgrade of a drained node would never complete:
+        # its old process waits until the new one is ready.
         is_drain_expected = self._has_inherited_drain and not self._drain.is_shutting_down
         is_ready = self._is_serving and (self._drain.state is ServiceState.ACCEPTING or is_drain_expected)
         return AdminResponse(
@@ -110,7 +110,7 @@
         return NodeStatus(is_ready, _STATE_NAMES[self._drain.state], self._drain.is_drained, disabled)
 
     def apply(self, request: AdminRequest) -> None:
-        """Set an override, whether the endpoint list has the executor or not; queries change nothing."""
+        """Set an override, even if the executor is not in the endpoint list; queries change nothing."""
         match request.path:
             case AdminPath.DISABLE_EXECUTOR:
                 self._endpoint_updater.disable(request.name)
@@ -132,7 +132,7 @@
         self.apply(AdminRequest(known_path, name))
 
     def load(self) -> None:
-        """Replace all overrides by what the file holds, if it holds valid ones."""
+        """Replace all overrides by those of the file, if they are valid."""
         overrides = self._file.load()
         if overrides is not None:
             self.replace(overrides)
@@ -148,5 +148,5 @@
 
     @property
     def overrides(self) -> Overrides:
-        """All overrides that hold now."""
+        """All overrides in force."""
         return Overrides(self._directory.overrides, self._drain.is_drained)
--- a/burlmoor/cli/__init__.py
+++ b/burlmoor/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `burlmoor` command; the node itself imports none of it."""
+"""The `burlmoor` command. The node itself does not import this package."""
--- a/burlmoor/cli/errors.py
+++ b/burlmoor/cli/errors.py
@@ -1,4 +1,4 @@
-"""How the commands report invalid usage and files: lines on standard error, and an exit status."""
+"""Reports invalid usage and files on standard error and by the exit status."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def exit_with_errors(lines: Iterable[str]) -> NoReturn:
-    """Print a line an error with the program's name, and exit with the status for invalid input."""
+    """Print one line per error, prefixed with the program's name, and exit with `ExitStatus.INVALID`."""
     for line in lines:
         print(f"burlmoor: {line}", file=sys.stderr)
     sys.exit(ExitStatus.INVALID)
--- a/burlmoor/cli/exit_status.py
+++ b/burlmoor/cli/exit_status.py
@@ -6,8 +6,8 @@
 
 
 class ExitStatus(IntEnum):
-    """What a command reports by its exit status."""
+    """The outcome of a command."""
 
     SUCCESS = 0
-    FAILURE = 1  # the command failed, or a claim of its verdict did not hold
+    FAILURE = 1  # the command failed, or a claim of its verdict does not hold
     INVALID = 2  # invalid usage or files
--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -86,7 +86,7 @@
 
 
 def _load_schedule(path: Path | None, seed: int, seconds: float, fault_count: int) -> FaultSchedule:
-    """Read the schedule of faults, or draw one where no file is given."""
+    """Read the schedule of faults from the file, or draw one at random if there is none."""
     try:
         if path is not None:
             return parse_schedule(path.read_text())
@@ -103,7 +103,7 @@
 
 
 def _judge(record: records.RunRecord) -> Verdict:
-    """Return the verdict on a record; the first violations are printed."""
+    """Return the verdict on a record, and print the first violations."""
     judged = assess_run(record)
     print_violations(judged.audit.violations)
     return Verdict("fleet", record.plan.seed, record.plan.seconds, judged.claims(), judged.figures())
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -110,7 +110,7 @@
 
 
 def format_report(report: LoadReport, title: str) -> Table:
-    """Return a table of outcomes and latencies by class."""
+    """Return a table of outcomes and latencies, a row per class."""
     table = Table(title=title)
     for heading in ("class", "asked", *JobOutcome, "p50 ms", "p90 ms", "p99 ms", "max ms"):
         is_class = heading == "class"
@@ -123,7 +123,7 @@
 
 
 def _finish(report: LoadReport, sink: IO[str] | None) -> None:
-    """Write the figures to the sink if there is one, and exit as a failure if a job got no answer."""
+    """Write the figures to the sink, if any, and exit with `ExitStatus.FAILURE` if a job got no answer."""
     write_json(report.to_json_object(), sink)
     if report.all_classes.outcomes[JobOutcome.NO_ANSWER]:
         sys.exit(ExitStatus.FAILURE)
--- a/burlmoor/cli/load_runs.py
+++ b/burlmoor/cli/load_runs.py
@@ -1,4 +1,4 @@
-"""Loads on one node, with a progress bar: a new installation, a node that is started, or one that runs."""
+"""Runs a load, with a progress bar, on a new installation, a new node or a running node."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Load(NamedTuple):
-    """A load as the command line names it."""
+    """A load as specified on the command line."""
 
     rate: float  # jobs a second
     seconds: float
@@ -29,7 +29,7 @@
     job_classes: Sequence[JobClass] = JOB_CLASSES
 
     def draw_arrivals(self) -> list[Arrival]:
-        """Draw the jobs; the same seed gives the same ones."""
+        """Draw the arrivals of jobs, which are the same for the same seed."""
         return draw_arrivals(self.rate, self.seconds, self.job_classes, self.seed)
 
 
@@ -48,7 +48,7 @@
 
 
 async def load_new_node(load: Load, executors: int) -> LoadReport:
-    """Start a node, with executors that never limit the load, and load it."""
+    """Start a node with executors of unlimited capacity, and load it."""
     specs = unbounded_executor_specs(executors)
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         async with run_single_node(specs, load.job_classes, Path(folder)) as node:
@@ -56,7 +56,7 @@
 
 
 async def load_running_node(load: Load, address: tuple[str, int], pid: int | None) -> LoadReport:
-    """Load the node at the address; with its process id, its CPU and memory are measured."""
+    """Load the node at this address; measure its CPU and memory if its process id is given."""
     arrivals = load.draw_arrivals()
     with _progress_bar() as progress:
         task = progress.add_task(f"{load.rate:g} jobs/s", total=len(arrivals))
--- a/burlmoor/cli/main.py
+++ b/burlmoor/cli/main.py
@@ -1,6 +1,6 @@
-"""The `burlmoor` command: one group, each verb imported only when it is used.
+"""The `burlmoor` command: a group whose verbs are imported only when used.
 
-Exit statuses: `exit_status.py`.
+For the exit statuses see `exit_status.py`.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class _Verbs(click.Group):
-    """The group of all verbs; `_VERBS` names the module and the function of each."""
+    """The group of all verbs, whose modules and functions `_VERBS` names."""
 
     def list_commands(self, _ctx: click.Context) -> list[str]:
-        """Return the verbs, in the order in which a newcomer meets them."""
+        """Return the verbs in the order of `_VERBS`."""
         return list(_VERBS)
 
     def get_command(self, _ctx: click.Context, cmd_name: str) -> click.Command | None:
--- a/burlmoor/cli/node.py
+++ b/burlmoor/cli/node.py
@@ -36,7 +36,7 @@
     """Run one node until it is told to stop (SIGTERM); SIGHUP reads its files again."""
     early_signals.install()
     _set_variables(config, options)
-    from burlmoor.lifecycle.process import main  # noqa: PLC0415 - a check needs no node
+    from burlmoor.lifecycle.process import main  # noqa: PLC0415 - `check` does not need it
 
     sys.exit(main())
 
@@ -57,7 +57,7 @@
 
 
 def _set_variables(config: Path | None, options: Path | None) -> None:
-    """Have the node find the files that the command line names."""
+    """Set the environment variables for the files that the command line names."""
     if config is not None:
         os.environ[_CONFIG_VARIABLE] = str(config)
     if options is not None:
@@ -65,14 +65,14 @@
 
 
 def _check_file(variable: str, variables: list[str]) -> list[str]:
-    """Return the faults of the file that one of the variables names, a line each."""
-    from burlmoor.config import node_config  # noqa: PLC0415 - a run reads it with the node
+    """Return the faults of the file that the variable names, one a line."""
+    from burlmoor.config import node_config  # noqa: PLC0415 - `run` does not need it here
 
     readers: dict[str, Callable[[Mapping[str, str]], object]] = {
         _CONFIG_VARIABLE: node_config.load_config,
         _OPTIONS_VARIABLE: node_config.load_options,
     }
-    # The configuration is read without the options, so that each fault is reported once.
+    # Each file is read without the other, so that each fault is reported once.
     others = {name for name in variables if name != variable}
     environment = {name: text for name, text in os.environ.items() if name not in others}
     try:
--- a/burlmoor/cli/output.py
+++ b/burlmoor/cli/output.py
@@ -1,4 +1,4 @@
-"""What the commands write: verdicts and status lines on standard error, JSON, and a verdict's exit status."""
+"""The output of the commands: verdicts and status lines on standard error, JSON, exit status."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def standard_error() -> Console:
-    """Return a console on standard error, where everything but JSON is written."""
+    """Return a console on standard error, which is used for all output except JSON."""
     return Console(stderr=True)
 
 
 def print_status(line: str) -> None:
-    """Print a line on the progress of a command."""
+    """Print a line about the progress of a command."""
     standard_error().print(line, style="dim")
 
 
 def write_json(value: dict[str, Any], sink: IO[str] | None) -> None:
-    """Write a value as indented JSON to the sink, if there is one."""
+    """Write a value as indented JSON to the sink, if any."""
     if sink is not None:
         sink.write(json.dumps(value, indent=2) + "\n")
 
@@ -47,7 +47,7 @@
 
 
 def exit_with_verdict(verdict: Verdict, sink: IO[str] | None) -> NoReturn:
-    """Print a verdict, write it to the sink if there is one, and exit by whether every claim holds."""
+    """Print a verdict, write it to the sink, if any, and exit with a status that says whether it holds."""
     print_verdict(verdict)
     write_json(verdict.to_json_object(), sink)
     sys.exit(ExitStatus.SUCCESS if verdict.holds else ExitStatus.FAILURE)
--- a/burlmoor/config/errors.py
+++ b/burlmoor/config/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a node's configuration, reported completely: a fault a line."""
+"""Faults of a node's configuration, which are reported completely, one a line."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class ConfigFault:
-    """One fault of the configuration; `value` and `allowed` are empty where the fault is not a value's."""
+    """One fault of the configuration; `value` and `allowed` are empty unless a value is invalid."""
 
     field: str  # dotted, or `[section] key`, or an environment variable
     problem: str
@@ -32,13 +32,13 @@
 def invalid_value(
     field: str, value: str, allowed: str, *, file: str = "", kind: str = "value"
 ) -> ConfigFault:
-    """Return the fault of a value that is not one of those allowed."""
+    """Return the fault of a value that is not allowed."""
     problem = f"invalid {kind} {value!r}; allowed: {allowed}"
     return ConfigFault(field, problem, file, value, allowed)
 
 
 def decoding_fault(error: msgspec.MsgspecError, *, file: str = "", prefix: str = "") -> ConfigFault:
-    """Return the fault that msgspec has found; the field is the path that its text ends with, if it does."""
+    """Return the fault that msgspec reports; the field is the path at the end of its message, if any."""
     match = _PATH_IN_ERROR.fullmatch(str(error))
     if match is None:
         return ConfigFault(prefix, str(error), file)
--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -49,15 +49,15 @@
 
 
 class Peers(NamedTuple):
-    """The tier's other nodes, with which this one may exchange datagrams."""
+    """The other nodes, with which this node may exchange datagrams."""
 
     listen: Address
-    others: tuple[tuple[str, Address], ...]  # by name, or by number where none is given
-    everyone: Address | None  # one address for all of them
+    others: tuple[tuple[str, Address], ...]  # by name, or by index if the file gives no names
+    everyone: Address | None  # a single address that reaches all of them
 
 
 class NodeConfig(NamedTuple):
-    """All that a node is started with."""
+    """The complete configuration of a node."""
 
     name: str
     listen: Address
@@ -66,15 +66,15 @@
     max_sockets: int
     cached_endpoints: DiscoveredList | None
     settings: NodeSettings
-    admin: Address | None = None  # where the admin server listens
-    listener_fd: int | None = None  # the descriptor of a socket that listens already
+    admin: Address | None = None  # the address of the admin server; None: it is off
+    listener_fd: int | None = None  # the descriptor of a socket that is already listening
     state_folder: Path | None = None  # for files that the node's next process reads
-    options: Options | None = None  # the subsystems that operators have switched on; None: none
+    options: Options | None = None  # the subsystems that are switched on; None: all are off
     peers: Peers | None = None  # None: nodes don't exchange datagrams
 
 
 def load_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Read and check everything at a start; the environment has precedence over the file.
+    """Read and check the whole configuration at a start; the environment overrides the file.
 
     Raises:
         InvalidConfigError: a variable, the file or one of its fields is invalid.
@@ -85,10 +85,10 @@
 
 
 def reload_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Read and check everything while the node runs.
+    """Read and check the whole configuration while the node runs.
 
-    The file's `discovery` has precedence: the environment is as old as the process, and so is the passed
-    listening socket, which is ignored.
+    The file's `discovery` overrides the environment, which is as old as the process. The passed listening
+    socket is ignored.
 
     Raises:
         InvalidConfigError: a variable, the file or one of its fields is invalid.
@@ -123,7 +123,7 @@
 
 
 def load_options(environment: Mapping[str, str]) -> Options | None:
-    """Read the operators' options; None where no file is named.
+    """Read the operators' options; return None if no file is named.
 
     Raises:
         InvalidConfigError: the options file is invalid.
@@ -131,7 +131,7 @@
     path = environment.get(_OPTIONS_VARIABLE)
     if not path:
         return None
-    # Imported only here: a node without the file starts without what reads it.
+    # Imported lazily: nodes without an options file don't load its parser.
     from burlmoor.config.options import read_options  # noqa: PLC0415
 
     return read_options(Path(path))
@@ -170,7 +170,7 @@
 
 
 def _limit_sockets(max_sockets: int) -> int:
-    """Return how many descriptors may be used: the configured number, or the process's limit if lower."""
+    """Return the smaller of the configured number of descriptors and the process's limit."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return max_sockets if limit == resource.RLIM_INFINITY else min(max_sockets, limit)
 
@@ -187,10 +187,10 @@
 
 
 def _parse_listener_fd(text: str) -> int:
-    """Return the descriptor of a TCP socket that listens, which the process that passed it still owns.
+    """Return the descriptor of a listening TCP socket that was passed to this process; it stays open.
 
     Raises:
-        InvalidConfigError: the text is no such descriptor.
+        InvalidConfigError: the text is not the descriptor of a listening TCP socket.
     """
     try:
         sock = socket.socket(fileno=int(text))
--- a/burlmoor/config/options/__init__.py
+++ b/burlmoor/config/options/__init__.py
@@ -1,4 +1,4 @@
-"""The operator-owned options file: sections that switch subsystems on, checked as a whole."""
+"""The operators' options file, whose sections switch subsystems on."""
 
 from burlmoor.config.options.parser import InvalidOptionsError, read_options
 from burlmoor.config.options.sections import DeferredOptions, Options
--- a/burlmoor/config/options/parser.py
+++ b/burlmoor/config/options/parser.py
@@ -1,4 +1,4 @@
-"""Parses and checks the options file: all its faults are reported at once, a line each."""
+"""Parses and checks the options file; all faults are reported together, one a line."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 if typing.TYPE_CHECKING:
     from pathlib import Path
 
-_NO_DEFAULT_SECTION = "\0"  # no section's keys hold for all others
+_NO_DEFAULT_SECTION = "\0"  # a name that no section has: none provides defaults for the others
 _MAX_FILE_BYTES = 1 << 20
 
 
 class InvalidOptionsError(InvalidConfigError):
-    """The options file is invalid; each fault names the section and the key."""
+    """The options file is invalid; each fault names its section and key."""
 
 
 def section_types() -> dict[str, type[Section]]:
@@ -33,7 +33,7 @@
 
 
 def unit_kind(field_type: object) -> str | None:
-    """Return the kind of quantity that a key takes, one of `UNITS`; None for a plain number."""
+    """Return the kind of quantity of a key, one of `UNITS`; None for a plain number."""
     info = type_info(field_type)
     return (info.extra or {}).get("unit") if isinstance(info, Metadata) else None
 
@@ -42,7 +42,7 @@
     """Read the options file.
 
     Raises:
-        InvalidOptionsError: the file is invalid; it has every fault.
+        InvalidOptionsError: the file is invalid; the error lists all faults.
     """
     try:
         with path.open("rb") as file:
@@ -60,7 +60,7 @@
     """Parse the options file's text; `file` is its name in faults.
 
     Raises:
-        InvalidOptionsError: the text is invalid; it has every fault.
+        InvalidOptionsError: the text is invalid; the error lists all faults.
     """
     types = section_types()
     faults: list[ConfigFault] = []
@@ -99,7 +99,7 @@
 def _parse_section(
     section_type: type[Section], section: configparser.SectionProxy, file: str, faults: list[ConfigFault]
 ) -> dict[str, Any]:
-    """Return the section's valid values by attribute; faults are added to `faults`."""
+    """Return the section's valid values by attribute, and append its faults to `faults`."""
     fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
     values: dict[str, Any] = {}
     for key, text in section.items():
@@ -126,7 +126,7 @@
 def _describe_value_error(
     error: ValueError, location: str, text: str, field_type: type, file: str
 ) -> ConfigFault:
-    """Return the fault of a value out of bounds, the bounds in the units that operators write."""
+    """Return the fault of a value out of bounds; the bounds have the units that operators use."""
     kind = unit_kind(field_type)
     info = type_info(field_type)
     if kind is None or not isinstance(info, Metadata):
--- a/burlmoor/config/options/sections.py
+++ b/burlmoor/config/options/sections.py
@@ -1,4 +1,4 @@
-"""The sections of the options file, a frozen struct each; one that is absent is off."""
+"""The sections of the options file, each a frozen struct; the subsystem of an absent section is off."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 
 
 class Section(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """One section: keys with units and bounds, each with a default."""
+    """A section, whose keys have units, bounds and defaults."""
 
 
 class DeferredOptions(Section, frozen=True):
-    """`[waiting]`: deferred jobs, which wait for other jobs or for a time."""
+    """`[waiting]`: jobs deferred until other jobs are served or until a given time."""
 
-    # Jobs that may be deferred at a time, and bytes of their bodies.
+    # Concurrently deferred jobs, and the total size of their bodies.
     max_jobs: _Count = field(name="jobs", default=10_000)
     max_body_bytes: Annotated[float, size("4 KiB", "64 GiB")] = field(name="held", default=64.0 * 1024**2)
-    # Of the clients' connections, how many deferred jobs may hold.
+    # The fraction of downstream connections that deferred jobs may occupy.
     connection_fraction: Annotated[float, percentage("1 %", "80 %")] = field(name="places", default=0.25)
-    # Jobs that may wait for one job, and jobs that one job may wait for.
+    # Jobs that may depend on one job, and jobs that one job may depend on.
     max_dependents: _Count = field(name="fan-out", default=1000)
     max_dependencies: _Count = field(name="names", default=64)
-    # How long a job may be deferred in all, and how long for a job that is not known yet.
+    # The longest deferral, and how long a dependency may be unknown.
     max_deferral_ms: Annotated[float, duration("1 s", "24 h")] = field(name="longest", default=600_000.0)
     unknown_timeout_ms: Annotated[float, duration("0 ms", "1 min")] = field(name="unknown", default=2000.0)
-    # How long, and of how many of the latest jobs, it is known how they ended.
+    # How long, and for how many jobs, the outcomes of ended jobs are remembered.
     history_ms: Annotated[float, duration("1 s", "24 h")] = field(name="remember", default=120_000.0)
     history_size: _Count = field(name="remembered", default=50_000)
-    # What has to be left of a job's time at its release, besides its work.
+    # The least time until a job's deadline at its release, in addition to its work.
     min_remaining_ms: Annotated[float, duration("0 ms", "1 min")] = field(name="least-left", default=100.0)
-    # Jobs released a second, and at once, where no executor is known to have capacity.
+    # Jobs released per second, and in a burst, while no executor is known to have capacity.
     release_rate: _Count = 50
     release_burst: _Count = 3
-    # How long a job has to wait until its wait counts in full for its priority.
+    # The duration of a deferral after which its credit to the job's priority is complete.
     full_credit_ms: Annotated[float, duration("1 ms", "1 h")] = field(name="ageing", default=1000.0)
 
 
 class Options(msgspec.Struct, frozen=True):
-    """The whole file: the attributes are named like its sections."""
+    """The whole file; the attributes have the names of its sections."""
 
     waiting: DeferredOptions | None = None
--- a/burlmoor/config/options/units.py
+++ b/burlmoor/config/options/units.py
@@ -14,7 +14,7 @@
 
 _QUANTITY = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?) *([A-Za-z%]+)")
 
-# By the kind of quantity, what one of each unit is: in ms, in bytes, and as a fraction of one.
+# The value of each unit, by kind of quantity: in ms, in bytes, and as a fraction of one.
 UNITS: Mapping[str, Mapping[str, float]] = {
     "duration": {"ms": 1.0, "s": 1000.0, "min": 60_000.0, "h": 3_600_000.0},
     "size": {"B": 1.0, "KiB": 1024.0, "MiB": 1024.0**2, "GiB": 1024.0**3},
@@ -23,7 +23,7 @@
 
 
 class InvalidQuantityError(BurlmoorError, ValueError):
-    """A text that is not a number with a unit of its kind."""
+    """A text is not a number with a unit of the expected kind."""
 
     def __init__(self, text: str, kind: str) -> None:
         self.text = text
--- a/burlmoor/config/settings.py
+++ b/burlmoor/config/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings object, decoded once into what the policy and the node use.
+"""Decodes the platform's settings object into typed settings for the policy and the node.
 
-Both the simulator adapter and the node read it here. What is absent or null takes its default; what is
-unknown is skipped.
+Used by both the simulator adapter and the node. Absent or null fields have their defaults; unknown fields are
+ignored.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     from collections.abc import Sequence
 
 _T = TypeVar("_T")
-# Of settings that are absent or null; the platform's page gives them.
+# Defaults of absent or null settings, from the platform's documentation (docs/settings.md).
 _DEFAULT_LATENCY_OBJECTIVE_MS = 1000.0
 _DEFAULT_DEADLINE_MS = 10_000.0
 _DEFAULT_MAX_ATTEMPTS = 3.0
@@ -55,17 +55,17 @@
 
 
 class NodeSettings(NamedTuple):
-    """The policy's settings, and those that only a node on real sockets needs."""
+    """The policy's settings, and those that only a node needs."""
 
     policy: Settings
-    keepalive_ms: float  # after which an executor's machine closes an idle connection
+    keepalive_ms: float  # idle time after which an executor's machine closes a connection
 
 
 def parse_settings(settings_object: object) -> NodeSettings:
-    """Return the typed settings.
+    """Decode the settings object.
 
     Raises:
-        msgspec.ValidationError: a field is invalid; the text names it.
+        msgspec.ValidationError: a field is invalid; the message names it.
     """
     tables = msgspec.convert(settings_object, SettingsObject)
     limits = tables.limits or LimitsTable()
@@ -170,5 +170,5 @@
 
 
 def _item(values: Sequence[_T | None] | None, index: int) -> _T | None:
-    """Return the value at `index`; None where there is none."""
+    """Return the value at `index`; None if there is none."""
     return values[index] if values and 0 <= index < len(values) else None
--- a/burlmoor/config/settings_object.py
+++ b/burlmoor/config/settings_object.py
@@ -1,7 +1,7 @@
-"""The platform's settings object as it is encoded.
+"""The platform's settings object in its encoded form.
 
-All fields but names may be absent or null, unknown ones are skipped. The encoded names are the platform's
-(docs/settings.md); the attributes have the names of `burlmoor.types.settings`.
+All fields except names may be absent or null; unknown fields are ignored. The encoded names are the
+platform's (docs/settings.md); the attributes have the names of `burlmoor.types.settings`.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 class PricesTable(SettingsTable):
-    """`Prices`, as fractions of all worth."""
+    """`Prices`, as fractions of the total priority weight."""
 
     cross_zone: float | None = field(name="CrossZone", default=None)
     waste: float | None = field(name="Waste", default=None)
