--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -87,7 +87,7 @@
 def reload_config(environment: Mapping[str, str]) -> NodeConfig:
     """Read and check the whole configuration while the node runs.
 
-    The file's `discovery` overrides the environment, which is as old as the process. The passed listening
+    The environment is as old as the process: the file's `discovery` overrides it, and the passed listening
     socket is ignored.
 
     Raises:
--- a/burlmoor/deferred/queue.py
+++ b/burlmoor/deferred/queue.py
@@ -30,7 +30,7 @@
 
 _MAX_DECISIONS_PER_STEP = 100  # so that a long chain of jobs doesn't block the event loop
 _MAX_RETRY_AFTER_MS = 3_600_000.0
-_MIN_RETRY_AFTER_FRACTION = 0.5  # lower bound of the random Retry-After, of the longest one
+_MIN_RETRY_AFTER_FRACTION = 0.5  # least random Retry-After, of the longest
 _UNIX_CLOCK_CHECK_MS = 1000.0  # between reads while a job waits for a time, since Unix time may step
 _DEPENDENCY_FAILURES = {
     DeferralReason.DEPENDENCY_FAILED: "a job that this one runs after was not served",
@@ -214,7 +214,7 @@
             decisions.append(self._release(release.item, now))
 
     def _has_releasable_job(self) -> bool:
-        """Drop ended jobs from the head of the release queue; return whether a job is left."""
+        """Drop jobs that are no longer deferred from the head of the queue; return whether one is left."""
         while (job := self._release_queue.first()) is not None:
             # A job may be submitted again under its id while its earlier entry is still in the queue.
             entry = self._entries.get(job.id)
