--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -10,6 +10,7 @@
 from burlmoor.admin.http import BODY_LIMIT, HEAD_LIMIT, AdminConnection
 from burlmoor.admin.requests import AdminHandler, AdminRequest, AdminResponse, reject
 from burlmoor.log_events import AdminConnectionFailed, DescriptorsExhausted
+from burlmoor.transport.address import SocketAddress
 from burlmoor.transport.sockets import accept, open_listening_socket
 from burlmoor.transport.stream import SocketStream
 
@@ -37,10 +38,10 @@
         self._listener = open_listening_socket(listen)
 
     @property
-    def address(self) -> tuple[str, int]:
+    def address(self) -> SocketAddress:
         """The address on which the server listens."""
         host, port = self._listener.getsockname()
-        return str(host), int(port)
+        return SocketAddress(str(host), int(port))
 
     async def run(self) -> None:
         """Accept connections until cancelled."""
