--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -37,7 +37,7 @@
 
 
 async def test_an_enabled_executor_counts_as_newly_started_even_where_the_list_lags() -> None:
-    # Protocol rule 4: it was restarted while it was disabled; at once under full load, it would fail.
+    # It may have been restarted while it was disabled, and would fail under full load without slow start.
     async with open_node_harness() as harness:
         await harness.wait_ready()  # before that nothing is live
         updates: list[EndpointListUpdate] = []
@@ -86,13 +86,13 @@
             HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
             for _ in range(40)
         ]
-        for wire in silent[::2]:
-            await wire.socket_stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
+        for connection in silent[::2]:
+            await connection.socket_stream.send_all(b"POST /executors/disable HTTP/1.1\r\nContent-Le")
         began = trio.current_time()
         assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
         assert trio.current_time() - began < 1.0
-        for wire in silent:
-            await wire.read()  # closed, or answered that the call did not come in time
+        for connection in silent:
+            await connection.read()  # closed, or answered that the call timed out
         assert trio.current_time() - began < 3.0
         assert harness.components.directory.overrides.disabled_since == {}
 
@@ -104,9 +104,9 @@
         await harness.wait_ready()
         with monkeypatch.context() as patch:
             patch.setattr(harness.components.drain, "begin_drain", lambda: 1 / 0)
-            wire = HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
-            await wire.write("POST /drain HTTP/1.1", Host="node")
-            assert await wire.read() is None
+            connection = HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
+            await connection.write("POST /drain HTTP/1.1", Host="node")
+            assert await connection.read() is None
         assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
     assert "admin-connection-failed" in lines[-1]
 
@@ -129,7 +129,7 @@
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         ids = [job.headers["request-id"] for _, job in harness.jobs]
         number = ids.index("a2")
-        await harness.send_callback("started", job=1 - number)  # it runs, so its wait is not measured
+        await harness.send_callback("started", job=1 - number)  # it runs, so it is not overdue
         await harness.send_callback("done", "fine", job=number)
         assert "connection" not in (await harness.read_response(idle)).headers
         for _ in range(2):  # twice changes nothing
@@ -145,15 +145,15 @@
         assert trio.current_time() - began < 3.0
         await harness.wait_until(lambda: harness.components.drain.state is ServiceState.REJECTING)
         assert (await harness.read_response(await harness.submit_job("once", "a4"))).status == 503
-        await harness.send_callback("done", "fine", job=1 - number)  # it listens for call-backs all the while
+        await harness.send_callback("done", "fine", job=1 - number)  # call-backs are accepted throughout
         answer = await harness.read_response(open_job)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
         assert (await call_admin(harness, "/undrain"))[0] == 200
         assert await get_readiness_status(harness) == 200
-        wire = await harness.submit_job("once", "a5")
+        connection = await harness.submit_job("once", "a5")
         await harness.wait_until(lambda: len(harness.jobs) == 4)
         await harness.send_callback("done", "fine")
-        assert "connection" not in (await harness.read_response(wire)).headers
+        assert "connection" not in (await harness.read_response(connection)).headers
 
 
 async def test_a_drain_and_a_shutdown_share_one_service_state(autojump_clock: trio.testing.MockClock) -> None:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The `burlmoor` command: help, exit statuses, and what a plain node must not import."""
+"""The `burlmoor` command: help, exit statuses, and the modules that a plain node must not import."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_fleet.py
+++ b/tests/cli/test_fleet.py
@@ -1,4 +1,4 @@
-"""`burlmoor fleet run` and `fleet report` on a recorded run: what they write and their exit status."""
+"""`burlmoor fleet run` and `fleet report` on a recorded run: their output and exit status."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RecordedFleet:
-    """Stands for the processes of a fleet; its run is the recorded one."""
+    """Stands in for the processes of a fleet; its run is the recorded one."""
 
     plans: list[records.RunPlan]
 
@@ -32,7 +32,7 @@
         return records.read_record(RECORDED)
 
 
-def test_fleet_run_keeps_the_record_and_exits_with_the_verdict(
+def test_fleet_run_stores_the_record_and_exits_with_the_verdict(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     RecordedFleet.plans = []
@@ -62,7 +62,7 @@
     assert done.stderr.startswith(f"burlmoor: {schedule}: ")
 
 
-def test_fleet_report_draws_a_kept_record(tmp_path: Path) -> None:
+def test_fleet_report_draws_a_stored_record(tmp_path: Path) -> None:
     picture = tmp_path / "report.png"
     done = CliRunner().invoke(main, ["fleet", "report", str(RECORDED), "--out", str(picture)])
     assert done.exit_code == 0
--- a/tests/config/options/test_options.py
+++ b/tests/config/options/test_options.py
@@ -1,4 +1,4 @@
-"""The options file: what is parsed, every fault reported at once, and the example compared to the structs."""
+"""The options file: parsing, a report of all faults together, and the example compared to the structs."""
 
 from __future__ import annotations
 
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -1,4 +1,4 @@
-"""A node's configuration: what is read, and the one line that an invalid one is rejected with."""
+"""A node's configuration: its sources, and the one line with which an invalid one is rejected."""
 
 from __future__ import annotations
 
--- a/tests/deferred/test_conditions.py
+++ b/tests/deferred/test_conditions.py
@@ -1,4 +1,4 @@
-"""The two headers that defer a job: what is parsed, and what is rejected as invalid."""
+"""The two headers that defer a job: which values are parsed, and which are rejected as invalid."""
 
 from __future__ import annotations
 
--- a/tests/deferred/test_dependency_graph.py
+++ b/tests/deferred/test_dependency_graph.py
@@ -1,4 +1,4 @@
-"""The graph of what waits: held against a naive model on random graphs, and its bounds one by one."""
+"""The dependency graph of deferred jobs: chains, cycles, unknown dependencies, clock steps and limits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def drain(
     graph: DependencyGraph, now: float, unix: float | None = None
 ) -> list[tuple[str, DeferralReason | None]]:
-    """Release what is runnable and end what is to end; return the ids and reasons."""
+    """Remove all jobs that are runnable or have to end; return their ids and end reasons."""
     done = []
     while (job := graph.pop_ready(now, UNIX_EPOCH_MS + now if unix is None else unix)) is not None:
         done.append((job.id, job.end_reason))
@@ -107,7 +107,7 @@
     defer(graph, "soon", "parent", now=4000.0)
     assert drain(graph, 4000.0) == [("soon", reason)]
     defer(graph, "late", "parent", now=5001.0)
-    assert drain(graph, 5001.0) == []  # forgotten: it waits as for an unknown job
+    assert drain(graph, 5001.0) == []  # forgotten: the dependency counts as unknown
     assert drain(graph, 7001.0) == [("late", DeferralReason.DEPENDENCY_UNKNOWN)]
 
 
@@ -146,12 +146,12 @@
     # Set back by an hour: its not-before time has not passed, and its client times out nevertheless.
     assert drain(graph, 5000.0, UNIX_EPOCH_MS - 3_600_000.0) == []
     assert drain(graph, 8000.0, UNIX_EPOCH_MS - 3_597_000.0) == [("b", DeferralReason.TOO_LATE)]
-    # Set right again, and beyond: it is free at once.
+    # Set forward beyond the not-before time: it is released at once.
     assert graph.next_due(9000.0, UNIX_EPOCH_MS + 9000.0) == 9000.0
     assert drain(graph, 9000.0, UNIX_EPOCH_MS + 9000.0) == [("a", None)]
 
 
-def test_no_state_is_kept_of_jobs_that_end_early() -> None:
+def test_no_state_remains_of_jobs_that_end_early() -> None:
     graph = DependencyGraph(LIMITS)
     for number in range(5000):
         defer(graph, str(number), "nobody", not_before_unix_ms=UNIX_EPOCH_MS + 9000.0)
--- a/tests/deferred/test_dependency_graph_model.py
+++ b/tests/deferred/test_dependency_graph_model.py
@@ -75,7 +75,7 @@
 
 
 class Comparison:
-    """A graph and the model, which get the same events; events that can't happen are skipped."""
+    """Applies the same events to a graph and the model; events that cannot happen are skipped."""
 
     def __init__(self) -> None:
         self.graph = DependencyGraph(LIMITS)
@@ -131,7 +131,7 @@
         assert graph.next_due(self.now, UNIX_EPOCH_MS + self.now) > self.now
 
     def check_links(self) -> None:
-        """Nothing is kept of what has ended."""
+        """Check that the graph has no link to a job that has ended."""
         graph = self.graph
         unmet = {(parent, name) for name, job in graph.jobs.items() for parent in job.unmet_dependencies}
         assert {(parent, name) for parent, jobs in graph._dependents.items() for name in jobs} == unmet
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -43,12 +43,12 @@
         await wait_until_deferred(harness, 0)
 
 
-async def test_without_the_options_section_the_condition_headers_mean_nothing() -> None:
+async def test_without_the_options_section_the_condition_headers_have_no_effect() -> None:
     async with open_node_harness() as harness:
-        wire = await submit_deferred(harness, "c", "p", Not_Before="never")
+        connection = await submit_deferred(harness, "c", "p", Not_Before="never")
         await harness.wait_until(lambda: harness.jobs)
         await harness.send_callback("done", "at once")
-        assert (await harness.read_response(wire)).body == b"at once"
+        assert (await harness.read_response(connection)).body == b"at once"
         assert harness.components.admin_server is not None
         assert (
             await send_http_request(harness.components.admin_server.address, "GET", "/waiting")
@@ -66,8 +66,8 @@
             await parent.socket_stream.aclose()
         else:
             await harness.send_callback(how)
-        for wire in (child, grandchild):
-            answer = await harness.read_response(wire)
+        for connection in (child, grandchild):
+            answer = await harness.read_response(connection)
             assert answer.status == 424
             assert b"not served" in answer.body
         late = await harness.read_response(await submit_deferred(harness, "late", "p"))
@@ -85,18 +85,18 @@
 
 async def test_parent_and_child_may_use_one_connection() -> None:
     async with open_deferral_harness() as harness:
-        wire = await submit_deferred(harness, "p")
-        await submit_deferred(harness, "c", "p", wire=wire)  # written before the parent's answer
+        connection = await submit_deferred(harness, "p")
+        await submit_deferred(harness, "c", "p", connection=connection)  # written before the parent's answer
         await wait_until_sent(harness, "p")
         await harness.send_callback("done", "one")
-        assert (await harness.read_response(wire)).body == b"one"
+        assert (await harness.read_response(connection)).body == b"one"
         await wait_until_sent(harness, "p", "c")
         await harness.send_callback("done", "two")
-        assert (await harness.read_response(wire)).body == b"two"
-        # The other way round the parent isn't read before the child is answered: it has to be rejected.
-        await submit_deferred(harness, "c2", "p2", wire=wire)
-        await submit_deferred(harness, "p2", wire=wire)
-        assert (await harness.read_response(wire)).status == 503
+        assert (await harness.read_response(connection)).body == b"two"
+        # In the opposite order the parent is not read before the child is answered: the child is rejected.
+        await submit_deferred(harness, "c2", "p2", connection=connection)
+        await submit_deferred(harness, "p2", connection=connection)
+        assert (await harness.read_response(connection)).status == 503
         await wait_until_sent(harness, "p", "c", "p2")
 
 
@@ -107,7 +107,7 @@
     head: dict[str, str],
 ) -> None:
     async with open_deferral_harness() as harness:
-        answer = await harness.read_response(await submit_deferred(harness, "c", wire=None, **head))
+        answer = await harness.read_response(await submit_deferred(harness, "c", connection=None, **head))
         assert answer.status == 400
         assert next(iter(head)).replace("_", "-").encode() in answer.body
         assert len(answer.body.splitlines()) == 1
@@ -135,7 +135,7 @@
         await submit_deferred(harness, "p")
         await wait_until_sent(harness, "p")
         size = harness.components.server.connections.max_connections
-        wires = [await submit_deferred(harness, f"c{number}", "p") for number in range(size // 2)]
+        connections = [await submit_deferred(harness, f"c{number}", "p") for number in range(size // 2)]
         await wait_until_status(harness, lambda status: status["turned_away"] >= size // 2 - size // 4)
         assert (await fetch_status(harness))["waiting"] == size // 4
         plain = await submit_deferred(harness, "plain")
@@ -143,7 +143,7 @@
         assert await harness.send_callback("done", "plain") == 204
         assert (await harness.read_response(plain)).body == b"plain"
         assert await harness.send_callback("failed", job=0) == 204
-        statuses = [(await harness.read_response(wire)).status for wire in wires]
+        statuses = [(await harness.read_response(connection)).status for connection in connections]
         assert sorted(set(statuses)) == [424, 503]
 
 
@@ -166,7 +166,7 @@
             await harness.wait_until(lambda: harness.has_node_ended)
 
 
-async def test_options_hold_from_sighup_on_and_invalid_ones_change_nothing(tmp_path: Path) -> None:
+async def test_options_apply_from_sighup_on_and_invalid_ones_change_nothing(tmp_path: Path) -> None:
     lines: list[str] = []
     options = Options(waiting=DeferredOptions())
     async with open_node_harness(options=options, lines=lines) as harness:
@@ -185,7 +185,7 @@
         harness.node.reload(given)
         assert (await harness.read_response(await submit_deferred(harness, "c2", "p"))).status == 503
         path.write_text("")
-        harness.node.reload(given)  # off: deferred jobs stay deferred, and the header means nothing any more
+        harness.node.reload(given)  # off: deferred jobs stay deferred, and the header has no effect any more
         plain = await submit_deferred(harness, "c3", "p")
         await wait_until_sent(harness, "p", "c3")
         await harness.send_callback("done", "plain")
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -166,7 +166,7 @@
     assert parent.is_closed
 
 
-def test_changed_options_hold_for_new_jobs() -> None:
+def test_changed_options_apply_to_new_jobs() -> None:
     harness = DeferralHarness(max_dependents=2)
     harness.submit(request_id="p")
     clients = [harness.submit_deferred(f"a{n}", "p") for n in range(2)]
@@ -290,7 +290,7 @@
 
 
 def test_a_deferred_job_that_has_ended_is_not_kept_in_memory() -> None:
-    # Otherwise bodies would be held until deadlines that lie minutes ahead.
+    # Otherwise bodies would stay in memory until deadlines minutes ahead.
     harness = DeferralHarness()
     harness.submit_deferred("c", not_before_unix_ms=UNIX_EPOCH_MS + harness.now + 500.0, timeout_ms=600_000.0)
     harness.advance(600.0)
--- a/tests/deferred/test_release.py
+++ b/tests/deferred/test_release.py
@@ -28,7 +28,7 @@
     assert harness.started_ids()[-1] == "c"
     assert 2500.0 < job.deadline - harness.now < 3000.0
     known = harness.core.dispatcher._jobs.by_id[job.number]
-    # The latency objective counts from the release: nothing of it was spent on earlier tries.
+    # The latency objective counts from the release: no part of it was spent on earlier attempts.
     assert known.objective_at == pytest.approx(job.admitted_at + known.objective_ms, abs=10.0)
     harness.finish_attempt("c")
     assert child.answer_types() == [Served]
@@ -42,7 +42,7 @@
     harness.advance(1005.0)
     first = 100 - harness.queue.job_count
     assert first == 8 + 5  # the first window, though there is room for more, and the burst
-    harness.advance(300.0)  # nobody has been refused yet
+    harness.advance(300.0)  # the policy has rejected no job yet
     assert 12 <= (100 - harness.queue.job_count) - first <= 18
 
 
--- a/tests/deferred/test_status.py
+++ b/tests/deferred/test_status.py
@@ -1,4 +1,4 @@
-"""The status that operators see of the deferred jobs."""
+"""The status of the deferred jobs, as the admin server reports it."""
 
 from __future__ import annotations
 
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""The discovery client over sockets: what breaks its watch, invalid lists, and long ones."""
+"""The discovery client over sockets: broken watches, invalid lists and long lists."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 PUSHED = {**SETTINGS_OBJECT, "RegistryMode": "push"}
 
 
-async def check_all_jobs_go_to_e1(harness: NodeHarness) -> None:
+async def assert_all_jobs_are_sent_to_e1(harness: NodeHarness) -> None:
     for number in range(6):
         client = await harness.submit_job("once", f"job{number}")
         while len(harness.jobs) <= number:
@@ -31,7 +31,7 @@
 
 
 async def break_watch(harness: NodeHarness, fault: str, tmp_path: Path) -> float:
-    """Break the open watch; returns in how many seconds the node counts as notified of what it missed."""
+    """Break the open watch; return the seconds after which the node counts as notified of a missed change."""
     watch = harness.open_watches.pop()
     wait_seconds = float(harness.discovery_paths[-1].partition("wait_ms=")[2]) / 1000.0
     if fault == "reset":
@@ -53,9 +53,9 @@
 async def test_a_drain_takes_effect_in_time_whatever_breaks_the_watch(
     fault: str, settings: dict[str, Any], tmp_path: Path
 ) -> None:
-    # A silent watch looks like one without changes. The notification deadline of what it missed is 6 s after
-    # it fell silent, or 2 s after its call's wait is over, if that is later; of what an agent receives, the
-    # moment in which it answers again.
+    # A silent watch looks like one without changes. The notification deadline of a missed change is 6 s after
+    # the watch fell silent, or 2 s after its call's wait is over, if that is later. Of a change that an agent
+    # receives, it is the moment at which the agent answers again.
     async with open_node_harness(given_settings=settings) as harness:
         await harness.publish(5, e0="active", e1="active")
         await harness.wait_until(lambda: harness.open_watches)
@@ -71,11 +71,11 @@
         await harness.wait_until(lambda: harness.components.directory.find_live("e0") is None)
         assert trio.current_time() < started_at + deadline_seconds
         harness.is_discovery_silent = False
-        await check_all_jobs_go_to_e1(harness)
+        await assert_all_jobs_are_sent_to_e1(harness)
 
 
 async def test_a_silent_agent_is_called_often_enough_for_the_drain_rule() -> None:
-    # The node counts as notified of what the agent receives meanwhile once the agent answers again.
+    # The node counts as notified of changes that the agent receives meanwhile once the agent answers again.
     async with open_node_harness(given_settings=PUSHED) as harness:
         harness.is_discovery_silent = True
         await harness.wait_until(lambda: len(harness.discovery_paths) > 5)
@@ -169,7 +169,7 @@
         await harness.wait_until(lambda: harness.components.directory.version == 7)
         await harness.publish(8, is_complete=False, e0="leaving")
         await harness.wait_until(lambda: harness.components.directory.find_live("e0") is None)
-        await check_all_jobs_go_to_e1(harness)
+        await assert_all_jobs_are_sent_to_e1(harness)
         disabled = {f"executor-{number:06d}": 1.0 for number in range(MANY_ENDPOINTS)}
         harness.components.endpoint_updater.set_overrides(EndpointOverrides(disabled_since=disabled))
         _, response = await call_admin(harness, "/ready", method="GET")
--- a/tests/discovery/test_list_lease.py
+++ b/tests/discovery/test_list_lease.py
@@ -51,7 +51,7 @@
     evidence, now = -math.inf, 0.0
     failed_in_a_row = 0
     has_been_silent = False  # since the last evidence
-    is_lost = True  # whether only an answer helps
+    is_lost = True  # whether only an answer renews the lease
     for pause, lasts, result in calls:
         started = now + pause
         now = started + lasts
@@ -102,7 +102,7 @@
     [
         ([], False),
         ([UP], True),
-        ([REFUSED, REFUSED, REFUSED], False),  # a process that has just started: its list is of any age
+        ([REFUSED, REFUSED, REFUSED], False),  # a process that has just started: its list may be of any age
         ([REJECTED_LATE, REJECTED_LATE], False),
         ([Call(0.1, 0.1, INVALID)], False),
         ([CUT_OFF, REFUSED, REFUSED, REJECTED_LATE], False),
@@ -113,14 +113,14 @@
         ([UP, CUT_OFF, CUT_OFF, CUT_OFF, REFUSED, CUT_OFF], False),
         ([UP, CUT_OFF, CUT_OFF, CUT_OFF, REFUSED, REFUSED, CUT_OFF], True),
         ([UP, CUT_OFF, CUT_OFF, REJECTED_LATE, CUT_OFF, CUT_OFF], True),
-        ([UP, *[CUT_OFF] * 4, REFUSED, REFUSED, REJECTED_LATE], False),  # expired: only an answer helps
+        ([UP, *[CUT_OFF] * 4, REFUSED, REFUSED, REJECTED_LATE], False),  # expired: only an answer renews it
         ([UP, *[CUT_OFF] * 4, Call(0.1, 0.1, INVALID)], False),
         ([UP, *[CUT_OFF] * 4, REFUSED, UP], True),
         ([UP, Call(0.0, 9.0, ANSWERED)], False),  # the process was stalled, and reads an old answer
         ([UP, Call(0.0, 9.0, REJECTED)], False),
     ],
 )
-def test_what_renews_the_lease(made: list[Call], *, is_valid: bool) -> None:
+def test_which_calls_renew_the_lease(made: list[Call], *, is_valid: bool) -> None:
     lease = ListLease(has_agent=False)
     now = make_calls(lease, *made)
     assert lease.is_valid(now) is is_valid
@@ -165,5 +165,5 @@
         (ConnectError("a", "every connection is busy"), False),
     ],
 )
-def test_only_what_the_peer_sent_is_a_sign_of_it(error: BaseException, *, is_sign: bool) -> None:
+def test_only_a_reaction_of_the_peer_is_a_sign_of_it(error: BaseException, *, is_sign: bool) -> None:
     assert is_sign_of_peer(error) is is_sign
--- a/tests/discovery/test_schedule.py
+++ b/tests/discovery/test_schedule.py
@@ -43,16 +43,16 @@
     queue = deque[tuple[float, int]]()
     while calls or queue:
         if queue and (not calls or max(free_at, queue[0][0]) <= calls[0][0]):
-            came, number = queue.popleft()
-            ends = max(free_at, came) + call_seconds
-            if ends <= came + QUEUE_TIMEOUT:
+            arrived_at, number = queue.popleft()
+            ends = max(free_at, arrived_at) + call_seconds
+            if ends <= arrived_at + QUEUE_TIMEOUT:
                 free_at = ends
                 answered.append(ends)
                 continue
-            free_at = max(free_at, min(ends, came + QUEUE_TIMEOUT))
+            free_at = max(free_at, min(ends, arrived_at + QUEUE_TIMEOUT))
             failed += 1
-            schedules[number].on_call_started(came)
-            schedules[number].on_call_ended(CallResult.FAILED, came + QUEUE_TIMEOUT)
+            schedules[number].on_call_started(arrived_at)
+            schedules[number].on_call_ended(CallResult.FAILED, arrived_at + QUEUE_TIMEOUT)
             heapq.heappush(calls, (schedules[number].next_call().start_at, number))
         else:
             queue.append(heapq.heappop(calls))
@@ -60,7 +60,7 @@
 
 
 def start_together(nodes: int, call_seconds: float, seed: int) -> FleetAnswers:
-    """Start a fleet at once, and return its answers."""
+    """Start all nodes of a fleet simultaneously, and return its answers."""
     schedules = [new_schedule(nodes, f"{seed}/{number}") for number in range(nodes)]
     for schedule in schedules:
         schedule.on_start(0.0, has_list=True)
@@ -70,7 +70,7 @@
     return answers
 
 
-def test_a_fleet_that_starts_at_once_is_answered_in_time_by_a_discovery_that_answers_in_turn() -> None:
+def test_a_fleet_that_starts_simultaneously_is_answered_in_time_by_a_discovery_that_answers_in_turn() -> None:
     for nodes, call_seconds in ((5, 0.2), (40, 0.1), (182, 0.0225), (200, 0.02)):
         for seed in range(8):
             answers = start_together(nodes, call_seconds, seed)
@@ -85,7 +85,9 @@
         assert answers.failed_calls < 40
 
 
-def test_a_fleet_whose_watches_fall_silent_at_once_is_answered_before_the_notification_deadline() -> None:
+def test_a_fleet_whose_watches_fall_silent_simultaneously_is_answered_before_the_notification_deadline() -> (
+    None
+):
     for nodes, call_seconds in ((5, 0.2), (40, 0.1), (200, 0.02), (230, 0.015)):
         for seed in range(4):
             rng = random.Random(seed)
@@ -93,7 +95,7 @@
             for number in range(nodes):
                 schedule = new_schedule(nodes, f"{seed}/{number}")
                 schedule.on_start(0.0, has_list=True)
-                # Every watch is somewhere in its second when all fall silent.
+                # All watches fall silent together, each at a random moment of its one-second wait.
                 called_at = rng.uniform(0.0, 1.0)
                 schedule.on_call_started(called_at - 2.0)
                 schedule.on_call_ended(CallResult.ANSWERED, called_at)
@@ -125,7 +127,7 @@
     for seed in range(50):
         schedule = new_schedule(4000, seed, poll_interval=poll_interval)
         schedule.on_start(0.0, has_list=True)
-        # Whatever the settings: nothing is sent before the first call has shown that discovery is there.
+        # Whatever the settings: nothing is sent before the first call has shown that discovery is reachable.
         assert schedule.next_call().start_at <= 2.5
         now = 0.0
         for number in range(30):
@@ -191,7 +193,7 @@
     discovery = BusyDiscovery()
     directory = EndpointDirectory(from_unix=lambda unix_ms: unix_ms, has_lease=lambda: True)
     updater = EndpointListUpdater(directory, Observer(), cast("Any", None), cast("Any", None), discard)
-    updater.load_cached(DiscoveredList(41))  # a list, if an old one
+    updater.load_cached(DiscoveredList(41))  # an old list
     client = DiscoveryClient(
         directory,
         updater,
@@ -209,5 +211,5 @@
     # A node that called at once and then every two seconds would have made over ten calls.
     assert 4 <= len(calls) <= 10
     pauses = [later - earlier for earlier, later in pairwise(calls)]
-    assert pauses[0] <= 0.25  # the second shows whether discovery is down, or only the first was held back
+    assert pauses[0] <= 0.25  # the second shows whether discovery is down, or only the first was delayed
     assert min(pauses[1:]) > 0.5
--- a/tests/discovery/watch_simulation.py
+++ b/tests/discovery/watch_simulation.py
@@ -8,7 +8,7 @@
 
 from burlmoor.discovery.schedule import CallResult, DiscoveryCall, WatchSchedule
 
-QUEUE_TIMEOUT = 2.0  # seconds in which a call fails that stands in discovery's queue
+QUEUE_TIMEOUT = 2.0  # seconds after which a call that is queued at discovery fails
 DRAIN_RULE = 0.25  # seconds after its notification deadline from which on a change is too late
 _END = 60.0
 
@@ -16,7 +16,7 @@
 def new_schedule(
     nodes: int, seed: object = 1, *, has_agent: bool = False, poll_interval: float = 10.0
 ) -> WatchSchedule:
-    """Build the schedule of one node of a fleet of so many."""
+    """Build the schedule of one node of a fleet of `nodes`."""
     return WatchSchedule(nodes, poll_interval, random.Random(f"{seed}"), has_agent=has_agent)
 
 
@@ -64,7 +64,7 @@
         self.resets = sorted(world.resets)
         self.address_changes = sorted(world.address_changes)
         self.outages = [(since, since + lasts) for since, lasts in world.outages]
-        # What an agent sends as an invalid list it may not send again.
+        # An agent may not repeat a change that it has sent in an invalid list.
         self.invalid = [] if world.has_agent else sorted(world.invalid)
         self.now = 0.0
         self.received = 0  # how many of the changes
@@ -178,18 +178,18 @@
 
     def _agent_deadline(self, change: float, outage_end: float | None) -> float:
         # A change is missed at an agent that falls silent within the rule's 250 ms, just after a reset.
-        unheard = (
+        missed_until = (
             end
             for since, end in self.outages
             if since <= change + DRAIN_RULE and change < end and self.has_missed_call
         )
         deadline = max(
-            self.address_changed_at + 4.0, next(unheard, change) if outage_end is None else outage_end
+            self.address_changed_at + 4.0, next(missed_until, change) if outage_end is None else outage_end
         )
         watch = self.silent_watch
         if watch and change >= watch.since:
             deadline = max(deadline, watch.since + 6.0, watch.wait_over_at + 2.0)
-            # So is one at an agent that falls silent before the watch's silence is noticed.
+            # The same holds for an agent that falls silent before the silence of the watch is noticed.
             deadline = max([deadline, *(end for since, end in self.outages if since < deadline < end)])
         return deadline
 
--- a/tests/downstream/test_other_process.py
+++ b/tests/downstream/test_other_process.py
@@ -11,7 +11,7 @@
         other_process = RecordingProcess(acknowledgements=[False, True])
         harness.components.server.peers.attach_callback_forwarder(other_process)
         body = b'{"id":"x","from":"e0","state":"done"}'
-        assert await harness.send_callback_body(body) == 503  # its executor tells it again
+        assert await harness.send_callback_body(body) == 503  # its executor repeats it
         assert await harness.send_callback_body(body) == 204
         assert other_process.callbacks == [body, body]
 
--- a/tests/endpoints/test_endpoint_table.py
+++ b/tests/endpoints/test_endpoint_table.py
@@ -27,7 +27,7 @@
     return endpoint.state
 
 
-def test_a_complete_list_removes_what_it_does_not_have_and_a_partial_one_does_not() -> None:
+def test_a_complete_list_removes_unlisted_endpoints_and_a_partial_one_does_not() -> None:
     table = table_with(1, entry("e0"), entry("e1"))
     assert table.merge(DiscoveredList(2, is_complete=False, endpoints=[entry("e2")])).stale_addresses == []
     assert table.live_names() == {"e0", "e1", "e2"}
--- a/tests/endpoints/test_list_validation.py
+++ b/tests/endpoints/test_list_validation.py
@@ -75,13 +75,13 @@
     assert validate_entries([draining], {}) == ([draining], [])
 
 
-def test_of_two_entries_of_one_endpoint_the_later_start_holds_then_the_one_that_drains() -> None:
-    for first, second, holds in (
+def test_of_two_entries_of_one_endpoint_the_later_start_has_precedence_then_the_one_that_drains() -> None:
+    for first, second, valid_index in (
         (endpoint("e0", "leaving"), endpoint("e0"), 0),
         (endpoint("e0"), endpoint("e0", "leaving"), 1),
         (endpoint("e0", "leaving"), endpoint("e0", started_unix_ms=1.0), 1),
         (endpoint("e0", started_unix_ms=1.0), endpoint("e0", "leaving"), 0),
     ):
         validated = validate_entries([first, second], {})
-        assert validated.valid == [(first, second)[holds]]
+        assert validated.valid == [(first, second)[valid_index]]
         assert [problem.field for problem in validated.invalid] == ["hosts[1].host"]
--- a/tests/engine/test_attempt_guard.py
+++ b/tests/engine/test_attempt_guard.py
@@ -42,7 +42,7 @@
     assert guard.may_start(job, Attempt(job, 1, "e1", 10.0, 1000.0), 10.0) is not is_repeat
     assert invariants.counts() == ({"repeat": 1} if is_repeat else {})
     assert [line["event"] for line in lines] == ["invariant-violated"] * is_repeat
-    # The same endpoint, a late start, one attempt too many and a closed job are refused, and no defect.
+    # The same endpoint, a late start, one attempt too many or a closed job: refused, but no violation.
     assert not guard.may_start(job, Attempt(job, 1, "e0", 10.0, 1000.0), 10.0)
     assert not guard.may_start(job, Attempt(job, 1, "e1", 1000.0, 1000.0), 1000.0)
     assert not guard.may_start(job, Attempt(job, 5, "e1", 10.0, 1000.0), 10.0)
--- a/tests/engine/test_cancelling.py
+++ b/tests/engine/test_cancelling.py
@@ -1,4 +1,4 @@
-"""Attempts that are cancelled: until their endpoints are known not to hold them, they are out."""
+"""Cancelled attempts: each counts as open until its endpoint has confirmed the cancellation."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.UNREACHABLE])
-def test_a_non_idempotent_job_does_not_wait_for_the_cancellationlation(outcome: Outcome) -> None:
+def test_a_non_idempotent_job_does_not_wait_for_the_cancellation(outcome: Outcome) -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     client, attempt = harness.submit_and_start("once")
     cancel(harness, outcome)
@@ -91,7 +91,7 @@
     client, attempt = harness.submit_and_start(timeout_ms=5000.0, work_ms=2000.0)
     other = next(f"a{number}" for number in range(4) if f"a{number}" != attempt.endpoint)
     harness.engine.answer_all_by(harness.now + 100.0)
-    # In the step of the answer, its attempt has ended and its cancel is only on its way.
+    # In the step of the answer, its attempt has ended while the call that cancels it is in flight.
     again = StartAttempt(attempt.job.number, other)
     monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: [again] if attempt.has_ended else [])
     harness.advance(200.0)
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -110,7 +110,7 @@
 def test_without_hedging_a_job_is_retried_only_once_its_attempt_is_cancelled(may_hedge: bool) -> None:
     harness = EngineHarness(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=may_hedge))
     _, attempt = harness.submit_and_start(work_ms=2000.0)
-    # And then nothing, as of an executor that cannot be reached.
+    # No event follows, as from an executor that cannot be reached.
     harness.core.lifecycle.on_attempt_started(attempt)
     for _ in range(80):
         if not may_hedge and harness.cancelled_attempts:
@@ -172,7 +172,7 @@
 
 
 def test_the_timeout_of_one_client_is_bounded_and_does_not_change_what_others_are_expected_to_wait() -> None:
-    # Without the bound, the job would be held for days, and all others would seem to have waited for days.
+    # Without the bound, the job would be open for days, and all others would seem to have waited for days.
     harness = EngineHarness()
     _, job = harness.submit(timeout_ms=1e8)
     assert job.deadline == harness.now + 5000.0
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -1,7 +1,7 @@
-"""The same seeds bring the same events as at 69d0f80, whose code recorded the digests.
+"""The same seeds yield the same events as at 69d0f80, whose code recorded the digests.
 
-Deployments 1 and 3 are newer: a job is not sent away from an endpoint that was never heard of before the last
-moment at which another can still serve it.
+Deployments 1 and 3 are newer: an attempt at an endpoint that has never reported anything is not cancelled
+before the last moment at which another endpoint can still serve the job.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -1,4 +1,4 @@
-"""What earlier releases have written is read by this one, and written again byte for byte.
+"""Data that earlier releases have written is read by this one, and written again byte for byte.
 
 The files under `data/` were recorded by the code of 69d0f80 itself. They change only with a format, never
 with a name in the code.
--- a/tests/golden/test_files_of_the_release_before.py
+++ b/tests/golden/test_files_of_the_release_before.py
@@ -1,6 +1,7 @@
-"""Files and messages that the code of 890869d has written itself are read by this one, and written alike.
+"""Files and messages that the code of 890869d has written are read by this code, and written identically.
 
-`n1.by-hand` is an overrides file; `snapshot.msgpack` is what that code sends a process that takes over.
+`n1.by-hand` is an overrides file; `snapshot.msgpack` is the message that that code sends to a
+process that takes over.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_takeover.py
+++ b/tests/golden/test_takeover.py
@@ -1,6 +1,6 @@
-"""A node's process takes over from one of the release in production, and hands over to one.
+"""Handover to and from a process of the release in production.
 
-The scripted side speaks the bytes that processes of 69d0f80 sent each other (`data/conversation/`); the other
+The scripted side sends the bytes that processes of 69d0f80 sent each other (`data/conversation/`); the other
 side is a real process of this tree.
 """
 
@@ -25,7 +25,7 @@
 
 
 def shape(data: bytes) -> Any:
-    """The keys of a message and the types of their values, as the other process reads them."""
+    """Return the keys of a message and the types of their values, as the other process decodes them."""
 
     def described(value: Any) -> Any:
         if isinstance(value, dict):
@@ -53,7 +53,7 @@
 
 
 async def hand_over(made: HandoverHarness) -> dict[str, bytes]:
-    """Play the successor of a real process; what that process said."""
+    """Act as the successor of a real process; return the messages that the process sent."""
     process = await made.start_process()
     await process.wait_ready()
     with await connect(made.folder / LINK) as successor:
@@ -61,13 +61,13 @@
         snapshot = await receive(successor)
         await successor.send(recorded("accepting"))
         counts = await receive(successor)
-    await process.wait_ready()  # its successor is gone, so it accepts again
+    await process.wait_ready()  # its successor has disconnected, so it accepts clients again
     await process.stop()
     return {"snapshot": snapshot, "holds": counts}
 
 
 async def take_over(made: HandoverHarness) -> dict[str, bytes]:
-    """Play the predecessor of a real process; what that process said."""
+    """Act as the predecessor of a real process; return the messages that the process sent."""
     with trio.socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener:
         await listener.bind(str(made.folder / LINK))
         listener.listen()
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -65,7 +65,7 @@
         assert len(harness.jobs) == attempts
 
 
-async def test_a_request_is_passed_on_unchanged_and_connections_are_reused() -> None:
+async def test_a_request_is_forwarded_unchanged_and_connections_are_reused() -> None:
     async with open_node_harness() as harness:
         client = await harness.connect_client()
         for request_id in ("a1", "a2", "a3", "a4", "a5"):
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -20,7 +20,7 @@
 
 
 class DelayedConnections:
-    """Holds back each connection to an executor until the scenario releases it."""
+    """Delays each connection to an executor until the test releases it."""
 
     def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting_count = 0
@@ -54,13 +54,13 @@
         delayed.released.set()
         await harness.wait_until(lambda: not harness.components.attempts.in_flight)
         assert not harness.jobs
-        # Nothing is kept of it either.
+        # The job is forgotten, too.
         await harness.wait_until(lambda: not harness.components.core.jobs.ids())
 
 
 @pytest.mark.parametrize("byte_count", [20_000, 300_000, 3_000_000])
 async def test_the_close_of_a_client_is_noticed_behind_much_unread_input(byte_count: int) -> None:
-    # Its close comes behind more than the node keeps of what is written to it.
+    # The close follows more input than the node buffers.
     async with open_node_harness("hang") as harness:
         client = await harness.submit_job(timeout_ms=9000)
         await harness.wait_until(lambda: harness.jobs)
@@ -73,7 +73,7 @@
 
 
 class WritingClient:
-    """Writes on and on, on a connection whose request is open."""
+    """Writes continuously on a connection whose request is open."""
 
     def __init__(self, harness: NodeHarness, connection: HttpStream) -> None:
         self._harness = harness
@@ -93,7 +93,7 @@
     async with open_node_harness() as harness:
         client = await harness.submit_job(timeout_ms=5000)
         await harness.wait_until(lambda: harness.jobs)
-        await harness.send_callback("started")  # else it is retried elsewhere after a while
+        await harness.send_callback("started")  # otherwise it is retried elsewhere after a while
         writing_client = WritingClient(harness, client)
         harness.nursery.start_soon(writing_client.write)
         await harness.wait_until(lambda: writing_client.written_count > 100)
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""More connections of clients than a node may hold: which are closed, and which clients are served."""
+"""More connections of clients than a node may have open: which are closed, and which clients are served."""
 
 from __future__ import annotations
 
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -83,7 +83,7 @@
 
 
 async def finish_jobs(harness: NodeHarness, row: dict[str, Any], finished: list[int]) -> None:
-    """Send the call-backs of all attempts, but of the first one unless the executor has accepted it."""
+    """Send the call-backs of all attempts; of the first one only if the executor has accepted it."""
     while True:
         await harness.wait_until(lambda: len(harness.jobs) > len(finished))
         number = len(finished)
--- a/tests/integration/test_endpoint_changes.py
+++ b/tests/integration/test_endpoint_changes.py
@@ -30,7 +30,7 @@
         assert {name for name, _ in harness.jobs} == {"e1"}
 
 
-async def test_a_rejection_comes_at_once_with_retry_after() -> None:
+async def test_a_rejection_is_sent_at_once_with_retry_after() -> None:
     async with open_node_harness() as harness:
         await harness.publish(2, is_complete=False, e0="leaving", e1="leaving")
         await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
@@ -105,7 +105,7 @@
         assert harness.discovery_paths == ["/registry/instances"]
         assert trio.current_time() - started_at < 0.9  # a backoff after ten failures is a second at least
         await harness.wait_until(lambda: set(old_watches) <= set(harness.closed_discovery_connections))
-        # Its versions may be lower, but what drains does not come back without a new start.
+        # Its versions may be lower, but a draining endpoint is not live again without a new start.
         await harness.publish(3, e0="active", e1="active")
         await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
         assert harness.discovery_paths[1] == "/registry/instances?after=3&wait_ms=1000"
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -17,8 +17,8 @@
 
 SIGKILL_MARGIN_SECONDS = 0.7
 MAX_COUNTED_DEADLINE_SECONDS = 3.0
-LATE_SECONDS = 0.7  # after SIGTERM: what is submitted from then on has to be answered before SIGKILL
-LAST_RECONNECT_SECONDS = 0.4  # after SIGTERM: load balancers in front send no client here any more
+LATE_SECONDS = 0.7  # after SIGTERM: jobs submitted later have to be answered before SIGKILL
+LAST_RECONNECT_SECONDS = 0.4  # after SIGTERM: load balancers in front direct no client to the node later
 
 
 class AdmissionRecorder:
@@ -35,7 +35,7 @@
 
 
 def close_idle_before_next_read(harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the sweep close idle connections when a socket is readable and its task is about to read."""
+    """Close idle connections, as the sweep does, when a socket is readable and its task is about to read."""
     receive_now = SocketStream.receive_now
 
     def close_idle_and_receive(stream: SocketStream) -> ReceiveResult:
@@ -49,7 +49,7 @@
 async def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_not_admitted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Read and dropped, it would have had no answer; and what is written after a close is lost.
+    # If it were read and dropped, it would get no answer; and bytes written after a close are lost.
     async with open_node_harness() as harness:
         client = await harness.submit_job("once", "a1")
         await harness.wait_until(lambda: harness.jobs)
@@ -60,7 +60,7 @@
         await harness.send_job(client, "once", "a2")
         with suppress(trio.BrokenResourceError):
             assert await client.read() is None
-        again = await harness.submit_job("once", "a2")  # as the protocol has clients do
+        again = await harness.submit_job("once", "a2")  # as the protocol requires of clients
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         await harness.send_callback("done", "again")
         assert (await harness.read_response(again)).body == b"again"
@@ -76,17 +76,17 @@
 
 
 class PersistentClient:
-    """Submits job after job on one connection for as long as that stays open, while a node shuts down."""
+    """Submits jobs in turn on one connection, while that stays open, to a node that shuts down."""
 
     def __init__(self, harness: NodeHarness, number: int, deadline_ms: float, began_at: float) -> None:
         self._harness = harness
         self._number = number
         self._timeout_ms = int(deadline_ms)
         self._began_at = began_at  # when the shutdown began
-        self.late_answers: list[float] = []  # seconds after SIGTERM, to what was submitted late
+        self.late_answers: list[float] = []  # in seconds after SIGTERM, to jobs submitted late
 
     async def submit_until(self, end_seconds: float) -> None:
-        """Submit jobs until so many seconds after SIGTERM, or until the node lets no client connect."""
+        """Submit jobs until `end_seconds` after SIGTERM, or until clients may reconnect no more."""
         connection = await self._harness.connect_client()
         for again in range(1000):
             submitted_at = self._seconds_since_sigterm()
@@ -117,7 +117,7 @@
 async def test_jobs_admitted_late_in_a_shutdown_are_answered_before_sigkill_may_come(
     deadline_ms: float,
 ) -> None:
-    # SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM; 3.7 s where that is longer.
+    # SIGKILL follows SIGTERM, at the earliest, after the longest deadline (3 s at most) and 0.7 s.
     killed_after_seconds = min(deadline_ms / 1000.0, MAX_COUNTED_DEADLINE_SECONDS) + SIGKILL_MARGIN_SECONDS
     async with open_node_harness(given_settings=settings_with_deadline(deadline_ms)) as harness:
         began_at = trio.current_time()
--- a/tests/integration/test_list_lease.py
+++ b/tests/integration/test_list_lease.py
@@ -1,7 +1,7 @@
 """The endpoint list over processes: until when a node may send on it without contact with discovery.
 
-In each scenario two of three executors are listed as gone while the node is not notified. From 6 s after that
-it counts as notified, so nothing may reach them.
+In most tests, discovery lists two of three executors as left while the node cannot be notified. From 6 s
+after that the node counts as notified, so nothing may reach them.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 async def kill_before_departures(cluster: LocalCluster) -> dict[str, Any]:
-    """Kill the node, then list two executors as gone; returns the list that the node had."""
+    """Kill the node, then list two executors as left; return the list that the node had."""
     node = cluster.nodes[0]
     old_list = cluster.discovery.full_list(node.name)
     await node.kill()
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("nodes", [4, LARGE_FLEET])
-async def test_a_new_process_sends_nothing_on_a_list_that_was_cached_before_executors_were_gone(
+async def test_a_new_process_sends_nothing_on_a_list_that_was_cached_before_executors_left(
     tmp_path: Path, nodes: int
 ) -> None:
     async with open_linked_cluster(tmp_path, Balancers=nodes) as cluster:
@@ -74,7 +74,7 @@
 
 
 async def test_a_process_that_was_stalled_sends_nothing_on_its_old_list(tmp_path: Path) -> None:
-    """It is stopped for 8 s and partitioned from discovery; jobs wait for it when it runs again."""
+    """It is stopped for 8 s and partitioned from discovery; its sockets hold jobs when it resumes."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         node = cluster.nodes[0]
@@ -99,7 +99,7 @@
 async def test_a_reset_that_ends_a_silence_is_no_sign_that_discovery_is_down(
     tmp_path: Path, nodes: int
 ) -> None:
-    """The partition ends before the node counts as notified, and the call that it held back is reset."""
+    """The partition ends before the node counts as notified, and the call that it delayed is reset."""
 
     async with open_linked_cluster(tmp_path, Balancers=nodes) as cluster:
         await send_jobs(cluster, SEARCH, "aa", 20)
@@ -110,7 +110,7 @@
         await trio.sleep(4.5)
         link.heal()
         await trio.sleep(0.02)
-        link.cut()  # the reset is all that the node receives
+        link.cut()  # the node receives nothing but the reset
         await trio.sleep((notified_ms + GRACE_MS - now_ms()) / 1000.0)
         await send_jobs(cluster, SEARCH, "bb", 60, 0.03)
         assert not late_attempts(cluster, notified_ms + GRACE_MS)
@@ -120,7 +120,7 @@
 async def test_the_list_stays_valid_while_discovery_rejects_calls_after_some_time(
     tmp_path: Path, delay_seconds: float
 ) -> None:
-    """Discovery does so while it is down, on the platform's large days; also from another zone."""
+    """Discovery does so while it is overloaded; with a delay, it is in another zone."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         link = cluster.discovery_link_of(cluster.nodes[0].name)
@@ -155,7 +155,7 @@
 async def test_a_process_that_starts_while_discovery_is_down_sends_nothing_before_its_return(
     tmp_path: Path,
 ) -> None:
-    """What was announced before the outage counts as notified; its list may be older than that."""
+    """Changes announced before the outage count as notified; the cached list may be older than these."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         old_list = await kill_before_departures(cluster)
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -1,4 +1,4 @@
-"""Real processes at the machine's limits: descriptors that run out, and many that start at once."""
+"""Real processes at the machine's limits: descriptors that run out, and many that start simultaneously."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @asynccontextmanager
 async def open_peers(*script: str, executor_count: int, max_seconds: float) -> AsyncIterator[NodeHarness]:
-    """Open the peers of node processes that the test starts, for at most so many seconds."""
+    """Open the peers of node processes that the test starts, for `max_seconds` at most."""
     with trio.fail_after(max_seconds):
         async with trio.open_nursery() as nursery:
             harness = NodeHarness(list(script), nursery)
@@ -71,7 +71,7 @@
 
 
 async def fill_descriptors(harness: NodeHarness, descriptors: int, hanging: int) -> IdleClients:
-    """Submit so many jobs to executors that hang, then connect twice as many idle clients as may be open."""
+    """Submit `hanging` jobs to executors that hang, then connect two idle clients for each descriptor."""
     for number in range(hanging):
         harness.open_clients.append(await harness.submit_job("once", f"h{number}", 5000))
     if hanging:
@@ -108,12 +108,12 @@
         node.command = ["/bin/sh", "-c", limited, sys.executable]
         try:
             await node.start(harness.nursery, SETTINGS_OBJECT, address, discovery.full_list("n0"))
-            discovery.is_down = True  # only now: a new process sends nothing before discovery's answer
+            discovery.is_down = True  # not earlier: a new process sends nothing before discovery has answered
             clients = await fill_descriptors(harness, descriptors, hanging)
             connecting = trio.CancelScope()
             harness.nursery.start_soon(clients.keep_connecting, connecting)
             await trio.sleep(0.5)
-            # Operators are answered.
+            # Admin calls are answered.
             assert (await send_http_request(node.admin_address, "GET", "/state")).status < 500
             await assert_drain_noticed(harness, discovery)
             # Clients are served, by the other endpoint, unless all connections that they may hold hang.
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("descriptors", [64, 80, 128, 200, 1024])
 async def test_the_connection_limits_fit_into_the_descriptors(descriptors: int) -> None:
-    # Operators' calls; standard streams, the event loop's own, two that listen, one being accepted.
+    # Admin calls; standard streams, the event loop's own, two listening sockets, one being accepted.
     other_descriptors = 12 + 12
     async with open_node_harness(sockets=descriptors) as harness:
         node = harness.components
@@ -171,10 +171,10 @@
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-@pytest.mark.parametrize("what", ["refuses", "is silent", "answers with no list", "never ends its answer"])
-async def test_a_node_becomes_ready_whatever_discovery_does(mode: str, what: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("fault", ["refuses", "is silent", "answers with no list", "never ends its answer"])
+async def test_a_node_becomes_ready_whatever_discovery_does(mode: str, fault: str, tmp_path: Path) -> None:
     async with open_peers(executor_count=1, max_seconds=40.0) as harness:
-        address = await FaultyDiscovery(what).start(harness)
+        address = await FaultyDiscovery(fault).start(harness)
         node = NodeProcess("n0", tmp_path)
         began_at = time.monotonic()
         try:
@@ -198,7 +198,7 @@
     return trio.current_time() - began_at
 
 
-async def test_nine_in_ten_of_thirty_nodes_started_at_once_are_ready_within_ten_seconds(
+async def test_nine_in_ten_of_thirty_nodes_started_simultaneously_are_ready_within_ten_seconds(
     tmp_path: Path,
 ) -> None:
     settings = {**SETTINGS_OBJECT, "Balancers": 30}
@@ -206,7 +206,7 @@
         discovery = DiscoveryService(harness.nursery)
         nodes = [NodeProcess(f"n{number}", tmp_path / f"n{number}") for number in range(30)]
         for number, node in enumerate(nodes):
-            # Each at an address of its own: of 60 ports of one that were free, some are soon another's.
+            # Each on its own host: of 60 ports of one host, other processes may take some before the start.
             host = f"127.0.9.{number + 1}"
             node.address, node.admin_address = (host, node.address[1]), (host, node.admin_address[1])
         discovery.set_entry("e0")
--- a/tests/integration/test_partitions.py
+++ b/tests/integration/test_partitions.py
@@ -26,13 +26,13 @@
 
 @pytest.mark.parametrize("health", ["left", "leaving"])
 @pytest.mark.parametrize(("cut_seconds", "drained_seconds"), [(1.2, 1.5), (0.2, 0.45)])
-async def test_a_request_that_a_partition_held_back_does_not_reach_an_executor_that_drains_by_then(
+async def test_a_request_delayed_by_a_partition_does_not_reach_an_executor_that_drains_meanwhile(
     tmp_path: Path, health: str, cut_seconds: float, drained_seconds: float
 ) -> None:
     """The attempts were cancelled before the drain, or still wait for their 202 when it is announced."""
 
     async with open_linked_cluster(tmp_path) as cluster:
-        # Some connections to each executor are idle then; only those take requests while a link is cut.
+        # Some connections to each executor are idle now: requests are written only to those during the cut.
         await send_jobs(cluster, SEARCH, "aa", 60)
         await trio.sleep(0.2)
         links = [link for name in LEAVING for link in cluster.links_to(name)]
@@ -42,8 +42,8 @@
             nursery.start_soon(send_jobs, cluster, SEARCH, "bb", 60)
             nursery.start_soon(send_jobs, cluster, CONFIRM, "cc", 60)
             await trio.sleep(cut_seconds)
-            held = sum(link.delayed_connections for link in links)
-            assert held > 0, "the partition held nothing back: the test proves nothing"
+            delayed_count = sum(link.delayed_connections for link in links)
+            assert delayed_count > 0, "the partition delayed no connection: the test proves nothing"
             for name in LEAVING:
                 cluster.discovery.set_entry(name, health=health)
             notified_ms = now_ms()
@@ -52,4 +52,6 @@
                 link.heal()
         await trio.sleep(0.5)
         late = late_attempts(cluster, notified_ms + DRAIN_GRACE_MS + GRACE_ALLOWANCE_MS)
-        assert not late, f"{len(late)} of {held} attempts arrived after the node was notified of the drain"
+        assert not late, (
+            f"{len(late)} of {delayed_count} attempts arrived after the node was notified of the drain"
+        )
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself: started as in service, spoken to over sockets, stopped by a signal."""
+"""The program as a process: started as in production, called over sockets, stopped by a signal."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def readiness_status(harness: NodeHarness) -> int:
-    """The status of /health/ready, once the node listens."""
+    """Return the status of /health/ready, once the node listens."""
     clients: list[HttpStream] = []
 
     async def connect() -> bool:
--- a/tests/integration/test_signals.py
+++ b/tests/integration/test_signals.py
@@ -1,7 +1,6 @@
-"""Signals in series, from a process's first moment to its last: none ends it other than as it should.
+"""Repeated signals, from the start of a process to its exit: none ends it without an orderly shutdown.
 
-Seen in randomized runs: nodes that were told to read their configuration again while they started had ended
-with SIGHUP, whose default that is until a handler is there.
+The default action of SIGHUP, until its handler is installed, is to end the process.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 def run_line() -> list[str]:
-    """The command by which the platform starts a node, with this interpreter."""
+    """Return the command by which the platform starts a node, with this interpreter."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return ["/bin/sh", "-c", line.replace(".venv/bin/python", sys.executable)]
 
@@ -35,9 +34,10 @@
 
 
 async def send_series(cluster: LocalCluster, series: list[signal.Signals]) -> None:
-    """Send the signals in turn, again and again, for as long as the process runs.
+    """Send the signals in turn, repeatedly, until the process has ended.
 
-    They begin once the command that starts it has had its first say: no program can help it before.
+    The first is sent once the start command has SIGHUP ignored or caught: nothing can prevent its default
+    action before that.
     """
     node = cluster.nodes[0]
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("series", [[signal.SIGHUP], [signal.SIGHUP, signal.SIGTERM, signal.SIGINT]])
-async def test_a_process_starts_and_ends_as_it_should_under_a_series_of_signals(
+async def test_a_process_starts_and_ends_with_status_0_under_repeated_signals(
     tmp_path: Path, series: list[signal.Signals]
 ) -> None:
     with trio.fail_after(60.0):
--- a/tests/integration/test_simultaneous_attempts.py
+++ b/tests/integration/test_simultaneous_attempts.py
@@ -1,6 +1,6 @@
 """At most one attempt of a job at a time, where the deployment does not allow hedging.
 
-Before its 202, an attempt that the node has cancelled may still run: the 202 may be on its way when the node
+Before its 202, an attempt that the node has cancelled may still run: the 202 may be in transit when the node
 closes the connection. So a cancelled attempt ends only once its executor has confirmed the cancellation, and
 the job is not retried before. The scenarios are the reasons for which a node cancels an attempt before its
 202, over a real node process and links: an attempt that is overdue, no response, an invalid response, and an
@@ -72,7 +72,7 @@
 
 
 async def delay_responses(cluster: LocalCluster) -> None:
-    """Let two of three executors accept at once, but delay their responses beyond the node's timeout."""
+    """Have two of three executors accept at once, but delay their responses beyond the node's timeout."""
     for name in LEAVING:
         for link in cluster.links_to(name):
             link.back.delay_seconds = 0.6
@@ -82,7 +82,7 @@
 
 
 async def corrupt_responses(cluster: LocalCluster) -> None:
-    """Let executors accept, but corrupt their responses."""
+    """Have executors accept, but corrupt their responses."""
     for link in cluster.executor_links():
         link.back.is_corrupted = True
     async with trio.open_nursery() as nursery:
@@ -93,7 +93,7 @@
 
 
 async def announce_drains(cluster: LocalCluster) -> None:
-    """Announce that two of three executors drain while their 202s are on their way."""
+    """Announce that two of three executors drain while their 202s are in transit."""
     for link in [*cluster.executor_links(), *cluster.callback_links()]:
         link.set_delay(0.2)
 
--- a/tests/integration/test_held_up.py
+++ b/tests/integration/test_stalls.py
@@ -1,4 +1,4 @@
-"""A process that was held up: what waits in its sockets when it runs again may be out of date."""
+"""A process that was stalled: the input in its sockets when it runs again may be out of date."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.job_classes import JOB_CLASSES, platform_settings
-from burlmoor.testbed.local_cluster import LocalCluster, new_request
-from tests.support.linked_cluster import SEARCH, run_with_links, send_jobs
+from burlmoor.testbed.local_cluster import new_request
+from tests.support.linked_cluster import SEARCH, open_linked_cluster, send_jobs
 from tests.support.polling import poll_until
 
 if TYPE_CHECKING:
     from burlmoor.testbed.node_process import NodeProcess
 
 CLIENTS = 12
-LEAVE_AFTER_MS = 50.0
+DISCONNECT_AFTER_MS = 50.0
 CROSSING_MS = 100.0  # within which a close may cross a request
 # On a busy machine a node rejects jobs that are close to their latency objective, before it has sent them.
 PATIENT_CLASSES = [each._replace(latency_objective_ms=5000.0) for each in JOB_CLASSES]
@@ -41,48 +41,46 @@
     await poll_until(is_stopped)
 
 
-@pytest.mark.parametrize("held_up_seconds", [0.3, 2.0])
-@pytest.mark.parametrize("do_clients_leave", [False, True])
-def test_no_attempt_begins_for_clients_that_left_while_the_process_was_held_up(
-    tmp_path: Path, held_up_seconds: float, do_clients_leave: bool
+@pytest.mark.parametrize("stall_seconds", [0.3, 2.0])
+@pytest.mark.parametrize("do_clients_disconnect", [False, True])
+async def test_no_attempt_begins_for_clients_that_disconnected_while_the_process_was_stalled(
+    tmp_path: Path, stall_seconds: float, do_clients_disconnect: bool
 ) -> None:
-    async def hold_up(cluster: LocalCluster) -> None:
+    classes = platform_settings(PATIENT_CLASSES)["RequestClasses"]
+    async with open_linked_cluster(tmp_path, RequestClasses=classes) as cluster:
         node = cluster.nodes[0]
         await send_jobs(cluster, SEARCH, "aa", 20)
         await stop_process(node)
-        left_ms = now_ms() + LEAVE_AFTER_MS
+        disconnect_ms = now_ms() + DISCONNECT_AFTER_MS
         async with trio.open_nursery() as nursery:
             for number in range(CLIENTS):
                 request = new_request(f"bb{number}", SEARCH, 20.0)
-                request.disconnected_ms = left_ms if do_clients_leave else None
+                request.disconnected_ms = disconnect_ms if do_clients_disconnect else None
                 nursery.start_soon(cluster.clients[0].send, request)
-            await trio.sleep(held_up_seconds)
+            await trio.sleep(stall_seconds)
             node.send_signal(signal.SIGCONT)
         await trio.sleep(1.0)
         sent = {each.id for each in cluster.event_record.attempts if each.id.startswith("bb")}
-        # Without the other case, this one would also hold for a node that sends nothing at all.
-        assert len(sent) == (0 if do_clients_leave else CLIENTS)
-
-    classes = platform_settings(PATIENT_CLASSES)["RequestClasses"]
-    run_with_links(tmp_path, hold_up, RequestClasses=classes)
+        # The case in which clients stay shows that the node does send such jobs.
+        assert len(sent) == (0 if do_clients_disconnect else CLIENTS)
 
 
-@pytest.mark.parametrize("held_up_seconds", [1.5, 3.0])
-def test_a_process_that_was_held_up_across_sigterm_ends_before_it_may_be_killed(
-    tmp_path: Path, held_up_seconds: float
+@pytest.mark.parametrize("stall_seconds", [1.5, 3.0])
+async def test_a_process_that_was_stalled_across_sigterm_ends_before_it_may_be_killed(
+    tmp_path: Path, stall_seconds: float
 ) -> None:
-    """The platform counts from the signal, whenever the process comes to read it."""
+    """The platform counts from the signal, however late the process reads it."""
 
-    async def hold_up(cluster: LocalCluster) -> None:
+    async with open_linked_cluster(tmp_path) as cluster:
         node = cluster.nodes[0]
         await send_jobs(cluster, SEARCH, "aa", 20)
         await stop_process(node)
         node.send_signal(signal.SIGTERM)
         terminated_ms = now_ms()
         async with trio.open_nursery() as nursery:
-            await trio.sleep(held_up_seconds)
+            await trio.sleep(stall_seconds)
             node.send_signal(signal.SIGCONT)
-            # Clients use their connections for as long as these stay open.
+            # Clients use their connections until the node closes them.
             nursery.start_soon(send_jobs, cluster, SEARCH, "bb", 80)
             assert node.process is not None
             assert await node.process.wait() == 0
@@ -90,9 +88,7 @@
         assert ended_ms - terminated_ms < KILL_AFTER_MS
         requests = cluster.event_record.requests.values()
         unanswered = [each for each in requests if each.answered_ms is None and not each.is_unsent]
-        # Written as the process closed its idle connections, and so not read: its client goes elsewhere.
+        # Written while the process closed its idle connections, so never read: its client retries.
         for each in unanswered:
             assert isinstance(each.closed_ms, float)
             assert each.closed_ms < each.sent_ms + CROSSING_MS
-
-    run_with_links(tmp_path, hold_up)
--- a/tests/integration/test_upstream_connections.py
+++ b/tests/integration/test_upstream_connections.py
@@ -50,7 +50,7 @@
 async def test_a_cancellation_is_sent_again_after_a_stale_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The peer closes an idle connection while the DELETE is on its way, which the check before cannot see.
+    # The peer closes an idle connection while the DELETE is in transit, which the check before cannot detect.
     monkeypatch.setattr("burlmoor.transport.stream.SocketStream.is_idle_open", lambda _self: True)
 
     async with open_node_harness() as harness:
--- a/tests/lifecycle/test_connection_limits.py
+++ b/tests/lifecycle/test_connection_limits.py
@@ -21,7 +21,7 @@
     assert divide_sockets(max_sockets) == budget
 
 
-async def test_a_process_leaves_out_what_the_other_has_open_but_keeps_a_minimum() -> None:
+async def test_connections_of_the_other_process_lower_the_limits_to_a_minimum() -> None:
     async with open_node_harness() as harness:
         connections, pool = harness.components.server.connections, harness.components.pool
         limits = SharedConnectionLimits(connections, pool)
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -21,15 +21,15 @@
 PATIENT_MS = 20_000  # a client's timeout that the start of a process does not exhaust
 
 
-async def assert_overrides_hold_at_both(old: ServiceProcess, new: ServiceProcess) -> None:
-    """What is set at either process holds at both; e0 was disabled before the handover."""
+async def assert_overrides_apply_at_both(old: ServiceProcess, new: ServiceProcess) -> None:
+    """Assert that an override at either process applies at both; e0 was disabled before the handover."""
     assert (await new.call("/executors/disable", "e1")).status == 200
     assert (await old.call("/executors/enable", "e1")).status == 200
     assert msgspec.json.decode((await new.call("/ready")).body)["out"] == ["e0"]
 
 
 async def assert_served(harness: NodeHarness, client: HttpStream, request_id: str) -> None:
-    """A job that is sent on an open connection is answered."""
+    """Assert that a job that is sent on an open connection is answered."""
     job_count = len(harness.jobs)
     await harness.send_job(client, "once", request_id)
     await harness.wait_until(lambda: len(harness.jobs) == job_count + 1)
@@ -56,9 +56,9 @@
         await new.wait_ready()
         assert await get_readiness_status(harness) == 200
         assert (await old.call("/ready")).status == 503
-        await assert_overrides_hold_at_both(old, new)
+        await assert_overrides_apply_at_both(old, new)
 
-        # The job is the old process's, its call-back comes to the new one.
+        # The job belongs to the old process; its call-back arrives at the new one.
         assert await harness.send_callback("started", job=1) == 204
         assert await harness.send_callback("done", "two", job=1) == 204
         answer = await harness.read_response(waiting)
@@ -97,7 +97,7 @@
         # This process is ready, and its predecessor may end; the node is still drained.
         await third.wait_ready()
         assert await get_readiness_status(harness) == 503
-        # The result comes to the third process, for a job of the first.
+        # The result arrives at the third process, for a job of the first.
         assert await harness.send_callback("done", "far") == 204
         assert (await harness.read_response(client)).body == b"far"
         assert (await third.call("/undrain")).status == 200
@@ -112,7 +112,7 @@
         await old.wait_ready()
         broken = await harness.start_process(RELAY_LISTEN="nowhere")
         assert await broken.process.wait() == 2
-        # One that is killed after it took over: the old process takes clients again.
+        # The new process is killed after it took over: the old one accepts clients again.
         killed = await harness.start_process()
         await killed.wait_ready()
         killed.process.kill()
--- a/tests/lifecycle/test_handover_codec.py
+++ b/tests/lifecycle/test_handover_codec.py
@@ -1,4 +1,4 @@
-"""Handover messages as datagrams: what is too long for one is fragmented and put together again."""
+"""Handover messages as datagrams: a message too long for one is fragmented and reassembled."""
 
 from __future__ import annotations
 
--- a/tests/lifecycle/test_handover_message_sizes.py
+++ b/tests/lifecycle/test_handover_message_sizes.py
@@ -15,6 +15,21 @@
 from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
 
 
+class Receiver:
+    """Records the messages of one end of the channel, until one says that the sender accepts clients."""
+
+    def __init__(self) -> None:
+        self.received: list[HandoverMessage] = []
+        self.is_complete = trio.Event()
+
+    def on_message(self, peer: HandoverChannel, message: HandoverMessage, sock: socket.socket | None) -> None:
+        self.received.append(message)
+        if isinstance(message, Accepting):
+            self.is_complete.set()
+
+    def on_channel_lost(self, peer: HandoverChannel) -> None: ...
+
+
 async def test_a_handover_message_may_be_far_longer_than_a_datagram() -> None:
     hosts = {
         "hosts": [
@@ -26,20 +41,6 @@
         Overrides(), msgspec.convert(hosts, DiscoveredList), StatisticsSnapshot(), ["a"], 1, 2
     )
 
-    class Receiver:
-        def __init__(self) -> None:
-            self.received: list[HandoverMessage] = []
-            self.is_complete = trio.Event()
-
-        def on_message(
-            self, peer: HandoverChannel, message: HandoverMessage, sock: socket.socket | None
-        ) -> None:
-            self.received.append(message)
-            if isinstance(message, Accepting):
-                self.is_complete.set()
-
-        def on_channel_lost(self, peer: HandoverChannel) -> None: ...
-
     async with trio.open_nursery() as nursery:
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         here, there = Receiver(), Receiver()
--- a/tests/policy/test_dispatch_rounds.py
+++ b/tests/policy/test_dispatch_rounds.py
@@ -29,11 +29,11 @@
 
 def test_a_higher_priority_weight_is_dispatched_first() -> None:
     driver = DispatcherDriver(settings(classes=(LOOKUP, GOLD)), entries(1))
-    held = fill_endpoint(driver)
+    filling = fill_endpoint(driver)
     driver.request(1, "lookup")
     driver.request(2, "gold")
     driver.run(30.0)
-    driver.end_attempt(held, Outcome.SERVED)
+    driver.end_attempt(filling, Outcome.SERVED)
     driver.run(30.0)
     assert [send.id for send in driver.actions_of(StartAttempt)][1:] == [2, 1]
 
@@ -41,17 +41,17 @@
 def test_a_tenant_over_its_quota_loses_priority() -> None:
     tenants = (Tenant("loud", 0.5, 5.0), Tenant("calm", 0.5, 5.0))
     driver = DispatcherDriver(settings(tenants=tenants, over_quota_fraction=0.1), entries(1))
-    held = fill_endpoint(driver)
+    filling = fill_endpoint(driver)
     for job_id in range(60):
         driver.request(job_id, tenant="loud", timeout_ms=5000.0)
     driver.request(99, tenant="calm")
     job = driver.dispatcher._jobs.by_id[99]
     assert job.priority > driver.dispatcher._jobs.by_id[59].priority
     driver.run(30.0)
-    driver.end_attempt(held, Outcome.SERVED)
+    driver.end_attempt(filling, Outcome.SERVED)
     driver.run(30.0)
-    # What loud sent while it was within its quota may go first; what came beyond it may not.
-    assert all(send.id < 20 for send in driver.actions_of(StartAttempt) if send.id not in {99, held.id})
+    # Jobs that loud sent within its quota may be dispatched first; those beyond it may not.
+    assert all(send.id < 20 for send in driver.actions_of(StartAttempt) if send.id not in {99, filling.id})
 
 
 def test_waiting_raises_the_priority_past_a_higher_weight() -> None:
@@ -82,12 +82,12 @@
 
 def test_a_job_that_cannot_be_in_time_anywhere_is_rejected_before_its_objective() -> None:
     driver = DispatcherDriver(listed=entries(1))
-    held = fill_endpoint(driver)
+    filling = fill_endpoint(driver)
     driver.request(1, work_ms=300.0)
     driver.run(990.0)
     assert len(driver.actions_of(RejectJob, 1)) == 1
     assert not driver.actions_of(StartAttempt, 1)
-    assert held.id != 1
+    assert filling.id != 1
 
 
 def test_time_spent_on_earlier_attempts_shortens_the_objective() -> None:
@@ -111,7 +111,7 @@
 
 
 def test_the_queue_is_shed_before_all_of_it_is_late() -> None:
-    # Without this, the queue is so long that whatever leaves it is just too late to count.
+    # Without this, the queue is so long that each job leaves it just too late to count.
     driver = DispatcherDriver(listed=entries(1))
     fill_endpoint(driver)
     for job_id in range(40):
@@ -123,7 +123,7 @@
 @pytest.mark.parametrize("is_saturated", [False, True])
 def test_a_saturated_fleet_gets_only_jobs_well_in_time(*, is_saturated: bool) -> None:
     # Without this, late answers cost the most: other jobs wait for the slots that they take.
-    # The round comes after 7.5 to 22.5 ms: in time even then on an idle fleet, always too late on a full one.
+    # The round is after 7.5 to 22.5 ms: always in time on an idle fleet, always too late on a full one.
     tight = replace(LOOKUP, name="tight", latency_objective_ms=117.0, objective_stretch=0.0)
     driver = DispatcherDriver(settings(classes=(LOOKUP, tight)), entries(1, weight=8.0))
     for _ in range(10):  # the mean yield of the endpoint
@@ -151,7 +151,7 @@
 
 
 def test_a_wide_job_does_not_starve_behind_narrow_ones() -> None:
-    # Without this, wide jobs are rejected on fleets that have capacity, only never enough at once.
+    # Without this, wide jobs are rejected on fleets that have capacity, but never enough at one moment.
     patient = replace(GOLD, name="patient", latency_objective_ms=2000.0)
     driver = DispatcherDriver(settings(classes=(LOOKUP, patient)), entries(1))
     for job_id in range(16):
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -157,7 +157,7 @@
     assert {send.id for send in driver.actions_of(StartAttempt)} <= exploratory
 
 
-def test_a_slow_endpoint_is_not_used_while_a_fast_one_may_come_free_in_time() -> None:
+def test_a_slow_endpoint_is_not_used_while_a_fast_one_may_become_free_in_time() -> None:
     # Without this, slow endpoints with free slots get jobs that a fast one would finish in time.
     slow, fast = entries(1, kind="slow"), entries(2, kind="fast")[1:]
     tight = replace(LOOKUP, latency_objective_ms=400.0, objective_stretch=0.0)
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,4 +1,4 @@
-"""What many nodes do together to endpoints that they share."""
+"""The combined effect of many nodes on endpoints that they share."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_random_scripts.py
+++ b/tests/policy/test_random_scripts.py
@@ -72,20 +72,20 @@
             record.final_answers += 1
             record.is_over = True
             return
-        assert not record.is_over, "something after the end"
+        assert not record.is_over, "an action after the end"
         if isinstance(action, StartAttempt):
             self.check_attempt(now, record, action)
             return
         is_idempotent = record.job_class.idempotency is Idempotency.IDEMPOTENT
-        assert is_idempotent or not self.possibly_run(record), "rejected what may have run"
+        assert is_idempotent or not self.possibly_run(record), "rejected a job that may have run"
         record.final_answers += 1
         record.is_over = True
 
     def check_attempt(self, now: float, record: Record, action: StartAttempt) -> None:
-        """Raise AssertionError if the attempt breaks a rule; else record it."""
+        """Raise AssertionError if the attempt breaks a rule, otherwise record it."""
         possibly_run = self.possibly_run(record)
         idempotency = record.job_class.idempotency
-        assert action.endpoint in self.live, "sent to what is not live"
+        assert action.endpoint in self.live, "sent to an endpoint that is not live"
         assert now < record.deadline_at, "sent after the deadline"
         assert idempotency is not Idempotency.NON_IDEMPOTENT or not possibly_run, (
             "sent twice what is not idempotent"
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
-def test_a_hung_endpoint_never_costs_the_answer(job_class: str) -> None:
+def test_a_job_at_an_endpoint_that_hangs_is_answered_once(job_class: str) -> None:
     driver = DispatcherDriver(listed=entries(1))
     driver.request_and_place(7, job_class)
     driver.run(5020.0)
@@ -231,7 +231,7 @@
     assert count_final_answers(driver, 7) == 1
 
 
-# --- the drain rule: nothing new is sent to what is not live --------------------------------------
+# --- the drain rule: nothing new is sent to an endpoint that is not live ---------------------------
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
@@ -252,7 +252,7 @@
     assert {send.endpoint for send in driver.actions_of(StartAttempt)} == {"a0"}
 
 
-def test_an_endpoint_listed_twice_takes_its_last_state() -> None:
+def test_an_endpoint_listed_twice_has_its_last_state() -> None:
     twice = [entries(1)[0], entries(1)[0]._replace(state=EndpointState.DRAINING)]
     driver = DispatcherDriver(listed=twice)
     driver.request(7)
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hardest moments of the second deployment, simulated: the four rules hold throughout."""
+"""Simulations of the second deployment under its hardest conditions: the four rules are kept throughout."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
 USUAL_JOBS_PER_MS = 0.052
 
 
-def run_scenario(
+def run_simulation(
     schedule_events: Callable[[SimulatedCluster], None],
     spec: ClusterSpec = SPEC,
     jobs_per_ms: Callable[[float], float] = lambda _: USUAL_JOBS_PER_MS,
@@ -148,7 +148,7 @@
 
 def test_the_rules_hold_and_some_jobs_are_served_while_list_changes_arrive_late() -> None:
     late_list = replace(SPEC, list_delay_ms=(11_000.0, 11_001.0))
-    cluster = run_scenario(drain_most_executors, late_list)
+    cluster = run_simulation(drain_most_executors, late_list)
     assert audit(cluster) == []
     assert served_fraction(cluster) > 0.3
 
@@ -160,7 +160,7 @@
 def test_the_rules_hold_while_executors_are_replaced_or_drained_or_the_list_is_pushed_repeatedly(
     schedule_events: Callable[[SimulatedCluster], None], min_served_fraction: float
 ) -> None:
-    cluster = run_scenario(schedule_events)
+    cluster = run_simulation(schedule_events)
     assert audit(cluster) == []
     assert served_fraction(cluster) > min_served_fraction
 
@@ -173,7 +173,7 @@
         small = 0.33 * (5.6 if 5000.0 <= at < 24_000.0 else 1.0)
         return "small" if rng.random() < small / (small + 0.67) else "big"
 
-    cluster = run_scenario(drain_most_executors, jobs_per_ms=jobs_per_ms, choose_tenant=choose_tenant)
+    cluster = run_simulation(drain_most_executors, jobs_per_ms=jobs_per_ms, choose_tenant=choose_tenant)
     assert audit(cluster) == []
     records = cluster.client_records.values()
     big = [record for record in records if record.tenant == "big"]
@@ -188,6 +188,6 @@
     def jobs_per_ms(at: float) -> float:
         return capacity * 0.85 * (2.5 if 8000.0 <= at < 14_000.0 else 1.0)
 
-    cluster = run_scenario(lambda _: None, jobs_per_ms=jobs_per_ms)
+    cluster = run_simulation(lambda _: None, jobs_per_ms=jobs_per_ms)
     assert audit(cluster) == []
     assert served_fraction(cluster, since_ms=20_000.0) > 0.75
--- a/tests/support/admin_client.py
+++ b/tests/support/admin_client.py
@@ -18,26 +18,26 @@
 ) -> tuple[int, dict[str, Any]]:
     """Make one admin call; return the response's status and JSON body."""
     assert harness.components.admin_server is not None
-    wire = HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
+    connection = HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
     body = json.dumps({"name": name}).encode() if name else b""
-    await wire.write(f"{method} {path} HTTP/1.1", body, Host="node")
-    answer = await harness.read_response(wire)
-    assert await wire.read() is None
+    await connection.write(f"{method} {path} HTTP/1.1", body, Host="node")
+    answer = await harness.read_response(connection)
+    assert await connection.read() is None
     return answer.status, json.loads(answer.body)
 
 
 async def serve_job(harness: NodeHarness, ref: str, name: str = "once") -> str:
-    """Have one job served; return the executor that it went to."""
+    """Have one job served; return the name of its executor."""
     jobs = len(harness.jobs)
-    wire = await harness.submit_job(name, ref)
+    connection = await harness.submit_job(name, ref)
     await harness.wait_until(lambda: len(harness.jobs) > jobs)
     await harness.send_callback("done", "fine")
-    assert (await harness.read_response(wire)).status == 200
+    assert (await harness.read_response(connection)).status == 200
     return harness.jobs[-1][0]
 
 
 async def get_readiness_status(harness: NodeHarness) -> int:
     """Return the status of /health/ready."""
-    wire = await harness.connect_client()
-    await wire.write("GET /health/ready HTTP/1.1", Host="node")
-    return (await harness.read_response(wire)).status
+    connection = await harness.connect_client()
+    await connection.write("GET /health/ready HTTP/1.1", Host="node")
+    return (await harness.read_response(connection)).status
--- a/tests/support/deferral_harness.py
+++ b/tests/support/deferral_harness.py
@@ -18,7 +18,7 @@
 
 
 class DeferralHarness(EngineHarness):
-    """Unix time follows the harness's clock, `unix_offset_ms` off by as much as it was stepped."""
+    """Unix time follows the harness's clock; a test steps it by `unix_offset_ms`."""
 
     def __init__(self, max_connections: int = 100_000, **options: Any) -> None:
         super().__init__()
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -1,4 +1,4 @@
-"""Deferred jobs of a node on loopback sockets: submit them, and wait for what becomes of them."""
+"""Deferred jobs of a node on loopback sockets: submission, status, and waits for their states."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 async def submit_deferred(
-    harness: NodeHarness, request_id: str, *after: str, wire: HttpStream | None = None, **head: str
+    harness: NodeHarness, request_id: str, *after: str, connection: HttpStream | None = None, **head: str
 ) -> HttpStream:
-    """Submit a job that is to run after others."""
-    wire = wire or await harness.connect_client()
-    harness.open_clients.append(wire)
+    """Submit a job, to run after others if `after` names any; return its connection."""
+    connection = connection or await harness.connect_client()
+    harness.open_clients.append(connection)
     fields = {
         "Host": "svc",
         "Request_Id": request_id,
@@ -42,8 +42,8 @@
     }
     if after:
         fields["Run_After"] = ", ".join(after)
-    await wire.write(f"POST /{head.pop('name', 'once')}/0f HTTP/1.1", b"work", **fields)
-    return wire
+    await connection.write(f"POST /{head.pop('name', 'once')}/0f HTTP/1.1", b"work", **fields)
+    return connection
 
 
 async def wait_until_sent(harness: NodeHarness, *request_ids: str) -> None:
@@ -53,7 +53,7 @@
 
 
 async def fetch_status(harness: NodeHarness) -> dict[str, Any]:
-    """The admin server's status of the deferred jobs."""
+    """Return the status of the deferred jobs from the admin server."""
     assert harness.components.admin_server is not None
     answer = await send_http_request(harness.components.admin_server.address, "GET", "/waiting")
     assert answer.status == 200
@@ -62,12 +62,12 @@
 
 
 async def wait_until_status(harness: NodeHarness, is_reached: Callable[[dict[str, Any]], bool]) -> None:
-    """Wait until the status is as wanted."""
+    """Wait until the status fulfils the condition, 10 s at most."""
     with trio.fail_after(10.0):
         while not is_reached(await fetch_status(harness)):  # noqa: ASYNC110 - the status has no event
             await trio.sleep(0.02)
 
 
 async def wait_until_deferred(harness: NodeHarness, count: int) -> None:
-    """Wait until so many jobs are deferred."""
+    """Wait until `count` jobs are deferred."""
     await wait_until_status(harness, lambda status: status["waiting"] == count)
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -76,7 +76,7 @@
 
 
 class DispatcherDriver:
-    """Drives a dispatcher event by event and keeps all actions that it returns. Times are ms."""
+    """Drives a dispatcher event by event and records all actions that it returns. Times are ms."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
         return actions
 
     def run(self, duration: float) -> list[Action]:
-        """Let time pass, firing the timers as they come due; return the actions."""
+        """Let time pass, firing the timers as they become due; return the actions."""
         end = self.now + duration
         actions: list[Action] = []
         for _ in range(MAX_TIMERS):
--- a/tests/support/dispatcher_fleet.py
+++ b/tests/support/dispatcher_fleet.py
@@ -1,4 +1,4 @@
-"""Many dispatchers that share simulated endpoints, in virtual time: what is harmless at one adds up here."""
+"""Many dispatchers that share simulated endpoints, in virtual time: their loads add up."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class Fleet:
-    """Nodes, endpoints and a clock; jobs come by `request` and `generate_load`. Times are ms."""
+    """Nodes, endpoints and a clock; jobs are sent by `request` and `generate_load`. Times are ms."""
 
     def __init__(
         self,
@@ -132,7 +132,7 @@
         self.schedule(self.now, send_one)
 
     def run(self, until: float) -> None:
-        """Run what is scheduled up to a moment."""
+        """Run the scheduled actions up to a moment."""
         while self.scheduled and self.scheduled[0][0] <= until:
             self.now, _, action = heapq.heappop(self.scheduled)
             action()
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -1,4 +1,4 @@
-"""An engine with a fake clock, whose upstream and discovery are recorded calls."""
+"""An engine with a fake clock, whose calls to upstream and discovery are recorded."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RecordingResponder:
-    """A responder that keeps the answers that it is given."""
+    """A responder that records its answers."""
 
     def __init__(self) -> None:
         self.answers: list[FinalAnswer] = []
@@ -32,7 +32,7 @@
 
 
 class EngineHarness:
-    """An engine that knows four endpoints, its clock, and what it asks of upstream and discovery."""
+    """An engine that knows four endpoints, its clock, and its calls to upstream and discovery."""
 
     def __init__(self, **settings_changes: Any) -> None:
         self.now = 1000.0
--- a/tests/support/handover_harness.py
+++ b/tests/support/handover_harness.py
@@ -1,4 +1,4 @@
-"""Peers round one node whose processes hand over to each other."""
+"""Peers around one node whose processes hand over to each other."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class HandoverHarness(NodeHarness):
-    """Peers round one node whose processes share the socket that clients come to."""
+    """Peers around one node whose processes share the socket to which clients connect."""
 
     def __init__(self, nursery: trio.Nursery, shared_listener: socket.socket, folder: Path) -> None:
         super().__init__([], nursery)
--- a/tests/support/linked_cluster.py
+++ b/tests/support/linked_cluster.py
@@ -1,4 +1,4 @@
-"""A real node process with three executors behind links, and what is sent through it."""
+"""A real node process with three executors behind links, and jobs to send through it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from burlmoor.testbed.local_cluster import LocalCluster, executor_specs, local_cluster, new_request
 
 if TYPE_CHECKING:
-    from collections.abc import AsyncIterator, Awaitable, Callable
+    from collections.abc import AsyncIterator
     from pathlib import Path
 
 SEARCH, _, CONFIRM = JOB_CLASSES
-LEAVING = ("s-000", "s-001")  # of three executors: those that a scenario lets leave
+LEAVING = ("s-000", "s-001")  # those of the three executors that leave the list in a test
 
 
 @asynccontextmanager
@@ -26,22 +26,10 @@
             yield cluster
 
 
-def run_with_links(
-    folder: Path, scenario: Callable[[LocalCluster], Awaitable[None]], **settings: Any
-) -> None:
-    """Run a scenario on a real node process with three executors behind links."""
-
-    async def run() -> None:
-        async with open_linked_cluster(folder, **settings) as cluster:
-            await scenario(cluster)
-
-    trio.run(run)
-
-
 async def send_jobs(
     cluster: LocalCluster, job_class: JobClass, prefix: str, count: int, interval: float = 0.01
 ) -> None:
-    """Send jobs, so many seconds apart, and wait for all answers."""
+    """Send jobs `interval` seconds apart, and wait for all answers."""
     async with trio.open_nursery() as nursery:
         for number in range(count):
             request = new_request(f"{prefix}{number:03d}", job_class, 100.0)
@@ -50,7 +38,7 @@
 
 
 def announce_departures(cluster: LocalCluster) -> None:
-    """Let discovery list the executors as gone; they go on answering."""
+    """Have discovery list the executors in `LEAVING` as left; they continue to answer."""
     for name in LEAVING:
         cluster.discovery.set_entry(name, health="left")
 
@@ -62,6 +50,6 @@
 
 
 def count_served(cluster: LocalCluster, prefix: str) -> int:
-    """Count the served jobs whose ids begin so."""
+    """Count the served jobs whose ids start with `prefix`."""
     requests = cluster.event_record.requests.values()
     return sum(each.is_served for each in requests if each.id.startswith(prefix))
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets: executors, discovery and a client, round one in-process node."""
+"""Scripted peers on loopback sockets: executors, discovery and a client, around one in-process node."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.support.scripted_executor import ScriptedExecutor
 
 if TYPE_CHECKING:
-    from collections.abc import AsyncIterator, Awaitable, Callable
+    from collections.abc import AsyncIterator, Callable
 
     from burlmoor.lifecycle.components import NodeComponents
 
 _LISTEN_POLL_SECONDS = 0.01
-_SCENARIO_SECONDS = 20.0  # that the whole use of one harness may take
+_MAX_TEST_SECONDS = 20.0  # that the whole use of one harness may take
 
 
 class NodeHarness:
@@ -35,9 +35,9 @@
         self.executor_script = script
         self.nursery = nursery
         self.node: Node
-        self.address: tuple[str, int]  # where clients come to
+        self.address: tuple[str, int]  # to which clients connect
         self.has_node_ended = False  # by itself
-        # Clients, whose connections a scenario holds open without looking at them.
+        # Clients, whose connections a test keeps open without reading from them.
         self.open_clients: list[HttpStream] = []
         # Executors: by name their addresses, and what they have received.
         self.addresses: dict[str, str] = {}
@@ -47,7 +47,7 @@
         self.executor_connection_count = 0
         self.unanswered_connection_count = 0  # connections that the node closed without a response
         self.connection_for_second_response: HttpStream | None = None
-        # Discovery: the paths of its calls, and on which connection each came.
+        # Discovery: the paths of its calls, and the connection of each.
         self.discovery_paths: list[str] = []
         self.discovery_connections: list[HttpStream] = []
         self.closed_discovery_connections: list[HttpStream] = []  # closed by the node
@@ -61,7 +61,7 @@
         return self.node.components
 
     def notify(self) -> None:
-        """Let those that wait look again: a peer has seen something."""
+        """Wake the tasks that wait for a condition: a peer has observed an event."""
         self._changed.set()
         self._changed = trio.Event()
 
@@ -79,7 +79,7 @@
         assert (await self.read_response(connection)).status == 200
 
     async def listen(self, serve: Callable[[HttpStream], Any]) -> str:
-        """Serve connections at an address of its own, which is returned."""
+        """Serve connections at a new address; return the address."""
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
 
         async def handle(stream: trio.SocketStream) -> None:
@@ -91,11 +91,11 @@
         return f"{host}:{port}"
 
     async def start_executor(self, name: str) -> None:
-        """Start an executor that answers as the script says."""
+        """Start an executor that answers according to the script."""
         self.addresses[name] = await self.listen(ScriptedExecutor(self, name).serve)
 
     async def start_discovery(self) -> str:
-        """Start a discovery service whose watches the scenario answers; its address."""
+        """Start a discovery service whose watches the test answers; return its address."""
 
         async def serve(connection: HttpStream) -> None:
             while (message := await connection.read()) is not None:
@@ -113,7 +113,7 @@
         return await self.listen(serve)
 
     async def _answer_expired_watch(self, connection: HttpStream, number: int, path: str) -> None:
-        """Answer a watch when its wait is over, unless the scenario has answered it."""
+        """Answer a watch when its wait is over, unless the test has answered it."""
         _, _, wait = path.partition("&wait_ms=")
         if not wait:
             return
@@ -145,7 +145,7 @@
         await self.open_watches.pop().write("HTTP/1.1 200 OK", body)
 
     async def connect_client(self, receive_buffer: int = 0) -> HttpStream:
-        """Connect a client, once the node listens; its receive buffer is limited to so many bytes."""
+        """Connect a client, once the node listens; `receive_buffer` limits its receive buffer, in bytes."""
         with trio.fail_after(10.0):
             while True:
                 sock = trio.socket.socket()
@@ -162,7 +162,7 @@
     async def submit_job(
         self, job_class: str = "lookup", request_id: str = "a1", timeout_ms: int = 3000
     ) -> HttpStream:
-        """Submit a job on a connection of its own, which is returned."""
+        """Submit a job on a new connection; return the connection."""
         connection = await self.connect_client()
         await self.send_job(connection, job_class, request_id, timeout_ms)
         return connection
@@ -192,7 +192,7 @@
     async def send_callback(
         self, state: str, result: str = "", job: int = -1, pause: float = 0.0, **more: Any
     ) -> int:
-        """Send a call-back for one of the jobs received so far; the status of the response."""
+        """Send a call-back for one of the jobs received so far; return the status of the response."""
         name, message = self.jobs[job]
         event = {"id": message.headers["request-id"], "from": name, "state": state, "result": result, **more}
         return await self.send_callback_body(json.dumps(event).encode(), pause)
@@ -212,6 +212,19 @@
         return response
 
 
+class _LogRecorder:
+    """Appends the lines of an event log to a list, if there is one."""
+
+    def __init__(self, lines: list[str] | None) -> None:
+        self._lines = lines
+
+    def write(self, line: bytes) -> None:
+        if self._lines is not None:
+            self._lines.append(line.decode())
+
+    def flush(self) -> None: ...
+
+
 @asynccontextmanager
 async def open_node_harness(
     *script: str,
@@ -220,16 +233,8 @@
     given_settings: dict[str, Any] = SETTINGS_OBJECT,
     **more: Any,
 ) -> AsyncIterator[NodeHarness]:
-    """A node that knows two live executors, e0 and e1, which answer as `script` says; 20 s at most."""
-
-    class Sink:
-        def write(self, line: bytes) -> None:
-            if lines is not None:
-                lines.append(line.decode())
-
-        def flush(self) -> None: ...
-
-    with trio.fail_after(_SCENARIO_SECONDS):
+    """A node that knows two live executors, e0 and e1, which answer according to `script`; 20 s at most."""
+    with trio.fail_after(_MAX_TEST_SECONDS):
         async with trio.open_nursery() as nursery:
             harness = NodeHarness(list(script), nursery)
             for name in ("e0", "e1"):
@@ -241,9 +246,9 @@
             config = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, settings, **more)
 
             async def run(task_status: trio.TaskStatus[None]) -> None:
-                # A nursery of its own: a node that ends cancels its nursery, and must not end the scenario.
+                # A nursery of its own: a node that ends cancels its nursery, and must not end the test.
                 async with trio.open_nursery() as inner:
-                    harness.node = Node(config, inner, EventLog("n0", Sink()))  # type: ignore[arg-type]
+                    harness.node = Node(config, inner, EventLog("n0", _LogRecorder(lines)))  # type: ignore[arg-type]
                     harness.address = harness.components.server.address
                     harness.node.start()
                     task_status.started()
@@ -253,13 +258,3 @@
             await nursery.start(run)
             yield harness
             nursery.cancel_scope.cancel()
-
-
-def run_scenario(scenario: Callable[[NodeHarness], Awaitable[Any]], *script: str, **given: Any) -> Any:
-    """Run a scenario against a node, 20 s at most; what it returns."""
-
-    async def run() -> Any:
-        async with open_node_harness(*script, **given) as harness:
-            return await scenario(harness)
-
-    return trio.run(run)
--- a/tests/support/scripted_executor.py
+++ b/tests/support/scripted_executor.py
@@ -1,4 +1,4 @@
-"""An executor on a loopback socket that answers each job as a script says."""
+"""An executor on a loopback socket that answers each job according to a script."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     """Serves the connections of one executor; all executors of a harness share its script.
 
     The script has an act for each job: a key of `RESPONSES`, `hang` (no response), `reset` (close), `early`
-    (the result comes before the 202), `stray` (a second response once the next job has come) or `bytes:DATA`,
-    with `|end` to close after them.
+    (the result is sent before the 202), `stray` (a second response once the next job has arrived) or
+    `bytes:DATA`, with `|end` to close after them.
     """
 
     def __init__(self, harness: NodeHarness, name: str) -> None:
@@ -34,7 +34,7 @@
         self._name = name
 
     async def serve(self, connection: HttpStream) -> None:
-        """Answer what comes on one connection until either side ends it."""
+        """Answer the requests on one connection until either side closes it."""
         harness = self._harness
         harness.executor_connection_count += 1
         harness.executor_connections.append(connection)
@@ -51,7 +51,7 @@
         harness.notify()
 
     async def _on_job(self, connection: HttpStream, message: HttpMessage) -> bool:
-        """Answer a job as the script says; False where that ended the connection."""
+        """Answer a job according to the script; return False if that closed the connection."""
         harness = self._harness
         act = harness.executor_script.pop(0) if harness.executor_script else "take"
         harness.jobs.append((self._name, message))
--- a/tests/support/service_process.py
+++ b/tests/support/service_process.py
@@ -1,4 +1,4 @@
-"""Real processes of a node, started as in service."""
+"""Real processes of a node, started as in production."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         return streams[0]
 
     async def wait_ready(self) -> None:
-        """Wait until its admin server says that it serves."""
+        """Wait until its admin server reports that it is ready."""
 
         async def is_ready() -> bool:
             return (await self.call("/ready")).status == 200
@@ -63,7 +63,7 @@
         await poll_until(is_ready)
 
     async def stop(self) -> None:
-        """End it as the platform does; it has to exit with status 0."""
+        """Stop it as the platform does; it has to exit with status 0."""
         self.process.send_signal(signal.SIGTERM)
         with trio.fail_after(TIMEOUT_SECONDS):
             assert await self.process.wait() == 0
--- a/tests/test_layering.py
+++ b/tests/test_layering.py
@@ -39,7 +39,7 @@
 
 
 def imports(source: Path) -> Iterator[str]:
-    """The packages of this project that a module imports, wherever in it the import stands."""
+    """Yield the packages of this project that a module imports, also those imported within functions."""
     for node in ast.walk(ast.parse(source.read_text())):
         names: list[str] = []
         if isinstance(node, ast.ImportFrom) and node.module is not None:
@@ -53,7 +53,7 @@
 
 
 def layer_of(parts: Sequence[str]) -> str:
-    """The layer of a module, its path below `burlmoor` given: the subpackage if that is a layer by itself."""
+    """Return the layer of a module by its path below `burlmoor`: the subpackage where that is a layer."""
     subpackage = ".".join(parts[:2])
     return subpackage if subpackage in RANK else parts[0]
 
@@ -63,7 +63,7 @@
 
 
 def upward(source: Path) -> list[str]:
-    """The imports of a module that go upward, or sideways in a row of the table."""
+    """Return the imports of a module from other packages of its own layer or from higher layers."""
     package = package_of(source)
     return [name for name in imports(source) if name != package and RANK[name] <= RANK[package]]
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter as a subprocess, on the lines of the simulator's wire."""
+"""The simulator adapter as a subprocess, on lines of the simulator's protocol."""
 
 from __future__ import annotations
 
--- a/tests/testbed/fleet/recorded_runs.py
+++ b/tests/testbed/fleet/recorded_runs.py
@@ -1,4 +1,4 @@
-"""Records of runs made up so that their figures are known."""
+"""Synthetic records of runs, whose figures are known."""
 
 from __future__ import annotations
 
--- a/tests/testbed/fleet/test_datagram_faults.py
+++ b/tests/testbed/fleet/test_datagram_faults.py
@@ -1,4 +1,4 @@
-"""What link faults do to datagrams between nodes, and the switch that delivers these."""
+"""The effect of link faults on datagrams between nodes, and the switch that delivers these."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         FaultKind.LINK_REORDERING,
     ],
 )
-def test_each_fault_kind_affects_datagrams_as_it_says(kind: FaultKind) -> None:
+def test_each_fault_kind_affects_datagrams_as_specified(kind: FaultKind) -> None:
     delaying = (FaultKind.LINK_DELAY, FaultKind.LINK_REORDERING)
     magnitude = 40.0 if kind in delaying else 0.5
     faults = make_faults(LinkFault(kind, frozenset({1}), None, magnitude=magnitude))
--- a/tests/testbed/fleet/test_drills.py
+++ b/tests/testbed/fleet/test_drills.py
@@ -66,7 +66,7 @@
 
 
 def test_the_soak_fails_for_nodes_that_use_an_outdated_list(tmp_path: Path) -> None:
-    """One is isolated, killed, and started again with an old list as discovery goes down: late by 10 s."""
+    """One node is isolated, killed, and restarted with an old list as discovery fails: it is late by 10 s."""
     arguments = ["soak", "--nodes", "12", "--seconds", "30", "--seed", "32"]
     claims = run_drills(tmp_path, arguments, "old-list")
     assert all(claim.held for claim in claims["sound"].values())
@@ -76,7 +76,7 @@
 def test_the_soak_fails_for_nodes_that_do_not_await_the_confirmation_of_a_cancellation(
     tmp_path: Path,
 ) -> None:
-    """Two attempts at once are not allowed; links are slow, executors hang, floods use up descriptors."""
+    """Concurrent attempts are not allowed; links are slow, executors hang, floods use up descriptors."""
     arguments = ["soak", "--seconds", "20", "--seed", "8"]
     claims = run_drills(tmp_path, arguments, "unconfirmed-cancel")
     assert all(claim.held for claim in claims["sound"].values())
--- a/tests/testbed/test_mutations.py
+++ b/tests/testbed/test_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the node: what they replace exists, and a node with each of them starts and answers."""
+"""Mutations of the node: the attributes that they replace exist, and a node with each starts and answers."""
 
 from __future__ import annotations
 
--- a/tests/testbed/test_network_link.py
+++ b/tests/testbed/test_network_link.py
@@ -1,4 +1,4 @@
-"""Links between stand-ins: delays, corrupted bytes, and what a reset leaves of the bytes before it."""
+"""Links between stand-ins: delays, corrupted bytes, and which bytes before a reset arrive."""
 
 from __future__ import annotations
 
--- a/tests/upstream/test_cancellation.py
+++ b/tests/upstream/test_cancellation.py
@@ -18,8 +18,8 @@
     return {**SETTINGS_OBJECT, "Limits": {**SETTINGS_OBJECT["Limits"], **limits}}
 
 
-def let_cancels_fail(monkeypatch: pytest.MonkeyPatch, *failures: Exception | int) -> list[bool]:
-    """Let the first DELETE calls fail so, or return this status; returns whether each had to connect."""
+def make_cancel_calls_fail(monkeypatch: pytest.MonkeyPatch, *failures: Exception | int) -> list[bool]:
+    """Have the first DELETE calls raise or return these failures; return whether each had to connect."""
     remaining = list(failures)
     connected: list[bool] = []
     real_call = ConnectionPool.call
@@ -45,7 +45,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     failures = (BrokenResponseError("reset"), ConnectError("a", "refused"), 503)
-    connected = let_cancels_fail(monkeypatch, *failures)
+    connected = make_cancel_calls_fail(monkeypatch, *failures)
 
     async with open_node_harness("hang", "take", given_settings=settings_with(SecondCopies=False)) as harness:
         await harness.wait_ready()
@@ -59,7 +59,7 @@
 
 
 async def test_a_cancel_that_is_not_confirmed_ends_with_its_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    connected = let_cancels_fail(monkeypatch, *[ConnectError("a", "timed out")] * 100)
+    connected = make_cancel_calls_fail(monkeypatch, *[ConnectError("a", "timed out")] * 100)
 
     async with open_node_harness("hang", given_settings=settings_with(SecondCopies=False)) as harness:
         await harness.wait_ready()
@@ -74,7 +74,7 @@
 async def test_nothing_is_cancelled_at_endpoints_where_settings_bar_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    connected = let_cancels_fail(monkeypatch)
+    connected = make_cancel_calls_fail(monkeypatch)
 
     async with open_node_harness(
         "hang", given_settings=settings_with(SecondCopies=False, Cancel=False)
