--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import signal
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 import trio
@@ -37,6 +37,34 @@
     assert (await harness.read_response(client)).body == b"fine"
 
 
+class YoungConnections(NamedTuple):
+    """Connections that the old process has accepted, less than a second before the new one is ready."""
+
+    partial: HttpStream  # with part of a request
+    silent: HttpStream  # without any
+
+
+async def open_young_connections(harness: NodeHarness, new: ServiceProcess) -> YoungConnections:
+    """Wait until the new process is ready, and return the connections that were opened shortly before.
+
+    A request has 2.6 s to arrive; on a busy machine the start of a process takes longer.
+    """
+    opened: list[YoungConnections] = []
+
+    async def open_repeatedly() -> None:
+        while True:
+            partial, silent = await harness.connect_client(), await harness.connect_client()
+            await partial.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
+            opened.append(YoungConnections(partial, silent))
+            await trio.sleep(0.2)
+
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(open_repeatedly)
+        await new.wait_ready()
+        nursery.cancel_scope.cancel()
+    return opened[-2]  # the last ones may be the new process's
+
+
 async def test_a_new_process_takes_over_without_a_client_noticing(tmp_path: Path) -> None:
     async with open_handover_harness(tmp_path) as harness:
         old = await harness.start_process()
@@ -47,13 +75,10 @@
         assert (await harness.read_response(used)).body == b"one"
         waiting = await harness.submit_job("once", "a2", PATIENT_MS)
         await harness.wait_until(lambda: len(harness.jobs) == 2)
-        partial = await harness.connect_client()
-        await partial.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
-        silent = await harness.connect_client()
         assert (await old.call("/executors/disable", "e0")).status == 200
 
         new = await harness.start_process()
-        await new.wait_ready()
+        partial, silent = await open_young_connections(harness, new)
         assert await get_readiness_status(harness) == 200
         assert (await old.call("/ready")).status == 503
         await assert_overrides_apply_at_both(old, new)
