--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -15,7 +15,7 @@
 
 from burlmoor.errors import BurlmoorError
 from burlmoor.testbed.http_stream import HttpMessage, connect
-from burlmoor.testbed.ports import find_free_port
+from burlmoor.testbed.ports import reserve_free_port
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -67,8 +67,8 @@
     ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self.name = name
-        self.address = ("127.0.0.1", find_free_port())
-        self.admin_address = ("127.0.0.1", find_free_port())
+        self.address = ("127.0.0.1", reserve_free_port())
+        self.admin_address = ("127.0.0.1", reserve_free_port())
         self.process: trio.Process | None = None
         self.log: list[dict[str, Any]] = []
         self.environment: dict[str, str] = {}
--- a/burlmoor/testbed/ports.py
+++ b/burlmoor/testbed/ports.py
@@ -1,10 +1,14 @@
-"""Ports of 127.0.0.1 for servers whose port is chosen before it is bound, or bound again after a failure."""
+"""Ports of 127.0.0.1 for servers whose port is chosen before it is bound, or bound again after a failure.
+
+They are below those that the kernel gives to connections: a connection could otherwise get the port of a
+server that does not listen yet, or not at the moment.
+"""
 
 from __future__ import annotations
 
 import os
 import socket
-from contextlib import suppress
+from collections import deque
 from itertools import cycle
 from typing import TYPE_CHECKING
 
@@ -21,26 +25,38 @@
 _next_ports: Iterator[int] = cycle([*_PORTS[_FIRST_INDEX:], *_PORTS[:_FIRST_INDEX]])
 
 
-def find_free_port() -> int:
-    """Return a port that is not in use now, and that the kernel gives to no connection.
+# The latest ports stay reserved, for longer than a process takes from its start until it listens.
+_MAX_RESERVED_PORTS = 64
+_reserved_sockets: deque[socket.socket] = deque()
+
+
+def reserve_free_port() -> int:
+    """Return a port that is not in use, for a server that sets `SO_REUSEADDR`.
 
-    Otherwise a connection from this address could get the port while no server listens there.
+    No other process that looks for a port here gets it meanwhile, and the kernel gives it to no connection.
     """
-    while True:
-        port = next(_next_ports)
-        with suppress(OSError), socket.socket() as sock:
-            sock.bind(("127.0.0.1", port))
-            return port
+    sock = _bind_free_port()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    _reserved_sockets.append(sock)
+    if len(_reserved_sockets) > _MAX_RESERVED_PORTS:
+        _reserved_sockets.popleft().close()
+    return int(sock.getsockname()[1])
 
 
 def listen_at_free_port(backlog: int) -> socket.socket:
-    """Return a socket that listens at a port as `find_free_port` returns it."""
+    """Return a socket that listens at a port that was not in use."""
+    sock = _bind_free_port()
+    sock.listen(backlog)
+    return sock
+
+
+def _bind_free_port() -> socket.socket:
+    """Return a socket that alone is bound to its port."""
     while True:
         sock = socket.socket()
         try:
-            sock.bind(("127.0.0.1", find_free_port()))
-            sock.listen(backlog)
+            sock.bind(("127.0.0.1", next(_next_ports)))
         except OSError:
-            sock.close()  # another process has just taken the port
+            sock.close()
         else:
             return sock
--- a/tests/support/handover_harness.py
+++ b/tests/support/handover_harness.py
@@ -4,7 +4,6 @@
 
 import os
 import socket
-import subprocess
 import sys
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING
@@ -45,22 +44,24 @@
         """Start a process of the node, with these changes to its environment."""
         admin_address = find_free_address()
         descriptor = self.shared_listener.fileno()
-        process = await trio.lowlevel.open_process(
-            [sys.executable, "-m", "burlmoor"],
-            env={
-                **os.environ,
-                **self.environment,
-                "TMPDIR": str(self.folder),
-                "RELAY_CONTROL": admin_address,
-                "RELAY_PASSED_SOCKET": str(descriptor),
-                **environment,
-            },
-            cwd=str(ROOT),
-            pass_fds=[descriptor],
-            stderr=subprocess.DEVNULL,
-        )
+        log_path = self.folder.parent / f"process-{len(self.processes)}.log"
+        with log_path.open("wb") as log:
+            process = await trio.lowlevel.open_process(
+                [sys.executable, "-m", "burlmoor"],
+                env={
+                    **os.environ,
+                    **self.environment,
+                    "TMPDIR": str(self.folder),
+                    "RELAY_CONTROL": admin_address,
+                    "RELAY_PASSED_SOCKET": str(descriptor),
+                    **environment,
+                },
+                cwd=str(ROOT),
+                pass_fds=[descriptor],
+                stderr=log,
+            )
         self.processes.append(process)
-        return ServiceProcess(process, admin_address)
+        return ServiceProcess(process, admin_address, log_path)
 
 
 @asynccontextmanager
--- a/tests/support/service_process.py
+++ b/tests/support/service_process.py
@@ -9,7 +9,7 @@
 import trio
 
 from burlmoor.testbed.http_stream import HttpMessage, HttpStream
-from burlmoor.testbed.ports import find_free_port
+from burlmoor.testbed.ports import reserve_free_port
 from tests.support.polling import TIMEOUT_SECONDS, poll_until
 
 ROOT = Path(__file__).parents[2]
@@ -17,15 +17,16 @@
 
 def find_free_address() -> str:
     """An address of this host at which nothing listens, as `host:port`."""
-    return f"127.0.0.1:{find_free_port()}"
+    return f"127.0.0.1:{reserve_free_port()}"
 
 
 class ServiceProcess:
     """One real process of a node, and its admin address."""
 
-    def __init__(self, process: trio.Process, admin_address: str) -> None:
+    def __init__(self, process: trio.Process, admin_address: str, log_path: Path) -> None:
         self.process = process
         self.admin_address = admin_address
+        self._log_path = log_path
 
     async def call(self, path: str, name: str = "") -> HttpMessage:
         """Make one admin call, once the process listens."""
@@ -43,6 +44,7 @@
         streams: list[trio.SocketStream] = []
 
         async def connect() -> bool:
+            assert self.process.returncode is None, self._log_path.read_text()
             try:
                 streams.append(await trio.open_tcp_stream(host, int(port)))
             except OSError:
