--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -1,4 +1,4 @@
-"""Runs attempts: each has a task that sends its request and waits for the endpoint's response."""
+"""Runs attempts: each has a task that sends its request and waits for the 202 or another response."""
 
 from __future__ import annotations
 
--- a/burlmoor/upstream/in_flight.py
+++ b/burlmoor/upstream/in_flight.py
@@ -1,4 +1,4 @@
-"""Tracks the attempts whose endpoint has not responded yet."""
+"""Tracks the attempts that wait for their 202."""
 
 from __future__ import annotations
 
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -190,7 +190,7 @@
         """Close the idle connections that have reached the idle limit or were closed by their peer."""
         expired_since = trio.current_time() - self.idle_limit_seconds
         for address, idle in list(self._idle.items()):
-            remaining = [each for each in idle if not _close_if_unusable(each, expired_since)]
+            remaining = [entry for entry in idle if not _close_if_unusable(entry, expired_since)]
             if remaining:
                 self._idle[address] = remaining
             else:
--- a/burlmoor/upstream/withdrawal.py
+++ b/burlmoor/upstream/withdrawal.py
@@ -1,4 +1,4 @@
-"""Withdraws the unaccepted attempts at endpoints that are no longer live."""
+"""Withdraws the attempts that wait for their 202 at endpoints that are no longer live."""
 
 from __future__ import annotations
 
