--- a/burlmoor/engine/action_executor.py
+++ b/burlmoor/engine/action_executor.py
@@ -35,7 +35,7 @@
 
 
 class ActionExecutor:
-    """Passes each action to the component that carries it out."""
+    """Dispatches each action to the component that carries it out."""
 
     def __init__(
         self,
@@ -56,12 +56,12 @@
         self._log = log
 
     def execute_all(self, actions: Sequence[Action], now: float) -> None:
-        """Carry out the actions in their order; one that fails is logged."""
+        """Carry out the actions in order; log an action that raises, and continue with the next."""
         for action in actions:
             try:
                 self._execute(action, now)
             except Exception as error:  # noqa: BLE001
-                # Without this, an error in one action would end the node or prevent the other actions.
+                # An error in one action must neither end the node nor prevent the other actions.
                 self._log(ActionFailed(action=repr(action), error=repr(error)))
 
     def _execute(self, action: Action, now: float) -> None:
@@ -98,4 +98,4 @@
         if isinstance(answer, Rejected) and job.is_non_idempotent and job.may_have_run():
             answer = Failed()
         self._lifecycle.answer(job, answer, reason)
-        self._jobs.forget_if_done(job)
+        self._jobs.remove_if_done(job)
--- a/burlmoor/engine/answers.py
+++ b/burlmoor/engine/answers.py
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The job is rejected: it has not run or may run again, so that a retry is harmless."""
+    """The job is rejected; it has not run or may run again, so the client may retry it."""
 
-    retry_after_ms: float = 0.0  # value for Retry-After; 0: none
+    retry_after_ms: float = 0.0  # sent as Retry-After; 0: no such header
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The job has failed and may have run."""
+    """The job has failed; it may have run."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 
 class Responder(Protocol):
-    """The downstream side of one job."""
+    """Sends the final answer of one job to its client."""
 
     def respond(self, answer: FinalAnswer) -> None:
-        """Send the client its one final answer."""
+        """Send the final answer; called at most once."""
--- a/burlmoor/engine/attempt_controller.py
+++ b/burlmoor/engine/attempt_controller.py
@@ -1,4 +1,4 @@
-"""Starts, cancels and times out the attempts of jobs; their transitions are made in `job_lifecycle`."""
+"""Starts, cancels and times out attempts; `job_lifecycle` makes their state transitions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AttemptController:
-    """Starts, cancels and expires attempts through upstream."""
+    """Starts attempts, and cancels them at the policy's request or at their deadlines."""
 
     def __init__(
         self,
@@ -39,7 +39,10 @@
         self._job_log = job_log
 
     def start(self, action: StartAttempt, now: float) -> None:
-        """Start an attempt at the policy's request; end it as unsent if it may not be started."""
+        """Start an attempt at the policy's request.
+
+        One that the guard refuses ends at once as unsent, and one past its deadline as timed out.
+        """
         job = self._jobs.find_by_number(action.id)
         if job is None:
             return
@@ -69,9 +72,9 @@
             self._upstream.cancel_attempt(attempt)
 
     def expire(self, now: float) -> list[Job]:
-        """Time out expired attempts, and all attempts of expired jobs.
+        """Time out expired attempts, and all open attempts of expired jobs.
 
-        Returns the jobs that were open at their deadline.
+        Returns the expired jobs that still need a final answer.
         """
         expired_jobs: list[Job] = []
         while (item := self._deadlines.pop_expired(now)) is not None:
--- a/burlmoor/engine/attempt_guard.py
+++ b/burlmoor/engine/attempt_guard.py
@@ -1,4 +1,4 @@
-"""The guard that decides whether an attempt may be started: first attempts, retries and hedged requests.
+"""Decides whether an attempt may be started, be it the first, a retry or a hedged request.
 
 The check immediately before the first byte is in `upstream/send_precondition.py`.
 """
@@ -15,7 +15,7 @@
 
 
 class AttemptGuard:
-    """Refuses attempts that would break a rule, whatever the policy requests."""
+    """Refuses attempts that would break a safety rule, even if the policy requests them."""
 
     def __init__(self, limits: Limits, invariants: InvariantMonitor) -> None:
         self._max_attempts = limits.max_attempts
@@ -26,7 +26,7 @@
         """Return whether a new attempt of the job may be started now."""
         if job.is_closed or now >= job.deadline or attempt.number >= self._max_attempts:
             return False
-        # A call-back identifies its attempt by request and endpoint, so a job has one attempt per endpoint.
+        # A call-back identifies its attempt by request id and endpoint: one attempt of a job per endpoint.
         if any(earlier.endpoint == attempt.endpoint for earlier in job.attempts):
             return False
         if job.is_non_idempotent and job.may_have_run():
@@ -38,7 +38,7 @@
         return True
 
     def _record_violation(self, invariant: Invariant, attempt: Attempt) -> None:
-        """Record a request that the policy must not make (`policy/safety.py`)."""
+        """Record a violation: `policy/safety.py` should have prevented this attempt."""
         self._invariants.record_violation(
             invariant, job_id=attempt.job.id, endpoint=attempt.endpoint, attempt=attempt.number
         )
--- a/burlmoor/engine/core.py
+++ b/burlmoor/engine/core.py
@@ -1,4 +1,4 @@
-"""The components of the engine to which upstream and discovery report; they depend on neither."""
+"""The components of the engine that need neither upstream nor discovery, but receive their reports."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 class EngineCore:
-    """Builds the components that own the engine's state; upstream and discovery report to these.
+    """Builds the components that hold the engine's state and receive the reports of upstream and discovery.
 
-    `clock` gives ms; `wake` is called when `Engine.next_due` may return an earlier time than before.
+    `clock` returns ms; `wake` is called when `Engine.next_due` may return an earlier time than before.
     """
 
     def __init__(
--- a/burlmoor/engine/deadlines.py
+++ b/burlmoor/engine/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadlines of jobs and attempts."""
+"""Computes the deadlines of jobs, and queues those of jobs and attempts until they expire."""
 
 from __future__ import annotations
 
@@ -15,9 +15,8 @@
 class DeadlineQueue:
     """Computes deadlines, and returns jobs and attempts whose deadlines have passed.
 
-    Times are in ms on the engine's clock.
-
-    Entries with the same deadline are returned in the order in which they were scheduled.
+    Times are in ms on the engine's clock. Entries with the same deadline are returned in the order in which
+    they were scheduled.
     """
 
     def __init__(self, classes: tuple[JobClass, ...]) -> None:
@@ -27,7 +26,7 @@
         self._last_entry_number = 0
 
     def class_deadline_ms(self, request: JobRequest) -> float:
-        """Return the longest time that the policy may have a request of this class open, in ms."""
+        """Return the longest time for which the policy may hold a job of this class, in ms."""
         return self._class_deadlines_ms.get(request.job_class, math.inf)
 
     def deadline_after(self, now: float, timeout_ms: float) -> float:
--- a/burlmoor/engine/deferral.py
+++ b/burlmoor/engine/deferral.py
@@ -14,7 +14,7 @@
 
 
 class InvalidConditionError(BurlmoorError, ValueError):
-    """A client's run conditions are invalid."""
+    """A request header with run conditions is invalid."""
 
     def __init__(self, header: str, problem: str) -> None:
         super().__init__(f"{header} {problem}")
@@ -23,18 +23,18 @@
 
 
 class RunConditions(NamedTuple):
-    """The conditions for which a deferred job waits."""
+    """The conditions that must be met before a deferred job runs."""
 
-    after: tuple[str, ...]  # ids of the jobs that have to be served first
+    after: tuple[str, ...]  # request ids of the jobs that have to be served first
     not_before_unix_ms: float  # 0: no such condition
     size_bytes: int  # of the request body, which remains in memory while the job is deferred
 
 
 class ReleasedJob(NamedTuple):
-    """A deferred job that may run now."""
+    """A deferred job that may run now, by its request id."""
 
     id: str
-    credit: float  # from 0 to 1: added priority for the time for which it was deferred
+    credit: float  # from 0 to 1: additional priority for the time for which the job was deferred
 
 
 class EndedJob(NamedTuple):
@@ -47,7 +47,7 @@
 class JobDeferral(Protocol):
     """A queue of deferred jobs.
 
-    It is notified of every job, deferred or not. Only `step` decides which of the deferred jobs to release or
+    It is notified of every job, deferred or not, and decides only in `step` which deferred jobs to release or
     to end. Times are in ms on the engine's clock.
     """
 
@@ -56,10 +56,10 @@
         """The longest time for which a job may be deferred."""
 
     def on_job_opened(self, request_id: str) -> None:
-        """Note that the node has admitted a job."""
+        """Record that the node has admitted a job."""
 
     def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
-        """Note that a job has ended with this answer; None if its client has disconnected."""
+        """Record that a job has ended with this answer; None if its client has disconnected."""
 
     def defer(
         self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
--- a/burlmoor/engine/deferral_controller.py
+++ b/burlmoor/engine/deferral_controller.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of the deferred-job queue: jobs are released to the policy, or answered."""
+"""Carries out the decisions of the deferred-job queue: releases jobs to the policy, or answers them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class DeferralController:
-    """Steps the deferred-job queue, where one is enabled. `clock` gives ms."""
+    """Steps the deferred-job queue, if one is enabled, and applies its decisions. `clock` returns ms."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
             for decision in queue.step(now, self._releasable_slots):
                 self._apply(decision, now)
         except Exception as error:  # noqa: BLE001
-            # Without this, an error in the queue would end the node, and the deferred jobs would get no
-            # answer. They are rejected, and no job is deferred from now on.
+            # An error in the queue must not end the node or leave deferred jobs unanswered: reject them, and
+            # defer no further jobs.
             self._log(DeferredQueueFailed(error=repr(error)))
             self._deferral.disable()
             self._reject_deferred_jobs()
@@ -69,7 +69,7 @@
         deferred = [job for job in self._jobs if job.deferred_request is not None and not job.is_closed]
         for job in deferred:
             self._lifecycle.answer(job, Rejected(), EndReason.RUN_CONDITIONS)
-            self._jobs.forget_if_done(job)
+            self._jobs.remove_if_done(job)
 
     def _apply(self, decision: ReleasedJob | EndedJob, now: float) -> None:
         job = self._jobs.find_by_id(decision.id)
@@ -77,16 +77,16 @@
             return
         if isinstance(decision, EndedJob):
             self._lifecycle.answer(job, decision.answer, EndReason.RUN_CONDITIONS)
-            self._jobs.forget_if_done(job)
+            self._jobs.remove_if_done(job)
         else:
             self._release(job, job.deferred_request, decision.credit, now)
 
     def _release(self, job: Job, request: JobRequest, credit: float, now: float) -> None:
         """Hand a deferred job to the policy.
 
-        The class's deadline is measured from the release, within the rest of the client's timeout. The policy
-        also gets the time by which deferral has shortened the timeout; without it, a job released late would
-        look like a retry.
+        The deadline of the job's class runs from the release, but not beyond the client's timeout. The policy
+        also gets the time by which deferral has shortened the timeout: it takes a job with a shorter timeout
+        than usual for a retry.
         """
         job.deferred_request = None
         class_deadline_ms = self._deadlines.class_deadline_ms(request)
--- a/burlmoor/engine/deferral_notifier.py
+++ b/burlmoor/engine/deferral_notifier.py
@@ -1,4 +1,4 @@
-"""Notifies the deferred-job queue, if there is one, of the jobs that open and close."""
+"""Notifies the deferred-job queue, if one is enabled, of each job that is opened or closed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DeferralNotifier:
-    """Owns whether jobs may be deferred, and notifies the queue of each job that opens or closes.
+    """Holds the deferred-job queue while deferral is enabled, and notifies it of opened and closed jobs.
 
     `wake` is called when `next_due` may return an earlier time than before. Times are in ms.
     """
@@ -37,7 +37,7 @@
 
     @property
     def queue(self) -> JobDeferral | None:
-        """The queue that may defer jobs; None where no job is deferred."""
+        """The deferred-job queue; None if deferral is disabled."""
         return self._queue
 
     def enable(self, queue: JobDeferral) -> None:
@@ -52,7 +52,7 @@
         self._queue = None
 
     def longest_timeout_ms(self, request: JobRequest, conditions: RunConditions | None) -> float:
-        """Return the longest time that a request with these conditions may be open, in ms."""
+        """Return the longest time for which a request with these conditions may be open, in ms."""
         if self._queue is None or conditions is None:
             return self._deadlines.class_deadline_ms(request)
         return self._queue.max_deferral_ms
@@ -60,7 +60,7 @@
     def on_job_opened(
         self, job: Job, request: JobRequest, conditions: RunConditions | None, now: float
     ) -> None:
-        """Notify the queue of a new job, which it defers if the job has conditions."""
+        """Notify the queue of a new job; defer the job if it has conditions."""
         if self._queue is None:
             return
         self._queue.on_job_opened(job.id)
@@ -73,8 +73,8 @@
         """Notify the queue that a job is closed; `answer` is None if its client has disconnected."""
         if self._queue is None:
             return
-        # The queue ends dependent jobs later, in `step`: here, a long chain of them would end recursively and
-        # block the event loop.
+        # The queue ends dependent jobs later, in `step`: ending them here would recurse along the chain of
+        # dependencies, and a long one would block the event loop.
         self._queue.on_job_ended(job.id, answer, self._clock())
         self._wake()
 
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -1,4 +1,4 @@
-"""One node's jobs from admission to their final answer, without sockets.
+"""Runs the jobs of one node from admission to the final answer, without sockets.
 
 The engine admits jobs, passes events to the policy, carries out the policy's actions, and gives each job
 exactly one final answer in time, even if the policy fails. It does not depend on HTTP: it reaches clients
@@ -76,12 +76,12 @@
     ) -> Job | None:
         """Admit a request that has been received completely; return None if its id is in use.
 
-        If it has run conditions and jobs may be deferred, the policy gets the job once it is released.
+        If it has run conditions and deferral is enabled, the policy gets the job only when it is released.
         """
         if self._jobs.is_id_in_use(request_id):
             return None
-        # Without this limit, a client's timeout could keep a job open, and delay a shutdown, far beyond the
-        # deadline of its class.
+        # A client's timeout must not keep a job open, and so delay a shutdown, far beyond the deadline of its
+        # class.
         timeout_ms = min(request.timeout_ms, self._deferral.longest_timeout_ms(request, conditions))
         now = self._clock()
         job = Job(
@@ -91,20 +91,20 @@
             class_name=request.job_class,
             payload=payload,
             received_at=now,
-            # A shutdown shortens only this deadline: a shorter timeout would look like a retry to the policy.
+            # A shutdown shortens only this deadline: the policy would take a shorter timeout for a retry.
             deadline=self._deadlines.deadline_after(now, timeout_ms),
             is_non_idempotent=request.job_class in self._non_idempotent_classes,
         )
         self._jobs.add(job)
         self._deferral.on_job_opened(job, request, conditions, now)
-        # A deferred job is released or ended before its deadline, so it is scheduled only on its release.
+        # The queue releases or ends a deferred job before its deadline, which is scheduled on the release.
         if job.deferred_request is None:
             self._deadlines.schedule(job.deadline, job)
             self._policy.post(request._replace(id=job.number, timeout_ms=timeout_ms))
         return job
 
     def answer_all_by(self, at: float, received_after: float = -math.inf) -> None:
-        """Answer by `at` all new jobs, and the open jobs that were received after `received_after`."""
+        """Bound by `at` the deadlines of all new jobs, and of open jobs received after `received_after`."""
         self._deadlines.answer_by = at
         for job in self._jobs:
             if not job.is_closed and job.received_at > received_after and job.deadline > at:
--- a/burlmoor/engine/interfaces.py
+++ b/burlmoor/engine/interfaces.py
@@ -17,7 +17,7 @@
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel the attempt at its endpoint.
 
-        `JobLifecycle.on_attempt_cancelled` is called once the endpoint is known not to have the job.
+        `JobLifecycle.on_cancellation_confirmed` is called once the endpoint is known not to hold the job.
         """
 
     def check_health(self, endpoint: str) -> None:
@@ -25,7 +25,7 @@
 
 
 class Discovery(Protocol):
-    """The client of the discovery service; lists are reported to `PolicyDriver.on_endpoint_list`."""
+    """Gets the endpoint list from the discovery service; reports it to `PolicyDriver.on_endpoint_list`."""
 
     def watch(self) -> None:
         """Watch the endpoint list from now on."""
--- a/burlmoor/engine/job.py
+++ b/burlmoor/engine/job.py
@@ -1,10 +1,10 @@
-"""A job that the node has admitted, and its attempts, as the engine sees them.
+"""The engine's records of admitted jobs and their attempts.
 
-The engine's `Job` and `Attempt` hold what clients and executors depend on: identity, deadlines, state and
-outcome. The policy has its own view of the same job, in `burlmoor.policy.model`, with what it decides by:
-priority, expected times, cached keys. The two views share the numbers of jobs and attempts, and no object.
+`Job` and `Attempt` hold what clients and executors depend on: identity, deadlines, state and outcome. The
+policy keeps its own records of the same jobs, in `burlmoor.policy.model`, with the data for its decisions:
+priority, expected times, cached keys. The two share no objects, only the numbers of jobs and attempts.
 
-`JobLifecycle` makes the transitions; `upstream` records what it has written and received of an attempt
+`JobLifecycle` makes the transitions; `upstream` records what it has sent and received for an attempt
 (`record_address`, `record_written`, `record_accepted`).
 """
 
@@ -30,11 +30,11 @@
     sent_at: float
     deadline: float
     outcome: Outcome | None = None  # None until the attempt has ended
-    cancelled_as: Outcome | None = None  # the outcome once its endpoint is known not to hold the job
-    address: str = ""  # `host:port` to which upstream has sent it
-    written_at: float | None = None  # the last byte of its request
-    accepted_at: float | None = None  # the endpoint's 202
-    started_at: float | None = None  # the endpoint has reported that the job runs
+    pending_outcome: Outcome | None = None  # set on cancellation: its outcome once the endpoint confirms
+    address: str = ""  # `host:port` to which upstream sends it
+    written_at: float | None = None  # when the last byte of its request was written
+    accepted_at: float | None = None  # when the endpoint's 202 was received
+    started_at: float | None = None  # when the endpoint reported that it runs the job
     cancelled_at: float | None = None
     cancel_reason: CancelReason | None = None
     ended_at: float | None = None
@@ -46,33 +46,33 @@
 
     @property
     def is_cancelling(self) -> bool:
-        """Whether the node has cancelled it; its endpoint may hold the job until it has ended."""
-        return self.cancelled_as is not None
+        """Whether the node has cancelled the attempt; until it ends, its endpoint may hold the job."""
+        return self.pending_outcome is not None
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more is to be done for it but to cancel it."""
+        """Whether the attempt has ended or is being cancelled."""
         return self.has_ended or self.is_cancelling
 
     def record_address(self, address: str) -> None:
-        """Note the `host:port` to which upstream begins to send the request."""
+        """Record the `host:port` to which upstream begins to send the request."""
         self.address = address
 
     def record_written(self, now: float) -> None:
-        """Note that upstream has written the last byte of the request."""
+        """Record that upstream has written the last byte of the request."""
         self.written_at = now
 
     def record_accepted(self, now: float) -> None:
-        """Note that upstream has received the endpoint's 202."""
+        """Record that upstream has received the endpoint's 202."""
         self.accepted_at = now
 
     def start(self, now: float) -> None:
-        """Note that the endpoint runs the job; the first report counts."""
+        """Record when the endpoint first reported that it runs the job."""
         if self.started_at is None:
             self.started_at = now
 
     def end(self, outcome: Outcome, now: float) -> None:
-        """Note how the attempt ended."""
+        """Record how and when the attempt ended."""
         self.outcome = outcome
         self.ended_at = now
 
@@ -85,25 +85,25 @@
     number: int  # the job's id in the policy's events and actions
     responder: Responder
     class_name: str
-    payload: Any  # what upstream sends of the request; opaque to the engine
+    payload: Any  # the request as upstream sends it; opaque to the engine
     received_at: float
     deadline: float
     is_non_idempotent: bool
-    admitted_at: float = field(init=False)  # to the policy: later than received where the job was deferred
-    is_closed: bool = False  # whether the job has its final answer, or needs none
+    admitted_at: float = field(init=False)  # when the policy got it: at its receipt, or its release
+    is_closed: bool = False  # whether the job has its final answer or needs none
     deferred_request: JobRequest | None = None  # set while the job is deferred and unknown to the policy
     attempts: list[Attempt] = field(default_factory=list)
-    # How it was closed.
+    # Set when the job is closed.
     answer_type: type[FinalAnswer] | None = None  # None: its client has disconnected
     end_reason: EndReason | None = None  # None: it was served
     closed_at: float = 0.0
 
     def __post_init__(self) -> None:
-        """Count the job as admitted when it is received; a release from deferral sets a later time."""
+        """Set the time of admission to that of receipt; the release of a deferred job sets a later one."""
         self.admitted_at = self.received_at
 
     def close(self, answer: FinalAnswer | None, reason: EndReason | None, now: float) -> None:
-        """Note the job's one final answer, None if its client has disconnected, and the reason for it."""
+        """Record the final answer, None if the client has disconnected, and the reason for it."""
         self.is_closed = True
         self.answer_type = None if answer is None else type(answer)
         self.end_reason = reason
@@ -114,7 +114,7 @@
         return [attempt for attempt in self.attempts if not attempt.has_ended]
 
     def may_have_run(self) -> bool:
-        """Return whether some attempt is not proved to have never started at its endpoint."""
+        """Return whether the job may have run; False if all attempts provably never started."""
         return any(
             attempt.outcome is None or not attempt.outcome.proves_not_started for attempt in self.attempts
         )
--- a/burlmoor/engine/job_lifecycle.py
+++ b/burlmoor/engine/job_lifecycle.py
@@ -2,25 +2,26 @@
 
 A job:
 
-    admitted ──► deferred ──► with the policy ──► closed ──► forgotten
+    admitted ──► deferred ──► with the policy ──► closed ──► removed
         └──────────────────────────▲                │
                                                     └─ answered, or its client has disconnected
 
-- *Deferred*: only where the job has run conditions (`DeferralController`); the policy does not know it yet.
+- *Deferred*: waits for its run conditions (`DeferralController`); the policy does not know it yet.
 - *With the policy*: queued or sent; the policy starts and cancels attempts (`AttemptController`).
-- *Closed*: `answer` has given the client the one final answer, or `on_client_disconnected` has found that it
-  needs none. Nothing more is sent for the job.
-- *Forgotten*: closed, and all attempts have ended (`JobRegistry.forget_if_done`).
+- *Closed*: `answer` has sent the client the one final answer, or the client has disconnected and needs none
+  (`on_client_disconnected`). No further attempt is started.
+- *Removed*: closed, and all attempts have ended (`JobRegistry.remove_if_done`).
 
 An attempt:
 
     open ──► cancelling ──► ended
       └────────────────────────▲
 
-- *Open*: selected, and sent by upstream. A result closes the job.
-- *Cancelling*: the node has cancelled it, and its endpoint may still hold the job. Before the 202 that is not
-  known, so an idempotent job is sent again only once the endpoint has confirmed the cancellation.
-- *Ended*: its outcome is known. The first outcome counts; a later one changes nothing.
+- *Open*: passed to upstream, which sends it. A result closes the job.
+- *Cancelling*: the node has cancelled it, but its endpoint may still hold the job; before the 202, the node
+  can't know. Until the endpoint confirms the cancellation, the attempt counts towards the limit of open
+  attempts, so that without hedging an idempotent job is sent again only after the confirmation.
+- *Ended*: its outcome is known. The first outcome counts; later ones are ignored.
 """
 
 from __future__ import annotations
@@ -51,7 +52,7 @@
 
 
 class JobLifecycle:
-    """Closes jobs and ends attempts, and reports both to the policy. `clock` gives ms."""
+    """Closes jobs and ends attempts, and reports both to the policy. `clock` returns ms."""
 
     def __init__(
         self,
@@ -67,10 +68,8 @@
         self._job_log = job_log
         self._clock = clock
 
-    # --- the job ----------------------------------------------------------------------------------
-
     def answer(self, job: Job, answer: FinalAnswer, reason: EndReason | None = None) -> None:
-        """Close an open job and send its client the final answer, with a reason unless it is a result."""
+        """Close an open job and send its client the final answer; `reason` is None only for a result."""
         self._close(job, answer, reason)
         job.responder.respond(answer)
 
@@ -89,34 +88,32 @@
         job.close(answer, reason, self._clock())
         self._job_log.on_job_closed(job)
         for attempt in job.open_attempts():
-            self._end_cancelled(attempt)  # the job is not sent again, so no confirmation is awaited
+            self._end_cancelled(attempt)  # a closed job is not sent again, so needs no confirmation
         self._deferral.on_job_closed(job, answer)
 
     def _report_closed(self, job: Job) -> None:
         """Notify the policy of a job that was closed without it, unless the job was still deferred."""
         if job.deferred_request is None:
             self._policy.post(ClientDisconnected(job.number))
-        self._jobs.forget_if_done(job)
-
-    # --- its attempts -----------------------------------------------------------------------------
+        self._jobs.remove_if_done(job)
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        """Note that the endpoint has begun to run the job."""
+        """Record that the endpoint has begun to run the job, and notify the policy."""
         if not attempt.is_over:
             attempt.start(self._clock())
             self._policy.post(AttemptStarted(attempt.job.number, attempt.number, attempt.endpoint))
 
     def on_attempt_progressed(self, attempt: Attempt, fraction: float) -> None:
-        """Note that the endpoint has done this fraction, from 0 to 1, of the job."""
+        """Notify the policy that the endpoint has completed this fraction of the job, from 0 to 1."""
         if not attempt.is_over:
             self._policy.post(
                 AttemptProgressed(attempt.job.number, attempt.number, attempt.endpoint, fraction)
             )
 
     def begin_cancellation(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> bool:
-        """Make an open attempt a cancelling one; it ends with `outcome` once its endpoint has confirmed that.
+        """Begin to cancel an attempt, which ends with `outcome` once its endpoint has confirmed that.
 
-        Returns whether the cancellation has to be sent to its endpoint: not if the attempt had already ended.
+        Returns whether to send the cancellation to the endpoint; False if the attempt has already ended.
 
         Without the confirmation, the job could be sent again while the first endpoint runs it: the endpoint
         may accept the job just before the cancellation arrives, or be unreachable and never receive it.
@@ -125,7 +122,7 @@
             return False
         is_first = not attempt.is_cancelling
         if is_first:
-            attempt.cancelled_as = outcome
+            attempt.pending_outcome = outcome
             self._job_log.on_attempt_cancelled(attempt, reason, self._clock())
         job = attempt.job
         if job.is_closed or job.is_non_idempotent:
@@ -134,17 +131,17 @@
             self._policy.post(AttemptCancelling(job.number, attempt.number, attempt.endpoint, outcome))
         return True
 
-    def on_attempt_cancelled(self, attempt: Attempt) -> None:
-        """Note that the endpoint has confirmed the cancellation, or can't hold the job any more."""
-        self.on_attempt_ended(attempt, attempt.cancelled_as or Outcome.CANCELLED)
+    def on_cancellation_confirmed(self, attempt: Attempt) -> None:
+        """End an attempt whose endpoint has confirmed the cancellation or can no longer hold the job."""
+        self.on_attempt_ended(attempt, attempt.pending_outcome or Outcome.CANCELLED)
 
     def on_attempt_timed_out(self, attempt: Attempt, reason: CancelReason) -> None:
-        """End an attempt whose job is past its deadline, without awaiting a confirmation."""
+        """End an attempt whose job is past its deadline, without waiting for a confirmation."""
         self._job_log.on_attempt_cancelled(attempt, reason, self._clock())
         self.on_attempt_ended(attempt, Outcome.TIMEOUT)
 
     def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, result: bytes | None = None) -> None:
-        """Note how an attempt ended; the first result that arrives is the job's answer."""
+        """Record how an attempt ended, and notify the policy; the first result is the job's answer."""
         if attempt.has_ended:
             return
         now = self._clock()
@@ -157,8 +154,8 @@
                 job.number, attempt.number, attempt.endpoint, outcome, now - attempt.sent_at, job.is_closed
             )
         )
-        self._jobs.forget_if_done(job)
+        self._jobs.remove_if_done(job)
 
     def _end_cancelled(self, attempt: Attempt) -> None:
-        if attempt.cancelled_as is not None:
-            self.on_attempt_ended(attempt, attempt.cancelled_as)
+        if attempt.pending_outcome is not None:
+            self.on_attempt_ended(attempt, attempt.pending_outcome)
--- a/burlmoor/engine/job_log.py
+++ b/burlmoor/engine/job_log.py
@@ -1,6 +1,7 @@
-"""The log of jobs: one line with all state changes for each job that needed more than its first attempt.
+"""Counts how jobs end, and logs the state changes of those that did not complete on the first attempt.
 
-A job that completed on the first attempt, uncancelled, is only counted.
+A job that was served by its first attempt, without a cancellation, is only counted. Every other job gets one
+log line when it is removed.
 """
 
 from __future__ import annotations
@@ -28,11 +29,11 @@
     DependencyFailed: "dependency-failed",
     None: "none",
 }
-_HEDGED = "hedged"  # the attempt before has not ended
+_HEDGED = "hedged"  # the previous attempt has not ended
 
 
 class JobLog:
-    """Counts how jobs and attempts end, and writes the line of a job once it is over."""
+    """Counts the ends, retries and cancellations of jobs, and writes their log lines."""
 
     def __init__(self, log: EventLogger, counters: EventCounters) -> None:
         self._log = log
@@ -45,20 +46,20 @@
         self._counters.count(CounterGroup.JOBS, counted)
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        """Count an attempt after the first."""
+        """Count a retry or a hedged request; first attempts are not counted."""
         if attempt.number > 0:
             outcome = attempt.job.attempts[attempt.number - 1].outcome
             self._counters.count(CounterGroup.RETRIES, _HEDGED if outcome is None else outcome.value)
 
     def on_attempt_cancelled(self, attempt: Attempt, reason: CancelReason, now: float) -> None:
-        """Note and count why the node cancelled an attempt; the first reason counts."""
+        """Record and count why the node cancelled an attempt; later reasons are ignored."""
         if attempt.cancel_reason is None:
             attempt.cancel_reason = reason
             attempt.cancelled_at = now
             self._counters.count(CounterGroup.CANCELS, reason.value)
 
-    def on_job_over(self, job: Job) -> None:
-        """Write the line of a job that is closed and none of whose attempts is open any more."""
+    def on_job_removed(self, job: Job) -> None:
+        """Write the log line of a job that is closed and has no open attempt, unless it is only counted."""
         if not _completed_on_first_attempt(job):
             self._log(
                 JobEnded(
--- a/burlmoor/engine/job_registry.py
+++ b/burlmoor/engine/job_registry.py
@@ -1,4 +1,4 @@
-"""The jobs that the node has admitted, by request id and by number."""
+"""Stores the jobs that the node has admitted, by request id and by number."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
         return iter(self._by_number.values())
 
     def is_id_in_use(self, request_id: str) -> bool:
-        """Return whether a job with this id is known here or to another process of this node."""
+        """Return whether this process or another one of this node has a job with this id."""
         return request_id in self._by_id or request_id in self._ids_in_other_process
 
     def add_ids_in_other_process(self, request_ids: Iterable[str]) -> None:
-        """Count these ids as in use: another process of this node has admitted jobs under them."""
+        """Mark as in use the ids of jobs that another process of this node has admitted."""
         self._ids_in_other_process.update(request_ids)
 
     def clear_ids_in_other_process(self) -> None:
-        """Forget the ids of the other process: it has ended."""
+        """Remove the ids of the other process, which has ended."""
         self._ids_in_other_process.clear()
 
     def next_number(self) -> int:
@@ -46,11 +46,11 @@
         self._by_number[job.number] = self._by_id[job.id] = job
 
     def find_by_id(self, request_id: str) -> Job | None:
-        """Return the job with this request id, if it is known."""
+        """Return the job with this request id, if it is stored."""
         return self._by_id.get(request_id)
 
     def find_by_number(self, number: int) -> Job | None:
-        """Return the job with this number, if it is known."""
+        """Return the job with this number, if it is stored."""
         return self._by_number.get(number)
 
     def find_attempt(self, request_id: str, endpoint: str) -> Attempt | None:
@@ -60,13 +60,13 @@
             return None
         return next((attempt for attempt in job.open_attempts() if attempt.endpoint == endpoint), None)
 
-    def forget_if_done(self, job: Job) -> None:
-        """Drop the job if it is closed and has no open attempt."""
+    def remove_if_done(self, job: Job) -> None:
+        """Remove the job, and log it, if it is closed and has no open attempt."""
         if not job.is_closed or job.open_attempts():
             return
         if self._by_number.pop(job.number, None) is not None:
             del self._by_id[job.id]
-            self._job_log.on_job_over(job)
+            self._job_log.on_job_removed(job)
 
     def ids(self) -> list[str]:
         """Return the request ids of all stored jobs, including closed ones with open attempts."""
--- a/burlmoor/engine/policy_driver.py
+++ b/burlmoor/engine/policy_driver.py
@@ -1,4 +1,4 @@
-"""Calls the policy: batches the events for it, runs its timers and returns its actions."""
+"""Batches events for the policy, runs its timers and returns its actions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class PolicyDriver:
-    """Collects events between two calls of the policy; `wake` is called on the first of each batch."""
+    """Calls the policy with batches of events; `wake` is called on the first event of each batch."""
 
     def __init__(
         self, policy: Dispatcher, jobs: JobRegistry, log: EventLogger, wake: Callable[[], None]
@@ -59,11 +59,11 @@
         self._events.append(event)
 
     def has_events(self) -> bool:
-        """Return whether events wait for the next call of the policy."""
+        """Return whether events are pending for the next call of the policy."""
         return bool(self._events)
 
     def set_timer(self, at: float, token: int) -> None:
-        """Set a timer: the first batch from `at` on has a `TimerFired` event with this token."""
+        """Set a timer: the first batch at or after `at` has a `TimerFired` event with this token."""
         heapq.heappush(self._timers, (at, token))
 
     def next_timer(self) -> float:
@@ -81,15 +81,16 @@
         try:
             return self._policy.handle(now, events)
         except Exception as error:  # noqa: BLE001
-            # Without this, an error in the policy would end the node. The jobs still get their answers at
-            # their deadlines.
+            # An error in the policy must not end the node; the engine still answers the jobs at their
+            # deadlines.
             self._log(PolicyFailed(error=repr(error)))
             return ()
 
     def _with_remaining_timeout(self, event: Event, now: float) -> Event:
-        """Return a job request with the time that remains of its timeout when the policy gets it.
+        """Subtract the time since admission from the timeout of a job request; return other events unchanged.
 
-        Without this, the policy would time the job out, and advise its client, only after the job's deadline.
+        With the full timeout, the policy would reject the job, with its advice to the client, only after the
+        job's deadline.
         """
         if not isinstance(event, JobRequest):
             return event
--- a/burlmoor/simulation/node.py
+++ b/burlmoor/simulation/node.py
@@ -161,7 +161,7 @@
             record.outcome = attempt.outcome or Outcome.CANCELLED
             record.outcome_known_at = self._events.now
         self._after_delays(1, lambda: self._executors.cancel(attempt))
-        self._after_delays(2, lambda: self.core.lifecycle.on_attempt_cancelled(attempt))
+        self._after_delays(2, lambda: self.core.lifecycle.on_cancellation_confirmed(attempt))
 
     def check_health(self, endpoint: str) -> None:
         """Check whether an executor's process runs; the result arrives after two network delays."""
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -90,7 +90,7 @@
             return
         in_flight.abort()
         if not in_flight.is_written:
-            self._lifecycle.on_attempt_cancelled(attempt)
+            self._lifecycle.on_cancellation_confirmed(attempt)
         elif not attempt.has_ended:
             self._canceller.cancel(attempt)
 
--- a/burlmoor/upstream/cancellation.py
+++ b/burlmoor/upstream/cancellation.py
@@ -78,7 +78,7 @@
                 return
             is_confirmed = await self._call(attempt, _TIMEOUT_SECONDS, must_connect=True)
         if is_confirmed:
-            self._lifecycle.on_attempt_cancelled(attempt)
+            self._lifecycle.on_cancellation_confirmed(attempt)
 
     async def _call(self, attempt: Attempt, timeout_seconds: float, *, must_connect: bool = False) -> bool:
         """Send one DELETE; return whether the endpoint has answered it."""
--- a/tests/engine/test_attempt_guard.py
+++ b/tests/engine/test_attempt_guard.py
@@ -1,4 +1,4 @@
-"""The guard of attempts: what may not be started, and which refusals count as violations."""
+"""Tests which attempts the guard refuses, and which refusals count as invariant violations."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @pytest.mark.parametrize("may_hedge", [False, True])
 @pytest.mark.parametrize("open_count", [0, 1, 2])
-def test_a_job_has_no_more_attempts_open_than_settings_allow(may_hedge: bool, open_count: int) -> None:
+def test_the_open_attempts_of_a_job_are_limited(may_hedge: bool, open_count: int) -> None:
     invariants = InvariantMonitor(lambda _event: None)
     job = Job("a1", 1, cast("Any", None), "lookup", None, 0.0, 1000.0, False)
     job.attempts.append(Attempt(job, 0, "e0", 0.0, 1000.0, Outcome.CANCELLED))
     for number in range(open_count):
-        cancelled_as = Outcome.CANCELLED if number else None
-        job.attempts.append(Attempt(job, number + 1, f"e{number + 1}", 0.0, 1000.0, None, cancelled_as))
+        pending_outcome = Outcome.CANCELLED if number else None
+        job.attempts.append(Attempt(job, number + 1, f"e{number + 1}", 0.0, 1000.0, None, pending_outcome))
     guard = AttemptGuard(Limits(max_attempts=5, may_hedge=may_hedge), invariants)
     may_start = open_count < (2 if may_hedge else 1)
     assert guard.may_start(job, Attempt(job, 3, "e9", 10.0, 1000.0), 10.0) is may_start
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("is_non_idempotent", [False, True])
 @pytest.mark.parametrize("outcome", [None, *Outcome])
-def test_only_a_non_idempotent_job_that_may_have_run_is_not_repeated(
+def test_a_retry_is_refused_only_for_a_non_idempotent_job_that_may_have_run(
     is_non_idempotent: bool, outcome: Outcome | None
 ) -> None:
     lines: list[dict[str, Any]] = []
@@ -42,7 +42,7 @@
     assert guard.may_start(job, Attempt(job, 1, "e1", 10.0, 1000.0), 10.0) is not is_repeat
     assert invariants.counts() == ({"repeat": 1} if is_repeat else {})
     assert [line["event"] for line in lines] == ["invariant-violated"] * is_repeat
-    # The same endpoint, a late start, one attempt too many or a closed job: refused, but no violation.
+    # The same endpoint, a start at the deadline, too many attempts, a closed job: refused, no violation.
     assert not guard.may_start(job, Attempt(job, 1, "e0", 10.0, 1000.0), 10.0)
     assert not guard.may_start(job, Attempt(job, 1, "e1", 1000.0, 1000.0), 1000.0)
     assert not guard.may_start(job, Attempt(job, 5, "e1", 10.0, 1000.0), 10.0)
--- a/tests/engine/test_cancelling.py
+++ b/tests/engine/test_cancelling.py
@@ -1,4 +1,4 @@
-"""Cancelled attempts: each counts as open until its endpoint has confirmed the cancellation."""
+"""Tests that a cancelled attempt counts as open until its endpoint has confirmed the cancellation."""
 
 from __future__ import annotations
 
@@ -16,15 +16,13 @@
 
 
 def cancel(harness: EngineHarness, outcome: Outcome = Outcome.RESET) -> None:
-    """Cancel the latest attempt, and let its job be retried if that is allowed."""
+    """Cancel the latest attempt, and leave time for a retry if one is allowed."""
     harness.cancel(harness.started_attempts[-1], outcome, CancelReason.NO_RESPONSE)
     harness.advance(100.0)
 
 
 @pytest.mark.parametrize(("limits", "allowed"), [(NO_HEDGING, 1), (HEDGING, 2)])
-def test_no_more_attempts_are_open_than_allowed_and_the_next_follows_a_confirmed_cancellation(
-    limits: Limits, allowed: int
-) -> None:
+def test_open_attempts_are_limited_until_a_cancellation_is_confirmed(limits: Limits, allowed: int) -> None:
     harness = EngineHarness(limits=limits)
     harness.submit_and_start(work_ms=2000.0)
     for number in range(allowed):
@@ -32,7 +30,7 @@
         assert len(harness.started_attempts) == min(number + 2, allowed)
     first = harness.started_attempts[0]
     assert harness.cancelled_attempts[0] is first
-    harness.core.lifecycle.on_attempt_cancelled(first)
+    harness.core.lifecycle.on_cancellation_confirmed(first)
     assert first.outcome is Outcome.RESET
     harness.advance(100.0)
     assert len(harness.started_attempts) == allowed + 1
@@ -46,14 +44,14 @@
     cancel(harness)
     assert harness.core.jobs.find_attempt("a1", attempt.endpoint) is attempt
     harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"late")
-    harness.core.lifecycle.on_attempt_cancelled(attempt)
+    harness.core.lifecycle.on_cancellation_confirmed(attempt)
     harness.advance(100.0)
     assert client.answers == [Served(b"late")]
     assert harness.started_attempts == [attempt]
     assert harness.core.jobs.ids() == []
 
 
-def test_a_start_that_is_reported_after_the_cancellation_changes_nothing() -> None:
+def test_a_start_reported_after_the_cancellation_is_ignored() -> None:
     harness = EngineHarness(limits=HEDGING)
     _, attempt = harness.submit_and_start(work_ms=2000.0)
     harness.cancel(attempt, Outcome.RESET, CancelReason.NO_RESPONSE)
@@ -64,7 +62,7 @@
 
 
 @pytest.mark.parametrize("limits", [NO_HEDGING, HEDGING])
-def test_a_job_whose_attempts_are_never_confirmed_is_rejected_in_time_and_forgotten(limits: Limits) -> None:
+def test_a_job_with_unconfirmed_cancellations_is_rejected_in_time_and_removed(limits: Limits) -> None:
     harness = EngineHarness(limits=limits)
     client, _ = harness.submit_and_start(timeout_ms=900.0)
     cancel(harness)
@@ -86,12 +84,12 @@
     assert harness.cancelled_attempts == [attempt]
 
 
-def test_a_job_that_a_shutdown_answers_early_is_not_sent_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_job_answered_early_by_a_shutdown_is_not_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     client, attempt = harness.submit_and_start(timeout_ms=5000.0, work_ms=2000.0)
     other = next(f"a{number}" for number in range(4) if f"a{number}" != attempt.endpoint)
     harness.engine.answer_all_by(harness.now + 100.0)
-    # In the step of the answer, its attempt has ended while the call that cancels it is in flight.
+    # When the job is answered, its attempt has ended, but the call that cancels it is still in flight.
     again = StartAttempt(attempt.job.number, other)
     monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: [again] if attempt.has_ended else [])
     harness.advance(200.0)
@@ -99,12 +97,12 @@
     assert harness.started_attempts == [attempt]
 
 
-def test_an_attempt_past_its_own_deadline_counts_as_open() -> None:
+def test_a_timed_out_attempt_is_open_until_its_cancellation_is_confirmed() -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     _, attempt = harness.submit_and_start(work_ms=2000.0)
     harness.core.deadlines.schedule(harness.now + 10.0, attempt)
     harness.advance(100.0)
     assert not attempt.has_ended
     assert harness.started_attempts == harness.cancelled_attempts == [attempt]
-    harness.core.lifecycle.on_attempt_cancelled(attempt)
+    harness.core.lifecycle.on_cancellation_confirmed(attempt)
     assert attempt.outcome is Outcome.TIMEOUT
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine with a fake clock: outcomes, one final answer each, deadlines, repeated call-backs."""
+"""Tests the engine with a fake clock: outcomes, single final answers, deadlines, repeated call-backs."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("name", "answer"), [("lookup", Rejected), ("once", Failed)])
-def test_an_attempt_without_an_outcome_is_cancelled_and_the_client_answered_by_the_deadline(
+def test_an_unfinished_attempt_is_cancelled_and_its_client_answered_by_the_deadline(
     name: str, answer: type[FinalAnswer]
 ) -> None:
     harness = EngineHarness()
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(("is_started", "answer"), [(False, Rejected()), (True, Failed())])
-def test_the_engine_answers_at_the_deadline_where_the_policy_fails(
+def test_the_engine_answers_at_the_deadline_if_the_policy_fails(
     is_started: bool, answer: FinalAnswer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = EngineHarness()
@@ -83,12 +83,12 @@
     assert harness.core.jobs.count_open() == 0
 
 
-def test_the_policy_rejects_before_the_deadline_and_its_retry_advice_reaches_the_client() -> None:
+def test_the_policy_rejects_before_the_deadline_with_a_retry_after() -> None:
     harness = EngineHarness()
     harness.core.policy.on_endpoint_list(ListKind.SNAPSHOT, [])
     harness.advance(100.0)
     client, _ = harness.submit(timeout_ms=300.0, work_ms=1.0)
-    harness.now += 20.0  # steps may be late
+    harness.now += 20.0  # a step may be late
     harness.engine.step()
     harness.advance(300.0)
     assert client.answer_types() == [Rejected]
@@ -107,10 +107,10 @@
 
 
 @pytest.mark.parametrize("may_hedge", [False, True])
-def test_without_hedging_a_job_is_retried_only_once_its_attempt_is_cancelled(may_hedge: bool) -> None:
+def test_without_hedging_a_retry_waits_for_the_cancellation_to_be_confirmed(may_hedge: bool) -> None:
     harness = EngineHarness(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=may_hedge))
     _, attempt = harness.submit_and_start(work_ms=2000.0)
-    # No event follows, as from an executor that cannot be reached.
+    # No further event arrives, as if the executor had become unreachable.
     harness.core.lifecycle.on_attempt_started(attempt)
     for _ in range(80):
         if not may_hedge and harness.cancelled_attempts:
@@ -121,12 +121,12 @@
         return
     harness.advance(300.0)
     assert (harness.cancelled_attempts[0], harness.started_attempts) == (attempt, [attempt])
-    harness.core.lifecycle.on_attempt_cancelled(attempt)
+    harness.core.lifecycle.on_cancellation_confirmed(attempt)
     harness.advance(100.0)
     assert [each.endpoint == attempt.endpoint for each in harness.started_attempts] == [True, False]
 
 
-def test_a_job_that_ends_while_a_cancellation_is_pending_is_forgotten() -> None:
+def test_a_job_that_ends_while_a_cancellation_is_pending_is_removed() -> None:
     harness = EngineHarness(limits=Limits(max_attempts=4, may_cancel=True, may_hedge=False))
     client, attempt = harness.submit_and_start(work_ms=2000.0)
     harness.core.lifecycle.on_attempt_started(attempt)
@@ -156,7 +156,7 @@
     assert client.answers == [Failed()]
 
 
-def test_an_endpoint_gets_one_attempt_of_a_job(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_job_has_one_attempt_per_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_attempt_ended(attempt, Outcome.RESET)
@@ -171,8 +171,9 @@
     assert all(each.has_ended for each in attempt.job.attempts)
 
 
-def test_the_timeout_of_one_client_is_bounded_and_does_not_change_what_others_are_expected_to_wait() -> None:
-    # Without the bound, the job would be open for days, and all others would seem to have waited for days.
+def test_a_very_long_client_timeout_is_bounded_and_does_not_affect_other_jobs() -> None:
+    # Without the bound, the job would stay open for more than a day, and the policy would take the shorter
+    # timeouts of all other jobs for those of retries that have waited as long.
     harness = EngineHarness()
     _, job = harness.submit(timeout_ms=1e8)
     assert job.deadline == harness.now + 5000.0
--- a/tests/engine/test_job_log.py
+++ b/tests/engine/test_job_log.py
@@ -1,4 +1,4 @@
-"""The log lines of jobs that needed more than their first attempt, and the counts by reason."""
+"""Tests the log lines of jobs that needed more than their first attempt, and the counts by reason."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     _, first = harness.submit_and_start()
     harness.cancel(first, Outcome.RESET, CancelReason.NO_RESPONSE)
     harness.advance(40.0)
-    harness.core.lifecycle.on_attempt_cancelled(first)
+    harness.core.lifecycle.on_cancellation_confirmed(first)
     harness.advance(50.0)
     second = harness.started_attempts[-1]
     harness.core.lifecycle.on_attempt_started(second)
@@ -56,7 +56,7 @@
         ("once", None, "failed", "not-started"),
     ],
 )
-def test_a_job_without_a_result_says_why(
+def test_the_end_reason_of_an_unserved_job_is_logged(
     job_class: str, outcome: Outcome | None, answer: str, reason: str
 ) -> None:
     harness = EngineHarness()
@@ -69,7 +69,7 @@
     assert harness.core.counters.totals()["jobs"] == {f"{answer}: {reason}": 1}
 
 
-def test_a_client_that_disconnects_is_the_reason_for_the_end_of_its_job_and_the_cancellation() -> None:
+def test_a_client_disconnect_is_logged_as_the_end_reason() -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_client_disconnected(attempt.job)
@@ -79,7 +79,7 @@
     assert line["attempts"][0]["cancel_reason"] == "job-over"
 
 
-def test_changes_of_the_counts_are_taken_once() -> None:
+def test_take_changes_returns_each_change_once() -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"one")
