--- a/burlmoor/engine/job_lifecycle.py
+++ b/burlmoor/engine/job_lifecycle.py
@@ -9,7 +9,7 @@
 - *Deferred*: waits for its run conditions (`DeferralController`); the policy does not know it yet.
 - *With the policy*: queued or sent; the policy starts and cancels attempts (`AttemptController`).
 - *Closed*: `answer` has sent the client the one final answer, or the client has disconnected and needs none
-  (`on_client_disconnected`). No further attempt is started.
+  (`on_client_disconnected`). Nothing but cancellations is sent for the job any more.
 - *Removed*: closed, and all attempts have ended (`JobRegistry.remove_if_done`).
 
 An attempt:
--- a/tests/engine/test_cancelling.py
+++ b/tests/engine/test_cancelling.py
@@ -87,11 +87,13 @@
 def test_a_job_answered_early_by_a_shutdown_is_not_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     harness = EngineHarness(limits=NO_HEDGING)
     client, attempt = harness.submit_and_start(timeout_ms=5000.0, work_ms=2000.0)
-    other = next(f"a{number}" for number in range(4) if f"a{number}" != attempt.endpoint)
+    other_endpoint = next(f"a{number}" for number in range(4) if f"a{number}" != attempt.endpoint)
     harness.engine.answer_all_by(harness.now + 100.0)
     # When the job is answered, its attempt has ended, but the call that cancels it is still in flight.
-    again = StartAttempt(attempt.job.number, other)
-    monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: [again] if attempt.has_ended else [])
+    repeated_start = StartAttempt(attempt.job.number, other_endpoint)
+    monkeypatch.setattr(
+        harness.core.dispatcher, "handle", lambda *_: [repeated_start] if attempt.has_ended else []
+    )
     harness.advance(200.0)
     assert client.answers == [Failed()]
     assert harness.started_attempts == [attempt]
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -73,10 +73,10 @@
         else harness.submit("once", timeout_ms=900.0)
     )
 
-    def broken(*_given: Any) -> list[Action]:
+    def raise_error(*_arguments: Any) -> list[Action]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(harness.core.dispatcher, "handle", broken)
+    monkeypatch.setattr(harness.core.dispatcher, "handle", raise_error)
     harness.advance(901.0)
     assert client.answers == [answer]
     assert {"policy-failed", "answered-at-deadline"} <= set(harness.logged_events)
@@ -160,11 +160,11 @@
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_attempt_ended(attempt, Outcome.RESET)
-    again: list[Action] = [StartAttempt(attempt.job.number, attempt.endpoint)]
+    repeated_starts: list[Action] = [StartAttempt(attempt.job.number, attempt.endpoint)]
     monkeypatch.setattr(
         harness.core.dispatcher,
         "handle",
-        lambda *_: again.pop() and [StartAttempt(1, attempt.endpoint)] if again else [],
+        lambda *_: repeated_starts.pop() and [StartAttempt(1, attempt.endpoint)] if repeated_starts else [],
     )
     harness.advance(10.0)
     assert len(harness.started_attempts) == 1
