--- a/burlmoor/downstream/__init__.py
+++ b/burlmoor/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: the HTTP server, its connections, and call-backs from executors."""
+"""The HTTP server that clients submit jobs to and executors send call-backs to."""
--- a/burlmoor/downstream/accepted_socket.py
+++ b/burlmoor/downstream/accepted_socket.py
@@ -1,4 +1,4 @@
-"""The socket of one accepted connection, closed in an order that loses no response."""
+"""The socket of one accepted connection; closing it lets the client read the last response."""
 
 from __future__ import annotations
 
@@ -19,19 +19,22 @@
 
 _INBOUND_BUFFER_BYTES = 16 * 1024
 _OUTBOUND_BUFFER_BYTES = 128 * 1024
-WRITE_TIMEOUT_SECONDS = 5.0  # within which a client has to read a response
-# How long, and how much, a peer may still write after the last response.
+WRITE_TIMEOUT_SECONDS = 5.0  # for a client to read a response
+# Limits on what is still read and discarded after the last response.
 _LINGER_SECONDS = 1.0
 LINGER_BYTES = 8 << 20
-# The same for a body that was rejected for its announced length; the time counts from the accept.
+# The same limits after a body was rejected for its Content-Length; the time runs from the accept.
 _REJECTED_BODY_LINGER_SECONDS = 5.0
 _REJECTED_BODY_LINGER_BYTES = 64 << 20
 
 
 class AcceptedSocket:
-    """Owns the stream of one accepted connection, its cancellation, and the reason why it is closed.
+    """Wraps the stream of one accepted connection and records why it is closed.
 
-    `age_seconds` is the time since the accept. Raises OSError if the socket can't be set up.
+    `age_seconds` is the time since the connection was accepted.
+
+    Raises:
+        OSError: the socket can't be set up.
     """
 
     def __init__(
@@ -44,32 +47,32 @@
         age_seconds: float,
     ) -> None:
         self.stream = SocketStream(sock, _INBOUND_BUFFER_BYTES, _OUTBOUND_BUFFER_BYTES)
-        self.scope = trio.CancelScope()  # of the task that reads
+        self.scope = trio.CancelScope()  # cancels the task that reads
         self.accepted_at = trio.current_time() - age_seconds
         self._close_reason: CloseReason | None = None
         self._nursery = nursery
         self._log = log
         self._counters = counters
 
-    def note_close(self, reason: CloseReason) -> None:
-        """Note why the connection is about to be closed; the first reason counts."""
+    def record_close_reason(self, reason: CloseReason) -> None:
+        """Record why the connection is about to be closed; only the first reason is kept."""
         self._close_reason = self._close_reason or reason
 
     def on_error(self, error: Exception) -> None:
-        """Log an internal error, because of which the connection is about to be closed."""
+        """Log an internal error that is about to close the connection."""
         self._log(ConnectionFailed(error=repr(error)))
-        self.note_close(CloseReason.ERROR)
+        self.record_close_reason(CloseReason.ERROR)
 
     def send(self, data: bytes) -> bool:
-        """Write the data; a separate task writes what the kernel doesn't accept now.
+        """Write the data; a background task writes what the kernel does not accept immediately.
 
-        Returns False if that failed, so that the connection is about to be closed.
+        Returns False if the write failed; the connection is then about to be closed.
         """
         try:
             self.stream.send(data)
         except (OSError, BufferError):
-            # The client has disconnected, or does not read; its job counts as answered nevertheless.
-            self.note_close(CloseReason.BROKEN)
+            # The client has disconnected or does not read. Its job counts as answered all the same.
+            self.record_close_reason(CloseReason.BROKEN)
             self.scope.cancel()
             return False
         if self.stream.outbound:
@@ -80,17 +83,18 @@
         try:
             await self.stream.drain()
         except OSError:
-            self.note_close(CloseReason.BROKEN)
+            self.record_close_reason(CloseReason.BROKEN)
             self.scope.cancel()
-        except Exception as error:  # noqa: BLE001 - the task that writes ends here
-            # Without this, an error on one connection would end the node.
+        except Exception as error:  # noqa: BLE001 - the writing task ends here
+            # An uncaught error would cancel the nursery and stop the node.
             self.on_error(error)
             self.scope.cancel()
 
-    async def finish(self, *, may_have_unread_input: bool, has_rejected_body: bool) -> None:
-        """Wait until the last response has been written and the peer has had time to read it.
+    async def flush_and_linger(self, *, may_have_unread_input: bool, has_rejected_body: bool) -> None:
+        """Write the rest of the last response, and give the client time to read it.
 
-        Raises OSError if the connection breaks.
+        Raises:
+            OSError: the connection breaks.
         """
         with trio.move_on_after(WRITE_TIMEOUT_SECONDS):
             await self.stream.drain()
@@ -98,9 +102,10 @@
             await self._linger(has_rejected_body=has_rejected_body)
 
     async def _linger(self, *, has_rejected_body: bool) -> None:
-        """Give a client that still writes time to read the response: a close now would reset the connection.
+        """Shut down the sending side, and discard input until the client closes or a limit is reached.
 
-        A rejected body is read to its end, since its client may not read before it has written all of it.
+        Closing a socket with unread input resets the connection, and the client could lose the response.
+        After a rejected body the limits are higher, since clients may write all of a body before they read.
         """
         self.stream.shut_down_sending()
         deadline = trio.current_time() + _LINGER_SECONDS
@@ -112,9 +117,9 @@
             await self.stream.discard_until_end(max_bytes)
 
     def close(self, default_reason: CloseReason) -> None:
-        """Close the socket and count the reason: the first one noted, or `default_reason`."""
+        """Close the socket, and count the recorded reason, or `default_reason` if there is none."""
         if self.stream.is_closed:
-            return  # closed before, or passed to another process
+            return  # already closed, or passed to another process
         reason = self._close_reason or default_reason
         self._counters.count(CounterGroup.CLIENT_CLOSES, reason.value)
         self.stream.close()
--- a/burlmoor/downstream/callbacks.py
+++ b/burlmoor/downstream/callbacks.py
@@ -1,4 +1,4 @@
-"""The call-backs of executors: what they report of the attempts that they have accepted."""
+"""Decodes the call-backs in which executors report on their attempts, and passes them to the engine."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     RUNNING = "running"
     DONE = "done"
     FAILED = "failed"
-    RETURNED = "returned"  # handed back, not started
-    LOST = "lost"  # with the process that ran it
+    RETURNED = "returned"  # handed back without being started
+    LOST = "lost"  # the process that ran it has ended
 
 
 class _JobEvent(msgspec.Struct):
     id: str
     endpoint_name: str = msgspec.field(name="from")
-    state: str  # any text: a state that is not a `CallbackState` changes nothing
+    state: str  # a `CallbackState`; any other text is ignored
     progress: float = msgspec.field(name="share", default=0.0)
     result: str = ""
 
@@ -46,15 +46,15 @@
     """The result of handling a call-back."""
 
     ACCEPTED = "accepted"
-    UNKNOWN = "unknown"  # it names no open attempt of this process
-    INVALID = "invalid"
+    UNKNOWN = "unknown"  # no open attempt of this process has its job id and endpoint
+    INVALID = "invalid"  # its body can't be decoded
 
 
 def handle_callback(jobs: JobRegistry, lifecycle: JobLifecycle, body: bytes) -> CallbackResult:
-    """Report a call-back to the engine.
+    """Decode a call-back and report it to the engine.
 
-    It may arrive before the 202, and counts then too. One for an attempt that has ended, such as a repeated
-    one, changes nothing, and the executor still gets its response.
+    A call-back may arrive before the executor's 202 response to the attempt, and is then handled in the same
+    way. A call-back for an attempt that has ended, such as a repeated one, is accepted and changes nothing.
     """
     try:
         event = _DECODER.decode(body)
--- a/burlmoor/downstream/connection.py
+++ b/burlmoor/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: reads requests, has each one handled, and writes its response."""
+"""Reads the requests of one accepted connection, passes them on, and writes the responses."""
 
 from __future__ import annotations
 
@@ -26,11 +26,12 @@
 
 
 class DownstreamConnection:
-    """Owns the requests and responses of one accepted connection. Implements `Responder` for its job.
+    """Serves one accepted connection, and is the `Responder` of its open job.
 
-    `has_been_used` is whether a complete request has arrived. `state_since` is when the connection was
-    accepted, began to receive its present request, or wrote its last response; `last_received_at` is when
-    bytes last arrived.
+    - `has_been_used`: whether a complete request has arrived
+    - `state_since`: when the connection was accepted, began to receive its current request, or wrote its
+      last response, whichever is latest
+    - `last_received_at`: when data last arrived
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self._peers = peers
         self._drain = drain
         self._nursery = nursery
-        self._job: Job | None = None  # the job whose answer the client waits for
+        self._job: Job | None = None  # the open job that the client waits for
         self._is_processing = False
         self.has_been_used = has_been_used
         self.state_since = trio.current_time() if has_been_used else accepted_socket.accepted_at
@@ -61,61 +62,59 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request has been begun or is open."""
+        """Whether there is neither a partial nor an open request, and nothing left to write."""
         return self._http.is_idle and not self._stream.inbound and not self._stream.outbound
 
     @property
     def has_unsent(self) -> bool:
-        """Whether part of a response still waits to be written."""
+        """Whether part of a response is still to be written."""
         return bool(self._stream.outbound)
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether part of a request has arrived."""
+        """Whether a request has arrived in part."""
         return not (self.is_awaiting_response or self.is_idle or self.is_finished)
 
     @property
     def is_awaiting_response(self) -> bool:
-        """Whether a request is open."""
+        """Whether a request has arrived and has no response yet."""
         return self._http.has_open_request
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing more is to be read or answered here."""
+        """Whether there is nothing more to read or to answer."""
         return self._http.is_closing and not self._http.has_open_request
 
-    # --- reading --------------------------------------------------------------------------------
-
     def serve_without_task(self) -> bool:
-        """Handle the input that has already arrived; return whether the connection is closed after that.
+        """Handle the input that has already arrived; return whether that completed and closed the connection.
 
-        Most connections carry one call-back each, and need no task.
+        Most connections carry a single call-back, so this saves starting a task for them.
         """
         try:
             if self._stream.receive_now() is ReceiveResult.DATA:
                 self.process_input()
         except (OSError, BufferError):
             self._http.stop_reading()
-            self._socket.note_close(CloseReason.BROKEN)
+            self._socket.record_close_reason(CloseReason.BROKEN)
         if not self.is_finished or self._stream.outbound or self._http.may_have_unread_input:
             return False
         self._close_socket()
         return True
 
     async def run(self) -> None:
-        """Read until the connection ends."""
+        """Serve the connection until it ends, then close it."""
         try:
             with self._socket.scope:
                 await self._read()
             if self.is_finished:
-                await self._socket.finish(
+                await self._socket.flush_and_linger(
                     may_have_unread_input=self._http.may_have_unread_input,
                     has_rejected_body=self._http.has_rejected_body,
                 )
         except (OSError, BufferError):
-            self._socket.note_close(CloseReason.BROKEN)
+            self._socket.record_close_reason(CloseReason.BROKEN)
         except Exception as error:  # noqa: BLE001 - the connection's task ends here
-            # Without this, an error on one connection would end the node.
+            # An uncaught error would cancel the nursery and stop the node.
             self._socket.on_error(error)
         finally:
             self.close_now()
@@ -123,9 +122,9 @@
     async def _read(self) -> None:
         while not self.is_finished:
             if not self._stream.inbound.free_space:
-                # Without this, jobs would run for clients that have disconnected: a close can only be read
-                # after everything written before it. A client that keeps writing has more than one request
-                # open, so the rest is discarded, and the response closes the connection.
+                # Keep reading with a full buffer, to notice when the client disconnects: a close is only read
+                # after all data before it, and its job would otherwise go on. The client has sent more than
+                # the open request, so the rest is discarded and the response closes the connection.
                 self._http.stop_reading()
                 await self._stream.discard_until_end(LINGER_BYTES)
                 return
@@ -134,8 +133,8 @@
             self.process_input()
 
     def process_input(self) -> None:
-        """Handle the buffered requests, until one has to wait for its response."""
-        # Without this, the answer of a job admitted from a connection that is being closed would be lost.
+        """Handle buffered requests until one is left waiting for its response."""
+        # A job admitted from a connection that is being closed could not be answered.
         if self._is_processing or self._socket.scope.cancel_called:
             return
         self._is_processing = True
@@ -155,8 +154,6 @@
             self._is_processing = False
         self.pass_to_successor()
 
-    # --- requests and responses -----------------------------------------------------------------
-
     def _handle(self, request: ParsedRequest) -> None:
         result = self._handler.handle(request, self)
         if isinstance(result, Response):
@@ -164,12 +161,12 @@
         elif isinstance(result, JobCallback):
             self._nursery.start_soon(self._forward_callback, result.body)
         else:
-            # Set first: if the next call fails, the client counts as disconnected.
+            # Set before the call, so that `close_now` reports a disconnect if the call fails.
             self._job = result
             self._handler.on_job_admitted(result)
 
     def respond(self, answer: FinalAnswer) -> None:
-        """Send the client the one final answer of its job."""
+        """Send the client the final answer of its job, then process the buffered requests."""
         self._job = None
         self._write_response(self._handler.on_job_answered(answer))
         self.process_input()
@@ -179,13 +176,13 @@
             self._write_response(await self._handler.forward_callback(body))
             self.process_input()
         except Exception as error:  # noqa: BLE001 - the call-back's task ends here
-            # Without this, an error in one call-back would end the node.
+            # An uncaught error would cancel the nursery and stop the node.
             self._socket.on_error(error)
             self.close_soon(CloseReason.ERROR)
 
     def _write_response(self, response: Response) -> None:
         if response.close_reason is not None:
-            self._socket.note_close(response.close_reason)
+            self._socket.record_close_reason(response.close_reason)
         if response.closes_connection or self._drain.state >= ServiceState.CLOSING:
             self._http.stop_reading()
         self.state_since = trio.current_time()
@@ -197,17 +194,15 @@
         if not self._socket.send(data):
             self._http.stop_reading()
 
-    # --- closing --------------------------------------------------------------------------------
-
     def close_soon(self, reason: CloseReason) -> None:
-        """Stop reading and close the connection, now if there is nothing left to write."""
-        self._socket.note_close(reason)
+        """Stop reading, and close the connection once pending output is written."""
+        self._socket.record_close_reason(reason)
         self._socket.scope.cancel()
         if self.is_finished and not self.has_unsent:
             self._close_socket()
 
     def close_now(self) -> None:
-        """Close the connection now; a client that waits for a response gets none."""
+        """Close the connection immediately, even if a client awaits a response."""
         self._close_socket()
         if self._job is not None:
             self._handler.on_client_disconnected(self._job)
@@ -216,7 +211,7 @@
         self._socket.close(CloseReason.LAST_RESPONSE if self.is_finished else CloseReason.PEER_CLOSED)
 
     def pass_to_successor(self) -> None:
-        """Pass the connection to the process that has taken over, if it is idle."""
+        """Pass the connection to the successor process if there is one and the connection is idle."""
         successor = self._peers.successor
         if successor is None or not self.is_idle or self.is_finished:
             return
--- a/burlmoor/downstream/connection_set.py
+++ b/burlmoor/downstream/connection_set.py
@@ -1,4 +1,4 @@
-"""The accepted connections of this process, within their limit."""
+"""Tracks the accepted connections of this process and enforces their limit."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 if TYPE_CHECKING:
     from burlmoor.downstream.eviction import TrackedConnection
 
-_FULL_RETRY_SECONDS = 0.05  # before eviction is tried again on a full set, unless a connection ends first
-# Connections reserved for call-backs, which waiting clients may not use: one in so many, and a minimum.
+_EVICTION_RETRY_SECONDS = 0.05  # between attempts to evict while the set is full and no connection ends
+# One in 8 connections, and at least 4, are reserved for call-backs: waiting clients may not use them.
 _CONNECTIONS_PER_RESERVED = 8
-_MIN_RESERVED = 4
+_MIN_RESERVED_CONNECTIONS = 4
 
 
 class ConnectionSet:
-    """Owns the open connections, their limit, and the number of clients that wait for an answer."""
+    """Holds the open connections, their limit, and the number of clients that wait for an answer."""
 
     def __init__(self, max_connections: int) -> None:
         self._connections: set[TrackedConnection] = set()
@@ -37,11 +37,11 @@
 
     @property
     def max_connections(self) -> int:
-        """How many connections may be open."""
+        """The maximum number of open connections."""
         return self._max_connections
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Change how many connections may be open; those that are open now stay."""
+        """Change the maximum number of open connections; connections above it stay open."""
         self._max_connections = max_connections
 
     @property
@@ -51,63 +51,57 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether part of a response still waits to be written on some connection."""
+        """Whether part of a response is still to be written on any connection."""
         return any(connection.has_unsent for connection in self._connections)
 
     @property
     def has_partial_requests(self) -> bool:
-        """Whether part of a request has arrived on some connection."""
+        """Whether a request has arrived in part on any connection."""
         return any(connection.has_partial_request for connection in self._connections)
 
-    # --- open connections -----------------------------------------------------------------------
-
     def add(self, connection: TrackedConnection) -> None:
-        """Add a connection that was accepted, here or by this process's predecessor."""
+        """Add a connection that this process or its predecessor has accepted."""
         self._connections.add(connection)
 
     def discard(self, connection: TrackedConnection) -> None:
-        """Stop counting a connection that is passed on or about to be closed."""
+        """Remove a connection that has been passed to the successor."""
         self._connections.discard(connection)
 
     def on_connection_ended(self, connection: TrackedConnection) -> None:
-        """Remove a connection whose task has ended."""
+        """Remove a connection whose task has ended, and wake `wait_for_capacity`."""
         self._connections.discard(connection)
         self._connection_ended.set()
 
     async def wait_for_capacity(self) -> None:
-        """Wait until a connection ends, for a limited time, since one may have become evictable by then."""
+        """Wait until a connection ends, or until it is time to try to evict one again."""
         self._connection_ended = trio.Event()
-        with trio.move_on_after(_FULL_RETRY_SECONDS):
+        with trio.move_on_after(_EVICTION_RETRY_SECONDS):
             await self._connection_ended.wait()
 
     def pass_idle_to_successor(self) -> None:
-        """Pass every idle connection to the process that has taken over."""
+        """Pass every idle connection to the successor process, if there is one."""
         for connection in list(self._connections):
             connection.pass_to_successor()
 
-    # --- waiting clients ------------------------------------------------------------------------
-
     def has_capacity_for_client(self) -> bool:
         """Return whether one more client may wait for an answer.
 
-        Without this, waiting clients could use all connections: with none left for the call-backs that
-        answer them, all would wait until their deadlines.
+        Some connections are reserved for call-backs. If waiting clients held all of them, no result could
+        arrive, and every client would wait until its deadline.
         """
-        reserved = max(_MIN_RESERVED, self._max_connections // _CONNECTIONS_PER_RESERVED)
+        reserved = max(_MIN_RESERVED_CONNECTIONS, self._max_connections // _CONNECTIONS_PER_RESERVED)
         return self._waiting_client_count < self._max_connections - reserved
 
     def on_client_waiting(self) -> None:
-        """Count a client whose job has been admitted."""
+        """Count a client that waits for the answer of an admitted job."""
         self._waiting_client_count += 1
 
-    def on_client_gone(self) -> None:
-        """Stop counting a client that has its answer, or has disconnected."""
+    def on_client_wait_ended(self) -> None:
+        """Stop counting a client that has been answered or has disconnected."""
         self._waiting_client_count -= 1
 
-    # --- closing --------------------------------------------------------------------------------
-
     def evict_one(self) -> bool:
-        """Close one connection to make room: first unused, then idle, then stalled ones.
+        """Close one connection to make room: an unused one, else an idle one, else a stalled one.
 
         Returns False if none may be closed.
         """
@@ -121,13 +115,13 @@
     def close_idle(self) -> None:
         """Close every connection that has been used and is idle.
 
-        An unused one stays: it may be the connection of a call-back whose first byte has not arrived yet.
+        Unused ones stay open, since a call-back may be about to arrive on them.
         """
         for connection in select_used_idle(self._connections):
             connection.close_soon(CloseReason.SHUTDOWN)
 
     def close_expired(self, now: float) -> None:
-        """Close the connections past a time limit, and the idle ones above their share."""
+        """Close the connections past a time limit, and surplus idle ones."""
         for connection in select_timed_out(self._connections, now):
             connection.close_soon(CloseReason.TIMED_OUT)
         surplus = select_surplus_idle(
--- a/burlmoor/downstream/eviction.py
+++ b/burlmoor/downstream/eviction.py
@@ -1,4 +1,4 @@
-"""Selects the connections to close: those past a time limit, and the least useful ones at the limit."""
+"""Selects connections to close: past a time limit, or the least useful ones at the connection limit."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
     from burlmoor.types.reasons import CloseReason
 
-# Within which a request has to arrive, for the first one counted from the accept. Clients may take 2 s to
-# write a request, and the connection of one that never ends is closed within 3 s.
+# For a request to arrive completely; for the first one, from the accept. Clients may take 2 s to write a
+# request, and the connection of an incomplete one has to be closed within 3 s.
 _REQUEST_TIMEOUT_SECONDS = 2.6
-_IDLE_TIMEOUT_SECONDS = 120.0  # for which a connection may be idle after its first request
-# After which a connection may be closed to make room for others.
+_IDLE_TIMEOUT_SECONDS = 120.0  # idle time allowed to a connection after its first request
+# The least times before a connection may be evicted; for a stalled one, since data last arrived.
 _UNUSED_EVICTION_SECONDS = 0.1
 _IDLE_EVICTION_SECONDS = 0.25
 _STALLED_EVICTION_SECONDS = 0.5
-_MAX_IN_USE_SHARE = 0.4  # of the connection limit: above it, the longest idle connections are closed
+_MAX_IN_USE_SHARE = 0.4  # of the connection limit; above it, the longest idle ones are closed
 
 
 class TrackedConnection(Protocol):
-    """A connection, as `ConnectionSet` requires it."""
+    """What `ConnectionSet` requires of a connection."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request has been begun or is open."""
+        """Whether there is neither a partial nor an open request, and nothing left to write."""
 
     @property
     def has_been_used(self) -> bool:
@@ -37,52 +37,52 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether part of a response still waits to be written."""
+        """Whether part of a response is still to be written."""
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether part of a request has arrived."""
+        """Whether a request has arrived in part."""
 
     @property
     def is_awaiting_response(self) -> bool:
-        """Whether a request is open."""
+        """Whether a request has arrived and has no response yet."""
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing more is to be read or answered."""
+        """Whether there is nothing more to read or to answer."""
 
     @property
     def state_since(self) -> float:
-        """When it was accepted, began to receive a request, or wrote a response."""
+        """When it was accepted, began to receive a request, or wrote a response, whichever is latest."""
 
     @property
     def last_received_at(self) -> float:
-        """When bytes last arrived."""
+        """When data last arrived."""
 
     def close_soon(self, reason: CloseReason) -> None:
-        """Stop reading and close the connection, now if there is nothing left to write."""
+        """Stop reading, and close the connection once pending output is written."""
 
     def pass_to_successor(self) -> None:
-        """Pass the connection to the process that has taken over, if it is idle."""
+        """Pass the connection to the successor process if there is one and the connection is idle."""
 
 
 class EvictionPriority(IntEnum):
     """The kinds of connections that may be evicted, in the order of eviction."""
 
-    UNUSED = 0  # no request has been begun yet
+    UNUSED = 0  # no request has begun, or nothing more is to be read or answered
     IDLE = 1
-    STALLED = 2  # within a request
+    STALLED = 2  # in the middle of a request
 
 
 class EvictionRank(NamedTuple):
-    """Where a connection stands in the order of eviction; the lowest rank is evicted first."""
+    """The position of a connection in the order of eviction; the lowest rank is evicted first."""
 
     priority: EvictionPriority
     since: float
 
 
 def select_for_eviction(connections: Iterable[TrackedConnection], now: float) -> TrackedConnection | None:
-    """Select the connection to evict in favour of a new one; None if none may be evicted."""
+    """Return the connection to evict in favour of a new one, or None if none may be evicted."""
     candidates = [
         (rank, connection)
         for connection in connections
@@ -96,8 +96,8 @@
 def _eviction_rank(connection: TrackedConnection, now: float) -> EvictionRank | None:
     """Return the rank of a connection, or None while it may not be evicted.
 
-    Clients write their first request immediately, and slow ones keep writing: a connection on which nothing
-    arrives is probably not a client's.
+    Clients write their first request immediately, and slow clients keep writing, so a connection on which
+    nothing arrives is probably not in use by a client.
     """
     if connection.is_awaiting_response or connection.has_unsent:
         return None
@@ -114,7 +114,7 @@
 
 
 def select_timed_out(connections: Iterable[TrackedConnection], now: float) -> list[TrackedConnection]:
-    """Select the connections that have exceeded the time limit of their present state."""
+    """Return the connections that have exceeded the time limit of their current state."""
     return [
         connection
         for connection in connections
@@ -124,7 +124,7 @@
 
 def _timeout_seconds(connection: TrackedConnection) -> float:
     if connection.is_awaiting_response or connection.is_finished:
-        return math.inf  # a job has its deadline, and a finished connection ends by itself
+        return math.inf  # jobs have deadlines, and a finished connection closes itself
     if connection.has_unsent:
         return WRITE_TIMEOUT_SECONDS
     if connection.has_been_used and connection.is_idle:
@@ -133,7 +133,7 @@
 
 
 def select_used_idle(connections: Iterable[TrackedConnection]) -> list[TrackedConnection]:
-    """Select the connections that have been used and are idle."""
+    """Return the connections that have been used and are idle."""
     return [connection for connection in connections if connection.has_been_used and connection.is_idle]
 
 
@@ -143,10 +143,10 @@
     max_connections: int,
     now: float,
 ) -> list[TrackedConnection]:
-    """Select the longest idle of the used connections, as many as exceed the share of those in use.
+    """Return the longest idle connections, as many as exceed `_MAX_IN_USE_SHARE` of the connection limit.
 
-    Without this, clients that open a connection for each request and leave the last one open would use up
-    the connection limit, and their next requests could not connect.
+    Clients that open a connection for each request and leave the last one open would otherwise use up the
+    limit, and could not connect for their next requests.
     """
     idle = sorted(select_used_idle(connections), key=lambda connection: connection.state_since)
     surplus = max(0, len(idle) + waiting_client_count - int(max_connections * _MAX_IN_USE_SHARE))
--- a/burlmoor/downstream/http.py
+++ b/burlmoor/downstream/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 on the client's side of a connection, as a state machine: bytes in, requests and bytes out.
+"""The HTTP/1.1 server protocol as a state machine without I/O: parses requests and encodes responses.
 
-Uses no socket and no clock. Executors' call-backs and readiness checks arrive here too.
+Uses no socket and no clock. Requests are job submissions, executors' call-backs and readiness checks.
 """
 
 from __future__ import annotations
@@ -39,15 +39,17 @@
 
 
 class NoOpenRequestError(BurlmoorError, RuntimeError):
-    """A response was to be encoded although no request is open: an error of the caller."""
+    """A response was passed for encoding while no request was open; this is a bug in the caller."""
 
 
 class HttpServerConnection:
-    """Owns the HTTP state of one accepted connection. One request at a time; later input stays unparsed.
+    """Holds the HTTP state of one accepted connection.
+
+    Handles one request at a time; input after it stays unparsed until the response has been encoded.
 
     - `has_open_request`: a request has arrived and has no response yet
-    - `is_closing`: nothing more is read from this connection; it is closed after the open request's response
-    - `has_rejected_body`: a body was rejected for its announced length, and may still be written
+    - `is_closing`: no further request is read, and the connection closes after any open request's response
+    - `has_rejected_body`: a body was rejected for its Content-Length, and the client may still be writing it
     """
 
     def __init__(self, parser: JobSubmissionParser) -> None:
@@ -56,27 +58,27 @@
         self._head: h11.Request | None = None
         self._body = bytearray()
         self.has_open_request = False
-        self._omits_response_body = False  # HEAD: the length of a body that is not sent
+        self._omits_response_body = False  # for HEAD, which gets the headers only
         self.is_closing = False
         self.has_rejected_body = False
 
     @property
     def may_have_unread_input(self) -> bool:
-        """Whether there is unread input, or more may still arrive."""
+        """Whether there is unread input, or more input may arrive."""
         has_ended = self._http.their_state in (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)
         return not has_ended or bool(self._http.trailing_data[0])
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request has been begun or is open."""
+        """Whether there is neither a partial nor an open request."""
         return not self.has_open_request and self._head is None and not self._http.trailing_data[0]
 
     def stop_reading(self) -> None:
-        """Stop reading: the connection is to be closed, after the open request's response if there is one."""
+        """Read no further request; the connection closes after the response to the open request, if any."""
         self.is_closing = True
 
     def receive_data(self, data: bytes) -> ParsedRequest | None:
-        """Parse bytes; return the request once it is complete. Not to be called with a request open."""
+        """Parse bytes and return the request once it is complete. No request may be open."""
         try:
             if data:
                 self._http.receive_data(data)
@@ -102,8 +104,8 @@
     def _on_head(self, head: h11.Request) -> InvalidRequest | None:
         self._head = head
         if {b"content-length", b"transfer-encoding"} <= {name for name, _ in head.headers}:
-            # Without this, the body might hide another request where two lengths are given (request
-            # smuggling, RFC 9112, section 11.2).
+            # With two lengths, servers may disagree on where the body ends, so that it could hide another
+            # request (request smuggling, RFC 9112, section 11.2).
             return self._reject(_AMBIGUOUS_LENGTH)
         length = next((value for name, value in head.headers if name == b"content-length"), b"0")
         if int(length) > MAX_BODY_BYTES:
@@ -121,21 +123,21 @@
         request = self._route()
         if isinstance(request, InvalidRequest):
             return self._reject(request)
-        self._note_method()
+        self._record_method()
         self._head = None
         self._body = bytearray()
         self.has_open_request = True
         return request
 
-    def _note_method(self) -> None:
+    def _record_method(self) -> None:
         self._omits_response_body = self._head is not None and self._head.method == b"HEAD"
 
     def _reject(self, rejection: InvalidRequest) -> InvalidRequest:
         self.has_open_request = True
-        self._note_method()
-        # Without this, clients could repeat invalid requests at no cost: a rejection closes the connection.
+        self._record_method()
+        # Closing the connection makes it costlier for clients to repeat invalid requests.
         self.stop_reading()
-        # h11 quotes up to 16 KiB of input that it can't parse, too much for the log and the response.
+        # h11 quotes up to 16 KiB of input that it can't parse, which is too much to log and to send.
         return InvalidRequest(rejection.status, rejection.reason[:_MAX_REASON_LENGTH])
 
     def _route(self) -> ParsedRequest:
@@ -158,13 +160,13 @@
             return InvalidRequest(HTTPStatus.BAD_REQUEST, str(error))
 
     def encode_continue_response(self) -> bytes:
-        """Encode 100 Continue if the client waits for it before it sends its body, else nothing."""
+        """Encode a 100 Continue response if the client waits for one before sending its body."""
         if self._http.they_are_waiting_for_100_continue and not self.is_closing:
             return self._http.send(_CONTINUE) or b""
         return b""
 
     def encode_response(self, response: Response) -> bytes:
-        """Encode the response to the open request; afterwards the next request may arrive.
+        """Encode the response to the open request, and get ready to receive the next one.
 
         Raises:
             NoOpenRequestError: no request is open.
@@ -178,7 +180,7 @@
             if self.is_closing:
                 headers.append(_CONNECTION_CLOSE)
             head = h11.Response(status_code=response.status, headers=headers)
-        # After a framing error h11 has no request to pair the response with, yet still sends it.
+        # After a framing error h11 encodes a response although it has parsed no request.
         data = self._http.send(head) or b""
         if response.body and not self._omits_response_body:
             data += self._http.send(h11.Data(data=response.body)) or b""
--- a/burlmoor/downstream/interfaces.py
+++ b/burlmoor/downstream/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces of the parts that are attached to the downstream server while they are active."""
+"""Protocols of the components that can be attached to and detached from the downstream server."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
     def pass_connection(self, sock: socket.socket, *, has_been_used: bool, age_seconds: float) -> None:
         """Take over an idle connection and its socket.
 
-        `has_been_used`: whether a complete request has arrived on it; `age_seconds`: since its accept.
+        `has_been_used` is whether a complete request has arrived on it, `age_seconds` the time since it was
+        accepted.
         """
 
     def on_job_opened(self, request_id: str) -> None:
-        """Note that this process has admitted a job after the handover."""
+        """Record that this process has admitted a job after the handover."""
 
 
 class CallbackForwarder(Protocol):
@@ -37,11 +38,15 @@
     def __call__(
         self, headers: Sequence[tuple[bytes, bytes]], request_id: str, body_bytes: int, /
     ) -> RunConditions | None:
-        """Parse the headers; None where they set no condition. Raises `InvalidConditionError`."""
+        """Return the run conditions of a job submission, or None if its headers set none.
+
+        Raises:
+            InvalidConditionError: a header with a run condition is invalid.
+        """
 
 
 class DrainObserver(Protocol):
-    """Is notified at each sweep whether the node closes its clients' connections."""
+    """Is called at each sweep with whether the node is closing its clients' connections."""
 
     def __call__(self, *, is_draining: bool) -> None:
-        """Note whether the node is draining or shutting down."""
+        """Handle a sweep; `is_draining` also holds while the node shuts down."""
--- a/burlmoor/downstream/job_headers.py
+++ b/burlmoor/downstream/job_headers.py
@@ -1,4 +1,4 @@
-"""Parses the head of a job submission (protocol: "Clients to nodes"): its path and its headers."""
+"""Parses the path and the headers of a job submission (protocol: "Clients to nodes")."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 REQUEST_ID = re.compile(r"[0-9A-Za-z._~-]{1,64}")
 _DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 _INTEGER = re.compile(r"[0-9]{1,9}")
-# Printable, and short enough to be stored for every job: no specification limits a key's length.
+# Printable ASCII. The length is limited because the key is stored for every job and no standard limits it.
 _IDEMPOTENCY_KEY = re.compile(r"[\x20-\x7e]{1,255}")
-_MAX_SLOTS = 64.0  # of one job; no executor has more
+_MAX_SLOTS = 64.0  # per job; no executor has more
 _SINGLE_HEADERS = frozenset(
     (b"request-id", b"request-timeout-ms", b"tenant", b"work-hint", b"client-retry", b"idempotency-key")
 )
-_SEGMENTS_WITHOUT_KEY = 2  # "" and the class; the last segment of a longer path is the affinity key
+_SEGMENTS_WITHOUT_KEY = 2  # "" and the class; in a longer path the last segment is the affinity key
 
 _Fields = dict[bytes, str]
 
 
 class JobHeader(StrEnum):
-    """A header of a job submission, as rejections name it."""
+    """The names of headers as they are written in rejections."""
 
     REQUEST_ID = "Request-Id"
     REQUEST_TIMEOUT = "Request-Timeout-Ms"
@@ -53,8 +53,7 @@
 class JobSubmissionParser:
     """Parses the job submissions of all connections of a server.
 
-    `classes` are the names of the job classes, `classes_requiring_key` of those whose jobs must have an
-    idempotency key.
+    `classes` are the names of the job classes; jobs of `classes_requiring_key` must have an idempotency key.
     """
 
     def __init__(self, classes: Iterable[str], classes_requiring_key: Iterable[str] = ()) -> None:
@@ -63,7 +62,7 @@
         self._parse_conditions: RunConditionParser | None = None
 
     def set_condition_parser(self, parse_conditions: RunConditionParser | None) -> None:
-        """Parse run conditions with this parser from now on; None: ignore them, no job is deferred."""
+        """Parse run conditions with this parser, or ignore them and defer no job if it is None."""
         self._parse_conditions = parse_conditions
 
     def parse(self, head: h11.Request, path_segments: list[str], body: bytes) -> JobSubmission:
@@ -117,10 +116,10 @@
 
 
 def _parse_integer(fields: _Fields, name: bytes) -> int | None:
-    """Parse a header's non-negative integer; None where there is no such header.
+    """Parse a header's non-negative integer; return None if the header is absent.
 
     Raises:
-        InvalidHeaderError: the header is not such an integer.
+        InvalidHeaderError: the header is not a non-negative integer of at most 9 digits.
     """
     text = fields.get(name)
     if text is None:
@@ -131,21 +130,21 @@
 
 
 def _parse_request_info(text: str) -> dict[str, float]:
-    """Parse `Request-Info: name=value,name=value`, the requirements of a job on its executor.
+    """Parse `Request-Info: name=value,name=value`: what the job requires of its executor.
 
     Raises:
-        InvalidHeaderError: a requirement has no valid value.
+        InvalidHeaderError: a requirement is malformed, or the slots are out of range.
     """
     requirements: dict[str, float] = {}
     for part in text.split(",") if text else ():
         name, _, value = part.partition("=")
         value = value.strip(" ")
-        # Without this, 'nan' and 'inf', floats to Python, would reach the policy and never fit anywhere.
+        # Rejects 'nan' and 'inf', which float() accepts: a job that requires them fits on no executor.
         if not _DECIMAL_NUMBER.fullmatch(value):
             raise InvalidHeaderError(JobHeader.REQUEST_INFO, "is not name=value,name=value")
         requirements[name.strip(" ")] = float(value)
     if not 0.0 < requirements.get("slots", 1.0) <= _MAX_SLOTS:
-        # Without this, the policy would count so many slots as reserved at an executor.
+        # The number is limited because the policy reserves all of these slots at an executor.
         raise InvalidHeaderError(
             JobHeader.REQUEST_INFO, f"has invalid slots: above 0, at most {_MAX_SLOTS:g}"
         )
@@ -156,7 +155,7 @@
     key = fields.get(b"idempotency-key")
     if key is None:
         if is_required:
-            # Without this, executors could not recognise a retry of the job.
+            # Executors recognise a retry of the job by its key.
             raise InvalidHeaderError(JobHeader.IDEMPOTENCY_KEY, "is missing")
         return ""
     if not _IDEMPOTENCY_KEY.fullmatch(key):
--- a/burlmoor/downstream/peer_processes.py
+++ b/burlmoor/downstream/peer_processes.py
@@ -1,4 +1,4 @@
-"""The node's other processes, while one process hands over to another."""
+"""References to the node's other processes during a handover."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class PeerProcesses:
-    """Owns the references to the process that idle connections are passed to, and to the forwarder.
+    """Holds the successor process and the forwarder of call-backs, each None if there is none.
 
-    - `successor`: accepts in this process's place; None if there is none
-    - `callback_forwarder`: forwards call-backs for unknown jobs; None if this process is the only one
+    - `successor`: the process that accepts connections in place of this one
+    - `callback_forwarder`: forwards call-backs for jobs that are unknown here to the node's other processes
     """
 
     def __init__(self) -> None:
@@ -20,9 +20,9 @@
         self.callback_forwarder: CallbackForwarder | None = None
 
     def attach_successor(self, successor: SuccessorProcess | None) -> None:
-        """Pass idle connections to this process from now on; None: to none."""
+        """Pass idle connections to this process from now on, or keep them if it is None."""
         self.successor = successor
 
     def attach_callback_forwarder(self, forwarder: CallbackForwarder | None) -> None:
-        """Forward call-backs for unknown jobs from now on; None: answer them here."""
+        """Forward call-backs for unknown jobs from now on, or answer them here if it is None."""
         self.callback_forwarder = forwarder
--- a/burlmoor/downstream/request_handler.py
+++ b/burlmoor/downstream/request_handler.py
@@ -1,6 +1,7 @@
 """Handles parsed requests: admits jobs, delivers call-backs, and answers all others immediately.
 
-Rejections that need no policy are made here and in `http`; those of the policy are final answers of jobs.
+Requests that are rejected here or in `http` never become jobs; a rejection by the policy is the final answer
+of a job.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
     ID_IN_USE = "the id is in use"
 
 
-# Closed too, so that the connection's place is free for call-backs.
+# Closes the connection to leave room for call-backs.
 _NO_CAPACITY = Response(
     HTTPStatus.SERVICE_UNAVAILABLE, headers=((RETRY_AFTER, "0.5"),), closes_connection=True
 )
@@ -50,7 +51,7 @@
 _CALLBACK_ACCEPTED = Response(HTTPStatus.NO_CONTENT)
 _CALLBACK_INVALID = Response(HTTPStatus.BAD_REQUEST, b"not a job event\n", closes_connection=True)
 _CALLBACK_NOT_ACKNOWLEDGED = Response(HTTPStatus.SERVICE_UNAVAILABLE, closes_connection=True)
-# Without the close, health checkers that stay connected after one check would use up the connection limit.
+# Closes the connection, since health checkers that stay connected would use up the connection limit.
 _READY = Response(HTTPStatus.OK, b"ready\n", closes_connection=True)
 _NOT_READY = Response(HTTPStatus.SERVICE_UNAVAILABLE, b"taking no clients\n", closes_connection=True)
 
@@ -79,8 +80,10 @@
     def handle(self, request: ParsedRequest, responder: Responder) -> Response | Job | JobCallback:
         """Handle a request.
 
-        Returns its response; or the admitted job, whose answer is passed to `responder` later; or the
-        call-back, if its response has to be requested with `forward_callback`.
+        Returns one of:
+        - the response
+        - the admitted job, whose answer is passed to `responder` later
+        - the call-back, if it is to be passed to `forward_callback` for its response
         """
         match request:
             case JobSubmission():
@@ -94,8 +97,6 @@
                 body = reason.encode() + b"\n"
                 return Response(status, body, close_reason=CloseReason.INVALID_REQUEST)
 
-    # --- job submissions ------------------------------------------------------------------------
-
     def _admit(self, submission: JobSubmission, responder: Responder) -> Response | Job:
         if self._drain.state >= ServiceState.REJECTING:
             return self._reject(submission, RejectionReason.SHUTTING_DOWN, _NO_CAPACITY)
@@ -117,23 +118,21 @@
         return response
 
     def on_job_admitted(self, job: Job) -> None:
-        """Count the client, which waits for this job's answer."""
+        """Count the client as waiting, and tell the successor process of the job."""
         self._connections.on_client_waiting()
         if self._peers.successor is not None:
             self._peers.successor.on_job_opened(job.id)
 
     def on_job_answered(self, answer: FinalAnswer) -> Response:
         """Stop counting the client as waiting, and return the response to its submission."""
-        self._connections.on_client_gone()
+        self._connections.on_client_wait_ended()
         return build_answer_response(answer)
 
     def on_client_disconnected(self, job: Job) -> None:
-        """Handle that a client has disconnected before its job was answered."""
-        self._connections.on_client_gone()
+        """Stop counting the client as waiting, and tell the engine that it has disconnected."""
+        self._connections.on_client_wait_ended()
         self._lifecycle.on_client_disconnected(job)
 
-    # --- call-backs -----------------------------------------------------------------------------
-
     def _handle_callback(self, callback: JobCallback) -> Response | JobCallback:
         result = callbacks.handle_callback(self._jobs, self._lifecycle, callback.body)
         if result is callbacks.CallbackResult.UNKNOWN and self._peers.callback_forwarder is not None:
@@ -143,21 +142,20 @@
         return _CALLBACK_ACCEPTED
 
     async def forward_callback(self, body: bytes) -> Response:
-        """Return the response to a call-back once the process that knows its job has acknowledged it.
+        """Forward a call-back to the node's other processes and return the response to it.
 
-        Without this, a result would be lost: the executor does not repeat a call-back that was answered.
+        The response is 503 unless one of them acknowledges the call-back, so that the executor repeats it:
+        an executor does not repeat a call-back that was accepted, and the result would be lost.
         """
         forwarder = self._peers.callback_forwarder
         is_acknowledged = forwarder is not None and await forwarder.forward_callback(body)
         return _CALLBACK_ACCEPTED if is_acknowledged else _CALLBACK_NOT_ACKNOWLEDGED
 
-    # --- readiness checks -----------------------------------------------------------------------
-
     def _is_ready(self) -> bool:
-        """Return whether load balancers in front may send clients to this node.
+        """Return whether load balancers in front of the node may send clients to it.
 
-        Without the first case, this process would report the node as not ready while another process of it
-        accepts clients, and load balancers would send it no clients for seconds.
+        After a handover the node is ready although this process shuts down, since the successor accepts
+        clients; if it were reported as not ready, load balancers would avoid it for seconds.
         """
         if self._peers.successor is not None:
             return not self._drain.is_drained
--- a/burlmoor/downstream/requests.py
+++ b/burlmoor/downstream/requests.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSubmission:
-    """A client submits a job."""
+    """The submission of a job by a client."""
 
     request_id: str
     request: JobRequest
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCallback:
-    """An executor reports the progress or the end of an attempt."""
+    """An executor's report on an attempt: its start, progress or end."""
 
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ReadinessCheck:
-    """A load balancer in front of the node asks whether it accepts clients."""
+    """A readiness check by a load balancer in front of the node."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidRequest:
-    """A request that is rejected without being handled, with this status and the reason as its body."""
+    """A request that is rejected before it is handled, with this status and with the reason as the body."""
 
     status: HTTPStatus
     reason: str
--- a/burlmoor/downstream/responses.py
+++ b/burlmoor/downstream/responses.py
@@ -1,4 +1,4 @@
-"""The responses of a downstream connection, before they are encoded."""
+"""The responses to requests of a downstream connection, before they are encoded."""
 
 from __future__ import annotations
 
--- a/burlmoor/downstream/server.py
+++ b/burlmoor/downstream/server.py
@@ -32,9 +32,9 @@
 
 
 class DownstreamServer:
-    """Owns the listening socket, and starts the task of each accepted connection.
+    """Accepts connections from a listening socket and starts a task for each.
 
-    - `connections`: those that are open
+    - `connections`: the open connections
     - `peers`: the node's other processes, to which idle connections and call-backs are passed
     - `parser`: parses job submissions
     """
@@ -65,23 +65,20 @@
 
     @property
     def address(self) -> SocketAddress:
-        """The address at which it listens."""
+        """The address that the server listens on."""
         host, port = self._listener.getsockname()
         return SocketAddress(str(host), int(port))
 
     def attach_drain_observer(self, observer: DrainObserver | None) -> None:
-        """Notify this observer at each sweep from now on; None: nobody."""
+        """Notify this observer at each sweep from now on, or none if it is None."""
         self._drain_observer = observer
 
-    # --- accepting ------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Accept until cancelled."""
+        """Accept connections until cancelled."""
         while True:
             await trio.lowlevel.wait_readable(self._listener)
             if self.connections.is_full and not self.connections.evict_one():
-                # Without this, the node would exceed its limit on sockets: further connections wait in the
-                # backlog until one ends.
+                # New connections wait in the backlog until one ends, to stay within the limit on sockets.
                 await self.connections.wait_for_capacity()
                 continue
             sock = await accept(self._listener, self._on_descriptors_exhausted)
@@ -93,9 +90,10 @@
         self.connections.evict_one()
 
     def adopt(self, sock: socket.socket, *, has_been_used: bool = False, age_seconds: float = 0.0) -> None:
-        """Serve a connection that was accepted here, or by this process's predecessor.
+        """Serve a connection that this process or its predecessor has accepted.
 
-        `has_been_used`: whether a complete request has arrived on it; `age_seconds`: since its accept.
+        `has_been_used` is whether a complete request has arrived on it, `age_seconds` the time since it was
+        accepted.
         """
         try:
             accepted = AcceptedSocket(sock, self._nursery, self._log, self._counters, age_seconds=age_seconds)
@@ -116,7 +114,7 @@
             if connection.serve_without_task():
                 return
         except Exception as error:  # noqa: BLE001
-            # Without this, an error on one connection would end the task that accepts all others.
+            # An uncaught error would end the task that accepts all connections.
             accepted.on_error(error)
             connection.close_now()
             return
@@ -129,8 +127,6 @@
         finally:
             self.connections.on_connection_ended(connection)
 
-    # --- closing --------------------------------------------------------------------------------
-
     async def sweep(self) -> None:
         """Periodically close the connections past a time limit, and idle ones while the node drains."""
         while True:
--- a/tests/downstream/test_http.py
+++ b/tests/downstream/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP state machine of a downstream connection: bytes in, requests and responses out."""
+"""Parsing of requests and encoding of responses by the HTTP state machine, without sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def parse(data: bytes, chunk_bytes: int = 1 << 20) -> tuple[HttpServerConnection, ParsedRequest | None]:
-    """Feed bytes in chunks to a new connection; return it, and the request that the last chunk completed."""
+    """Feed bytes in chunks to a new connection; return it and the request that the last chunk completes."""
     http = build_connection()
     parsed = None
     for start in range(0, len(data), chunk_bytes):
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("chunk_bytes", [1, 7, 1 << 20])
-def test_a_job_is_parsed_however_its_bytes_are_split(chunk_bytes: int) -> None:
+def test_a_job_is_parsed_from_chunks_of_any_size(chunk_bytes: int) -> None:
     http, request = parse(JOB, chunk_bytes)
     assert isinstance(request, JobSubmission)
     assert (request.request_id, request.payload.path, request.payload.body) == (
@@ -68,7 +68,7 @@
     assert request.payload.idempotency_key == "5c0f"
 
 
-def test_pipelined_requests_wait_for_their_turn() -> None:
+def test_pipelined_requests_are_parsed_one_at_a_time() -> None:
     http, first = parse(
         JOB + JOB.replace(b"9b1f", b"77aa") + b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
     )
@@ -82,7 +82,7 @@
     assert isinstance(http.receive_data(b""), ReadinessCheck)
 
 
-def test_a_callback_closes_its_connection_if_its_sender_asks() -> None:
+def test_connection_close_in_a_callback_is_honoured() -> None:
     http, request = parse(
         b"POST /v1/job-events HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}"
     )
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect, or keep writing, while their jobs are open: rows of `docs/races.md`."""
+"""Clients that disconnect or keep writing while their jobs are open; see `docs/races.md`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DelayedConnections:
-    """Delays each connection to an executor until the test releases it."""
+    """Holds back each connection that is acquired from the pool until the test sets `released`."""
 
     def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting_count = 0
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("given_settings", [SETTINGS_OBJECT, NO_CANCEL])
 @pytest.mark.parametrize("how", ["closes", "resets"])
-async def test_a_client_that_disconnects_while_the_node_connects_has_nothing_sent(
+async def test_job_is_not_sent_if_its_client_disconnects_while_the_node_connects(
     how: str, given_settings: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with open_node_harness(given_settings=given_settings) as harness:
@@ -48,44 +48,44 @@
         await harness.wait_until(lambda: delayed.waiting_count)
         if how == "closes":
             await client.socket_stream.aclose()
-        else:  # as a dying process does
+        else:  # as when the client's process dies
             client.reset()
         await harness.wait_until(lambda: not harness.components.core.jobs.count_open())
         delayed.released.set()
         await harness.wait_until(lambda: not harness.components.attempts.in_flight)
         assert not harness.jobs
-        # The job is forgotten, too.
+        # The job is removed, too.
         await harness.wait_until(lambda: not harness.components.core.jobs.ids())
 
 
 @pytest.mark.parametrize("byte_count", [20_000, 300_000, 3_000_000])
-async def test_the_close_of_a_client_is_noticed_behind_much_unread_input(byte_count: int) -> None:
-    # The close follows more input than the node buffers.
+async def test_client_disconnect_is_noticed_behind_unread_input(byte_count: int) -> None:
+    # The close follows more input than the node's inbound buffer holds.
     async with open_node_harness("hang") as harness:
         client = await harness.submit_job(timeout_ms=9000)
         await harness.wait_until(lambda: harness.jobs)
-        began = trio.current_time()
+        started_at = trio.current_time()
         await client.socket_stream.send_all(b"x" * byte_count)
         await client.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.components.core.jobs.count_open())
-        assert trio.current_time() - began < 2.0
+        assert trio.current_time() - started_at < 2.0
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
 
 
 class WritingClient:
-    """Writes continuously on a connection whose request is open."""
+    """Keeps writing on a connection whose request is open."""
 
     def __init__(self, harness: NodeHarness, connection: HttpStream) -> None:
         self._harness = harness
         self._connection = connection
-        self.written_count = 0  # chunks
+        self.written_chunk_count = 0
 
     async def write(self) -> None:
-        """Write until the connection breaks, 200 chunks at most."""
+        """Write until the connection breaks, or 200 chunks have been written."""
         with suppress(trio.BrokenResourceError):
             for _ in range(200):
                 await self._connection.socket_stream.send_all(b"x" * 100_000)
-                self.written_count += 1
+                self.written_chunk_count += 1
                 self._harness.notify()
 
 
@@ -93,14 +93,16 @@
     async with open_node_harness() as harness:
         client = await harness.submit_job(timeout_ms=5000)
         await harness.wait_until(lambda: harness.jobs)
-        await harness.send_callback("started")  # otherwise it is retried elsewhere after a while
+        await harness.send_callback(
+            "started"
+        )  # a job that has not started would be retried at another executor
         writing_client = WritingClient(harness, client)
         harness.nursery.start_soon(writing_client.write)
-        await harness.wait_until(lambda: writing_client.written_count > 100)
-        other = await harness.submit_job(request_id="b1")  # another client's, to be answered nevertheless
-        for ref, waiting in (("b1", other), ("a1", client)):
-            await harness.wait_until(lambda ref=ref: harness.find_attempts(ref))  # type: ignore[misc]
-            await harness.send_callback("done", "fine", job=harness.find_attempts(ref)[-1])
-            answer = await harness.read_response(waiting)
+        await harness.wait_until(lambda: writing_client.written_chunk_count > 100)
+        other = await harness.submit_job(request_id="b1")  # must be answered all the same
+        for request_id, waiting_client in (("b1", other), ("a1", client)):
+            await harness.wait_until(lambda request_id=request_id: harness.find_attempts(request_id))  # type: ignore[misc]
+            await harness.send_callback("done", "fine", job=harness.find_attempts(request_id)[-1])
+            answer = await harness.read_response(waiting_client)
             assert (answer.status, answer.body) == (200, b"fine")
         assert answer.headers["connection"] == "close"
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""More connections of clients than a node may have open: which are closed, and which clients are served."""
+"""Which connections are closed and which clients are served when a node reaches its connection limit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AnswerCollector:
-    """Reads the answers of clients, each in a task of its own."""
+    """Collects the statuses of clients' answers."""
 
     def __init__(self, harness: NodeHarness) -> None:
         self._harness = harness
@@ -66,7 +66,7 @@
         assert len(idle) == 80
 
 
-async def test_waiting_clients_leave_connections_for_call_backs() -> None:
+async def test_connections_are_reserved_for_callbacks_while_clients_wait() -> None:
     async with open_node_harness(sockets=128) as harness:
         clients = [await harness.submit_job("once", f"a{number}", 900) for number in range(60)]
         answers = AnswerCollector(harness)
@@ -95,7 +95,7 @@
 
 
 async def test_a_slow_client_among_stalled_ones_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Real clients take up to 2 s to write a request: they are slow, not silent.
+    # Clients may take up to 2 s to write a request; a slow one must not be taken for a stalled one.
     monkeypatch.setattr("burlmoor.downstream.eviction._STALLED_EVICTION_SECONDS", 0.2)
 
     async with open_node_harness(sockets=128) as harness:
--- a/tests/integration/test_downstream_connections.py
+++ b/tests/integration/test_downstream_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections over sockets: invalid input and errors end only their own connection."""
+"""Invalid input and internal errors close only the connection on which they occur."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 LONG_REQUEST = b"POST /lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n"
 
 
-async def test_invalid_bytes_end_only_the_connection_that_carried_them() -> None:
+async def test_invalid_input_closes_only_its_own_connection() -> None:
     async with open_node_harness() as harness:
         valid = await harness.submit_job()
         for data in (b"\x00\r\n\r\n", LONG_REQUEST + b"x" * 4_000_000):
@@ -38,15 +38,13 @@
         (LONG_REQUEST_HEAD, 413),
     ],
 )
-async def test_invalid_or_incomplete_requests_get_an_error_or_a_close_in_time(
-    sent: bytes, status: int
-) -> None:
+async def test_incomplete_and_oversized_requests_end_within_a_time_limit(sent: bytes, status: int) -> None:
     async with open_node_harness() as harness:
         client = await harness.connect_client()
         started_at = trio.current_time()
         await client.socket_stream.send_all(sent)
         if status:
-            # The client reads only once all is written: the response may not be lost in a reset.
+            # The client reads only after writing the whole body; a reset must not discard the response.
             for _ in range(60):
                 await client.socket_stream.send_all(b"x" * 1_000_000)
             assert (await harness.read_response(client)).status == status
@@ -54,7 +52,7 @@
         assert trio.current_time() - started_at < (6.0 if status else 3.0)
 
 
-async def test_a_health_check_or_an_unknown_path_ends_its_connection() -> None:
+async def test_connection_closes_after_a_health_check_or_an_unknown_path() -> None:
     async with open_node_harness() as harness:
         for path, status in (("/health/ready", 200), ("/unknown", 404)):
             client = await harness.connect_client()
@@ -66,7 +64,7 @@
 @pytest.mark.parametrize(
     "function", ["callbacks.handle_callback", "server.DownstreamConnection.serve_without_task"]
 )
-async def test_an_error_on_one_connection_ends_only_that(
+async def test_internal_error_closes_only_its_own_connection(
     function: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with open_node_harness() as harness:
