--- a/burlmoor/downstream/drain.py
+++ b/burlmoor/downstream/drain.py
@@ -30,9 +30,9 @@
 Schedule = tuple[ScheduledState, ...]  # the latest state first
 
 # The grace period from SIGTERM to SIGKILL is the longest deadline of a job, capped, plus a margin.
-_MAX_JOB_DEADLINE_SECONDS = 3.0
+_DEADLINE_CAP_SECONDS = 3.0
 _GRACE_MARGIN_SECONDS = 0.7
-_MAX_GRACE_PERIOD_SECONDS = _MAX_JOB_DEADLINE_SECONDS + _GRACE_MARGIN_SECONDS
+_MAX_GRACE_PERIOD_SECONDS = _DEADLINE_CAP_SECONDS + _GRACE_MARGIN_SECONDS
 _MIN_CLOSING_DELAY_SECONDS = 0.4  # clients may still open connections for this long after SIGTERM
 _CLOSING_BEFORE_SIGKILL_SECONDS = 1.7
 _REJECTING_AFTER_CLOSING_SECONDS = 0.5
@@ -50,8 +50,8 @@
 
 def compute_grace_period_seconds(deadlines_seconds: Iterable[float]) -> float:
     """Return the time from SIGTERM until SIGKILL may follow, for jobs with these deadlines."""
-    longest = max(deadlines_seconds, default=_MAX_JOB_DEADLINE_SECONDS)
-    return min(longest, _MAX_JOB_DEADLINE_SECONDS) + _GRACE_MARGIN_SECONDS
+    longest = max(deadlines_seconds, default=_DEADLINE_CAP_SECONDS)
+    return min(longest, _DEADLINE_CAP_SECONDS) + _GRACE_MARGIN_SECONDS
 
 
 def _build_shutdown_schedule(grace_period_seconds: float) -> Schedule:
--- a/burlmoor/downstream/request_handler.py
+++ b/burlmoor/downstream/request_handler.py
@@ -154,8 +154,8 @@
     def _is_ready(self) -> bool:
         """Return whether load balancers in front of the node may send clients to it.
 
-        After a handover the node is ready although this process shuts down, since the successor accepts
-        clients; if it were reported as not ready, load balancers would avoid it for seconds.
+        After a handover the successor accepts clients, so the node is ready unless it is drained, although
+        this process shuts down. If it were reported as not ready, load balancers would avoid it for seconds.
         """
         if self._peers.successor is not None:
             return not self._drain.is_drained
--- a/burlmoor/downstream/server.py
+++ b/burlmoor/downstream/server.py
@@ -32,7 +32,7 @@
 
 
 class DownstreamServer:
-    """Accepts connections from a listening socket and starts a task for each.
+    """Accepts connections from a listening socket and starts a task for each that needs one.
 
     - `connections`: the open connections
     - `peers`: the node's other processes, to which idle connections and call-backs are passed
