--- a/burlmoor/policy/endpoint_scoring.py
+++ b/burlmoor/policy/endpoint_scoring.py
@@ -68,7 +68,7 @@
         self._runs = runs
         self._start_delays = statistics.start_delays
         self._measured = statistics.endpoints
-        self._on_time_probability = statistics.estimates.on_time_probability
+        self._on_time_probability = statistics.estimate_errors.on_time_probability
         self._slow_start = slow_start
         self._now = now
         self._remaining_ms = max(job.useful_until - now, MIN_REMAINING_MS)
--- a/burlmoor/policy/endpoint_selection.py
+++ b/burlmoor/policy/endpoint_selection.py
@@ -64,7 +64,7 @@
             if affinity.usable and is_optional and best is not None:
                 continue
             is_key_cached = (
-                not affinity.usable or job.key in endpoint.cached_keys or endpoint in affinity.with_key
+                not affinity.usable or job.key in endpoint.cached_keys or endpoint in affinity.likely_cached
             )
             selection = scorer.score(endpoint, is_key_cached=is_key_cached)
             if selection is not None and (best is None or selection.loss < best.loss):
--- a/burlmoor/policy/endpoints/__init__.py
+++ b/burlmoor/policy/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints as the policy sees them: live, in slow start or ejected, and preferred for a key's jobs."""
+"""The policy's view of the endpoints: which are live, in slow start or ejected, and which a key prefers."""
--- a/burlmoor/policy/endpoints/affinity.py
+++ b/burlmoor/policy/endpoints/affinity.py
@@ -1,4 +1,4 @@
-"""Affinity: the endpoints that get the jobs of a key, by rendezvous hashing (highest random weight)."""
+"""Key affinity: selects the endpoints for the jobs of a key by weighted rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
     from burlmoor.policy.endpoints.slow_start import SlowStart
     from burlmoor.policy.model.endpoint import Endpoint
 
-MAX_KEYS = 1000  # with a cached order
-MIN_AFFINITY_ENDPOINTS = 4  # for a key's jobs; few, since each further endpoint has to fetch the key
-AFFINITY_HEADROOM = 1.5  # factor of the number of endpoints that a key's jobs fill
-_HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash: spreads bits that differ little
+MAX_CACHED_ORDERS = 1000  # one per key
+MIN_AFFINITY_ENDPOINTS = 4  # per key; few, since each additional endpoint has to fetch the key's data
+AFFINITY_HEADROOM = 1.5  # applied to the number of endpoints that a key's jobs need
+_HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash, which spreads similar values apart
 _HASH_RANGE = 2**32
 
 
 class AffinityOrders:
-    """For each key, the endpoints in an order that all nodes with the same list share."""
+    """The endpoints in each key's order of preference, the same at all nodes with the same endpoint list."""
 
     def __init__(self, endpoints: Sequence[Endpoint]) -> None:
         self._endpoints = endpoints
         self._orders: dict[str, list[Endpoint]] = {}
 
     def order_of(self, key: str) -> list[Endpoint]:
-        """Return the endpoints in the key's order, the preferred one first; none for the empty key.
+        """Return the endpoints by the key's preference, the first choice first; none for the empty key.
 
-        The order is over all zones: with an order for each zone, every zone would fetch every key, and the
-        store that keys come from has a limited capacity.
+        The order covers all zones. With an order per zone, every zone would fetch every key from the key
+        store, whose capacity is limited.
         """
         if not key:
             return []
         if key not in self._orders:
-            if len(self._orders) >= MAX_KEYS:
+            if len(self._orders) >= MAX_CACHED_ORDERS:
                 self._orders.clear()
             self._orders[key] = self._compute_order(key)
         return self._orders[key]
@@ -46,7 +46,10 @@
         key_hash = crc32(key.encode())
 
         def score(endpoint: Endpoint) -> float:
-            """Divide by the weight, so that endpoints get keys by weight and keep them when others leave."""
+            """Return the endpoint's score; the lowest is preferred.
+
+            Dividing by the weight gives endpoints keys by weight, which they keep when others leave.
+            """
             mixed = (key_hash ^ endpoint.name_hash) * _HASH_MULTIPLIER % _HASH_RANGE
             return mixed / endpoint.weight
 
@@ -54,14 +57,14 @@
 
 
 class AffinitySet(NamedTuple):
-    """The endpoints for the jobs of one key; both lists are empty for jobs without a key."""
+    """The endpoints selected for the jobs of one key; both lists are empty for jobs without a key."""
 
     usable: list[Endpoint]
-    with_key: list[Endpoint]  # endpoints that are expected to have fetched the key for jobs of other nodes
+    likely_cached: list[Endpoint]  # those that have probably fetched the key for jobs of other nodes
 
 
 class AffinitySelector:
-    """Selects the endpoints that may get the jobs of a key."""
+    """Selects the endpoints that may run the jobs of a key."""
 
     def __init__(self, slow_start: SlowStart, outliers: OutlierDetector, rng: random.Random) -> None:
         self._slow_start = slow_start
@@ -69,21 +72,21 @@
         self._rng = rng
 
     def select(self, orders: AffinityOrders, key: str, key_fraction: float, now: float) -> AffinitySet:
-        """Return the endpoints for a key that this fraction of all jobs with a key has.
+        """Return the endpoints for a key that has this fraction of all keyed jobs.
 
         An ejected endpoint is replaced by the next one in the key's order. A key with many jobs gets more
-        endpoints. Endpoints in slow start have little capacity and are not counted: otherwise jobs would be
-        rejected while endpoints are free.
+        endpoints. Endpoints in slow start have little capacity, so they are included but not counted;
+        otherwise jobs would be rejected while other endpoints are free.
         """
         if not key:
             return AffinitySet([], [])
         order = self._outliers.without_ejected(orders.order_of(key), now)
-        filled = key_fraction * len(order)
-        count = max(MIN_AFFINITY_ENDPOINTS, math.ceil(AFFINITY_HEADROOM * filled))
+        needed_endpoints = key_fraction * len(order)
+        count = max(MIN_AFFINITY_ENDPOINTS, math.ceil(AFFINITY_HEADROOM * needed_endpoints))
         capacity_fraction = self._slow_start.capacity_fraction
         warming = sum(capacity_fraction(endpoint, now) < 1.0 for endpoint in order[:count])
         usable = order[: count + warming]
-        with_key = usable[: max(1, math.ceil(filled))]
+        likely_cached = usable[: max(1, math.ceil(needed_endpoints))]
         if count > MIN_AFFINITY_ENDPOINTS:
-            self._rng.shuffle(usable)  # without this, all nodes would send to the first ones
-        return AffinitySet(usable, with_key)
+            self._rng.shuffle(usable)  # otherwise, all nodes would send to the first ones
+        return AffinitySet(usable, likely_cached)
--- a/burlmoor/policy/endpoints/candidates.py
+++ b/burlmoor/policy/endpoints/candidates.py
@@ -1,4 +1,4 @@
-"""The endpoints that can run the jobs of a kind, drawn at random by weight or ordered by key."""
+"""The endpoints that can run jobs that need a given kind, sampled by weight or ordered by key."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class Candidates:
-    """Endpoints split into those of the node's own zone and remote ones, and the keys' affinity orders."""
+    """Endpoints of the node's own zone and of other zones, and the affinity order of each key.
+
+    If the own zone has none, the remote endpoints are treated as local.
+    """
 
     def __init__(self, endpoints: Iterable[Endpoint], zone: str) -> None:
         usable = list(endpoints)
@@ -29,7 +32,7 @@
         self.affinity = AffinityOrders(self.local + self.remote)
 
     def sample(self, rng: random.Random, local_count: int, remote_count: int) -> list[Endpoint]:
-        """Draw endpoints with probabilities in proportion to their weights, with replacement."""
+        """Draw endpoints at random, with replacement and with probabilities proportional to their weights."""
         local: list[Endpoint] = []
         remote: list[Endpoint] = []
         if self.local:
--- a/burlmoor/policy/endpoints/fleet_load.py
+++ b/burlmoor/policy/endpoints/fleet_load.py
@@ -13,7 +13,7 @@
 
 
 class FleetLoad:
-    """Counts the slots and memory that this node's attempts use. Times are ms."""
+    """Tracks the slots and memory that this node's attempts use. Times are in ms."""
 
     def __init__(
         self,
@@ -26,11 +26,11 @@
         self._slow_start = slow_start
         self._recently_freed = recently_freed
         self._node_count = node_count
-        # Of this node's attempts, including those at endpoints that are no longer listed.
+        # Used by this node's attempts, including those at endpoints that are no longer listed.
         self.slots_in_flight = 0.0
 
     def acquire(self, endpoint: Endpoint, job: ScheduledJob, now: float) -> None:
-        """Count an attempt that is sent to the endpoint."""
+        """Add the slots and memory of an attempt that is sent to the endpoint."""
         endpoint.slots_in_flight += job.slots
         endpoint.memory_in_flight += job.memory
         self.slots_in_flight += job.slots
@@ -40,13 +40,13 @@
             endpoint.record_cached_key(job.key, now)
 
     def release(self, endpoint: Endpoint, job: ScheduledJob) -> None:
-        """Count an attempt that has ended."""
+        """Subtract the slots and memory of an attempt that has ended."""
         endpoint.slots_in_flight = max(0.0, endpoint.slots_in_flight - job.slots)
         endpoint.memory_in_flight = max(0.0, endpoint.memory_in_flight - job.memory)
         self.slots_in_flight -= job.slots
 
     def warm_capacity(self, now: float) -> float:
-        """Return the slots of the endpoints that are past their slow start and have no overdue attempt."""
+        """Return the total slots of the available endpoints that have completed their slow start."""
         return sum(
             endpoint.capacity
             for endpoint in self._endpoints.by_name.values()
@@ -54,14 +54,15 @@
         )
 
     def saturation(self) -> float:
-        """Return what all nodes hold, against twice the capacity that one of them has measured; 1 at most.
+        """Return the estimated fraction of the fleet's slots that are in use, at most 1.
 
-        Twice, since of many nodes each alone holds little.
+        The slots in use are this node's, multiplied by the number of nodes: one node of many holds few slots
+        even when the fleet is full. They are compared with twice the capacity that this node has measured.
         """
         capacity = sum(endpoint.capacity for endpoint in self._endpoints.live)
         fleet_slots_in_flight = self.slots_in_flight * self._node_count
         return min(1.0, fleet_slots_in_flight / max(1.0, 2.0 * capacity))
 
     def parallel_slots(self) -> float:
-        """Return how many slots serve this node's jobs: those in flight, or its part of the fleet."""
+        """Return how many slots serve this node's jobs: the larger of those in flight and its share."""
         return max(1.0, self.slots_in_flight, self._endpoints.live_weight / self._node_count)
--- a/burlmoor/policy/endpoints/known_endpoints.py
+++ b/burlmoor/policy/endpoints/known_endpoints.py
@@ -1,7 +1,7 @@
 """The endpoints that the policy knows, with their statistics.
 
-They are updated by the engine's events. The list itself, its version and the overrides belong to
-`burlmoor.endpoints.directory`.
+The engine's events update them. `burlmoor.endpoints.directory` owns the endpoint list itself, its version and
+the overrides.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class KnownEndpoints:
-    """The endpoints listed as live or draining; the live ones by the kind that a job needs."""
+    """The endpoints that are listed as live or draining, and the candidates for each kind."""
 
     def __init__(self, zone: str, slow_start: SlowStart) -> None:
         self._zone = zone
@@ -29,7 +29,10 @@
         self._candidates: dict[str | None, Candidates] = {}
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Apply an update. By the drain rule, an endpoint that is not listed as live gets no new attempt."""
+        """Apply an update of the endpoint list.
+
+        Endpoints that are not listed as live get no new attempts.
+        """
         if event.kind is not ListKind.DELTA:
             listed = {entry.endpoint for entry in event.entries}
             for name in [name for name in self.by_name if name not in listed]:
@@ -48,14 +51,14 @@
             known.weight = max(entry.weight, MIN_WEIGHT)
             if entry.started_at == known.entry.started_at and entry.state is not EndpointState.GONE:
                 return
-            # A restarted process has none of this node's jobs, and the old statistics do not apply to it.
+            # A restarted endpoint has none of this node's jobs, and the old statistics do not apply to it.
             self.by_name.pop(entry.endpoint).is_live = False
         if entry.state is not EndpointState.GONE:
             rank = self._slow_start.rank_of_node(hash_name(entry.endpoint))
             self.by_name[entry.endpoint] = Endpoint(entry, rank)
 
     def candidates(self, kind: str | None) -> Candidates:
-        """Return the live endpoints for jobs that need this kind (None: any)."""
+        """Return the live endpoints of this kind, or of any kind if it is None."""
         if kind not in self._candidates:
             usable = (endpoint for endpoint in self.live if kind in (None, endpoint.kind))
             self._candidates[kind] = Candidates(usable, self._zone)
--- a/burlmoor/policy/endpoints/outcomes.py
+++ b/burlmoor/policy/endpoints/outcomes.py
@@ -13,14 +13,14 @@
     from burlmoor.policy.model.job import ScheduledJob
     from burlmoor.policy.statistics.node_statistics import NodeStatistics
 
-FAULTS = (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE)
-MIN_SILENT_MS = 500.0  # a cancellation or timeout is a fault if the endpoint was silent for longer
-CLEAN_SLOWNESS = 1.5  # a late job counts as clean if its slowness relative to the kind is less
-PROGRESS_WEIGHT = 0.5  # of a run time estimated from progress
+FAULT_OUTCOMES = (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE)
+MIN_SILENT_MS = 500.0  # a cancelled or timed-out attempt is a fault if the endpoint was silent for longer
+CLEAN_SLOWNESS = 1.5  # a late job counts as clean if its slowness relative to the kind's is lower
+PROGRESS_WEIGHT = 0.5  # of a sample of the run time that is extrapolated from progress
 
 
 class OutcomeRecorder:
-    """Records the reports on attempts. Times are ms."""
+    """Updates the statistics and outlier detection as attempts start, progress and end. Times are in ms."""
 
     def __init__(
         self, statistics: NodeStatistics, outliers: OutlierDetector, recently_freed: RecentlyFreed
@@ -51,7 +51,7 @@
             self._statistics.runs.record_run(attempt.endpoint, job.work_ms, run_ms, now, PROGRESS_WEIGHT)
 
     def record_cancelling(self, attempt: ScheduledAttempt, outcome: Outcome, now: float) -> None:
-        """Record that the node has cancelled an attempt, which will end with this outcome."""
+        """Record that the node has cancelled an attempt, and a fault if the outcome indicates one."""
         attempt.is_cancelling = True
         self._record_fault(attempt, outcome, now)
 
@@ -76,9 +76,9 @@
             self._record_fault(attempt, outcome, now)
 
     def _record_fault(self, attempt: ScheduledAttempt, outcome: Outcome, now: float) -> None:
-        """Record a fault of the endpoint if the outcome is one; called once for each attempt."""
+        """Record a fault of the endpoint if the outcome indicates one; called at most once per attempt."""
         endpoint = attempt.endpoint
-        if outcome in FAULTS:
+        if outcome in FAULT_OUTCOMES:
             self._outliers.record_fault(endpoint, now)
             self._statistics.endpoints.record_attempt_end(endpoint, now, is_clean=False)
         elif outcome in (Outcome.CANCELLED, Outcome.TIMEOUT):
@@ -91,7 +91,7 @@
     ) -> None:
         endpoint, class_name = attempt.endpoint, job.job_class.name
         runs = self._statistics.runs
-        self._statistics.estimates.record(class_name, attempt.expected_ms, now - attempt.sent_at, now)
+        self._statistics.estimate_errors.record(class_name, attempt.expected_ms, now - attempt.sent_at, now)
         is_in_time = now <= job.objective_at
         if not job.is_closed:
             objective_fraction = 1.0 if is_in_time else job.job_class.late_fraction
--- a/burlmoor/policy/endpoints/outlier_detection.py
+++ b/burlmoor/policy/endpoints/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection by consecutive faults: which endpoints are ejected, and when they may be probed."""
+"""Outlier detection: ejects endpoints after consecutive faults and decides when they may be probed."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
     from burlmoor.policy.model.endpoint import Endpoint
 
 EJECTION_FAULTS = 2  # consecutive faults that eject an endpoint
-FIRST_PROBE_DELAY_MS = 500.0  # each probe that fails doubles the delay of the next
+FIRST_PROBE_DELAY_MS = 500.0  # doubled for each probe that fails
 MAX_PROBE_DELAY_DOUBLINGS = 4
 
 
 class OutlierDetector:
-    """Ejects endpoints that fail, unless most of them do: then the fault is probably at this node."""
+    """Ejects failing endpoints, unless most of them fail: the cause is then probably at this node."""
 
     def __init__(self) -> None:
-        self.is_wary = True  # whether one fault is enough to keep non-idempotent jobs away
+        self.protects_non_idempotent = True  # one fault excludes an endpoint for non-idempotent jobs
         self.is_ejecting = True
 
     def update(self, live: Sequence[Endpoint]) -> None:
-        """Count the failing endpoints; if more than half of all fail, faults are disregarded."""
+        """Count the failing endpoints; if more than half of the live ones fail, faults are ignored."""
         faults = [endpoint.consecutive_faults for endpoint in live]
-        self.is_wary = 2 * sum(count > 0 for count in faults) <= len(faults)
+        self.protects_non_idempotent = 2 * sum(count > 0 for count in faults) <= len(faults)
         self.is_ejecting = 2 * sum(count >= EJECTION_FAULTS for count in faults) <= len(faults)
 
     def without_ejected(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
-        """Return the endpoints that are not ejected, or are due for a probe."""
+        """Return the endpoints that are not ejected or are due for a probe."""
         if not self.is_ejecting:
             return endpoints
         return [
@@ -40,14 +40,14 @@
         ]
 
     def may_receive(self, endpoint: Endpoint, idempotency: Idempotency, now: float) -> bool:
-        """Return whether the endpoint's faults allow a job to be sent there.
+        """Return whether a job may be sent to the endpoint despite its faults.
 
-        An ejected endpoint is probed by one idempotent job at a time. Without this, endpoints that fail
-        immediately, and so are always free, would attract most jobs.
+        An ejected endpoint is probed with one idempotent job at a time. Otherwise, endpoints that fail
+        immediately would attract most jobs, since they are always free.
         """
         faults = endpoint.consecutive_faults
         if faults < EJECTION_FAULTS:
-            return not (faults and self.is_wary and idempotency is Idempotency.NON_IDEMPOTENT)
+            return not (faults and self.protects_non_idempotent and idempotency is Idempotency.NON_IDEMPOTENT)
         if not self.is_ejecting:
             return True
         is_idle = endpoint.slots_in_flight <= 0.0
@@ -55,7 +55,7 @@
 
     @staticmethod
     def record_success(endpoint: Endpoint) -> None:
-        """Count a job that was served."""
+        """Reset the fault count after a job was served."""
         endpoint.consecutive_faults = 0
 
     @staticmethod
--- a/burlmoor/policy/endpoints/poll_backoff.py
+++ b/burlmoor/policy/endpoints/poll_backoff.py
@@ -1,4 +1,4 @@
-"""The backoff of polls of the endpoint list, for nodes that have to poll it."""
+"""Jitter and backoff for polling the endpoint list, on nodes that have to poll it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 if TYPE_CHECKING:
     import random
 
-STEP_FRACTION = 0.1  # of the poll interval: the first backoff
+STEP_FRACTION = 0.1  # of the poll interval: one backoff step
 MAX_BACKOFF_DOUBLINGS = 3
-FIRST_POLL_SPREAD_STEPS = 4.0  # over which the nodes' polls are spread
-MIN_JITTER, MAX_JITTER = 0.5, 1.5  # factors of the backoff
+FIRST_POLL_SPREAD_STEPS = 4.0  # backoff steps over which the nodes' first polls are spread
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # factors applied to the backoff
 
 
 class PollBackoff:
-    """The delays of polls: spread over the nodes, and longer after each failure."""
+    """Computes poll delays that are spread over the nodes and grow after each failure."""
 
     def __init__(self, poll_interval_ms: float, rng: random.Random) -> None:
         self._poll_interval_ms = poll_interval_ms
@@ -22,7 +22,7 @@
         self._failed_polls = 0
 
     def next_delay_ms(self, *, has_failed: bool) -> float:
-        """Return how long to wait before the next poll, after one that has failed or a cached list."""
+        """Return how long to wait before the next poll, after a failed one or a cached list."""
         self._failed_polls += has_failed
         doublings = min(max(self._failed_polls - 1, 0), MAX_BACKOFF_DOUBLINGS)
         step_ms = STEP_FRACTION * self._poll_interval_ms * 2.0**doublings
--- a/burlmoor/policy/endpoints/recently_freed.py
+++ b/burlmoor/policy/endpoints/recently_freed.py
@@ -1,4 +1,4 @@
-"""The endpoints that had a free slot most recently."""
+"""The endpoints that were most recently seen with a free slot."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RecentlyFreed:
-    """A bounded set of the endpoints that had a free slot most recently."""
+    """A bounded set of the endpoints that were most recently seen with a free slot."""
 
     def __init__(self, max_size: int) -> None:
         self._max_size = max_size
@@ -22,12 +22,12 @@
         return iter(self._endpoints)
 
     def add(self, endpoint: Endpoint) -> None:
-        """Record that a slot is free there."""
+        """Record that the endpoint has a free slot."""
         self._endpoints.pop(endpoint, None)
         self._endpoints[endpoint] = None
         if len(self._endpoints) > self._max_size:
             del self._endpoints[next(iter(self._endpoints))]
 
     def discard(self, endpoint: Endpoint) -> None:
-        """Record that the slot is taken."""
+        """Record that the endpoint may have no free slot."""
         self._endpoints.pop(endpoint, None)
--- a/burlmoor/policy/endpoints/slow_start.py
+++ b/burlmoor/policy/endpoints/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: the budget of a recently started endpoint, which all nodes share.
+"""Slow start: limits the jobs that all nodes together send to a recently started endpoint.
 
 An endpoint in slow start has a fraction of its capacity. No node knows what the others send to it, so each
-stays within its part of a common budget. The parts follow from an order of the nodes that is specific to each
-endpoint and that all nodes agree on; see "Dividing a slow-start budget" in docs/design.md.
+stays within its share of a common budget. The shares follow from an order of the nodes that is specific to
+each endpoint and that all nodes agree on; see "Dividing a slow-start budget" in docs/design.md.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 
 # The fraction of an endpoint's budget that the nodes plan to use; in the worst case they use 3 times as much.
 MIN_PLANNED_FRACTION = 0.3
-SINGLE_NODE_PLANNED_FRACTION = 0.5  # higher, since few nodes save up and overdraw little credit
-PLANNED_FRACTION_STEP = 0.005  # subtracted for each node
-MAX_JOB_COST = 2.0  # an endpoint in slow start gets no job of more than this many times the mean cost
-MAX_BUDGET_FRACTION = 0.5  # nor a job that needs more than this fraction of its budget
-MAX_CREDIT_JOBS = 1.0  # a node saves at most one job, and overdraws its credit by at most one
-MIN_SPEED, MAX_SPEED = 0.5, 1.5  # of a kind, relative to the fleet
-SCARCE_BUDGET_FACTOR = 3.0  # a budget of fewer jobs than the nodes divided by this is scarce
-REASSIGN_FRACTION = 0.1  # of the overload window: how often a node's assigned endpoints are updated
+SINGLE_NODE_PLANNED_FRACTION = 0.5  # higher, since few nodes can save and overdraw little credit
+PLANNED_FRACTION_STEP = 0.005  # subtracted per node
+MAX_JOB_COST = 2.0  # times the mean cost: the largest job for an endpoint in slow start
+MAX_BUDGET_FRACTION = 0.5  # of the endpoint's budget: the largest job it may get
+MAX_CREDIT_JOBS = 1.0  # a node saves up credit for at most one job, and overdraws it by at most one
+MIN_SPEED, MAX_SPEED = 0.5, 1.5  # bounds on the speed of a kind relative to the fleet
+SCARCE_BUDGET_FACTOR = 3.0  # a budget is scarce if this many times its jobs are fewer than the nodes
+REASSIGN_FRACTION = 0.1  # of the overload window: the interval between updates of a node's assigned endpoints
 
 
 class SlowStartBudget(NamedTuple):
     """The budget of an endpoint in slow start for one overload window, in jobs of mean cost."""
 
     total_jobs: float
-    node_jobs: float  # this node's part
+    node_jobs: float  # this node's share
 
 
 class SlowStart:
-    """The budgets of endpoints in slow start, and this node's part of each. Times are ms."""
+    """Computes the budgets of endpoints in slow start and this node's share of each. Times are in ms."""
 
     def __init__(self, settings: Settings, statistics: NodeStatistics, rng: random.Random) -> None:
         self._rules = settings.rules
@@ -46,7 +46,7 @@
         self._node_index = settings.node_index
         self._statistics = statistics
         self._rng = rng
-        # The sum of the tenants' quotas.
+        # The sum of all tenants' quotas, or 0 without quotas.
         self._planned_jobs_per_ms = sum(tenant.quota_per_second for tenant in settings.tenants) / 1000.0
         self._planned_fraction = max(
             MIN_PLANNED_FRACTION, SINGLE_NODE_PLANNED_FRACTION - PLANNED_FRACTION_STEP * self._node_count
@@ -55,22 +55,22 @@
         self._peak_live_count = 1
         self._assigned: list[Endpoint] = []
         self._reassign_at = 0.0
-        self._is_handed_over = False  # whether another process of this node uses its budgets now
+        self._is_handed_over = False  # whether another process of this node now uses its budgets
 
     def set_live_endpoints(self, live: Sequence[Endpoint]) -> None:
-        """Set the live endpoints. The budgets of removed ones are not divided among the others."""
+        """Set the live endpoints. The budgets of removed ones are not redistributed among the others."""
         self._live = live
         self._reassign_at = 0.0
         self._peak_live_count = max(self._peak_live_count, len(live))
 
     def set_handed_over(self, *, is_handed_over: bool) -> None:
-        """Set whether another process admits this node's jobs, and uses its budgets, in place of this one."""
+        """Set whether another process admits this node's jobs and uses its budgets instead of this one."""
         self._is_handed_over = is_handed_over
 
     def rank_of_node(self, name_hash: int) -> int:
         """Return this node's rank in an endpoint's order of all nodes, which all nodes agree on.
 
-        A node without a number has a random rank.
+        A node without an index gets a random rank.
         """
         nodes = self._node_count
         step = name_hash // nodes % nodes
@@ -81,7 +81,7 @@
         return (self._node_index * step + name_hash) % nodes
 
     def capacity_fraction(self, endpoint: Endpoint, now: float) -> float:
-        """Return the fraction of its capacity that an endpoint has at least; 1 after its slow start."""
+        """Return the least fraction of its capacity that an endpoint has; 1 after its slow start."""
         started_at = endpoint.entry.started_at
         age = now - started_at
         if started_at <= 0.0 or age >= self._rules.slow_start_ms:
@@ -91,14 +91,15 @@
 
     @staticmethod
     def slowdown(endpoint: Endpoint, slots: float, fraction: float) -> float:
-        """Return the factor by which a job of these slots runs longer at an endpoint in slow start.
+        """Return the factor by which a job with this many slots runs longer at an endpoint in slow start.
 
-        Such an endpoint lacks cores, not speed: jobs slow down once they hold more slots than it has.
+        Such an endpoint has fewer cores, not slower ones: jobs slow down once they hold more slots than it
+        has.
         """
         return max(1.0, (endpoint.slots_in_flight + slots) / (fraction * endpoint.capacity))
 
     def budget(self, endpoint: Endpoint, now: float) -> SlowStartBudget:
-        """Return the budget of an endpoint in slow start for one window, and this node's part of it."""
+        """Return the budget of an endpoint in slow start for one overload window."""
         sustainable = self._sustainable_work_per_ms(endpoint, now)
         weighted = self._rules.overload_multiple * max(endpoint.weight, sustainable)
         sustainable = weighted * self.capacity_fraction(endpoint, now)
@@ -112,23 +113,24 @@
     def _sustainable_work_per_ms(self, endpoint: Endpoint, now: float) -> float:
         """Return the work per ms that an endpoint of this kind can sustain after its slow start.
 
-        It follows from the tenants' quotas, or without quotas from the capacity of the kind's warm endpoints.
+        It is derived from the tenants' quotas or, without quotas, from the lowest capacity of the kind's warm
+        endpoints (those that have completed their slow start).
         """
         runs = self._statistics.runs
-        of_kind = runs.slowness_of_kind(endpoint.kind, now)
-        of_fleet = runs.slowness_of_fleet(now)
-        speed = max(MIN_SPEED, min(MAX_SPEED, of_fleet / of_kind))
+        kind_slowness = runs.slowness_of_kind(endpoint.kind, now)
+        fleet_slowness = runs.slowness_of_fleet(now)
+        speed = max(MIN_SPEED, min(MAX_SPEED, fleet_slowness / kind_slowness))
         if self._planned_jobs_per_ms:
             mean_cost = self._statistics.demand.mean_cost
             return self._planned_jobs_per_ms * mean_cost / self._peak_live_count * speed
         peers = (peer for peer in self._live if peer.kind == endpoint.kind)
         warm = (peer.capacity for peer in peers if self.capacity_fraction(peer, now) >= 1.0)
-        return min(warm, default=0.0) / of_kind
+        return min(warm, default=0.0) / kind_slowness
 
     def assigned_endpoints(self, now: float) -> list[Endpoint]:
         """Return the endpoints in slow start that only few nodes, including this one, may send to.
 
-        They are candidates for each job of this node, since hardly any other node sends them jobs.
+        They are candidates for every job of this node, since few other nodes send them jobs.
         """
         if now >= self._reassign_at:
             self._reassign_at = now + REASSIGN_FRACTION * self._rules.overload_window_ms
@@ -142,7 +144,7 @@
         return budget.node_jobs > 0.0 and SCARCE_BUDGET_FACTOR * budget.total_jobs < self._node_count
 
     def has_credit(self, endpoint: Endpoint, cost: float, now: float) -> bool:
-        """Return whether the slow-start rule allows this node to send a job of this cost to the endpoint."""
+        """Return whether this node's credit allows it to send a job of this cost to the endpoint."""
         budget = self.budget(endpoint, now)
         elapsed = now - endpoint.slow_start_credit_at
         gained = budget.node_jobs * elapsed / self._rules.overload_window_ms
@@ -154,5 +156,5 @@
         return endpoint.slow_start_credit >= min(1.0, jobs)
 
     def charge(self, endpoint: Endpoint, cost: float) -> None:
-        """Subtract the cost of a job that is sent to the endpoint from the credit."""
+        """Subtract the cost of a job that is sent to the endpoint from this node's credit."""
         endpoint.slow_start_credit -= cost / self._statistics.demand.mean_cost
--- a/burlmoor/policy/model/attempt.py
+++ b/burlmoor/policy/model/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a job as the policy sees it; the engine's is `burlmoor.engine.job.Attempt`."""
+"""The policy's view of one attempt of a job; the engine's is `burlmoor.engine.job.Attempt`."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(slots=True, eq=False)
 class ScheduledAttempt:
-    """One send of a job. Times are ms of the node's clock.
+    """An attempt to run a job at an endpoint. Times are in ms of the node's clock.
 
-    `AttemptSender` creates it. Of the fields that change, `JobChecks` writes `check_at`, `OutcomeRecorder`
-    `started_at`, `outcome` and `is_cancelling`, and `RetryPolicy` the others.
+    `AttemptSender` creates it. Later, `JobChecks` updates `check_at`, `OutcomeRecorder` updates `started_at`,
+    `outcome` and `is_cancelling`, and `RetryPolicy` sets `is_overdue` and `awaits_late_retry`.
     """
 
     number: int  # counts from 0 within the job
@@ -23,19 +23,19 @@
     sent_at: float
     expected_ms: float  # expected time from the send to the end
     is_cache_miss: bool
-    check_at: float  # when it is checked, unless the endpoint reports on it before
+    check_at: float  # when to check the attempt if the endpoint has not reported on it by then
     started_at: float | None = None
-    outcome: Outcome | None = None  # None until it has ended
-    is_cancelling: bool = False  # the node has cancelled it, and the endpoint may still hold the job
+    outcome: Outcome | None = None  # None until the attempt has ended
+    is_cancelling: bool = False  # the node has cancelled it, but the endpoint may still have the job
     is_overdue: bool = False
     awaits_late_retry: bool = False  # the job is redistributed at the last time that allows it
 
     def mark_overdue(self) -> None:
-        """Count the attempt as overdue at its endpoint: it should have started by now."""
+        """Count the attempt as overdue at its endpoint because it has not started in time."""
         self.is_overdue = True
         self.endpoint.overdue_attempts += 1
 
     def clear_overdue(self) -> None:
-        """Stop counting the attempt as overdue: it has started or ended."""
+        """Stop counting the attempt as overdue once it has started or ended."""
         self.endpoint.overdue_attempts -= self.is_overdue
         self.is_overdue = False
--- a/burlmoor/policy/model/job.py
+++ b/burlmoor/policy/model/job.py
@@ -1,4 +1,4 @@
-"""A job as the policy sees it; the engine's is `burlmoor.engine.job.Job`."""
+"""The policy's view of a job; the engine's is `burlmoor.engine.job.Job`."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 class JobTimes(NamedTuple):
     """The objective and the deadline of a job, in ms."""
 
-    objective_ms: float  # its class's latency objective, stretched by its work
+    objective_ms: float  # its class's latency objective, extended in proportion to its work
     objective_at: float
-    useful_until: float  # a later answer yields nothing
+    useful_until: float  # a later answer has no value
     deadline_at: float
 
 
 class JobWeights(NamedTuple):
-    """The weights and the priority of a job, relative to other jobs."""
+    """The weights and the dispatch priority of a job."""
 
-    weight: float  # priority weight, with the class weight
+    weight: float  # priority weight times class weight
     objective_weight: float  # its contribution to the operators' objective, within its tenant's quota
     priority: float
 
 
 class ScheduledJob:
-    """A request that this node has admitted. Times are ms of the node's clock.
+    """A job that this node has admitted. Times are in ms of the node's clock.
 
-    `Admission` creates it. Each group of fields that change has one owner, the class named above it.
+    `Admission` creates it. Each group of mutable fields is updated by the class named above it.
     """
 
     def __init__(
@@ -49,12 +49,12 @@
         self.slots = request.slots
         self.memory = request.memory
         self.key = request.affinity_key  # "": none
-        self.work_ms = work_ms  # hinted, or estimated where the request has no hint
+        self.work_ms = work_ms  # from the request's hint, or estimated if it has none
         self.cost = work_ms * request.slots
         self.objective_ms, self.objective_at, self.useful_until, self.deadline_at = times
         self.weight, self.objective_weight, self.priority = weights
-        self.key_fraction = key_fraction  # the fraction of all jobs with a key that have this one
-        self.is_exploratory = is_exploratory  # sent even where it is unlikely to finish in time
+        self.key_fraction = key_fraction  # the fraction of all keyed jobs that have this key
+        self.is_exploratory = is_exploratory  # sent even if it is unlikely to finish in time
         # RetrySafety
         self.attempts: list[ScheduledAttempt] = []
         self.is_streaming = False
@@ -71,7 +71,7 @@
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     def possibly_run_attempts(self) -> list[ScheduledAttempt]:
-        """Return the attempts that may have run: their outcome is unknown, or does not prove the contrary."""
+        """Return the attempts that may have run, since no outcome proves that they did not start."""
         return [
             attempt
             for attempt in self.attempts
--- a/burlmoor/policy/statistics/__init__.py
+++ b/burlmoor/policy/statistics/__init__.py
@@ -1,1 +1,1 @@
-"""What a node has measured of its endpoints and of its jobs, and the snapshot of it."""
+"""Statistics that a node measures of its endpoints and jobs, and snapshots of them."""
--- a/burlmoor/policy/statistics/class_weights.py
+++ b/burlmoor/policy/statistics/class_weights.py
@@ -1,12 +1,12 @@
-"""The class weights: how much a unit of each class's priority weight adds to the operators' objective.
+"""Class weights: how much a unit of each class's priority weight adds to the operators' objective.
 
-The objective is a sum of two parts: the fraction of all priority weight that is served in time, and that
-fraction for the worst-served class. A job adds to the first by its part of all weight, and to the second only
-where its class is the worst, but there by its part of that class's weight, which is more. Which class is the
-worst is known only roughly, so each class is treated as the worst to a degree that grows as its served
-fraction falls (a softmin): the weights then change smoothly and don't oscillate.
+The objective is a weighted sum of two terms: the fraction of all priority weight that is served in time, and
+that fraction for the worst-served class. A job adds to the first term by its share of all weight. It adds to
+the second only if its class is the worst, but then by its share of that class's weight, which is larger.
+Which class is the worst is known only roughly, so a softmin treats each class as the worst to a degree that
+grows as its served fraction falls. The weights then change smoothly and don't oscillate.
 
-Priority weights are in any unit, times in ms.
+Priority weights are in arbitrary units, times in ms.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 if TYPE_CHECKING:
     from burlmoor.types.settings import ObjectiveWeights
 
-EVIDENCE_HALF_LIFE_MS = 60_000.0  # long: the objective covers days, and one node has a small sample
+EVIDENCE_HALF_LIFE_MS = 60_000.0  # long, since the objective covers days and one node sees few jobs
 PRIOR_JOBS = 5.0  # each class starts as if this many of its jobs had been served
-SOFTMIN_SCALE = 0.1  # a class whose served fraction is this much lower is e times as likely to be the worst
+SOFTMIN_SCALE = 0.1  # a served fraction lower by this much makes a class e times as likely to be the worst
 RECOMPUTE_INTERVAL_MS = 200.0
-MIN_CLASS_FRACTION = 0.02  # of all priority weight: a class with less is weighted as if it had this much
+MIN_CLASS_FRACTION = 0.02  # of all priority weight; a class with less is treated as having this much
 
 
 class ClassWeights:
-    """The priority weight requested and served in time, by class, and the class weights that follow."""
+    """Tracks the priority weight requested and served in time by class, and derives the class weights."""
 
     def __init__(self, objective: ObjectiveWeights) -> None:
         self._objective = objective
@@ -37,17 +37,17 @@
         self._recompute_at = -math.inf
 
     def record_request(self, class_name: str, priority_weight: float, now: float) -> None:
-        """Count the priority weight of a job that has arrived."""
+        """Add the priority weight of a job that has arrived."""
         mean = self.requested.setdefault(class_name, DecayedMean())
         mean.add(now, priority_weight, EVIDENCE_HALF_LIFE_MS)
 
     def record_served(self, class_name: str, priority_weight: float, now: float) -> None:
-        """Count the priority weight of a job that was served."""
+        """Add the priority weight of a job that was served."""
         mean = self.served.setdefault(class_name, DecayedMean())
         mean.add(now, priority_weight, EVIDENCE_HALF_LIFE_MS)
 
     def weight(self, class_name: str, now: float) -> float:
-        """Return what a unit of this class's priority weight adds; 1 where all classes are served alike."""
+        """Return the class's weight; 1 for a class without jobs, or if all classes are served alike."""
         if now >= self._recompute_at:
             self._recompute_at = now + RECOMPUTE_INTERVAL_MS
             self._weights = self._compute_weights(now)
@@ -55,7 +55,7 @@
 
     def _compute_weights(self, now: float) -> dict[str, float]:
         objective_total = self._objective.overall + self._objective.worst_class
-        # All are decayed to the same time, so that they can be compared.
+        # Decayed to the same time, so that they are comparable.
         requested = {
             name: mean.decayed_total(now, EVIDENCE_HALF_LIFE_MS) for name, mean in self.requested.items()
         }
--- a/burlmoor/policy/statistics/endpoint_snapshot.py
+++ b/burlmoor/policy/statistics/endpoint_snapshot.py
@@ -6,21 +6,21 @@
 
 import msgspec
 
-from burlmoor.policy.statistics.mean_snapshot import EMPTY_MEAN, MeanSnapshot, restore_mean, take_mean
+from burlmoor.policy.statistics.mean_snapshot import EMPTY_MEAN, MeanSnapshot, restore_mean, snapshot_mean
 
 if TYPE_CHECKING:
     from burlmoor.policy.model.endpoint import Endpoint
 
 
 class CreditSnapshot(NamedTuple):
-    """The credit of a node during slow start, in jobs of mean cost; stored as an array of two numbers."""
+    """A node's slow-start credit at an endpoint, in jobs of mean cost; stored as an array of two numbers."""
 
     jobs: float
     age_ms: float
 
 
 class EndpointSnapshot(msgspec.Struct):
-    """The statistics of one endpoint. Times are ms."""
+    """The statistics of one endpoint. Times and ages are in ms."""
 
     capacity: float = msgspec.field(name="room")
     consecutive_faults: int = msgspec.field(name="faults")
@@ -35,7 +35,7 @@
     log_yield: MeanSnapshot = msgspec.field(name="value", default=EMPTY_MEAN)
 
 
-def take_endpoint(endpoint: Endpoint, now: float) -> EndpointSnapshot:
+def snapshot_endpoint(endpoint: Endpoint, now: float) -> EndpointSnapshot:
     """Return the snapshot of an endpoint."""
     return EndpointSnapshot(
         capacity=endpoint.capacity,
@@ -43,19 +43,20 @@
         last_reported_age=now - endpoint.last_reported_at,
         next_probe_in=endpoint.next_probe_at - now,
         slow_start_credit=CreditSnapshot(endpoint.slow_start_credit, now - endpoint.slow_start_credit_at),
-        slowness=take_mean(endpoint.slowness, now),
-        clean_rate=take_mean(endpoint.clean_rate, now),
-        start_delay=take_mean(endpoint.start_delay, now),
+        slowness=snapshot_mean(endpoint.slowness, now),
+        clean_rate=snapshot_mean(endpoint.clean_rate, now),
+        start_delay=snapshot_mean(endpoint.start_delay, now),
         slowness_by_work_class={
-            work_class: take_mean(mean, now) for work_class, mean in endpoint.slowness_by_work_class.items()
+            work_class: snapshot_mean(mean, now)
+            for work_class, mean in endpoint.slowness_by_work_class.items()
         },
         cached_key_ages={key: now - at for key, at in endpoint.cached_keys.items()},
-        log_yield=take_mean(endpoint.log_yield, now),
+        log_yield=snapshot_mean(endpoint.log_yield, now),
     )
 
 
 def restore_endpoint(endpoint: Endpoint, snapshot: EndpointSnapshot, now: float) -> None:
-    """Set the statistics of an endpoint to a snapshot."""
+    """Restore the statistics of an endpoint from a snapshot."""
     endpoint.capacity = snapshot.capacity
     endpoint.consecutive_faults = snapshot.consecutive_faults
     endpoint.last_reported_at = now - snapshot.last_reported_age
--- a/burlmoor/policy/statistics/endpoint_statistics.py
+++ b/burlmoor/policy/statistics/endpoint_statistics.py
@@ -1,11 +1,11 @@
-"""The clean rates of endpoints, and the yields of the jobs sent there.
+"""Clean rates of endpoints, and yields of the jobs sent to them.
 
-The yield of a job at an endpoint is the priority weight that a ms of a slot is expected to produce there: the
-job's weight times its on-time probability, divided by the time for which it holds the slot. The mean yield of
-an endpoint is the geometric mean over the jobs sent there recently. On a full fleet a job has to reach a
-minimum yield, a fraction of that mean (`EndpointScorer`).
+The yield of a job at an endpoint is the expected priority weight per ms of a slot: the job's weight times its
+on-time probability, divided by the time for which it holds the slot. The mean yield of an endpoint is the
+geometric mean over the jobs recently sent to it. On a full fleet a job has to reach a minimum yield, a
+fraction of that mean (`EndpointScorer`).
 
-Each figure decays, and falls back from the endpoint to its kind or the fleet while there is little evidence.
+Each statistic decays. The prior of an endpoint is the mean of its kind or of the fleet.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 PRIOR_CLEAN_RATE = 1.0
 CLEAN_RATE_PRIOR_WEIGHT = 4.0
-UNKNOWN_LOG_YIELD = -5.0  # before any job was sent: low, so that every job reaches the minimum yield
+UNKNOWN_LOG_YIELD = -5.0  # prior, low so that every job reaches the minimum yield until jobs were sent
 MIN_YIELD = 1e-9
 
 
 class EndpointStatistics:
-    """Measured clean rates and yields."""
+    """Clean rates and yields of endpoints, kinds and the fleet."""
 
     def __init__(self) -> None:
         self.fleet_clean_rate = DecayedMean()
@@ -35,7 +35,7 @@
         self.kind_log_yield: dict[str, DecayedMean] = defaultdict(DecayedMean)
 
     def clean_rate(self, endpoint: Endpoint, now: float) -> float:
-        """Return the fraction of attempts that end here without a fault and in time."""
+        """Return the fraction of attempts at the endpoint that end without a fault and in time."""
         fleet = self.fleet_clean_rate.read(
             now, EVIDENCE_HALF_LIFE_MS, PRIOR_CLEAN_RATE, CLEAN_RATE_PRIOR_WEIGHT
         )
@@ -44,19 +44,19 @@
     def mean_yield(self, endpoint: Endpoint, now: float) -> float:
         """Return the endpoint's mean yield in priority weight per ms of a slot.
 
-        The mean is geometric, so that a few jobs of many times the usual weight move it little.
+        The mean is geometric, so that a few jobs of exceptional weight affect it little.
         """
         fleet = self.fleet_log_yield.read(now, EVIDENCE_HALF_LIFE_MS, UNKNOWN_LOG_YIELD)
         kind = self.kind_log_yield[endpoint.kind].read(now, EVIDENCE_HALF_LIFE_MS, fleet, KIND_PRIOR_WEIGHT)
         return math.exp(endpoint.log_yield.read(now, EVIDENCE_HALF_LIFE_MS, kind, KIND_PRIOR_WEIGHT))
 
     def record_attempt_end(self, endpoint: Endpoint, now: float, *, is_clean: bool) -> None:
-        """Count an attempt that ended cleanly or not."""
+        """Record whether an attempt ended without a fault and in time."""
         endpoint.clean_rate.add(now, float(is_clean), EVIDENCE_HALF_LIFE_MS)
         self.fleet_clean_rate.add(now, float(is_clean), EVIDENCE_HALF_LIFE_MS)
 
     def record_yield(self, endpoint: Endpoint, expected_yield: float, now: float) -> None:
-        """Count a job sent to the endpoint, by its expected yield in priority weight per ms of a slot."""
+        """Record the expected yield of a job sent to the endpoint, in priority weight per ms of a slot."""
         log_yield = math.log(max(expected_yield, MIN_YIELD))
         for mean in (endpoint.log_yield, self.kind_log_yield[endpoint.kind], self.fleet_log_yield):
             mean.add(now, log_yield, EVIDENCE_HALF_LIFE_MS)
--- a/burlmoor/policy/statistics/estimate_errors.py
+++ b/burlmoor/policy/statistics/estimate_errors.py
@@ -1,6 +1,6 @@
-"""The distribution of the errors of the expected response times, by class, and the on-time probability.
+"""Errors of the estimated response times by class, and the on-time probability that follows from them.
 
-The ratio of the actual to the expected time is assumed to be lognormal.
+The ratio of the actual to the expected time is assumed to be lognormally distributed.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 from burlmoor.policy.model.decayed_mean import DecayedMean
 
-PRIOR_LOG_DEVIATION = 0.4  # standard deviation of log(actual / expected time) without evidence
-PRIOR_JOBS = 5.0  # the weight of the prior
+PRIOR_LOG_DEVIATION = 0.4  # standard deviation of log(actual / expected time) without samples
+PRIOR_JOBS = 5.0  # weight of the prior
 MIN_LOG_VARIANCE = 0.01
 MAX_LOG_ERROR = 2.0  # of one job, in either direction
 HALF_LIFE_MS = 30_000.0
 RECOMPUTE_INTERVAL_MS = 100.0
-LOGISTIC_SLOPE = 1.702  # of the logistic function that approximates the normal distribution function
-MAX_EXPONENT = 30.0  # beyond it the probability is practically 0 or 1, and `exp` may overflow
+LOGISTIC_SLOPE = 1.702  # makes the logistic function approximate the normal distribution function
+MAX_EXPONENT = 30.0  # beyond this, the probability is practically 0 or 1 and `exp` may overflow
 MIN_EXPECTED_MS = 1.0
 MIN_REMAINING_MS = 1e-3
 
@@ -37,7 +37,7 @@
 
 
 class EstimateErrors:
-    """The errors of the expected response times, by class. Times are ms."""
+    """Tracks the errors of the estimated response times by class. Times are in ms."""
 
     def __init__(self) -> None:
         self.log_error: defaultdict[str, DecayedMean] = defaultdict(DecayedMean)
@@ -45,7 +45,7 @@
         self._distributions: dict[str, ErrorDistribution] = {}
 
     def record(self, class_name: str, expected_ms: float, taken_ms: float, now: float) -> None:
-        """Count a job that was served `taken_ms` after it was sent."""
+        """Record a job that was served `taken_ms` after it was sent."""
         log_error = math.log(max(taken_ms, MIN_EXPECTED_MS) / max(expected_ms, MIN_EXPECTED_MS))
         log_error = max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, log_error))
         self.log_error[class_name].add(now, log_error, HALF_LIFE_MS)
@@ -54,7 +54,7 @@
     def on_time_probability(
         self, class_name: str, expected_ms: float, remaining_ms: float, now: float
     ) -> float:
-        """Return the probability that a job expected to take `expected_ms` ends in the time that remains."""
+        """Return the probability that a job expected to take `expected_ms` ends within `remaining_ms`."""
         distribution = self._distributions.get(class_name, UNKNOWN_DISTRIBUTION)
         if now >= distribution.computed_at + RECOMPUTE_INTERVAL_MS:
             distribution = self._compute_distribution(class_name, now)
--- a/burlmoor/policy/statistics/mean_snapshot.py
+++ b/burlmoor/policy/statistics/mean_snapshot.py
@@ -11,7 +11,7 @@
 
 
 class MeanSnapshot(NamedTuple):
-    """A decayed mean; an array of three numbers in its stored form."""
+    """A decayed mean; stored as an array of three numbers."""
 
     total: float
     weight: float
@@ -21,21 +21,21 @@
 EMPTY_MEAN = MeanSnapshot(0.0, 0.0, 0.0)
 
 
-def take_mean(mean: DecayedMean, now: float) -> MeanSnapshot:
+def snapshot_mean(mean: DecayedMean, now: float) -> MeanSnapshot:
     """Return the snapshot of a mean."""
     return MeanSnapshot(mean.total, mean.weight, now - mean.updated_at)
 
 
 def restore_mean(mean: DecayedMean, snapshot: MeanSnapshot, now: float) -> None:
-    """Set a mean to its snapshot."""
+    """Restore a mean from a snapshot."""
     mean.total = snapshot.total
     mean.weight = snapshot.weight
     mean.updated_at = now - snapshot.age_ms
 
 
-def take_means(means: Mapping[str, DecayedMean], now: float) -> dict[str, MeanSnapshot]:
+def snapshot_means(means: Mapping[str, DecayedMean], now: float) -> dict[str, MeanSnapshot]:
     """Return the snapshots of means by name."""
-    return {name: take_mean(mean, now) for name, mean in means.items()}
+    return {name: snapshot_mean(mean, now) for name, mean in means.items()}
 
 
 def restore_means(
@@ -44,7 +44,7 @@
     now: float,
     allowed: Container[str] | None = None,
 ) -> None:
-    """Restore means by name; with `allowed`, only those that are named there."""
+    """Restore means by name; with `allowed`, only the names it contains."""
     for name, snapshot in snapshots.items():
         if allowed is None or name in allowed:
             restore_mean(means.setdefault(name, DecayedMean()), snapshot, now)
--- a/burlmoor/policy/statistics/node_statistics.py
+++ b/burlmoor/policy/statistics/node_statistics.py
@@ -1,4 +1,4 @@
-"""The statistics of one node, by subject."""
+"""All statistics of one node, grouped by subject."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class NodeStatistics:
-    """The statistics of one node; those of single endpoints are stored in `Endpoint`."""
+    """The statistics of one node; those of individual endpoints are stored in `Endpoint`."""
 
     def __init__(self, settings: Settings) -> None:
         self._classes = settings.classes
@@ -25,24 +25,24 @@
         self.runs = RunStatistics()
         self.start_delays = StartDelayStatistics(settings.tick_ms, self.runs)
         self.endpoints = EndpointStatistics()
-        self.estimates = EstimateErrors()
+        self.estimate_errors = EstimateErrors()
         self.demand = DemandStatistics(settings)
         self.class_weights = ClassWeights(settings.objective)
 
     def record_arrival(self, work_ms: float, cost: float, now: float) -> None:
-        """Count a job that has arrived, by its work and its cost (work times slots)."""
+        """Record the work and the cost (work times slots) of a job that has arrived."""
         self.runs.mean_work.add(now, work_ms, EVIDENCE_HALF_LIFE_MS)
         self.demand.record_cost(cost, now)
 
     def record_weight_density(self, density: float, now: float) -> float:
-        """Count a job of this priority weight per ms of work; return the highest density."""
+        """Record a job's priority weight per ms of work; return the highest density."""
         highest = max(self._highest_class_density(now) or self.demand.highest_weight_density, density)
         self.demand.highest_weight_density = highest
         return highest
 
     def _highest_class_density(self, now: float) -> float:
-        """Return the highest density that a class can have now; 0 where weight doesn't depend on work."""
+        """Return the highest density that a class can have now; 0 if weight doesn't depend on work."""
         if not self._is_weighted_by_work:
             return 0.0
         weight = self.class_weights.weight
-        return max(each.priority_weight * weight(each.name, now) for each in self._classes)
+        return max(job_class.priority_weight * weight(job_class.name, now) for job_class in self._classes)
--- a/burlmoor/policy/statistics/run_statistics.py
+++ b/burlmoor/policy/statistics/run_statistics.py
@@ -1,7 +1,7 @@
-"""How long jobs run: the slowness of endpoints, kinds and the fleet, and the cost of a cache miss.
+"""Run-time statistics: the slowness of endpoints, kinds and the fleet, and the cost of a cache miss.
 
-Slowness is the time taken per unit of hinted work. Each figure decays, and falls back from the endpoint to
-its kind to the fleet while there is little evidence. Times are ms.
+Slowness is the run time per unit of hinted work. Each statistic decays. The prior of an endpoint
+is the mean of its kind, and the prior of a kind is the mean of the fleet. Times are in ms.
 """
 
 from __future__ import annotations
@@ -16,56 +16,56 @@
 if TYPE_CHECKING:
     from burlmoor.policy.model.endpoint import Endpoint
 
-WORK_CLASSES = 5  # complexity classes of jobs, by hinted work against the mean, in powers of two
+WORK_CLASS_COUNT = 5  # classes of jobs by the ratio of hinted to mean work, in powers of two
 MIN_WORK_MS = 1e-3
-NOMINAL_SLOWNESS = 1.0  # without evidence
+NOMINAL_SLOWNESS = 1.0  # without samples
 PRIOR_RUN_MS = 500.0
-ALL_CLASSES_PRIOR_WEIGHT = 3.0  # of the endpoint's slowness over all classes, as the prior of one class
+ALL_CLASSES_PRIOR_WEIGHT = 3.0  # of an endpoint's slowness over all work classes, as the prior of one class
 CACHE_PRIOR_WEIGHT = 4.0
-MAX_RUN_RATIO = 4.0  # bound on the ratio of one run's slowness to its kind's, in either direction
-MIN_RUN_FRACTION = 0.25  # of a run that fetched its key: the least that counts as the run without the fetch
+MAX_RUN_RATIO = 4.0  # bounds the ratio of one run's slowness to its kind's, in either direction
+MIN_RUN_FRACTION = 0.25  # of a run with a cache miss: the least that remains without the fetch time
 
 
 class RunStatistics:
-    """Measured slowness, run times, and the time that a cached key saves."""
+    """Slowness, run times and the time that a cached key saves."""
 
     def __init__(self) -> None:
         self.fleet_slowness = DecayedMean()
         self.kind_slowness: dict[str, DecayedMean] = defaultdict(DecayedMean)
         self.mean_work = DecayedMean()
         self.mean_run = DecayedMean()
-        # The run time of jobs beyond the expected one, if their key was cached and if it was not.
+        # Run time of keyed jobs minus the expected run time, for cache hits and for cache misses.
         self.cache_hit_excess = DecayedMean()
         self.cache_miss_excess = DecayedMean()
 
     def load_half_life(self, now: float) -> float:
-        """Return the half-life of evidence on load: twice the mean run time."""
+        """Return the half-life of load measurements, which is twice the mean run time."""
         return 2.0 * self.mean_run.read(now, EVIDENCE_HALF_LIFE_MS, PRIOR_RUN_MS)
 
     def work_class(self, work_ms: float, now: float) -> int:
-        """Return the complexity class of a job, by its hinted work against the mean."""
+        """Return the work class of a job, from the ratio of its hinted work to the mean."""
         mean = self.mean_work.read(now, EVIDENCE_HALF_LIFE_MS, work_ms)
-        octaves = round(math.log2(max(work_ms, MIN_WORK_MS) / max(mean, MIN_WORK_MS)))
-        return max(0, min(WORK_CLASSES - 1, WORK_CLASSES // 2 + octaves))
+        log2_ratio = round(math.log2(max(work_ms, MIN_WORK_MS) / max(mean, MIN_WORK_MS)))
+        return max(0, min(WORK_CLASS_COUNT - 1, WORK_CLASS_COUNT // 2 + log2_ratio))
 
     def slowness_of_fleet(self, now: float) -> float:
-        """Return the slowness of all endpoints together."""
+        """Return the mean slowness of all endpoints."""
         return self.fleet_slowness.read(now, EVIDENCE_HALF_LIFE_MS, NOMINAL_SLOWNESS)
 
     def slowness_of_kind(self, kind: str, now: float) -> float:
-        """Return the slowness of this kind of endpoint."""
+        """Return the mean slowness of endpoints of this kind."""
         fleet = self.fleet_slowness.read(now, EVIDENCE_HALF_LIFE_MS, NOMINAL_SLOWNESS)
         return self.kind_slowness[kind].read(now, EVIDENCE_HALF_LIFE_MS, fleet, KIND_PRIOR_WEIGHT)
 
-    def slowness_of_fastest_kind(self, now: float, unknown: float) -> float:
-        """Return the slowness of the fastest kind; `unknown` while no kind has been used."""
-        return min((self.slowness_of_kind(kind, now) for kind in self.kind_slowness), default=unknown)
+    def slowness_of_fastest_kind(self, now: float, default: float) -> float:
+        """Return the slowness of the fastest kind, or `default` if no kind has been used."""
+        return min((self.slowness_of_kind(kind, now) for kind in self.kind_slowness), default=default)
 
-    def slowness(self, endpoint: Endpoint, work_class: int, of_kind: float, now: float) -> float:
-        """Return the slowness of this endpoint for this complexity class."""
-        mean = endpoint.slowness.read(now, EVIDENCE_HALF_LIFE_MS, of_kind, KIND_PRIOR_WEIGHT)
-        of_class = endpoint.slowness_by_work_class[work_class]
-        return of_class.read(now, EVIDENCE_HALF_LIFE_MS, mean, ALL_CLASSES_PRIOR_WEIGHT)
+    def slowness(self, endpoint: Endpoint, work_class: int, kind_slowness: float, now: float) -> float:
+        """Return the slowness of this endpoint for this work class."""
+        mean = endpoint.slowness.read(now, EVIDENCE_HALF_LIFE_MS, kind_slowness, KIND_PRIOR_WEIGHT)
+        class_mean = endpoint.slowness_by_work_class[work_class]
+        return class_mean.read(now, EVIDENCE_HALF_LIFE_MS, mean, ALL_CLASSES_PRIOR_WEIGHT)
 
     def cache_miss_penalty(self, now: float) -> float:
         """Return how much longer a job runs if its key is not cached."""
@@ -76,29 +76,29 @@
     def record_run(
         self, endpoint: Endpoint, work_ms: float, run_ms: float, now: float, weight: float = 1.0
     ) -> float:
-        """Count a job that has run for `run_ms`, or is expected to by its progress.
+        """Record a run time, either measured or extrapolated from progress.
 
         Return the job's slowness relative to that of the endpoint's kind.
         """
-        of_kind = self.slowness_of_kind(endpoint.kind, now)
-        # Bounded, so that one heavy job doesn't make the endpoint that ran it look slow.
+        kind_slowness = self.slowness_of_kind(endpoint.kind, now)
+        # Bounded, so that one heavy job doesn't make its endpoint look slow.
         ratio = run_ms / max(work_ms, MIN_WORK_MS)
-        ratio = max(of_kind / MAX_RUN_RATIO, min(MAX_RUN_RATIO * of_kind, ratio))
+        ratio = max(kind_slowness / MAX_RUN_RATIO, min(MAX_RUN_RATIO * kind_slowness, ratio))
         # Weighted by work, so that the overhead of small jobs doesn't make every endpoint look slow.
         mean_work = self.mean_work.read(now, EVIDENCE_HALF_LIFE_MS, work_ms)
         weight *= min(1.0, work_ms / max(mean_work, MIN_WORK_MS))
-        of_class = endpoint.slowness_by_work_class[self.work_class(work_ms, now)]
-        for mean in (of_class, endpoint.slowness, self.kind_slowness[endpoint.kind], self.fleet_slowness):
+        class_mean = endpoint.slowness_by_work_class[self.work_class(work_ms, now)]
+        for mean in (class_mean, endpoint.slowness, self.kind_slowness[endpoint.kind], self.fleet_slowness):
             mean.add(now, ratio, EVIDENCE_HALF_LIFE_MS, weight)
         self.mean_run.add(now, run_ms, EVIDENCE_HALF_LIFE_MS, weight)
-        return ratio / of_kind
+        return ratio / kind_slowness
 
     def record_cache_use(
         self, endpoint: Endpoint, work_ms: float, run_ms: float, now: float, *, is_cache_miss: bool
     ) -> float:
-        """Count a run with a key that was cached or not; return the run time without the fetch of the key."""
-        of_kind = self.slowness_of_kind(endpoint.kind, now)
-        usual_ms = work_ms * self.slowness(endpoint, self.work_class(work_ms, now), of_kind, now)
+        """Record the run time of a keyed job; return it without the time to fetch the key."""
+        kind_slowness = self.slowness_of_kind(endpoint.kind, now)
+        usual_ms = work_ms * self.slowness(endpoint, self.work_class(work_ms, now), kind_slowness, now)
         excess = self.cache_miss_excess if is_cache_miss else self.cache_hit_excess
         excess.add(now, run_ms - usual_ms, EVIDENCE_HALF_LIFE_MS)
         if not is_cache_miss:
--- a/burlmoor/policy/statistics/snapshot.py
+++ b/burlmoor/policy/statistics/snapshot.py
@@ -1,7 +1,7 @@
-"""Snapshots of a node's statistics, from which another process of the same node continues.
+"""Snapshots of a node's statistics, which a handover transfers to another process of the same node.
 
-Times are stored as ages, since each process has its own clock. Older and newer releases read the MessagePack
-form at a handover, so the field names given to `msgspec.field` must not change.
+Times are stored as ages, since each process has its own clock. Older and newer releases read the
+MessagePack encoding at a handover, so the encoded field names must not change.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from burlmoor.policy.statistics.endpoint_snapshot import EndpointSnapshot, restore_endpoint, take_endpoint
+from burlmoor.policy.statistics.endpoint_snapshot import EndpointSnapshot, restore_endpoint, snapshot_endpoint
 from burlmoor.policy.statistics.mean_snapshot import (
     EMPTY_MEAN,
     MeanSnapshot,
     restore_mean,
     restore_means,
-    take_mean,
-    take_means,
+    snapshot_mean,
+    snapshot_means,
 )
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
 
 
 class ErrorSnapshot(NamedTuple):
-    """The errors of one class's estimates."""
+    """The estimate errors of one class."""
 
     log_error: MeanSnapshot
     log_error_squared: MeanSnapshot
@@ -64,7 +64,7 @@
 
 
 def _single_means(statistics: NodeStatistics) -> dict[str, DecayedMean]:
-    """Return the means that are not kept by kind, class or tenant, by their names in the snapshot."""
+    """Return the means that are not grouped by kind, class or tenant, by their names in the snapshot."""
     runs, endpoints = statistics.runs, statistics.endpoints
     return {
         "fleet_slow": runs.fleet_slowness,
@@ -82,42 +82,48 @@
     statistics: NodeStatistics, endpoints: Mapping[str, Endpoint], now: float
 ) -> StatisticsSnapshot:
     """Return a snapshot of the statistics of a node and of these endpoints."""
-    start_delays, demand, estimates = statistics.start_delays, statistics.demand, statistics.estimates
+    start_delays, demand, estimate_errors = (
+        statistics.start_delays,
+        statistics.demand,
+        statistics.estimate_errors,
+    )
     return StatisticsSnapshot(
-        endpoints={endpoint.id: take_endpoint(endpoint, now) for endpoint in endpoints.values()},
-        means=take_means(_single_means(statistics), now),
-        kind_slowness=take_means(statistics.runs.kind_slowness, now),
+        endpoints={endpoint.id: snapshot_endpoint(endpoint, now) for endpoint in endpoints.values()},
+        means=snapshot_means(_single_means(statistics), now),
+        kind_slowness=snapshot_means(statistics.runs.kind_slowness, now),
         typical_start_delay=[
-            StartDelaySnapshot(zone, kind, take_mean(mean, now))
+            StartDelaySnapshot(zone, kind, snapshot_mean(mean, now))
             for (zone, kind), mean in start_delays.typical_start_delay.items()
         ],
         fastest_start_ms=dict(start_delays.fastest_start_ms),
-        jobs_by_tenant=take_means(demand.jobs_by_tenant, now),
-        run_by_class=take_means(demand.run_by_class, now),
+        jobs_by_tenant=snapshot_means(demand.jobs_by_tenant, now),
+        run_by_class=snapshot_means(demand.run_by_class, now),
         longest_timeout_ms=dict(demand.longest_timeout_ms),
-        mean_weight=take_mean(demand.mean_weight, now),
+        mean_weight=snapshot_mean(demand.mean_weight, now),
         highest_weight_density=demand.highest_weight_density,
-        kind_log_yield=take_means(statistics.endpoints.kind_log_yield, now),
+        kind_log_yield=snapshot_means(statistics.endpoints.kind_log_yield, now),
         estimate_errors={
-            name: ErrorSnapshot(take_mean(mean, now), take_mean(estimates.log_error_squared[name], now))
-            for name, mean in list(estimates.log_error.items())
+            name: ErrorSnapshot(
+                snapshot_mean(mean, now), snapshot_mean(estimate_errors.log_error_squared[name], now)
+            )
+            for name, mean in list(estimate_errors.log_error.items())
         },
-        requested=take_means(statistics.class_weights.requested, now),
-        served=take_means(statistics.class_weights.served, now),
+        requested=snapshot_means(statistics.class_weights.requested, now),
+        served=snapshot_means(statistics.class_weights.served, now),
     )
 
 
 def restore_snapshot(
     statistics: NodeStatistics, endpoints: Mapping[str, Endpoint], snapshot: StatisticsSnapshot, now: float
 ) -> None:
-    """Set the statistics to a snapshot, except for endpoints, classes and tenants unknown to this node."""
+    """Restore the statistics from a snapshot, without endpoints, classes and tenants unknown to this node."""
     _restore_fleet(statistics, snapshot, now)
     _restore_demand(statistics.demand, snapshot, now)
     classes = statistics.demand.run_by_class.keys()
     for name, errors in snapshot.estimate_errors.items():
         if name in classes:
-            restore_mean(statistics.estimates.log_error[name], errors.log_error, now)
-            restore_mean(statistics.estimates.log_error_squared[name], errors.log_error_squared, now)
+            restore_mean(statistics.estimate_errors.log_error[name], errors.log_error, now)
+            restore_mean(statistics.estimate_errors.log_error_squared[name], errors.log_error_squared, now)
     restore_means(statistics.class_weights.requested, snapshot.requested, now, classes)
     restore_means(statistics.class_weights.served, snapshot.served, now, classes)
     for name, endpoint_snapshot in snapshot.endpoints.items():
--- a/tests/policy/endpoints/test_list_updates.py
+++ b/tests/policy/endpoints/test_list_updates.py
@@ -14,8 +14,8 @@
     assert not driver.actions_of(WatchEndpoints)
 
 
-def test_the_first_poll_is_spread_over_the_nodes_and_in_time() -> None:
-    # Without this, all nodes poll discovery in one moment after a common start.
+def test_first_polls_are_spread_over_the_nodes_within_the_interval() -> None:
+    # Without this, all nodes poll discovery at the same time after a simultaneous start.
     polled_after_ms = []
     for seed in range(40):
         driver = DispatcherDriver(settings(must_poll=True), seed=seed)
@@ -27,7 +27,7 @@
     assert len(set(polled_after_ms)) > 20
 
 
-def test_failed_polls_are_repeated_with_backoff() -> None:
+def test_failed_polls_are_retried_with_backoff() -> None:
     driver = DispatcherDriver(settings(must_poll=True))
     delays_ms = []
     driver.run(5000.0)
@@ -41,7 +41,7 @@
     assert max(delays_ms) <= 4 * 10_000.0
 
 
-def test_a_failed_poll_keeps_the_list_in_effect() -> None:
+def test_the_current_list_stays_in_use_after_a_failed_poll() -> None:
     driver = DispatcherDriver(settings(must_poll=True))
     driver.handle(EndpointListUpdate(ListKind.FAILED))
     driver.request_and_place(1)
--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The slow-start rule: what endpoints in slow start may get, over all nodes together."""
+"""Slow start limits the load that all nodes together put on recently started endpoints."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 10, 100])
-def test_the_nodes_together_keep_within_a_slow_start_budget(nodes: int) -> None:
+def test_all_nodes_together_stay_within_a_slow_start_budget(nodes: int) -> None:
     warming = [EndpointEntry("new", zone="a", weight=4.0, kind="std", started_at=1000.0)]
     sent: list[tuple[float, float]] = []
     for node in range(nodes):
@@ -39,7 +39,7 @@
         assert sum(window) <= RULES.overload_multiple * capacity_fraction * 4.0 * RULES.overload_window_ms
 
 
-def test_a_restart_voids_the_statistics_and_begins_a_slow_start() -> None:
+def test_a_restart_resets_the_statistics_and_begins_a_slow_start() -> None:
     driver = DispatcherDriver(listed=entries(1))
     driver.request_and_place(1)
     driver.now = 2000.0
@@ -53,11 +53,11 @@
 def count_sends_to_warming_endpoint(
     listed: list[EndpointEntry], slots: int = 4, *, is_handed_over: bool = False
 ) -> int:
-    """Return how many jobs of 300 ms an endpoint in slow start gets in two seconds, with those listed."""
+    """Return how many jobs of 300 ms an endpoint in slow start gets in two seconds beside those listed."""
     work_ms = 300.0
     warming = EndpointEntry("new", zone="a", weight=1.0, kind="std", started_at=1.0)
     driver = DispatcherDriver(settings(node_count=2), [*listed, warming])
-    driver.now = 3000.0  # it has 0.44 of its capacity
+    driver.now = 3000.0  # the endpoint has 0.44 of its capacity
     if is_handed_over:
         driver.handle(HandoverChanged(is_handed_over=True))
     running: list[tuple[float, StartAttempt]] = []
@@ -78,25 +78,25 @@
 
 
 def test_a_slow_start_budget_follows_the_capacity_of_warm_endpoints_of_the_kind() -> None:
-    # Without this, endpoints of four cores with a listed weight of 1 are idle in slow start on a full fleet.
-    alone = count_sends_to_warming_endpoint([])
-    beside = count_sends_to_warming_endpoint(entries(2, weight=1.0))
-    other = count_sends_to_warming_endpoint(
+    # Without this, endpoints with four cores and a listed weight of 1 idle in slow start on a full fleet.
+    without_others = count_sends_to_warming_endpoint([])
+    with_same_kind = count_sends_to_warming_endpoint(entries(2, weight=1.0))
+    with_other_kind = count_sends_to_warming_endpoint(
         [entry._replace(kind="other") for entry in entries(2, weight=1.0)]
     )
-    assert beside > max(alone, other)
-    # One of two nodes keeps within its half of what overloads an endpoint of four slots, although the other
-    # one sends nothing here, and the capacity that this one knows counts for both.
-    assert beside * 300.0 <= 0.5 * RULES.overload_multiple * 4.0 * 0.52 * RULES.overload_window_ms
+    assert with_same_kind > max(without_others, with_other_kind)
+    # This node is one of two, so it stays within half of the work that overloads an endpoint of four slots,
+    # although the other node sends nothing. The capacity that it has measured counts for both.
+    assert with_same_kind * 300.0 <= 0.5 * RULES.overload_multiple * 4.0 * 0.52 * RULES.overload_window_ms
 
 
-def test_a_process_that_has_handed_over_leaves_warming_endpoints_to_the_other() -> None:
+def test_a_process_that_has_handed_over_sends_nothing_to_warming_endpoints() -> None:
     assert count_sends_to_warming_endpoint(entries(2, weight=1.0)) > 0
     assert count_sends_to_warming_endpoint(entries(2, weight=1.0), is_handed_over=True) == 0
 
 
 def test_another_endpoint_replaces_a_warming_one_of_a_key() -> None:
-    # In a rolling deploy all endpoints of a key may be in slow start while others are free.
+    # In a rolling deployment, all endpoints of a key may be in slow start while others are free.
     listed = entries(8, weight=1.0)
     driver = DispatcherDriver(listed=listed)
     preferred = [
--- a/tests/policy/statistics/test_estimate_errors.py
+++ b/tests/policy/statistics/test_estimate_errors.py
@@ -1,4 +1,4 @@
-"""The on-time probability."""
+"""The on-time probability follows the errors of past estimates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_the_on_time_probability_follows_the_measured_errors() -> None:
-    # A fixed margin would suit one deployment only: hints and noise differ from class to class.
+    # A fixed margin would fit only one deployment, because hints and noise differ between classes.
     errors, rng = EstimateErrors(), random.Random(3)
     for number in range(400):
         errors.record("rough", 1000.0, 1000.0 * rng.lognormvariate(0.3, 0.6), 50.0 * number)
--- a/tests/policy/statistics/test_run_statistics.py
+++ b/tests/policy/statistics/test_run_statistics.py
@@ -1,9 +1,9 @@
-"""Measured slowness, and how it falls back from the endpoint to its kind to the fleet."""
+"""Slowness by endpoint, with the means of its kind and of the fleet as priors."""
 
 from __future__ import annotations
 
 from burlmoor.policy.model.endpoint import Endpoint
-from burlmoor.policy.statistics.run_statistics import WORK_CLASSES, RunStatistics
+from burlmoor.policy.statistics.run_statistics import WORK_CLASS_COUNT, RunStatistics
 from burlmoor.types.endpoint_list import EndpointEntry
 
 
@@ -11,18 +11,18 @@
     return Endpoint(EndpointEntry(name, zone="a", weight=4.0, kind=kind))
 
 
-def test_one_outcome_counts_for_every_work_class_and_for_its_kind() -> None:
+def test_runs_of_one_work_class_count_for_the_others_and_for_the_kind() -> None:
     runs = RunStatistics()
     used = make_endpoint("a0")
     same_kind = make_endpoint("a1")
     other_kind = make_endpoint("b0", "other")
     for _ in range(10):
         runs.record_run(used, 100.0, 300.0, 1000.0)
-    of_kind = runs.slowness_of_kind("std", 1000.0)
-    for work_class in range(WORK_CLASSES):
-        assert runs.slowness(used, work_class, of_kind, 1000.0) > 2.0
-        assert runs.slowness(same_kind, work_class, of_kind, 1000.0) > 2.0
-    assert runs.slowness_of_kind("other", 1000.0) < of_kind
+    kind_slowness = runs.slowness_of_kind("std", 1000.0)
+    for work_class in range(WORK_CLASS_COUNT):
+        assert runs.slowness(used, work_class, kind_slowness, 1000.0) > 2.0
+        assert runs.slowness(same_kind, work_class, kind_slowness, 1000.0) > 2.0
+    assert runs.slowness_of_kind("other", 1000.0) < kind_slowness
     assert other_kind.slowness.weight == 0.0
 
 
@@ -33,14 +33,14 @@
     for _ in range(20):
         runs.record_run(endpoint, 50.0, 50.0, 1000.0)
         runs.record_run(endpoint, 1600.0, 4800.0, 1000.0)
-    of_kind = runs.slowness_of_kind("std", 1000.0)
-    lightest = runs.slowness(endpoint, 0, of_kind, 1000.0)
-    heaviest = runs.slowness(endpoint, WORK_CLASSES - 1, of_kind, 1000.0)
+    kind_slowness = runs.slowness_of_kind("std", 1000.0)
+    lightest = runs.slowness(endpoint, 0, kind_slowness, 1000.0)
+    heaviest = runs.slowness(endpoint, WORK_CLASS_COUNT - 1, kind_slowness, 1000.0)
     assert lightest < heaviest
 
 
 def test_one_heavy_job_does_not_make_its_endpoint_look_slow() -> None:
-    # Without this, one job of twenty times its hint makes a sound endpoint look dead.
+    # Without this, one job that takes 20 times its hint makes a healthy endpoint look failed.
     runs, endpoint = RunStatistics(), make_endpoint()
     for _ in range(10):
         runs.record_run(endpoint, 100.0, 100.0, 1000.0)
--- a/tests/policy/statistics/test_snapshot.py
+++ b/tests/policy/statistics/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Statistics are handed over to the next process of the node."""
+"""Snapshots transfer a node's statistics to the next process of the node."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def slowness_by_work_class(driver: DispatcherDriver, name: str) -> dict[int, float]:
-    """Return the slowness of an endpoint for each work class of which it has run a job."""
+    """Return the slowness of an endpoint for each work class of which it has run jobs."""
     runs = driver.dispatcher._statistics.runs
     endpoint = driver.dispatcher._endpoints.by_name[name]
-    of_kind = runs.slowness_of_kind("std", driver.now)
+    kind_slowness = runs.slowness_of_kind("std", driver.now)
     return {
-        work_class: runs.slowness(endpoint, work_class, of_kind, driver.now)
+        work_class: runs.slowness(endpoint, work_class, kind_slowness, driver.now)
         for work_class in list(endpoint.slowness_by_work_class)
     }
 
@@ -47,9 +47,9 @@
     data = msgspec.msgpack.encode(take(old))
     new = DispatcherDriver(listed=entries(4), now=90_000.0, seed=2)
     restore(new, msgspec.msgpack.decode(data, type=StatisticsSnapshot))
-    known = new.dispatcher._endpoints.by_name
+    endpoints_by_name = new.dispatcher._endpoints.by_name
     for name, endpoint in old.dispatcher._endpoints.by_name.items():
-        restored = known[name]
+        restored = endpoints_by_name[name]
         assert restored.capacity == endpoint.capacity
         assert restored.consecutive_faults == endpoint.consecutive_faults
         assert list(restored.cached_keys) == list(endpoint.cached_keys)
@@ -58,10 +58,10 @@
         assert all(abs(before[work_class] - after[work_class]) < 1e-9 for work_class in before)
     start_delays = new.dispatcher._statistics.start_delays
     assert start_delays.fastest_start_ms == old.dispatcher._statistics.start_delays.fastest_start_ms
-    # Jobs stay where they are: none is in flight here, and new ones are placed as usual.
+    # Jobs are not transferred: none is in flight here, and new ones are placed as usual.
     assert new.dispatcher._load.slots_in_flight == 0.0
     assert not new.dispatcher._jobs.by_id
-    assert new.request_and_place(1).endpoint in known
+    assert new.request_and_place(1).endpoint in endpoints_by_name
 
 
 def test_endpoints_that_are_not_listed_are_not_restored() -> None:
--- a/tests/policy/statistics/test_start_delay_statistics.py
+++ b/tests/policy/statistics/test_start_delay_statistics.py
@@ -1,4 +1,4 @@
-"""Measured start delays, and how they fall back from the endpoint to its kind in its zone."""
+"""Start delays by endpoint, with the mean of its kind in its zone as the prior."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_a_standing_queue_does_not_lengthen_the_start_grace() -> None:
-    # Without this, jobs are redistributed too late: queues would raise what counts as a prompt start.
+    # Without this, queueing raises the limit for a prompt start, and jobs are redistributed too late.
     delays, endpoint = make_statistics(), make_endpoint()
     delays.record_delay(endpoint, 4.0, 0.0)
     for step in range(20):
@@ -28,7 +28,7 @@
 
 
 def test_start_delays_of_one_zone_do_not_count_for_another() -> None:
-    # Without this, jobs stay in a full zone because all zones share one expected delay.
+    # Without this, all zones share one expected delay, and jobs stay in a full zone.
     delays, near, far = make_statistics(), make_endpoint("a0"), make_endpoint("b0", "b")
     delays.record_delay(near, 4.0, 0.0)
     for step in range(20):
@@ -38,7 +38,8 @@
 
 
 def test_an_attempt_not_started_yet_does_not_shorten_the_expected_delay() -> None:
-    # Without this, jobs are sent into standing queues: one redistributed after 25 ms shows no short delay.
+    # Without this, an attempt given up after 25 ms counts as a short delay, and jobs are sent to endpoints
+    # with standing queues.
     delays, endpoint = make_statistics(), make_endpoint()
     delays.record_delay(endpoint, 4.0, 0.0)
     for step in range(10):
@@ -49,15 +50,15 @@
     assert delays.expected_delay(endpoint, 100.0, 500.0) >= 0.99 * before
 
 
-def test_a_burst_shows_in_the_expected_delay_of_endpoints_never_used() -> None:
-    # With hundreds of nodes each has hardly used any endpoint recently: it relies on the kind.
+def test_a_burst_raises_the_expected_delay_of_unused_endpoints() -> None:
+    # With hundreds of nodes, each has used few endpoints recently and relies on the delays of the kind.
     runs = RunStatistics()
     delays = StartDelayStatistics(TICK_MS, runs)
     used, unused = make_endpoint("a0"), make_endpoint("a1")
     half_life = runs.load_half_life(0.0)
     for step in range(20):
         delays.record_delay(used, 4.0, 10.0 * step)
-    for step in range(3):  # after the time of two jobs the endpoints are full
+    for step in range(3):  # the endpoints are full after the run time of two jobs
         delays.record_delay(used, 2004.0, 2.0 * half_life + 10.0 * step)
     full = delays.expected_delay(unused, 2.0 * half_life + 30.0, half_life)
     assert full > 400.0
