--- a/burlmoor/policy/endpoints/slow_start.py
+++ b/burlmoor/policy/endpoints/slow_start.py
@@ -100,10 +100,10 @@
 
     def budget(self, endpoint: Endpoint, now: float) -> SlowStartBudget:
         """Return the budget of an endpoint in slow start for one overload window."""
-        sustainable = self._sustainable_work_per_ms(endpoint, now)
-        weighted = self._rules.overload_multiple * max(endpoint.weight, sustainable)
-        sustainable = weighted * self.capacity_fraction(endpoint, now)
-        total = sustainable * self._rules.overload_window_ms / self._statistics.demand.mean_cost
+        sustainable_per_ms = self._sustainable_work_per_ms(endpoint, now)
+        warm_limit_per_ms = self._rules.overload_multiple * max(endpoint.weight, sustainable_per_ms)
+        limit_per_ms = warm_limit_per_ms * self.capacity_fraction(endpoint, now)
+        total = limit_per_ms * self._rules.overload_window_ms / self._statistics.demand.mean_cost
         jobs_per_node, remaining_jobs = divmod(self._planned_fraction * total, self._node_count)
         if self._is_handed_over:
             return SlowStartBudget(total, 0.0)
--- a/tests/policy/endpoints/test_list_updates.py
+++ b/tests/policy/endpoints/test_list_updates.py
@@ -15,7 +15,7 @@
 
 
 def test_first_polls_are_spread_over_the_nodes_within_the_interval() -> None:
-    # Without this, all nodes poll discovery at the same time after a simultaneous start.
+    # Nodes that are started together must not all poll discovery at the same time.
     polled_after_ms = []
     for seed in range(40):
         driver = DispatcherDriver(settings(must_poll=True), seed=seed)
--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -78,7 +78,7 @@
 
 
 def test_a_slow_start_budget_follows_the_capacity_of_warm_endpoints_of_the_kind() -> None:
-    # Without this, endpoints with four cores and a listed weight of 1 idle in slow start on a full fleet.
+    # A budget from the listed weight alone leaves four-core endpoints of weight 1 idle on a full fleet.
     without_others = count_sends_to_warming_endpoint([])
     with_same_kind = count_sends_to_warming_endpoint(entries(2, weight=1.0))
     with_other_kind = count_sends_to_warming_endpoint(
--- a/tests/policy/statistics/test_class_weights.py
+++ b/tests/policy/statistics/test_class_weights.py
@@ -63,6 +63,6 @@
 
 
 def test_the_worst_served_class_is_dispatched_before_one_with_a_higher_weight() -> None:
-    # Without this, a class of low weight is served worst, although the objective counts the worst class.
+    # By weight alone, a class of low weight is served worst, although the objective counts that class.
     assert not is_worst_served_dispatched_first(ObjectiveWeights())
     assert is_worst_served_dispatched_first(ObjectiveWeights(overall=0.2, worst_class=0.8))
--- a/tests/policy/statistics/test_run_statistics.py
+++ b/tests/policy/statistics/test_run_statistics.py
@@ -40,7 +40,7 @@
 
 
 def test_one_heavy_job_does_not_make_its_endpoint_look_slow() -> None:
-    # Without this, one job that takes 20 times its hint makes a healthy endpoint look failed.
+    # One job that takes 20 times its hint must not make a healthy endpoint look failed.
     runs, endpoint = RunStatistics(), make_endpoint()
     for _ in range(10):
         runs.record_run(endpoint, 100.0, 100.0, 1000.0)
--- a/tests/policy/statistics/test_start_delay_statistics.py
+++ b/tests/policy/statistics/test_start_delay_statistics.py
@@ -19,7 +19,7 @@
 
 
 def test_a_standing_queue_does_not_lengthen_the_start_grace() -> None:
-    # Without this, queueing raises the limit for a prompt start, and jobs are redistributed too late.
+    # If queueing raised the limit for a prompt start, jobs would be redistributed too late.
     delays, endpoint = make_statistics(), make_endpoint()
     delays.record_delay(endpoint, 4.0, 0.0)
     for step in range(20):
@@ -28,7 +28,7 @@
 
 
 def test_start_delays_of_one_zone_do_not_count_for_another() -> None:
-    # Without this, all zones share one expected delay, and jobs stay in a full zone.
+    # If all zones shared one expected delay, jobs would stay in a full zone.
     delays, near, far = make_statistics(), make_endpoint("a0"), make_endpoint("b0", "b")
     delays.record_delay(near, 4.0, 0.0)
     for step in range(20):
@@ -38,8 +38,8 @@
 
 
 def test_an_attempt_not_started_yet_does_not_shorten_the_expected_delay() -> None:
-    # Without this, an attempt given up after 25 ms counts as a short delay, and jobs are sent to endpoints
-    # with standing queues.
+    # If an attempt given up after 25 ms counted as a short delay, jobs would be sent to endpoints with
+    # standing queues.
     delays, endpoint = make_statistics(), make_endpoint()
     delays.record_delay(endpoint, 4.0, 0.0)
     for step in range(10):
