--- a/burlmoor/policy/attempt_events.py
+++ b/burlmoor/policy/attempt_events.py
@@ -1,4 +1,4 @@
-"""Handlers for the start, the progress, the cancellation and the end of an attempt."""
+"""Handles the start, progress, response, cancellation and end of attempts."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
             self._safety.cancel_others(found.job, found.attempt)
 
     def on_progressed(self, event: AttemptProgressed, now: float) -> None:
-        """Record the progress."""
+        """Record the progress, and postpone the attempt's next check."""
         found = self._jobs.find_pending_attempt(event.id, event.attempt)
         if found is not None:
             self._checks.postpone(found.attempt, now)
@@ -67,7 +67,7 @@
             self._safety.on_response_started(job)
 
     def on_cancelling(self, event: AttemptCancelling, now: float) -> None:
-        """Record the cancellation, and retry the job if that is safe while the attempt is pending."""
+        """Record the cancellation, and retry the job if that is safe while the attempt is still pending."""
         found = self._jobs.find_pending_attempt(event.id, event.attempt)
         if found is not None:
             self._outcomes.record_cancelling(found.attempt, event.outcome, now)
--- a/burlmoor/policy/attempts.py
+++ b/burlmoor/policy/attempts.py
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        measured: EndpointStatistics,
+        endpoint_statistics: EndpointStatistics,
         safety: RetrySafety,
         load: FleetLoad,
         checks: JobChecks,
@@ -29,7 +29,7 @@
         *,
         reports_start: bool,
     ) -> None:
-        self._measured = measured
+        self._endpoint_statistics = endpoint_statistics
         self._safety = safety
         self._load = load
         self._checks = checks
@@ -37,10 +37,10 @@
         self._reports_start = reports_start
 
     def send(self, job: ScheduledJob, selection: Selection, now: float) -> None:
-        """Send the job to the endpoint selected."""
+        """Send the job to the selected endpoint and schedule the check of the attempt."""
         endpoint = selection.endpoint
         endpoint.first_sent_at = min(endpoint.first_sent_at, now)
-        self._measured.record_yield(endpoint, selection.expected_yield, now)
+        self._endpoint_statistics.record_yield(endpoint, selection.expected_yield, now)
         attempt = ScheduledAttempt(
             number=len(job.attempts),
             endpoint=endpoint,
--- a/burlmoor/policy/composition.py
+++ b/burlmoor/policy/composition.py
@@ -11,7 +11,7 @@
 from burlmoor.policy.attempts import AttemptSender
 from burlmoor.policy.dispatch_rounds import DispatchRounds
 from burlmoor.policy.endpoint_eligibility import EndpointEligibility
-from burlmoor.policy.endpoint_selection import LOCAL_SAMPLE, EndpointSelector
+from burlmoor.policy.endpoint_selection import LOCAL_SAMPLE_SIZE, EndpointSelector
 from burlmoor.policy.endpoints.affinity import AffinitySelector
 from burlmoor.policy.endpoints.fleet_load import FleetLoad
 from burlmoor.policy.endpoints.known_endpoints import KnownEndpoints
@@ -35,9 +35,9 @@
 
 
 class PolicyComponents:
-    """The components of one node's policy; those that `Dispatcher` calls itself are its fields.
+    """The components of one node's policy; the attributes are those that `Dispatcher` uses directly.
 
-    All random numbers come from one generator, started with the seed.
+    All components share one random number generator, initialized with the seed.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -49,7 +49,7 @@
         start_delays, runs = self.statistics.start_delays, self.statistics.runs
         # Endpoints.
         outliers = OutlierDetector()
-        recently_freed = RecentlyFreed(LOCAL_SAMPLE)
+        recently_freed = RecentlyFreed(LOCAL_SAMPLE_SIZE)
         self.slow_start = SlowStart(settings, self.statistics, rng)
         self.endpoints = KnownEndpoints(settings.zone, self.slow_start)
         self.load = FleetLoad(self.endpoints, self.slow_start, recently_freed, settings.node_count)
--- a/burlmoor/policy/dispatch_rounds.py
+++ b/burlmoor/policy/dispatch_rounds.py
@@ -21,12 +21,12 @@
     from burlmoor.policy.statistics.run_statistics import RunStatistics
 
 ROUND_TICKS = 3.0  # jobs are queued for a round for about this many ticks
-RETRY_TICKS = 1.0  # a retry waits for a round for about this many ticks at most
-MIN_JITTER, MAX_JITTER = 0.5, 1.5  # factors of the ticks
+RETRY_TICKS = 1.0  # a retry waits for at most about this many ticks
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # range of the random factor of a round's delay
 PRIORITY_PER_ROUND_WAITED = 0.05
-MAX_FAILED_PLACEMENTS = 4  # a round ends after this many consecutive jobs without an endpoint
-# A job is urgent if it would miss its objective by waiting for this many rounds and then running for this
-# many times the usual time.
+MAX_CONSECUTIVE_FAILURES = 4  # a round ends after this many consecutive jobs without an endpoint
+# A job is urgent if it would miss its objective after waiting for URGENT_ROUNDS more rounds and then running
+# for URGENT_RUN_FACTOR times its expected run time.
 URGENT_ROUNDS = 2.0
 URGENT_RUN_FACTOR = 1.5
 
@@ -56,10 +56,10 @@
         self.next_round_at = math.inf
 
     def enqueue(self, job: ScheduledJob, now: float, ticks: float = ROUND_TICKS) -> None:
-        """Queue a job for a round that is run after about this many ticks at most."""
+        """Queue a job, and make sure that a round runs within about this many ticks."""
         job.is_queued = True
         self.queue[job.id] = job
-        self.next_round_at = min(self.next_round_at, self._jittered(now, ticks))
+        self.next_round_at = min(self.next_round_at, self._jittered_round_time(now, ticks))
 
     def enqueue_retry(self, job: ScheduledJob, now: float) -> None:
         """Requeue a job whose attempt has failed; it counts as having waited for a round."""
@@ -71,15 +71,18 @@
         """Exclude a job from the next round, since one of its attempts has started."""
         job.is_queued = False
 
-    def _jittered(self, now: float, ticks: float) -> float:
+    def _jittered_round_time(self, now: float, ticks: float) -> float:
         return now + ticks * self._tick_ms * self._rng.uniform(MIN_JITTER, MAX_JITTER)
 
     def queued_slots(self) -> float:
-        """Return the total of slots that the queued jobs need."""
+        """Return the total number of slots that the queued jobs need."""
         return sum(job.slots for job in self.queue.values())
 
     def run(self, now: float) -> None:
-        """Shed load, then place jobs, urgent ones first; those not placed wait with a higher priority."""
+        """Shed load, then place the remaining jobs, urgent ones first.
+
+        Jobs that find no endpoint stay queued, with a higher priority in the next round.
+        """
         self.next_round_at = math.inf
         slowness = self._runs.slowness_of_fleet(now)
         queue = self._shedder.shed(self._take_queued(), slowness, self._round_ms, now)
@@ -94,7 +97,7 @@
         self._selector.start_round(now)
         self._place_all(queue, state, now)
         if self.queue:
-            self.next_round_at = self._jittered(now, ROUND_TICKS)
+            self.next_round_at = self._jittered_round_time(now, ROUND_TICKS)
 
     def _take_queued(self) -> list[ScheduledJob]:
         """Return the queued jobs in order of priority; `_place_all` requeues those that have to wait."""
@@ -108,7 +111,7 @@
         self.queue = {}
         consecutive_failures = 0
         for job in sorted(queue, key=lambda job: not job.is_urgent):
-            if consecutive_failures < MAX_FAILED_PLACEMENTS and self._place(job, state, now):
+            if consecutive_failures < MAX_CONSECUTIVE_FAILURES and self._place(job, state, now):
                 consecutive_failures = 0
                 continue
             consecutive_failures += 1
--- a/burlmoor/policy/dispatcher.py
+++ b/burlmoor/policy/dispatcher.py
@@ -2,8 +2,8 @@
 
 Events and actions are in `burlmoor/types`; the design is in `docs/design.md`. A job is admitted (admission),
 queued until a round (dispatch_rounds) selects an endpoint for it (endpoint_selection) or sheds it
-(load_shedding), and sent (attempts). Overdue, silent and failed attempts are handled in retries; every send,
-final answer and cancel has to keep the rules in safety. composition builds the components.
+(load_shedding), and sent (attempts). retries handles overdue, silent and failed attempts. safety enforces the
+retry-safety rules on every send, final answer and cancellation. composition builds the components.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
     from burlmoor.types.settings import Settings
 
-# The fraction of the warm capacity that deferred jobs may use; the rest is for jobs that arrive meanwhile.
+# The fraction of the warm capacity that deferred jobs may use; the rest is left for newly arriving jobs.
 RELEASABLE_FRACTION = 0.8
-TIMER_TOKEN = 0  # shared by all timers: what is due follows from the time, not from the token
+TIMER_TOKEN = 0  # the same for all timers, since the time alone determines what is due
 
 
 class Dispatcher:
-    """The policy of one node. Times are ms of the node's clock.
+    """The policy of one node. Times are in ms of the node's clock.
 
     Raises InvalidSettingError if the settings are invalid.
     """
@@ -65,13 +65,13 @@
         }
 
     def handle(self, now: float, events: Iterable[ev.Event]) -> list[Action]:
-        """Handle the events of the moment `now` and return the actions decided on."""
+        """Handle the events that arrived by `now`, run what is due, and return the resulting actions."""
         self._actions.start()
         for event in events:
             handler = self._handlers.get(type(event))
             if handler is not None:
                 handler(event, now)
-        self._run_due(now)
+        self._run_due_work(now)
         self._set_timer(now)
         return self._actions.finish()
 
@@ -91,14 +91,14 @@
         """Restore another process's statistics, except for endpoints that are unknown here."""
         restore_snapshot(self._statistics, self._endpoints.by_name, snapshot, now)
 
-    def _run_due(self, now: float) -> None:
+    def _run_due_work(self, now: float) -> None:
         if self._timer_at <= now:
             self._timer_at = math.inf
         while self._timers.next_at() <= now:
             timer = self._timers.pop()
             if timer.job is None:
                 self._actions.add(WatchEndpoints())
-            elif timer.at == timer.job.check_at:  # otherwise a later check has replaced it
+            elif timer.at == timer.job.check_at:  # otherwise the check was rescheduled
                 self._retries.check(timer.job, now)
         if self._rounds.next_round_at <= now:
             self._rounds.run(now)
--- a/burlmoor/policy/endpoint_eligibility.py
+++ b/burlmoor/policy/endpoint_eligibility.py
@@ -1,4 +1,4 @@
-"""Endpoint eligibility: capacity, outliers, reservations and the retry-safety rules."""
+"""Decides whether an endpoint may get a job, by capacity, outliers, reservations and retry safety."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     from burlmoor.policy.model.job import ScheduledJob
     from burlmoor.policy.safety import RetrySafety
 
-WIDE_JOB_SLOTS = 2.5  # a job of more slots than this may have an endpoint reserved for it
-MAX_RESERVED_FRACTION = 0.25  # of all endpoints
+WIDE_JOB_SLOTS = 2.5  # a job that needs more slots than this may have an endpoint reserved for it
+MAX_RESERVED_FRACTION = 0.25  # of all known endpoints, in one round
 
 
 class EndpointEligibility:
@@ -47,7 +47,7 @@
                 yield endpoint
 
     def reserve(self, job: ScheduledJob, candidates: list[Endpoint], now: float) -> None:
-        """Reserve an endpoint for a wide job; otherwise other jobs would use each slot as it becomes free."""
+        """Reserve an endpoint for a wide job, so that narrower jobs don't take each slot that it frees."""
         limit = MAX_RESERVED_FRACTION * len(self._endpoints.by_name)
         if job.slots <= WIDE_JOB_SLOTS or len(self._reserved) >= limit:
             return
--- a/burlmoor/policy/endpoint_scoring.py
+++ b/burlmoor/policy/endpoint_scoring.py
@@ -1,7 +1,7 @@
-"""Scores an endpoint for a job by the on-time probability, less penalties.
+"""Scores an endpoint for a job by its on-time probability, adjusted by penalties and preferences.
 
-On a saturated fleet a job also has to reach a minimum yield; the yields of jobs and endpoints are defined in
-`burlmoor.policy.statistics.endpoint_statistics`.
+On a saturated fleet a job also has to reach a minimum yield there;
+`burlmoor.policy.statistics.endpoint_statistics` defines the yields of jobs and endpoints.
 """
 
 from __future__ import annotations
@@ -19,12 +19,16 @@
     from burlmoor.types.settings import Settings
 
 ESTIMATE_MARGIN = 1.16  # factor applied to an expected time before it is compared with the remaining time
-MIN_ON_TIME_PROBABILITY = 0.2  # below it an endpoint is not used
-MIN_RELATIVE_PROBABILITY = 0.5  # of the fastest kind's on-time probability: a minimum as well
-MIN_YIELD_FRACTION = 0.6  # of the endpoint's mean yield: the minimum on a saturated fleet
-PREFERENCE_WEIGHT = 0.05  # of a preference among endpoints, relative to the on-time probability
-FETCH_WEIGHT = 2.0  # of the fraction of the run spent on fetching a key, while other jobs wait
-MAX_SPEED = 2.0  # in work per time; more speed is no reason to prefer an endpoint
+# Only exploratory jobs are sent where the on-time probability is below one of these minimums; the second one
+# is relative to the on-time probability at the fastest kind of endpoint.
+MIN_ON_TIME_PROBABILITY = 0.2
+MIN_RELATIVE_PROBABILITY = 0.5
+MIN_YIELD_FRACTION = 0.6  # minimum yield on a fully saturated fleet, relative to the endpoint's mean yield
+PREFERENCE_WEIGHT = 0.05  # of each preference in the loss, where the on-time probability has weight 1
+# Weight in the loss of the fraction of the run that is spent on fetching a key: the fetch holds a slot for
+# which other jobs wait.
+FETCH_WEIGHT = 2.0
+MAX_SPEED = 2.0  # ms of work per ms; a higher speed does not lower the loss further
 MIN_REMAINING_MS = 1e-3
 NOMINAL_FASTEST_SLOWNESS = 1.0  # assumed while no kind of endpoint has been used
 
@@ -33,9 +37,9 @@
 class RoundState:
     """The state of the fleet that all placements of one dispatch round share."""
 
-    load_half_life: float  # of evidence on load, ms
-    saturation: float  # from 0 to 1: how full the fleet is
-    is_mostly_urgent: bool
+    load_half_life: float  # ms; half-life of evidence about load
+    saturation: float  # from 0 (idle) to 1 (full)
+    is_mostly_urgent: bool  # whether most jobs of the round are urgent
 
 
 @dataclass(slots=True)
@@ -43,7 +47,7 @@
     """An endpoint for a job, and the job's expected time and yield there."""
 
     endpoint: Endpoint
-    loss: float  # the lower the better
+    loss: float  # lower is better
     is_cache_miss: bool
     expected_ms: float
     expected_yield: float  # priority weight per ms of a slot
@@ -67,7 +71,7 @@
         self._zone = settings.zone
         self._runs = runs
         self._start_delays = statistics.start_delays
-        self._measured = statistics.endpoints
+        self._endpoint_statistics = statistics.endpoints
         self._on_time_probability = statistics.estimates.on_time_probability
         self._slow_start = slow_start
         self._now = now
@@ -77,8 +81,8 @@
         self._min_probability = self._compute_min_probability()
         mean_weight = statistics.demand.mean_weight.read(now, EVIDENCE_HALF_LIFE_MS, job.weight)
         self._cross_zone_loss = settings.prices.cross_zone * (mean_weight / job.weight)
-        # Urgent jobs prefer fast endpoints, with free capacity only where most jobs are urgent; others leave
-        # the fast ones to them.
+        # Urgent jobs prefer fast endpoints and other jobs slow ones, which keeps fast endpoints available for
+        # urgent jobs. An urgent job avoids free capacity unless most jobs of the round are urgent.
         self._speed_preference = 1.0 if job.is_urgent else -1.0
         prefers_free = state.is_mostly_urgent or not job.is_urgent
         self._free_capacity_preference = 1.0 if prefers_free else -1.0
@@ -91,37 +95,43 @@
         return max(MIN_ON_TIME_PROBABILITY, MIN_RELATIVE_PROBABILITY * best)
 
     def score(self, endpoint: Endpoint, *, is_key_cached: bool) -> Selection | None:
-        """Return the expected result of sending the job there; None if it may not or should not be sent."""
+        """Return the endpoint's loss and the job's expected time and yield; None if it is unsuitable."""
         job, runs, now = self._job, self._runs, self._now
-        fraction = self._slow_start.capacity_fraction(endpoint, now)
+        capacity_fraction = self._slow_start.capacity_fraction(endpoint, now)
         fetch_ms = 0.0 if is_key_cached else self._cache_miss_ms
-        of_kind = runs.slowness_of_kind(endpoint.kind, now)
-        slowness = runs.slowness(endpoint, self._work_class, of_kind, now)
-        slowdown = 1.0 if fraction >= 1.0 else self._slow_start.slowdown(endpoint, job.slots, fraction)
+        kind_slowness = runs.slowness_of_kind(endpoint.kind, now)
+        slowness = runs.slowness(endpoint, self._work_class, kind_slowness, now)
+        slowdown = (
+            1.0
+            if capacity_fraction >= 1.0
+            else self._slow_start.slowdown(endpoint, job.slots, capacity_fraction)
+        )
         run_ms = job.work_ms * slowness * slowdown + fetch_ms
         expected_ms = self._start_delays.expected_delay(endpoint, now, self._state.load_half_life) + run_ms
         probability = self._on_time_probability(
             job.job_class.name, ESTIMATE_MARGIN * expected_ms, self._remaining_ms, now
         )
         expected_yield = probability * job.weight / run_ms
-        is_poor = probability < self._min_probability or self._is_below_minimum_yield(
+        is_below_minimum = probability < self._min_probability or self._is_below_minimum_yield(
             endpoint, expected_yield
         )
-        if fraction < 1.0 and not self._slow_start.has_credit(endpoint, job.cost, now):
+        if capacity_fraction < 1.0 and not self._slow_start.has_credit(endpoint, job.cost, now):
             return None
-        if is_poor and not job.is_exploratory:
+        if is_below_minimum and not job.is_exploratory:
             return None
-        loss = 1.0 - self._measured.clean_rate(endpoint, now) * probability
+        loss = 1.0 - self._endpoint_statistics.clean_rate(endpoint, now) * probability
         if fetch_ms > 0.0:
             loss += PREFERENCE_WEIGHT + FETCH_WEIGHT * fetch_ms / run_ms
         if endpoint.zone != self._zone:
             loss += self._cross_zone_loss
-        speed = self._speed_preference * min(MAX_SPEED, job.work_ms / run_ms)
-        free = self._free_capacity_preference * (1.0 - endpoint.slots_in_flight / endpoint.capacity)
-        loss -= PREFERENCE_WEIGHT * (speed + free)
+        speed_term = self._speed_preference * min(MAX_SPEED, job.work_ms / run_ms)
+        free_capacity_term = self._free_capacity_preference * (
+            1.0 - endpoint.slots_in_flight / endpoint.capacity
+        )
+        loss -= PREFERENCE_WEIGHT * (speed_term + free_capacity_term)
         return Selection(endpoint, loss, fetch_ms > 0.0, expected_ms, expected_yield)
 
     def _is_below_minimum_yield(self, endpoint: Endpoint, expected_yield: float) -> bool:
         """Return whether other jobs yield so much more there that this job should leave the slot to them."""
-        fraction = MIN_YIELD_FRACTION * self._state.saturation
-        return expected_yield < fraction * self._measured.mean_yield(endpoint, self._now)
+        min_fraction = MIN_YIELD_FRACTION * self._state.saturation
+        return expected_yield < min_fraction * self._endpoint_statistics.mean_yield(endpoint, self._now)
--- a/burlmoor/policy/endpoint_selection.py
+++ b/burlmoor/policy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: the best of a few candidates is selected, if it is likely to finish the job in time."""
+"""Selects the best of a few candidate endpoints for a job, if one is likely to finish the job in time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
     from burlmoor.policy.statistics.node_statistics import NodeStatistics
     from burlmoor.types.settings import Settings
 
-LOCAL_SAMPLE, REMOTE_SAMPLE = 4, 2  # endpoints drawn for a job, in addition to the recently freed ones
+# Endpoints drawn for a job in this node's zone and in other zones, in addition to the recently freed ones.
+LOCAL_SAMPLE_SIZE, REMOTE_SAMPLE_SIZE = 4, 2
 
 
 class EndpointSelector:
@@ -44,7 +45,7 @@
         self._affinity = affinity
         self._eligibility = eligibility
         self._rng = rng
-        self._assigned: list[Endpoint] = []  # endpoints in slow start that are candidates for each job
+        self._assigned: list[Endpoint] = []  # endpoints in slow start, candidates for every job
 
     def start_round(self, now: float) -> None:
         """Update the outliers, the reservations and the assigned endpoints for a new round."""
@@ -57,10 +58,10 @@
         orders = self._endpoints.candidates(kind).affinity
         affinity = self._affinity.select(orders, job.key, job.key_fraction, now)
         scorer = EndpointScorer(self._statistics, self._slow_start, self._settings, job, state, now)
-        candidates = [*(affinity.usable or self._draw(kind)), *self._assigned]
+        candidates = [*(affinity.usable or self._draw_candidates(kind)), *self._assigned]
         best: Selection | None = None
         for count, endpoint in enumerate(self._eligibility.eligible(job, candidates, now)):
-            is_optional = count >= LOCAL_SAMPLE and endpoint not in self._assigned
+            is_optional = count >= LOCAL_SAMPLE_SIZE and endpoint not in self._assigned
             if affinity.usable and is_optional and best is not None:
                 continue
             is_key_cached = (
@@ -73,7 +74,7 @@
             self._eligibility.reserve(job, candidates, now)
         return best
 
-    def _draw(self, kind: str | None) -> list[Endpoint]:
-        """Return a few endpoints of this kind: recently freed ones, and some drawn at random by weight."""
-        sample = self._endpoints.candidates(kind).sample(self._rng, LOCAL_SAMPLE, REMOTE_SAMPLE)
+    def _draw_candidates(self, kind: str | None) -> list[Endpoint]:
+        """Return a few endpoints of this kind: recently freed ones, and a random sample drawn by weight."""
+        sample = self._endpoints.candidates(kind).sample(self._rng, LOCAL_SAMPLE_SIZE, REMOTE_SAMPLE_SIZE)
         return [*self._recently_freed, *sample]
--- a/burlmoor/policy/job_checks.py
+++ b/burlmoor/policy/job_checks.py
@@ -1,4 +1,4 @@
-"""When jobs and their attempts are checked next."""
+"""Schedules the checks of jobs and their attempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from burlmoor.policy.timer_queue import TimerQueue
     from burlmoor.types.settings import Settings
 
-MAX_SILENT_INTERVALS = 1.5  # an attempt that is silent for longer, in progress intervals, is assumed to hang
+MAX_SILENT_INTERVALS = 1.5  # progress intervals without a report after which an attempt is assumed to hang
 
 
 class JobChecks:
@@ -34,7 +34,7 @@
         return now + self._max_silence_ms
 
     def postpone(self, attempt: ScheduledAttempt, now: float) -> None:
-        """Postpone the attempt's check, since it has reported or was just checked."""
+        """Postpone the attempt's check, after a report or a check."""
         attempt.check_at = now + self._max_silence_ms
 
     @staticmethod
--- a/burlmoor/policy/load_shedding.py
+++ b/burlmoor/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: rejects queued jobs that can't finish in time any more or that exceed the capacity."""
+"""Load shedding: rejects queued jobs that can no longer finish in time or that exceed the capacity."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     from burlmoor.policy.policy_warnings import WarningLimiter
     from burlmoor.policy.statistics.run_statistics import RunStatistics
 
-MAX_QUEUE_LOAD = 0.8  # the sum of the queued jobs' response times, relative to that of their objectives
-UNKNOWN_FASTEST_SLOWNESS = 0.5  # time per unit of work while no kind of endpoint has been used: optimistic
+MAX_QUEUE_LOAD = 0.8  # total expected response time of the queued jobs, relative to their total objective
+OPTIMISTIC_FASTEST_SLOWNESS = 0.5  # time per unit of work, until a kind of endpoint has been used
 
 
 class LoadShedder:
@@ -36,7 +36,7 @@
 
         The queue is in order of priority; `slowness` is the fleet's time per unit of work.
         """
-        fastest = self._runs.slowness_of_fastest_kind(now, UNKNOWN_FASTEST_SLOWNESS)
+        fastest = self._runs.slowness_of_fastest_kind(now, OPTIMISTIC_FASTEST_SLOWNESS)
         parallel_slots = self._load.parallel_slots()
         remaining: list[ScheduledJob] = []
         excess: list[ScheduledJob] = []
@@ -48,7 +48,7 @@
                     self._jobs.abandon(job, EndReason.TOO_LATE)
                 continue
             if job.rounds_waited > 0:
-                # ATHOS, equation 2: the response times expected of the queued jobs, against their objectives.
+                # ATHOS, equation 2: compare the queued jobs' expected response times with their objectives.
                 ahead_ms += slowness * job.work_ms * job.slots / parallel_slots
                 response_ms += now - (job.objective_at - job.objective_ms) + ahead_ms + slowness * job.work_ms
                 objectives_ms += job.objective_ms + round_ms
@@ -59,7 +59,7 @@
         return remaining
 
     def _reject_excess(self, excess: list[ScheduledJob], now: float) -> None:
-        """Reject these jobs, the lowest priority first."""
+        """Reject these jobs, which are in order of priority, from the lowest priority up."""
         for job in reversed(excess):
             self._jobs.abandon(job, EndReason.OVERLOAD)
         if excess:
--- a/burlmoor/policy/open_jobs.py
+++ b/burlmoor/policy/open_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs that this node has admitted and that are open, or have a pending attempt."""
+"""Keeps the admitted jobs that are open or have a pending attempt."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from burlmoor.policy.safety import RetrySafety
     from burlmoor.types.reasons import EndReason
 
-MIN_RETRY_AFTER_FRACTION = 0.5  # of the longest Retry-After
+MIN_RETRY_AFTER_FRACTION = 0.5  # of the maximum Retry-After
 
 
 class PendingAttempt(NamedTuple):
@@ -36,7 +36,7 @@
         self.by_id[job.id] = job
 
     def find_pending_attempt(self, job_id: int, number: int) -> PendingAttempt | None:
-        """Return a job and its attempt of this number, if its outcome is not known yet."""
+        """Return the job and its attempt with this number; None if it is unknown or the attempt has ended."""
         job = self.by_id.get(job_id)
         if job is None or not 0 <= number < len(job.attempts) or job.attempts[number].outcome is not None:
             return None
@@ -52,6 +52,6 @@
         self.forget_if_over(job)
 
     def forget_if_over(self, job: ScheduledJob) -> None:
-        """Forget a closed job none of whose attempts is pending."""
+        """Forget the job if it is closed and has no pending attempt."""
         if job.is_closed and not job.pending_attempts():
             self.by_id.pop(job.id, None)
--- a/burlmoor/policy/policy_warnings.py
+++ b/burlmoor/policy/policy_warnings.py
@@ -1,4 +1,4 @@
-"""The policy's warnings to the operators, each at a limited rate."""
+"""Rate-limited warnings from the policy to the operators."""
 
 from __future__ import annotations
 
--- a/burlmoor/policy/redistribution_budget.py
+++ b/burlmoor/policy/redistribution_budget.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 MAX_TOKENS = 3.0
-TOKENS_PER_SEND = 0.03  # bounds redistribution to this fraction of all sends
+TOKENS_PER_SEND = 0.03  # limits redistribution to this fraction of all sends in the long run
 
 
 class RedistributionBudget:
     """A token bucket to which each send adds a fraction of a token; each redistribution takes one.
 
-    Without it redistribution feeds an overload, since the job may run at both endpoints.
+    A redistributed job may run at both endpoints, so unlimited redistribution would aggravate an overload.
     """
 
     def __init__(self) -> None:
         self._tokens = MAX_TOKENS
 
     def record_send(self) -> None:
-        """Add the fraction of a token that a send allows."""
+        """Add the fraction of a token that a send earns."""
         self._tokens = min(MAX_TOKENS, self._tokens + TOKENS_PER_SEND)
 
     def has_token(self) -> bool:
--- a/burlmoor/policy/retries.py
+++ b/burlmoor/policy/retries.py
@@ -1,7 +1,8 @@
-"""Checks of jobs whose attempts are overdue or silent, their redistribution (hedging), and retries.
+"""Retries failed jobs, and redistributes jobs whose attempts are overdue or silent.
 
-A retry is a further attempt after one has failed. Redistribution is a further attempt, at another endpoint,
-while one is pending: concurrently where settings allow hedging, else after the pending one is cancelled.
+A retry is another attempt after one has failed. Redistribution sends a job to another endpoint while an
+attempt is pending: concurrently (hedging) where the settings allow it, otherwise once the pending attempt is
+cancelled.
 """
 
 from __future__ import annotations
@@ -54,7 +55,7 @@
         self._warnings = warnings
 
     def check(self, job: ScheduledJob, now: float) -> None:
-        """Check a job whose endpoints should have reported progress by now."""
+        """Check a job at its deadline, or when its attempts should have reported a start or progress."""
         if job.is_closed or job.is_streaming:
             return
         has_started = any(attempt.started_at is not None for attempt in job.pending_attempts())
@@ -62,7 +63,7 @@
             self._jobs.abandon(job, EndReason.DEADLINE)
             return
         if now >= job.useful_until and not has_started:
-            # A job that has not started, and whose result would be useless by now, must free its slots.
+            # The job has not started and a result is no longer useful: free its slots.
             self._jobs.abandon(job, EndReason.NOT_STARTED)
             return
         for attempt in job.pending_attempts():
@@ -84,18 +85,21 @@
             self._redistribute(job, attempt, reason, now)
 
     def _handle_overdue(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
-        """Mark the attempt overdue; its endpoint, which queues jobs, gets nothing more until it starts."""
+        """Mark the attempt overdue; its endpoint, which queues jobs, gets no more until it has started."""
         endpoint = attempt.endpoint
         start_delays = self._statistics.start_delays
-        retry_ms = attempt.expected_ms + start_delays.start_grace(endpoint.zone)
+        retry_duration_ms = attempt.expected_ms + start_delays.start_grace(endpoint.zone)
         attempt.mark_overdue()
         start_delays.record_delay(endpoint, now - attempt.sent_at, now, has_started=False)
         if endpoint.is_silent_since(now - SILENT_ENDPOINT_MS):
             self._redistribute_unstarted(job, attempt, now)
-        elif not endpoint.has_reported_since(now - SILENT_ENDPOINT_MS) and now < job.useful_until - retry_ms:
-            # The endpoint may be remote or down: wait as long as another one can still serve the job in time.
+        elif (
+            not endpoint.has_reported_since(now - SILENT_ENDPOINT_MS)
+            and now < job.useful_until - retry_duration_ms
+        ):
+            # The endpoint may be remote or down: wait until the last time at which another can serve the job.
             attempt.awaits_late_retry = True
-            self._checks.check_no_later_than(attempt, job.useful_until - retry_ms)
+            self._checks.check_no_later_than(attempt, job.useful_until - retry_duration_ms)
 
     def _redistribute_unstarted(self, job: ScheduledJob, attempt: ScheduledAttempt, now: float) -> None:
         if self._may_redistribute_unstarted(job, now):
@@ -105,8 +109,8 @@
     def _may_redistribute_unstarted(self, job: ScheduledJob, now: float) -> bool:
         """Return whether a job that has not started may be redistributed.
 
-        Without these limits redistribution feeds an overload, since the job may run at both endpoints.
-        Therefore it is limited to few jobs, and to times when other endpoints start jobs promptly.
+        The job may run at both endpoints, so unlimited redistribution would aggravate an overload. It is
+        limited to a few jobs, and to times when endpoints start jobs promptly.
         """
         prompt_fraction = self._statistics.start_delays.prompt_fraction(now)
         return (
@@ -118,7 +122,7 @@
     def _redistribute(
         self, job: ScheduledJob, attempt: ScheduledAttempt, reason: CancelReason, now: float
     ) -> None:
-        """Send a job to another endpoint, if its class allows a repeat and attempts are left."""
+        """Redistribute a job, if the limits on attempts and the idempotency of its class allow it."""
         if job.is_queued or not self._limits.may_cancel:
             return
         if len(job.attempts) >= self._limits.max_attempts:
@@ -131,12 +135,12 @@
             self._rounds.enqueue(job, now, RETRY_TICKS)
 
     def on_cancelling(self, job: ScheduledJob, outcome: Outcome, now: float) -> None:
-        """Retry a job whose attempt is being cancelled, where two of its attempts may be pending."""
+        """Retry a job whose attempt is being cancelled, if it may have two pending attempts."""
         if not job.is_closed and outcome is not Outcome.TIMEOUT:
             self.retry_or_abandon(job, now)
 
     def retry_or_abandon(self, job: ScheduledJob, now: float) -> None:
-        """Requeue a job whose attempt brought no result, or abandon it if that is not safe.
+        """Requeue a job whose attempt brought no result, or abandon it if a retry is unsafe or useless.
 
         If a cancelled attempt that is still pending prevents a retry, the job waits for that attempt to end.
         """
--- a/burlmoor/policy/safety.py
+++ b/burlmoor/policy/safety.py
@@ -1,7 +1,8 @@
-"""The retry-safety rules, to which every send, final answer and cancellation has to conform.
+"""The retry-safety rules, to which every send, final answer and cancellation conforms.
 
-The answer rule: a request gets exactly one final answer, before its deadline. The repeat rule: a job that may
-have run is neither run again nor rejected, which invites a retry, unless its class allows a repeat.
+The answer rule: a request gets exactly one final answer, before its deadline. The repeat rule: unless its
+class allows a repeat, a job that may have run is neither run again nor rejected, since clients retry rejected
+requests.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 
 class RetrySafety:
-    """Enforces both rules: every send, rejection, failure and cancellation of a job is made here."""
+    """Enforces both rules: every send, rejection, failure and cancellation of a job goes through it."""
 
     def __init__(self, limits: Limits, actions: ActionBatch) -> None:
         self._limits = limits
         self._actions = actions
 
     def may_send(self, job: ScheduledJob, endpoint: Endpoint, now: float) -> bool:
-        """Return whether both rules allow one more attempt at this endpoint."""
+        """Return whether both rules and the limits allow another attempt at this endpoint."""
         if job.is_closed or job.is_streaming or now >= job.deadline_at:
             return False
         if len(job.attempts) >= self._limits.max_attempts:
@@ -45,7 +46,7 @@
         return is_in_window and first.endpoint.deduplicates_with(endpoint, job.job_class.deduplication_scope)
 
     def may_reject(self, job: ScheduledJob) -> bool:
-        """Return whether the job may be rejected, that is, whether a retry by its client is harmless."""
+        """Return whether the job may be rejected, that is, whether a retry by its client is safe."""
         idempotency = job.job_class.idempotency
         is_scope_all = job.job_class.deduplication_scope is DeduplicationScope.ALL
         may_repeat = idempotency is Idempotency.IDEMPOTENT or (
@@ -62,7 +63,7 @@
         """Give the one final answer: a rejection if the repeat rule allows it, otherwise a failure."""
         if job.is_closed or job.is_streaming:
             return
-        # Retry-After is sent even if the platform's own clients ignore it, since other clients may read it.
+        # Retry-After is sent even if the platform's own clients ignore it, since other clients may honour it.
         if self.may_reject(job):
             self._actions.add(RejectJob(job.id, retry_after_ms, reason))
         else:
@@ -70,7 +71,7 @@
         self.close(job)
 
     def on_response_started(self, job: ScheduledJob) -> None:
-        """Bind the job to the attempt whose response has begun: no other attempt, cancellation or answer."""
+        """Bind the job to its streaming response: no further attempt, cancellation or answer is allowed."""
         job.is_streaming = True
 
     def close(self, job: ScheduledJob) -> None:
--- a/burlmoor/policy/timer_queue.py
+++ b/burlmoor/policy/timer_queue.py
@@ -19,7 +19,7 @@
 
 
 class TimerQueue:
-    """Timers in the order in which they fire. Times are ms of the node's clock."""
+    """Orders the timers by the time at which they fire. Times are in ms of the node's clock."""
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
