--- a/burlmoor/policy/endpoint_eligibility.py
+++ b/burlmoor/policy/endpoint_eligibility.py
@@ -47,7 +47,7 @@
                 yield endpoint
 
     def reserve(self, job: ScheduledJob, candidates: list[Endpoint], now: float) -> None:
-        """Reserve an endpoint for a wide job, so that narrower jobs don't take each slot that it frees."""
+        """Reserve an endpoint for a wide job, so that other jobs don't use each slot as it becomes free."""
         limit = MAX_RESERVED_FRACTION * len(self._endpoints.by_name)
         if job.slots <= WIDE_JOB_SLOTS or len(self._reserved) >= limit:
             return
--- a/tests/policy/test_dispatch_rounds.py
+++ b/tests/policy/test_dispatch_rounds.py
@@ -21,7 +21,7 @@
 
 
 def fill_endpoint(driver: DispatcherDriver, job_id: int = 1000) -> StartAttempt:
-    """Fill the only endpoint, so that the next jobs are queued."""
+    """Fill the only endpoint, so that later jobs are queued."""
     send = driver.request_and_place(job_id, slots=4.0, work_ms=400.0)
     driver.handle(AttemptStarted(job_id, 0, send.endpoint))
     return send
@@ -29,11 +29,11 @@
 
 def test_a_higher_priority_weight_is_dispatched_first() -> None:
     driver = DispatcherDriver(settings(classes=(LOOKUP, GOLD)), entries(1))
-    filling = fill_endpoint(driver)
+    filling_attempt = fill_endpoint(driver)
     driver.request(1, "lookup")
     driver.request(2, "gold")
     driver.run(30.0)
-    driver.end_attempt(filling, Outcome.SERVED)
+    driver.end_attempt(filling_attempt, Outcome.SERVED)
     driver.run(30.0)
     assert [send.id for send in driver.actions_of(StartAttempt)][1:] == [2, 1]
 
@@ -41,21 +41,23 @@
 def test_a_tenant_over_its_quota_loses_priority() -> None:
     tenants = (Tenant("loud", 0.5, 5.0), Tenant("calm", 0.5, 5.0))
     driver = DispatcherDriver(settings(tenants=tenants, over_quota_fraction=0.1), entries(1))
-    filling = fill_endpoint(driver)
+    filling_attempt = fill_endpoint(driver)
     for job_id in range(60):
         driver.request(job_id, tenant="loud", timeout_ms=5000.0)
     driver.request(99, tenant="calm")
     job = driver.dispatcher._jobs.by_id[99]
     assert job.priority > driver.dispatcher._jobs.by_id[59].priority
     driver.run(30.0)
-    driver.end_attempt(filling, Outcome.SERVED)
+    driver.end_attempt(filling_attempt, Outcome.SERVED)
     driver.run(30.0)
-    # Jobs that loud sent within its quota may be dispatched first; those beyond it may not.
-    assert all(send.id < 20 for send in driver.actions_of(StartAttempt) if send.id not in {99, filling.id})
+    # Of the jobs of the tenant "loud", only those within its quota may be dispatched first.
+    assert all(
+        send.id < 20 for send in driver.actions_of(StartAttempt) if send.id not in {99, filling_attempt.id}
+    )
 
 
 def test_waiting_raises_the_priority_past_a_higher_weight() -> None:
-    # Without this, the class of the lowest weight starves.
+    # Otherwise jobs of the class with the lowest weight would starve.
     driver = DispatcherDriver(settings(classes=(LOOKUP, GOLD)), entries(1))
     fill_endpoint(driver)
     driver.request(1, "lookup", work_ms=2000.0)
@@ -80,14 +82,14 @@
     assert driver.request_and_place(1, slots=50.0).endpoint == "a0"
 
 
-def test_a_job_that_cannot_be_in_time_anywhere_is_rejected_before_its_objective() -> None:
+def test_a_job_that_cannot_finish_in_time_is_rejected_before_its_objective() -> None:
     driver = DispatcherDriver(listed=entries(1))
-    filling = fill_endpoint(driver)
+    filling_attempt = fill_endpoint(driver)
     driver.request(1, work_ms=300.0)
     driver.run(990.0)
     assert len(driver.actions_of(RejectJob, 1)) == 1
     assert not driver.actions_of(StartAttempt, 1)
-    assert filling.id != 1
+    assert filling_attempt.id != 1
 
 
 def test_time_spent_on_earlier_attempts_shortens_the_objective() -> None:
@@ -110,8 +112,8 @@
     assert all(job_id % 2 == 0 for job_id in rejected[: len(rejected) // 3])
 
 
-def test_the_queue_is_shed_before_all_of_it_is_late() -> None:
-    # Without this, the queue is so long that each job leaves it just too late to count.
+def test_the_queue_is_shed_before_all_its_jobs_are_late() -> None:
+    # In a queue that is too long, every job is dispatched just too late to meet its objective.
     driver = DispatcherDriver(listed=entries(1))
     fill_endpoint(driver)
     for job_id in range(40):
@@ -121,12 +123,12 @@
 
 
 @pytest.mark.parametrize("is_saturated", [False, True])
-def test_a_saturated_fleet_gets_only_jobs_well_in_time(*, is_saturated: bool) -> None:
-    # Without this, late answers cost the most: other jobs wait for the slots that they take.
-    # The round is after 7.5 to 22.5 ms: always in time on an idle fleet, always too late on a full one.
+def test_a_saturated_fleet_gets_only_jobs_likely_to_finish_in_time(*, is_saturated: bool) -> None:
+    # On a saturated fleet late answers cost the most, since other jobs wait for the slots that they hold.
+    # The round runs after 7.5 to 22.5 ms: always in time on an idle fleet, always too late on a full one.
     tight = replace(LOOKUP, name="tight", latency_objective_ms=117.0, objective_stretch=0.0)
     driver = DispatcherDriver(settings(classes=(LOOKUP, tight)), entries(1, weight=8.0))
-    for _ in range(10):  # the mean yield of the endpoint
+    for _ in range(10):  # raises the endpoint's mean yield
         driver.dispatcher._statistics.endpoints.record_yield(
             driver.dispatcher._endpoints.by_name["a0"], 2.0, driver.now
         )
@@ -139,7 +141,7 @@
 
 
 def test_a_job_that_has_just_arrived_is_placed_before_it_is_shed() -> None:
-    # Without this, one queued job with a short objective has others rejected beside a free endpoint.
+    # Otherwise one queued job with a short objective would cause others to be shed beside a free endpoint.
     tight = replace(GOLD, name="tight", latency_objective_ms=125.0, objective_stretch=0.0)
     for seed in range(20):
         driver = DispatcherDriver(settings(classes=(tight, LOOKUP)), entries(1), seed=seed)
@@ -151,7 +153,8 @@
 
 
 def test_a_wide_job_does_not_starve_behind_narrow_ones() -> None:
-    # Without this, wide jobs are rejected on fleets that have capacity, but never enough at one moment.
+    # Narrow jobs take each slot that becomes free, so an endpoint never has enough free slots at one time and
+    # wide jobs would be rejected although the fleet has capacity.
     patient = replace(GOLD, name="patient", latency_objective_ms=2000.0)
     driver = DispatcherDriver(settings(classes=(LOOKUP, patient)), entries(1))
     for job_id in range(16):
@@ -166,7 +169,7 @@
     assert driver.actions_of(StartAttempt, 1000)
 
 
-def test_urgent_jobs_go_to_fast_endpoints_and_bulk_to_slower_ones() -> None:
+def test_urgent_jobs_go_to_fast_endpoints_and_others_to_slower_ones() -> None:
     fleet = [
         *entries(2, kind="fast"),
         *[entry._replace(endpoint=f"s{number}", kind="slow") for number, entry in enumerate(entries(2))],
@@ -179,15 +182,15 @@
         driver.end_attempt(send, Outcome.SERVED)
     urgent = driver.request_and_place(500, work_ms=200.0, timeout_ms=5000.0 - 350.0)
     assert urgent.endpoint.startswith("a")
-    bulk_endpoints = []
+    endpoint_prefixes = []
     for seed in range(10):
         driver.dispatcher._rounds._rng.seed(seed)
         send = driver.request_and_place(600 + seed, work_ms=200.0)
         driver.handle(AttemptStarted(send.id, 0, send.endpoint))
         driver.run(300.0)
         driver.end_attempt(send, Outcome.SERVED)
-        bulk_endpoints.append(send.endpoint[0])
-    assert "s" in bulk_endpoints
+        endpoint_prefixes.append(send.endpoint[0])
+    assert "s" in endpoint_prefixes
 
 
 def test_extreme_values_are_handled() -> None:
@@ -201,7 +204,8 @@
 
 
 def test_a_node_that_has_just_started_uses_an_idle_fleet_without_listed_weights() -> None:
-    # Without this, a restarted node queues, and then rejects, what its endpoints have capacity for.
+    # With the default weight of 1 as the initial capacity, a restarted node would queue, and then reject,
+    # jobs for which its endpoints have capacity.
     driver = DispatcherDriver(listed=entries(3, weight=1.0))
     for job_id in range(9):
         driver.request(job_id, work_ms=100.0)
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -25,7 +25,7 @@
     return Endpoint(EndpointEntry("x", zone="a", weight=4.0, kind=kind))
 
 
-def test_progress_shows_slowness_before_the_outcome() -> None:
+def test_progress_reports_update_the_slowness_before_the_outcome() -> None:
     driver = DispatcherDriver(listed=entries(1))
     send = driver.request_and_place(1, work_ms=1000.0)
     driver.handle(AttemptStarted(1, 0, send.endpoint))
@@ -45,20 +45,20 @@
     assert driver.dispatcher._endpoints.by_name["a0"].overdue_attempts == 0
 
 
-def test_prompt_starts_at_capacity_raise_it_and_late_ones_lower_it() -> None:
+def test_prompt_starts_raise_the_capacity_and_late_starts_lower_it() -> None:
     driver = DispatcherDriver(listed=entries(1))
-    known = driver.dispatcher._endpoints.by_name["a0"]
-    start = known.capacity
+    endpoint = driver.dispatcher._endpoints.by_name["a0"]
+    start = endpoint.capacity
     for job_id in range(4):
         send = driver.request_and_place(job_id)
         driver.handle(AttemptStarted(job_id, 0, send.endpoint))
-    assert known.capacity > start
-    raised = known.capacity
-    driver.dispatcher._statistics.start_delays.record_delay(known, 500.0, driver.now)
-    assert known.capacity < raised
+    assert endpoint.capacity > start
+    raised = endpoint.capacity
+    driver.dispatcher._statistics.start_delays.record_delay(endpoint, 500.0, driver.now)
+    assert endpoint.capacity < raised
 
 
-def test_an_overload_answer_sends_the_job_elsewhere() -> None:
+def test_a_job_rejected_as_overload_is_sent_to_another_endpoint() -> None:
     driver = DispatcherDriver(listed=entries(2))
     send = driver.request_and_place(1)
     driver.end_attempt(send, Outcome.OVERLOADED)
@@ -67,7 +67,7 @@
 
 
 def test_nothing_is_ejected_when_most_endpoints_fail() -> None:
-    # Without this, the whole fleet is ejected when the fault is on this side.
+    # If most endpoints fail, the fault is likely on this node's side: it must not eject the whole fleet.
     driver = DispatcherDriver(listed=entries(4))
     for job_id in range(12):
         driver.request(job_id, "once", work_ms=500.0)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE])
 def test_an_endpoint_that_fails_at_once_is_ejected_and_probed(outcome: Outcome) -> None:
-    # Without this, the endpoint, which is always free, attracts jobs and fails them.
+    # An endpoint that fails jobs at once is always free, so it would attract jobs and fail them.
     driver = DispatcherDriver(listed=entries(1))
     for job_id in (1, 2):
         driver.end_attempt(driver.request_and_place(job_id, work_ms=50.0), outcome)
@@ -97,7 +97,7 @@
         driver.request(job_id, work_ms=1500.0)
     driver.run(1000.0)
     sent = ids_sent_to(driver, "a0")
-    assert len(sent) == 3  # the probe, and no second one while it is pending
+    assert len(sent) == 3  # one probe, and no second one while it is pending
     assert sent[2] >= 300
 
 
@@ -106,8 +106,8 @@
     send = driver.request_and_place(1, work_ms=2000.0)
     driver.handle(AttemptStarted(1, 0, send.endpoint))
     driver.run(1700.0)
-    known = driver.dispatcher._endpoints.by_name[send.endpoint]
-    assert driver.dispatcher._statistics.endpoints.clean_rate(known, driver.now) < 0.8
+    endpoint = driver.dispatcher._endpoints.by_name[send.endpoint]
+    assert driver.dispatcher._statistics.endpoints.clean_rate(endpoint, driver.now) < 0.8
     assert len(driver.actions_of(StartAttempt, 1)) == 2
 
 
@@ -120,7 +120,7 @@
 
 
 def test_a_key_goes_to_the_same_endpoint_from_all_zones() -> None:
-    # Without this, every zone fetches every key, and the store has a limited capacity.
+    # Otherwise every zone would fetch every key from the store, whose capacity is limited.
     listed = [*entries(4), *(EndpointEntry(f"b{n}", zone="b", weight=4.0, kind="std") for n in range(4))]
     used = set()
     for zone in ("a", "b"):
@@ -135,7 +135,7 @@
 
 
 def test_a_job_queued_at_an_endpoint_that_reports_is_not_redistributed() -> None:
-    # Without this, an overload grows: the job may run at both, and its key is fetched a second time.
+    # The job might run at both endpoints, and its key be fetched twice, which aggravates an overload.
     driver = DispatcherDriver(settings(), entries(1))
     first, _ = driver.request_and_place(1, work_ms=2000.0), driver.request_and_place(2, work_ms=2000.0)
     driver.handle(EndpointListUpdate(ListKind.DELTA, entries(2)[1:]), AttemptStarted(1, 0, first.endpoint))
@@ -144,7 +144,7 @@
 
 
 def test_a_job_unlikely_to_be_in_time_is_not_sent() -> None:
-    # Without this, endpoints work on jobs that end too late.
+    # Otherwise endpoints would spend capacity on jobs that end too late.
     tight = replace(LOOKUP, latency_objective_ms=90.0, objective_stretch=0.0)
     exploratory = set()
     driver = DispatcherDriver(settings(classes=(tight,)))
@@ -158,7 +158,7 @@
 
 
 def test_a_slow_endpoint_is_not_used_while_a_fast_one_may_become_free_in_time() -> None:
-    # Without this, slow endpoints with free slots get jobs that a fast one would finish in time.
+    # Otherwise slow endpoints with free slots would get jobs that a fast one would finish in time.
     slow, fast = entries(1, kind="slow"), entries(2, kind="fast")[1:]
     tight = replace(LOOKUP, latency_objective_ms=400.0, objective_stretch=0.0)
     driver = DispatcherDriver(settings(classes=(tight,)), [*slow, *fast])
@@ -166,26 +166,27 @@
     for kind, run_ms, count in (("slow", 400.0, 20), ("fast", 100.0, 200)):
         for _ in range(count):
             runs.record_run(make_endpoint(kind), 100.0, run_ms, driver.now)
-    filled = driver.dispatcher._endpoints.by_name["a1"]
-    filled.slots_in_flight = filled.capacity
+    fast_endpoint = driver.dispatcher._endpoints.by_name["a1"]
+    fast_endpoint.slots_in_flight = fast_endpoint.capacity
     driver.request(1, work_ms=100.0)
     driver.dispatcher._jobs.by_id[1].is_exploratory = False
     driver.run(60.0)
     assert not driver.actions_of(StartAttempt)
-    filled.slots_in_flight = 0.0
+    fast_endpoint.slots_in_flight = 0.0
     driver.run(60.0)
     assert [send.endpoint for send in driver.actions_of(StartAttempt)] == ["a1"]
 
 
 def test_no_health_checks_are_requested() -> None:
-    # A few by each node are many at an endpoint of 40 nodes, and show no more than starts do.
+    # At an endpoint of 40 nodes, a few health checks by each add up to many, and they tell no more than the
+    # starts of jobs do.
     limits = Limits(max_attempts=4, may_cancel=True, may_check_health=True)
     driver = DispatcherDriver(settings(limits=limits), entries(6))
     assert driver.request_and_place(2, "once")
     assert not driver.actions_of(CheckHealth)
 
 
-def test_finished_jobs_and_removed_endpoints_leave_nothing_behind() -> None:
+def test_finished_jobs_and_removed_endpoints_leave_no_state() -> None:
     driver = DispatcherDriver(listed=entries(4))
     for job_id in range(300):
         driver.request(job_id, ("lookup", "keyed", "once")[job_id % 3], affinity_key=str(job_id))
@@ -201,11 +202,11 @@
     assert not dispatcher._rounds.queue
     assert dispatcher._timers.next_at() == math.inf
     assert len(dispatcher._endpoints.by_name) == 4
-    assert all(len(known.cached_keys) <= 10 for known in dispatcher._endpoints.by_name.values())
+    assert all(len(endpoint.cached_keys) <= 10 for endpoint in dispatcher._endpoints.by_name.values())
 
 
-def test_redistribution_stops_while_hardly_any_start_is_prompt() -> None:
-    # Without this, an overload grows: where a cancelled job stays queued, each further attempt adds to it.
+def test_no_redistribution_while_few_starts_are_prompt() -> None:
+    # Where endpoints keep cancelled jobs queued, each further attempt would add to an overload.
     driver = DispatcherDriver(listed=entries(6))
     for _ in range(40):
         driver.dispatcher._statistics.start_delays.prompt_start_rate.add(driver.now, 0.0, 8000.0)
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,4 +1,4 @@
-"""The combined effect of many nodes on endpoints that they share."""
+"""Tests of many nodes that share endpoints: the load that they cause together."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 
 
 def make_wide_fleet(count: int = 60, slots: int = 4) -> Fleet:
-    """40 nodes, each with a few requests a second."""
+    """Return 40 nodes, to each of which a few requests a second are sent."""
     return Fleet(settings(node_count=40), entries(count), slots=slots)
 
 
 def test_jobs_with_a_hot_key_are_not_rejected_while_endpoints_are_free() -> None:
-    # 30 % of the work of a half-full fleet is the work of eighteen endpoints; a key has four at least.
+    # The hot key has 30 % of the work of a half-full fleet, which is the work of 18 endpoints, while a key is
+    # assigned to at least four.
     fleet = make_wide_fleet()
 
     def job(rng: random.Random) -> tuple[str, float, str]:
@@ -36,16 +37,16 @@
     assert max(sent.values()) < 4 * sum(sent.values()) / len(fleet.listed)
 
 
-def test_waits_at_endpoints_that_nodes_seldom_use_are_not_hedged() -> None:
-    # With 40 nodes hardly any has had a recent report of a given endpoint: that is no sign that it hangs.
+def test_jobs_queued_at_seldom_used_endpoints_are_not_hedged() -> None:
+    # Of 40 nodes hardly any has a recent report from a given endpoint, which is no sign that it hangs.
     fleet = make_wide_fleet()
     fleet.generate_load(800.0, 8000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(12_000.0)
     assert len(fleet.sends) < 1.07 * len(fleet.jobs)
 
 
-def test_replaced_endpoints_are_used_and_within_their_slow_start_budget() -> None:
-    # Three in five are new and in slow start, and all nodes get the list at the same moment.
+def test_replaced_endpoints_are_used_within_their_slow_start_budget() -> None:
+    # Three in five endpoints are new and in slow start, and all nodes get the list at the same time.
     tenants = (Tenant("all", 1.0, 800.0),)
     fleet = Fleet(settings(node_count=40, tenants=tenants), entries(30), slots=8)
     fleet.generate_load(850.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
@@ -57,35 +58,35 @@
     ]
     fleet.send_list(range(40), ListKind.SNAPSHOT, replaced)
     fleet.run(9000.0)
-    warming: defaultdict[tuple[str, int], float] = defaultdict(float)
+    work_by_window: defaultdict[tuple[str, int], float] = defaultdict(float)
     for at, name, work in fleet.sends:
         if name.startswith("new"):
-            warming[name, int((at - started) // RULES.overload_window_ms)] += work
+            work_by_window[name, int((at - started) // RULES.overload_window_ms)] += work
     shares = []
-    for (_, window), work in warming.items():
+    for (_, window), work in work_by_window.items():
         capacity_fraction = (
             RULES.initial_capacity
             + (1.0 - RULES.initial_capacity) * (window + 0.5) * RULES.overload_window_ms / RULES.slow_start_ms
         )
         shares.append(work / (capacity_fraction * 8.0 * RULES.overload_window_ms))
     assert max(shares) < RULES.overload_multiple
-    assert sum(shares) / (18 * 2) > 0.5  # of what they bear, over the first two whole windows
+    assert sum(shares) / (18 * 2) > 0.5  # of their capacity, over the first two whole windows
 
 
 STRICT_RULES = replace(RULES, overload_multiple=4.0, overload_window_ms=1000.0)
 
 
 def run_warming_fleet(
-    *, has_hot_key: bool = False, loses_warm: bool = False, is_in_step: bool = False
+    *, has_hot_key: bool = False, loses_warm: bool = False, is_simultaneous: bool = False
 ) -> Fleet:
-    """Run 200 new nodes with more work than ten warm endpoints and five in slow start can do."""
+    """Run 200 new nodes with more work than ten warm endpoints and five in slow start have capacity for."""
     listed = [*entries(10, weight=1.0), *entries(5, "b", weight=1.0, started_at=900.0)]
-    tenants = (Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work a ms at each, in jobs of 200 ms
+    tenants = (Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work per ms at each endpoint, in jobs of 200 ms
     fleet = Fleet(settings(node_count=200, tenants=tenants, rules=STRICT_RULES), listed, slots=1000)
     for node in range(200):
         for at in range(1000, 3400, 200):
-            # All at one moment, or each node at its own.
-            when = at + (0.0 if is_in_step else fleet.rng.uniform(0.0, 200.0))
+            # All nodes at the same time, or each at a random time.
+            when = at + (0.0 if is_simultaneous else fleet.rng.uniform(0.0, 200.0))
 
             def request(node: int = node) -> None:
                 key = "hot" if has_hot_key else f"{fleet.rng.randrange(40):04x}"
@@ -100,14 +101,14 @@
 
 
 @pytest.mark.parametrize(
-    "case", [{}, {"is_in_step": True}, {"has_hot_key": True, "loses_warm": True}, {"loses_warm": True}]
+    "case", [{}, {"is_simultaneous": True}, {"has_hot_key": True, "loses_warm": True}, {"loses_warm": True}]
 )
-def test_two_hundred_nodes_keep_within_a_slow_start_budget_in_every_window(case: dict[str, bool]) -> None:
+def test_two_hundred_nodes_stay_within_a_slow_start_budget_in_every_window(case: dict[str, bool]) -> None:
     fleet = run_warming_fleet(**case)
-    got = Counter[str]()
+    send_counts = Counter[str]()
     for name in ("b0", "b1", "b2", "b3", "b4"):
         sent = [(at, work) for at, each, work in fleet.sends if each == name]
-        got[name] = len(sent)
+        send_counts[name] = len(sent)
         for start, _ in sent:
             capacity_fraction = (
                 STRICT_RULES.initial_capacity
@@ -120,10 +121,10 @@
                 sum(work for at, work in sent if start <= at < start + STRICT_RULES.overload_window_ms)
                 <= budget
             )
-    assert min(got.values()) > 0
+    assert min(send_counts.values()) > 0
 
 
-def test_an_endpoint_that_fails_at_once_attracts_few_jobs_of_all_nodes_together() -> None:
+def test_an_endpoint_that_fails_at_once_gets_few_jobs_from_all_nodes() -> None:
     fleet = make_wide_fleet()
     fleet.endpoints["a7"].is_faulty = True
     fleet.generate_load(600.0, 9000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
@@ -133,7 +134,7 @@
     assert fleet.fraction_answered("served") > 0.95
 
 
-def test_a_zone_that_vanishes_attracts_few_jobs_and_warms_up_when_it_is_back() -> None:
+def test_a_zone_that_vanishes_gets_few_jobs_and_has_a_slow_start_when_it_is_back() -> None:
     listed = [*entries(40), *entries(20, zone="b")]
     fleet = Fleet(settings(node_count=40), listed)
     fleet.generate_load(500.0, 16_000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
@@ -142,21 +143,25 @@
         each.is_silent = each.entry.zone == "b"
     fleet.run(9000.0)
     lost = [name for at, name, _ in fleet.sends if at > 7000.0 and name.startswith("b")]
-    assert len(lost) < 0.15 * 500.0 * 2.0  # a third of the endpoints, and two seconds
+    # A third of the endpoints have vanished; they get less than 15 % of the jobs of two seconds.
+    assert len(lost) < 0.15 * 500.0 * 2.0
     back = [each._replace(started_at=fleet.now) for each in listed if each.zone == "b"]
     fleet.send_list(range(40), ListKind.DELTA, back)
     fleet.run(11_000.0)
     capacity_fraction = RULES.initial_capacity + (1.0 - RULES.initial_capacity) * 1000.0 / RULES.slow_start_ms
-    got = Counter[str]()
+    work_by_endpoint = Counter[str]()
     for at, name, work in fleet.sends:
-        got[name] += int(work) if at > 9000.0 and name.startswith("b") else 0
+        work_by_endpoint[name] += int(work) if at > 9000.0 and name.startswith("b") else 0
     assert (
-        0 < max(got.values()) < RULES.overload_multiple * capacity_fraction * 4.0 * RULES.overload_window_ms
+        0
+        < max(work_by_endpoint.values())
+        < RULES.overload_multiple * capacity_fraction * 4.0 * RULES.overload_window_ms
     )
 
 
-def test_a_full_fleet_is_sent_what_it_can_do_in_time_and_little_else() -> None:
-    # Each of 40 nodes has a handful of jobs in flight, whether the fleet is idle or full.
+def test_a_full_fleet_is_mostly_sent_jobs_that_it_serves() -> None:
+    # Each of 40 nodes has only a few jobs in flight, whether the fleet is idle or full, so its own load
+    # hardly shows whether the fleet is full.
     fleet = make_wide_fleet()
     fleet.generate_load(1150.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
     fleet.run(12_000.0)
--- a/tests/policy/test_random_scripts.py
+++ b/tests/policy/test_random_scripts.py
@@ -1,4 +1,4 @@
-"""Random but legal event scripts, judged from outside by a checker that knows only the rules."""
+"""Runs random but legal event scripts, whose actions a checker that knows only the rules verifies."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 @dataclass
-class Record:
-    """What a checker knows of one request."""
+class RequestRecord:
+    """The state of one request, as the checker knows it."""
 
     job_class: JobClass
     deadline_at: float
@@ -37,12 +37,12 @@
     is_over: bool = False
 
 
-class Checker:
+class RuleChecker:
     """Raises on any action that breaks a rule."""
 
-    def __init__(self, given: Settings) -> None:
-        self.settings = given
-        self.records: dict[int, Record] = {}
+    def __init__(self, node_settings: Settings) -> None:
+        self.settings = node_settings
+        self.records: dict[int, RequestRecord] = {}
         self.zones: dict[str, str] = {}
         self.live: set[str] = set()
 
@@ -54,8 +54,8 @@
             self.zones[entry.endpoint] = entry.zone
             (self.live.add if entry.state is EndpointState.LIVE else self.live.discard)(entry.endpoint)
 
-    def possibly_run(self, record: Record) -> list[int]:
-        """Return the attempts that are not proved to have never run."""
+    def possibly_run(self, record: RequestRecord) -> list[int]:
+        """Return the numbers of the attempts that are not proved to have never run."""
         return [
             number
             for number in range(len(record.sends))
@@ -81,7 +81,7 @@
         record.final_answers += 1
         record.is_over = True
 
-    def check_attempt(self, now: float, record: Record, action: StartAttempt) -> None:
+    def check_attempt(self, now: float, record: RequestRecord, action: StartAttempt) -> None:
         """Raise AssertionError if the attempt breaks a rule, otherwise record it."""
         possibly_run = self.possibly_run(record)
         idempotency = record.job_class.idempotency
@@ -101,7 +101,7 @@
 
 
 class DeadlineReached(NamedTuple):
-    """The moment at which the checker checks that a request was answered; no event of the policy."""
+    """Marks the deadline of a request, when the checker verifies its answer; not an event of the policy."""
 
     job_id: int
 
@@ -109,25 +109,25 @@
 class RandomScript:
     """One random script: arrivals, outcomes, notifications and list changes, in any legal order."""
 
-    def __init__(self, seed: int, given: Settings) -> None:
+    def __init__(self, seed: int, node_settings: Settings) -> None:
         self.rng = random.Random(seed)
-        self.settings = given
-        self.dispatcher = Dispatcher(given, seed)
-        self.checker = Checker(given)
+        self.settings = node_settings
+        self.dispatcher = Dispatcher(node_settings, seed)
+        self.checker = RuleChecker(node_settings)
         self.fleet = entries(4, "a") + entries(3, "b")
         self.scheduled: list[tuple[float, Event | DeadlineReached]] = [
             (0.0, EndpointListUpdate(ListKind.CACHED, self.fleet))
         ]
         self.now = 0.0
 
-    def run(self) -> Checker:
-        """Run 25 seconds, the first 15 of them with arrivals."""
+    def run(self) -> RuleChecker:
+        """Run for 25 seconds, with arrivals in the first 15; return the checker."""
         while self.now < 25_000.0:
             self.now += self.settings.tick_ms
             if self.rng.random() < 0.1 and self.now < 15_000.0:
-                self.arrive()
+                self.schedule_request()
             if self.rng.random() < 0.005:
-                self.change_list()
+                self.schedule_list_change()
             due = [event for at, event in self.scheduled if at <= self.now]
             self.scheduled = [(at, event) for at, event in self.scheduled if at > self.now]
             batch: list[Event] = [TimerFired(0)]
@@ -135,14 +135,14 @@
                 if isinstance(event, DeadlineReached):
                     self.check_answered(self.checker.records[event.job_id])
                 else:
-                    batch.append(self.observe(event))
+                    batch.append(self.apply(event))
             for action in self.dispatcher.handle(self.now, batch):
                 self.checker.check(self.now, action)
                 if isinstance(action, StartAttempt):
-                    self.run_attempt(action)
+                    self.schedule_attempt_events(action)
         return self.checker
 
-    def arrive(self) -> None:
+    def schedule_request(self) -> None:
         """Schedule a request, and its check at the deadline."""
         job_id = len(self.checker.records) + 1
         job_class = self.rng.choice(self.settings.classes)
@@ -150,25 +150,25 @@
         work_ms = self.rng.choice([0.0, 50.0, 300.0, 3000.0])
         key = self.rng.choice(["", "k1", "k2"])
         slots = self.rng.choice([1.0, 2.0])
-        self.checker.records[job_id] = Record(job_class, self.now + timeout_ms)
+        self.checker.records[job_id] = RequestRecord(job_class, self.now + timeout_ms)
         request = JobRequest(job_id, job_class.name, timeout_ms, work_ms, slots, affinity_key=key)
         self.scheduled.append((self.now, request))
         self.scheduled.append((self.now + timeout_ms, DeadlineReached(job_id)))
 
-    def change_list(self) -> None:
+    def schedule_list_change(self) -> None:
         """Schedule a change of one endpoint's state, most often to live."""
         live = EndpointState.LIVE
         state = self.rng.choice([live, live, live, EndpointState.DRAINING, EndpointState.GONE])
         changed = self.rng.choice(self.fleet)._replace(state=state)
         self.scheduled.append((self.now, EndpointListUpdate(ListKind.DELTA, [changed])))
 
-    def check_answered(self, record: Record) -> None:
-        """At its deadline a request is answered, or an attempt is pending that may still answer it."""
+    def check_answered(self, record: RequestRecord) -> None:
+        """Check that a request at its deadline is answered, or has a pending attempt that may answer it."""
         is_pending = any(number not in record.ends for number in range(len(record.sends)))
         assert record.is_over or is_pending, "unanswered"
 
-    def observe(self, event: Event) -> Event:
-        """Have the checker apply an event; return it as the dispatcher gets it."""
+    def apply(self, event: Event) -> Event:
+        """Update the checker's records with an event; return the event as the dispatcher gets it."""
         if isinstance(event, EndpointListUpdate):
             self.checker.on_list_update(event)
         if not isinstance(event, AttemptEnded):
@@ -180,7 +180,7 @@
         record.is_over = is_closed
         return event._replace(is_job_closed=is_closed)
 
-    def run_attempt(self, action: StartAttempt) -> None:
+    def schedule_attempt_events(self, action: StartAttempt) -> None:
         """Schedule the events of an attempt."""
         record = self.checker.records[action.id]
         number = len(record.sends) - 1
@@ -204,22 +204,22 @@
     checker = RandomScript(seed, settings(limits=limits, node_count=3)).run()
     assert len(checker.records) > 100
     assert all(record.final_answers == 1 for record in checker.records.values())
-    assert sum(len(record.sends) for record in checker.records.values()) > 40  # the scripts do send
+    assert sum(len(record.sends) for record in checker.records.values()) > 40  # the scripts do send attempts
 
 
-def check_actions(*actions: Action, job_class: JobClass, ended: Outcome | None = None) -> None:
-    """Have a checker check these actions for one job whose attempts end with this outcome."""
-    checker = Checker(settings())
+def check_actions(*actions: Action, job_class: JobClass, outcome: Outcome | None = None) -> None:
+    """Run a checker on these actions for one job, whose attempts end with this outcome or stay pending."""
+    checker = RuleChecker(settings())
     checker.on_list_update(EndpointListUpdate(ListKind.SNAPSHOT, entries(1, "a") + entries(1, "b")))
-    checker.records[1] = Record(job_class, 5000.0)
+    checker.records[1] = RequestRecord(job_class, 5000.0)
     for action in actions:
         checker.check(100.0, action)
-        if isinstance(action, StartAttempt) and ended is not None:
-            checker.records[1].ends[len(checker.records[1].sends) - 1] = ended
+        if isinstance(action, StartAttempt) and outcome is not None:
+            checker.records[1].ends[len(checker.records[1].sends) - 1] = outcome
 
 
 @pytest.mark.parametrize(
-    ("actions", "job_class", "ended", "words"),
+    ("actions", "job_class", "outcome", "message"),
     [
         ((RejectJob(1), FailJob(1)), LOOKUP, None, "after the end"),
         ((StartAttempt(1, "a0"), RejectJob(1)), ONCE, Outcome.ERROR, "may have run"),
@@ -240,7 +240,7 @@
     ],
 )
 def test_the_checker_catches_violations(
-    actions: tuple[Action, ...], job_class: JobClass, ended: Outcome | None, words: str
+    actions: tuple[Action, ...], job_class: JobClass, outcome: Outcome | None, message: str
 ) -> None:
-    with pytest.raises(AssertionError, match=words):
-        check_actions(*actions, job_class=job_class, ended=ended)
+    with pytest.raises(AssertionError, match=message):
+        check_actions(*actions, job_class=job_class, outcome=outcome)
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -1,4 +1,8 @@
-"""The answer rule, the repeat rule and the drain rule, each with its corner cases, seen from outside."""
+"""Tests the answer, repeat and drain rules, in this order, by the actions of the dispatcher.
+
+The answer rule: a request gets one final answer, in time. The repeat rule: no job runs twice unless its class
+allows it. The drain rule: nothing new is sent to an endpoint that is not live.
+"""
 
 from __future__ import annotations
 
@@ -20,19 +24,16 @@
 from burlmoor.types.settings import DeduplicationScope, Limits
 from tests.support.dispatcher_driver import KEYED, LIMITS, DispatcherDriver, entries, settings
 
-MAY_HAVE_RUN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED]
-NEVER_RAN = [Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.UNSENT]
+POSSIBLY_RUN_OUTCOMES = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED]
+NEVER_RUN_OUTCOMES = [Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.UNSENT]
 
 
 def count_final_answers(driver: DispatcherDriver, job_id: int) -> int:
     return len(driver.actions_of(RejectJob, job_id)) + len(driver.actions_of(FailJob, job_id))
 
 
-# --- the answer rule: one final answer in time ----------------------------------------------------
-
-
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
-def test_a_request_with_an_empty_list_is_queued_then_answered_once_before_its_deadline(
+def test_a_request_without_endpoints_is_answered_once_before_its_deadline(
     job_class: str,
 ) -> None:
     driver = DispatcherDriver(listed=[])
@@ -45,7 +46,7 @@
 
 
 def test_clients_with_short_timeouts_are_served_within_them() -> None:
-    # Without this, short timeouts are taken for late retries, and rejected while the fleet is idle.
+    # If short timeouts were taken for late retries, the requests would be rejected while the fleet is idle.
     driver = DispatcherDriver()
     for job_id in range(1, 4):
         driver.request(job_id, timeout_ms=5000.0, work_ms=50.0)
@@ -62,7 +63,7 @@
     assert count_final_answers(driver, 7) == 1
 
 
-def test_an_answer_in_the_batch_of_the_deadline_is_not_followed_by_another() -> None:
+def test_no_second_answer_after_an_answer_in_the_batch_of_the_deadline() -> None:
     driver = DispatcherDriver()
     send = driver.request_and_place(7, "once")
     driver.handle(AttemptStarted(7, 0, send.endpoint))
@@ -82,7 +83,7 @@
     assert count_final_answers(driver, 7) == 0
 
 
-def test_a_timeout_of_zero_is_answered_at_once() -> None:
+def test_a_request_with_a_timeout_of_zero_is_answered_at_once() -> None:
     driver = DispatcherDriver()
     driver.request(7, timeout_ms=0.0)
     driver.run(20.0)
@@ -90,8 +91,8 @@
     assert not driver.actions_of(StartAttempt, 7)
 
 
-def test_an_unstarted_job_that_is_no_longer_useful_ends_before_its_deadline() -> None:
-    # Without this, endpoints work on jobs that can no longer count.
+def test_an_unstarted_job_whose_result_is_useless_ends_before_its_deadline() -> None:
+    # Otherwise endpoints would spend capacity on jobs whose results no longer count.
     driver = DispatcherDriver(listed=entries(1))
     driver.request_and_place(7, "once", work_ms=100.0)
     driver.run(1000.0)
@@ -99,10 +100,7 @@
     assert count_final_answers(driver, 7) == 1
 
 
-# --- the repeat rule: no job runs twice unless its class allows it --------------------------------
-
-
-@pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
+@pytest.mark.parametrize("outcome", POSSIBLY_RUN_OUTCOMES)
 def test_a_non_idempotent_job_that_may_have_run_is_neither_retried_nor_rejected(outcome: Outcome) -> None:
     driver = DispatcherDriver()
     send = driver.request_and_place(7, "once", work_ms=2000.0)
@@ -113,7 +111,7 @@
     assert len(driver.actions_of(FailJob, 7)) == 1
 
 
-@pytest.mark.parametrize("outcome", NEVER_RAN)
+@pytest.mark.parametrize("outcome", NEVER_RUN_OUTCOMES)
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
 def test_a_job_that_never_ran_is_retried_elsewhere_at_once(job_class: str, outcome: Outcome) -> None:
     driver = DispatcherDriver()
@@ -166,7 +164,7 @@
 
 
 def silence_endpoints(driver: DispatcherDriver) -> None:
-    """Make all endpoints silent: they had an attempt some seconds ago, and have reported nothing since."""
+    """Make all endpoints silent: the first attempt was sent 4 s ago, and nothing was reported since."""
     for endpoint in driver.dispatcher._endpoints.by_name.values():
         endpoint.first_sent_at = driver.now - 4000.0
 
@@ -181,7 +179,7 @@
     assert not driver.actions_of(CancelAttempt, 7)
 
 
-def test_an_endpoint_without_any_report_is_left_while_another_can_still_serve_the_job() -> None:
+def test_an_unstarted_job_is_redistributed_while_another_endpoint_can_serve_it_in_time() -> None:
     limits = Limits(max_attempts=4, may_cancel=True, may_hedge=False)
     driver = DispatcherDriver(settings(limits=limits))
     send = driver.request_and_place(7, work_ms=20.0)
@@ -196,7 +194,7 @@
     assert len(driver.actions_of(StartAttempt, 7)) == 2
 
 
-def test_two_attempts_are_never_pending_together_where_hedging_is_not_allowed() -> None:
+def test_without_hedging_two_attempts_are_never_pending_together() -> None:
     limits = Limits(max_attempts=4, may_cancel=True, may_hedge=False)
     driver = DispatcherDriver(settings(limits=limits))
     silence_endpoints(driver)
@@ -209,7 +207,7 @@
     assert len(driver.actions_of(StartAttempt, 7)) == 2
 
 
-def test_a_job_that_has_not_started_is_hedged_and_the_loser_is_cancelled() -> None:
+def test_an_unstarted_job_is_hedged_and_the_superseded_attempt_is_cancelled() -> None:
     driver = DispatcherDriver()
     silence_endpoints(driver)
     driver.request_and_place(7, work_ms=2000.0)
@@ -231,9 +229,6 @@
     assert count_final_answers(driver, 7) == 1
 
 
-# --- the drain rule: nothing new is sent to an endpoint that is not live ---------------------------
-
-
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_drain_between_arrival_and_round_takes_effect_at_once(state: EndpointState) -> None:
     driver = DispatcherDriver(listed=entries(1))
@@ -243,7 +238,7 @@
     assert not driver.actions_of(StartAttempt)
 
 
-def test_an_endpoint_missing_from_a_full_list_is_gone() -> None:
+def test_an_endpoint_missing_from_a_snapshot_gets_no_jobs() -> None:
     driver = DispatcherDriver(listed=entries(2))
     driver.handle(EndpointListUpdate(ListKind.SNAPSHOT, entries(1)))
     for job_id in range(20):
@@ -252,7 +247,7 @@
     assert {send.endpoint for send in driver.actions_of(StartAttempt)} == {"a0"}
 
 
-def test_an_endpoint_listed_twice_has_its_last_state() -> None:
+def test_the_last_entry_of_an_endpoint_listed_twice_applies() -> None:
     twice = [entries(1)[0], entries(1)[0]._replace(state=EndpointState.DRAINING)]
     driver = DispatcherDriver(listed=twice)
     driver.request(7)
