--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -1,10 +1,11 @@
-"""The cost of a deferred job while many others are deferred: CPU of one deferral, memory of each, the status.
+"""Measures the cost of deferral at several numbers of deferred jobs: CPU, memory, and the status report.
 
     python -m benchmarks.waiting
 
-One deferral is: admitted, deferred for a parent and a time, its parent served, released. Beside it `n` jobs
-are deferred, a third each for a parent, a time and a link of a chain. Times are of this process's CPU, the
-best of three rounds.
+In one deferral, a job is admitted, deferred until its parent is served and a time has passed, and released.
+Meanwhile `n` other jobs are deferred: a third each until a common parent is served, until a time, and
+until an earlier deferred job is served. The time of a deferral is CPU time of this process, the best of
+three rounds.
 """
 
 from __future__ import annotations
@@ -26,17 +27,20 @@
 
 _SIZES = (10, 1_000, 10_000, 100_000)
 _ROUNDS = 3
-_JOBS_A_ROUND = 2000
-_STEP_EVERY = 100  # jobs while the queue is filled
+_JOBS_PER_ROUND = 2000
+_JOBS_PER_STEP = 100  # while the queue is filled
 _NOW = 0.0
 _UNIX_NOW_MS = 1_700_000_000_000.0
-_LATER_MS = 1e9
+_NOT_BEFORE_DELAY_MS = 1e9
 _REQUEST = JobRequest(0, "slot-search", 60_000.0, 100.0)
 _BODY_BYTES = 200
 _MAX_CONNECTIONS = 1 << 30
-_LIMIT = 10_000_000
+_UNREACHED_LIMIT = 10_000_000
 _OPTIONS = DeferredOptions(
-    max_jobs=_LIMIT, max_dependents=_LIMIT, release_rate=_LIMIT, release_burst=1_000_000
+    max_jobs=_UNREACHED_LIMIT,
+    max_dependents=_UNREACHED_LIMIT,
+    release_rate=_UNREACHED_LIMIT,
+    release_burst=1_000_000,
 )
 
 
@@ -44,17 +48,17 @@
     """Ignore a log event."""
 
 
-def _no_delay() -> float:
+def _count_free_slots() -> float:
     return math.inf
 
 
 def _make_conditions(number: int) -> RunConditions:
-    """Return the run conditions of the job with a number: a parent, a time or a chain's link in turn."""
-    first_link = 4
-    if number < first_link or number % 3 == 0:
+    """Return the run conditions of a job: in turn the common parent, a time, or an earlier job."""
+    root_dependent_count = 4
+    if number < root_dependent_count or number % 3 == 0:
         return RunConditions(("root",), 0.0, _BODY_BYTES)
     if number % 3 == 1:
-        return RunConditions((), _UNIX_NOW_MS + _LATER_MS, _BODY_BYTES)
+        return RunConditions((), _UNIX_NOW_MS + _NOT_BEFORE_DELAY_MS, _BODY_BYTES)
     return RunConditions((f"other-{number - 2}",), 0.0, _BODY_BYTES)
 
 
@@ -66,30 +70,30 @@
         request_id = f"other-{number}"
         queue.on_job_opened(request_id)
         queue.defer(request_id, _REQUEST, _make_conditions(number), 1e12, _NOW)
-        if number % _STEP_EVERY == 0:
-            queue.step(_NOW, _no_delay)
+        if number % _JOBS_PER_STEP == 0:
+            queue.step(_NOW, _count_free_slots)
     while queue.next_due(_NOW) <= _NOW:
-        queue.step(_NOW, _no_delay)
+        queue.step(_NOW, _count_free_slots)
     return queue
 
 
 def _defer_and_release(queue: DeferredJobQueue, number: int) -> None:
-    """Run a parent and its child, from the child's arrival to its release and end."""
+    """Open a parent and its child, serve the parent, and check that the child is released."""
     parent = f"p{number}"
     child = f"c{number}"
     conditions = RunConditions((parent,), _UNIX_NOW_MS - 5.0, _BODY_BYTES)
     queue.on_job_opened(parent)
     queue.on_job_opened(child)
     queue.defer(child, _REQUEST, conditions, _NOW + 60_000.0, _NOW)
-    queue.step(_NOW, _no_delay)
+    queue.step(_NOW, _count_free_slots)
     queue.on_job_ended(parent, Served(b""), _NOW)
-    verdicts = queue.step(_NOW, _no_delay)
-    assert [type(verdict) for verdict in verdicts] == [ReleasedJob], verdicts
+    decisions = queue.step(_NOW, _count_free_slots)
+    assert [type(decision) for decision in decisions] == [ReleasedJob], decisions
     queue.on_job_ended(child, Served(b""), _NOW)
 
 
 def _measure(count: int) -> dict[str, float]:
-    """Return the figures with `count` jobs deferred."""
+    """Return the measurements with `count` jobs deferred."""
     gc.collect()
     tracemalloc.start()
     queue = _make_filled_queue(count)
@@ -109,16 +113,16 @@
 
 
 def _time_round(queue: DeferredJobQueue, number: int) -> float:
-    """Return the seconds of CPU for one deferral, on average over a round."""
-    first = number * _JOBS_A_ROUND
+    """Return the mean CPU time of one deferral in a round, in seconds."""
+    first = number * _JOBS_PER_ROUND
     begin = time.process_time()
-    for job in range(first, first + _JOBS_A_ROUND):
+    for job in range(first, first + _JOBS_PER_ROUND):
         _defer_and_release(queue, job)
-    return (time.process_time() - begin) / _JOBS_A_ROUND
+    return (time.process_time() - begin) / _JOBS_PER_ROUND
 
 
 def main() -> None:
-    """Print a line of JSON for each size, and one on how the cost grows."""
+    """Print a line of JSON for each size, and one that compares the growth in CPU time with log n."""
     rows = [_measure(count) for count in _SIZES]
     for row in rows:
         print(json.dumps(row))
--- a/burlmoor/deferred/conditions.py
+++ b/burlmoor/deferred/conditions.py
@@ -1,7 +1,7 @@
 """Parses the two headers with which a client defers its job. No I/O, no clock.
 
 `Run-After: ID[, ID...]` may be given on several lines, as any list (RFC 9110, section 5.6.1: empty elements
-are ignored); `Not-Before: T` is Unix time in ms, once.
+are ignored). `Not-Before: T` is Unix time in ms and may be given once.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 _RUN_AFTER = b"run-after"
 _NOT_BEFORE = b"not-before"
-# The spellings used in error messages.
+# The spellings in error messages.
 _RUN_AFTER_NAME = "Run-After"
 _NOT_BEFORE_NAME = "Not-Before"
 _UNIX_MS = re.compile(r"[0-9]{1,15}")
 
 
 class ConditionParser:
-    """Parses the conditions of requests, each of which may name `max_dependencies` jobs."""
+    """Parses the conditions of requests, each of which may name at most `max_dependencies` jobs."""
 
     def __init__(self, max_dependencies: int) -> None:
         self.max_dependencies = max_dependencies
@@ -46,11 +46,11 @@
 
     def _parse_run_after(self, values: Sequence[bytes], request_id: str) -> tuple[str, ...]:
         elements = b",".join(values).decode("latin-1").split(",")
-        names = (element.strip(" \t") for element in elements)
-        dependencies = tuple(dict.fromkeys(name for name in names if name))  # a repeated name counts once
+        ids = (element.strip(" \t") for element in elements)
+        dependencies = tuple(dict.fromkeys(each_id for each_id in ids if each_id))  # without duplicates
         if not dependencies:
             raise InvalidConditionError(_RUN_AFTER_NAME, "names no job")
-        if not all(REQUEST_ID.fullmatch(name) for name in dependencies):
+        if not all(REQUEST_ID.fullmatch(dependency) for dependency in dependencies):
             raise InvalidConditionError(_RUN_AFTER_NAME, "is not a list of ids")
         if request_id in dependencies:
             raise InvalidConditionError(_RUN_AFTER_NAME, "names the job itself")
--- a/burlmoor/deferred/cycle_search.py
+++ b/burlmoor/deferred/cycle_search.py
@@ -18,32 +18,32 @@
 ) -> bool:
     """Return whether one of `dependencies` depends, directly or not, on the job `request_id`.
 
-    `jobs` are the deferred jobs by id; `dependents` are, by id, the deferred jobs that depend on it. The
-    search is bidirectional, up from the dependencies and down from the dependents, and ends when either side
-    is exhausted. So it is trivial for a job without dependents or without deferred dependencies.
+    `jobs` maps ids to deferred jobs; `dependents` maps the id of a job to the deferred jobs that depend on
+    it, by id. The search is bidirectional, up from the dependencies and down from the dependents, and ends
+    when either side is exhausted. So it ends early for a job without dependents or deferred dependencies.
     """
     if request_id in dependencies:
         return True
     if request_id not in dependents:
         return False
-    upward, downward = list(dependencies), list(dependents[request_id])
-    above, below = set(upward), set(downward)
-    while upward and downward:
-        ancestor = upward.pop()
-        if ancestor in below or ancestor == request_id:
+    pending_ancestors, pending_descendants = list(dependencies), list(dependents[request_id])
+    ancestors, descendants = set(pending_ancestors), set(pending_descendants)
+    while pending_ancestors and pending_descendants:
+        ancestor = pending_ancestors.pop()
+        if ancestor in descendants or ancestor == request_id:
             return True
-        deferred = jobs.get(ancestor)
-        if deferred is not None:
-            _visit(deferred.unmet_dependencies, above, upward)
-        descendant = downward.pop()
-        if descendant in above:
+        ancestor_job = jobs.get(ancestor)
+        if ancestor_job is not None:
+            _add_unvisited(ancestor_job.unmet_dependencies, ancestors, pending_ancestors)
+        descendant = pending_descendants.pop()
+        if descendant in ancestors:
             return True
-        _visit(dependents.get(descendant, ()), below, downward)
-    return bool(above & below)
+        _add_unvisited(dependents.get(descendant, ()), descendants, pending_descendants)
+    return bool(ancestors & descendants)
 
 
-def _visit(ids: Iterable[str], visited: set[str], pending: list[str]) -> None:
-    """Add the ids that were not visited yet to both collections."""
-    found = set(ids) - visited
-    visited |= found
-    pending.extend(found)
+def _add_unvisited(ids: Iterable[str], visited: set[str], pending: list[str]) -> None:
+    """Add the ids that are not in `visited` to both collections."""
+    unvisited = set(ids) - visited
+    visited |= unvisited
+    pending.extend(unvisited)
--- a/burlmoor/deferred/deferred_job.py
+++ b/burlmoor/deferred/deferred_job.py
@@ -14,14 +14,14 @@
     """Why a job is deferred (the first four), or why its deferral ended without its release."""
 
     DEPENDENCY_OPEN = "jobs"  # a job that it depends on is open
-    DEPENDENCY_UNKNOWN = "unknown"  # a job that it depends on has not been admitted here yet
+    DEPENDENCY_UNKNOWN = "unknown"  # a job that it depends on is not admitted here yet
     NOT_BEFORE = "time"  # its not-before time has not passed
     RELEASE_PENDING = "turn"  # all conditions are met, and it is not released yet
     DEPENDENCY_FAILED = "parent"  # a job that it depends on was not served
     CYCLE = "cycle"  # a job that it depends on depends on it in turn
     CAPACITY_REACHED = "full"  # a limit on deferred jobs is reached
-    TOO_LATE = "hopeless"  # the remaining time of its client's timeout is less than its work needs
-    DRAINING = "closed"  # the node drains or shuts down
+    TOO_LATE = "hopeless"  # the rest of its client's timeout is shorter than its work takes
+    DRAINING = "closed"  # the node is draining or shutting down
 
 
 @dataclass(slots=True, eq=False)
@@ -33,15 +33,15 @@
     latest_release_at: float
     not_before_unix_ms: float
     unmet_dependencies: set[str] = field(default_factory=set)  # ids of jobs that have not been served yet
-    unknown_dependencies: set[str] = field(default_factory=set)  # those of them not admitted here yet
+    unknown_dependencies: set[str] = field(default_factory=set)  # those that this node has not admitted yet
     end_reason: DeferralReason | None = None
-    is_time_reached: bool = True  # whether its not-before time has passed
+    is_not_before_reached: bool = True  # whether its not-before time has passed
     timers: list[tuple[TimerQueue[DeferredJob], int]] = field(default_factory=list)
 
     @property
     def is_runnable(self) -> bool:
         """Whether all its conditions are met."""
-        return not self.unmet_dependencies and self.is_time_reached and self.end_reason is None
+        return not self.unmet_dependencies and self.is_not_before_reached and self.end_reason is None
 
     @property
     def is_ready(self) -> bool:
@@ -57,4 +57,4 @@
             return DeferralReason.DEPENDENCY_UNKNOWN
         if self.unmet_dependencies:
             return DeferralReason.DEPENDENCY_OPEN
-        return DeferralReason.RELEASE_PENDING if self.is_time_reached else DeferralReason.NOT_BEFORE
+        return DeferralReason.RELEASE_PENDING if self.is_not_before_reached else DeferralReason.NOT_BEFORE
--- a/burlmoor/deferred/dependency_graph.py
+++ b/burlmoor/deferred/dependency_graph.py
@@ -29,9 +29,9 @@
 class GraphLimits:
     """Limits on the size of a graph and on the age of its entries."""
 
-    max_jobs: int  # concurrently deferred
+    max_jobs: int  # deferred at the same time
     max_dependents: int  # deferred jobs that may depend on one job
-    unknown_timeout_ms: float  # how long a dependency may be unknown
+    unknown_timeout_ms: float  # after which an unknown dependency ends the deferral
     history_ms: float  # how long the outcome of an ended job is remembered
     history_size: int  # how many ended jobs are remembered
 
@@ -57,7 +57,7 @@
 
     @property
     def has_not_before_timers(self) -> bool:
-        """Whether some job is deferred until a time."""
+        """Whether any job is deferred until its not-before time."""
         return bool(self._not_before_timers)
 
     def dependents_of(self, request_id: str) -> list[str]:
@@ -95,15 +95,15 @@
         now: float,
         unix_now: float,
     ) -> DeferredJob:
-        """Defer a job that was just opened; it may be runnable, or its deferral may end, immediately."""
+        """Defer a newly opened job, which may become runnable or have its deferral ended immediately."""
         job = DeferredJob(request_id, now, latest_release_at, not_before_unix_ms)
         is_full = len(self.jobs) >= self.limits.max_jobs
         self.jobs[request_id] = job
         self._trim_history(now)
-        dependencies = [name for name in after if not self._history.was_served(name)]
-        if is_full or any(self._has_max_dependents(name) for name in dependencies):
+        dependencies = [dependency for dependency in after if not self._history.was_served(dependency)]
+        if is_full or any(self._has_max_dependents(dependency) for dependency in dependencies):
             self.end_deferral(job, DeferralReason.CAPACITY_REACHED)
-        elif any(name in self._history for name in dependencies):
+        elif any(dependency in self._history for dependency in dependencies):
             self.end_deferral(job, DeferralReason.DEPENDENCY_FAILED)
         elif latest_release_at <= now or not_before_unix_ms - unix_now > latest_release_at - now:
             self.end_deferral(job, DeferralReason.TOO_LATE)
@@ -121,12 +121,12 @@
         for queue, timer_id in job.timers:
             queue.cancel(timer_id)
         job.timers.clear()
-        for name in job.unmet_dependencies:
-            dependents = self._dependents.get(name)
+        for dependency in job.unmet_dependencies:
+            dependents = self._dependents.get(dependency)
             if dependents is not None:
                 dependents.pop(request_id, None)
                 if not dependents:
-                    del self._dependents[name]
+                    del self._dependents[dependency]
 
     def end_deferral(self, job: DeferredJob, reason: DeferralReason) -> None:
         """End a job's deferral without its release, unless it has ended already."""
@@ -140,14 +140,14 @@
             self.end_deferral(job, reason)
 
     def next_due(self, now: float, unix_now: float) -> float:
-        """Return when `pop_ready` is to be called next, on the clock of `now`."""
+        """Return the time, on the clock of `now`, at which `pop_ready` has to be called next."""
         if self._ready:
             return now
         not_before_due = now + max(0.0, self._not_before_timers.next_due() - unix_now)
         return min(self._unknown_timers.next_due(), self._latest_release_timers.next_due(), not_before_due)
 
     def pop_ready(self, now: float, unix_now: float) -> DeferredJob | None:
-        """Return the next job that is runnable or whose deferral has ended, once; None if there is none."""
+        """Remove and return the next job from the queue of ready jobs; None if the queue is empty."""
         self._expire_timers(now, unix_now)
         while self._ready:
             job = self._ready.popleft()
@@ -157,7 +157,7 @@
 
     def _expire_timers(self, now: float, unix_now: float) -> None:
         while (job := self._not_before_timers.pop_due(unix_now)) is not None:
-            job.is_time_reached = True
+            job.is_not_before_reached = True
             if job.is_runnable:
                 self._ready.append(job)
         while (job := self._unknown_timers.pop_due(now)) is not None:
@@ -168,14 +168,16 @@
 
     def _link(self, job: DeferredJob, dependencies: list[str], now: float, unix_now: float) -> None:
         job.unmet_dependencies.update(dependencies)
-        job.unknown_dependencies.update(name for name in dependencies if name not in self._open_ids)
-        for name in dependencies:
-            self._dependents.setdefault(name, {})[job.id] = job
+        job.unknown_dependencies.update(
+            dependency for dependency in dependencies if dependency not in self._open_ids
+        )
+        for dependency in dependencies:
+            self._dependents.setdefault(dependency, {})[job.id] = job
         _set_timer(self._latest_release_timers, job.latest_release_at, job)
         if job.unknown_dependencies:
             _set_timer(self._unknown_timers, now + self.limits.unknown_timeout_ms, job)
         if job.not_before_unix_ms > unix_now:
-            job.is_time_reached = False
+            job.is_not_before_reached = False
             _set_timer(self._not_before_timers, job.not_before_unix_ms, job)
         if job.is_runnable:
             self._ready.append(job)
@@ -187,6 +189,6 @@
         self._history.trim(now, self.limits.history_ms, self.limits.history_size)
 
 
-def _set_timer(queue: TimerQueue[DeferredJob], at: float, job: DeferredJob) -> None:
-    if at < math.inf:
-        job.timers.append((queue, queue.schedule(at, job)))
+def _set_timer(queue: TimerQueue[DeferredJob], due_at: float, job: DeferredJob) -> None:
+    if due_at < math.inf:
+        job.timers.append((queue, queue.schedule(due_at, job)))
--- a/burlmoor/deferred/job_history.py
+++ b/burlmoor/deferred/job_history.py
@@ -6,7 +6,7 @@
 
 
 class JobHistory:
-    """Ids of ended jobs and whether each was served, bounded in age and count; times in ms."""
+    """Records whether ended jobs were served, for a bounded time and number of jobs; times are in ms."""
 
     def __init__(self) -> None:
         self._ended: OrderedDict[str, tuple[float, bool]] = OrderedDict()
@@ -32,9 +32,9 @@
 
     def trim(self, now: float, max_age_ms: float, max_count: int) -> None:
         """Remove jobs that ended more than `max_age_ms` ago, and the oldest beyond `max_count`."""
-        oldest = now - max_age_ms
+        cutoff = now - max_age_ms
         while self._ended:
             request_id, (ended_at, _) = next(iter(self._ended.items()))
-            if ended_at > oldest and len(self._ended) <= max_count:
+            if ended_at > cutoff and len(self._ended) <= max_count:
                 return
             del self._ended[request_id]
--- a/burlmoor/deferred/queue.py
+++ b/burlmoor/deferred/queue.py
@@ -29,10 +29,10 @@
     from burlmoor.types.events import JobRequest
 
 _MAX_DECISIONS_PER_STEP = 100  # so that a long chain of jobs doesn't block the event loop
-_MAX_RETRY_AFTER_MS = 3_600_000.0
-_MIN_RETRY_AFTER_FRACTION = 0.5  # least random Retry-After, of the longest
-_UNIX_CLOCK_CHECK_MS = 1000.0  # between reads while a job waits for a time, since Unix time may step
-_DEPENDENCY_FAILURES = {
+_MAX_NOT_BEFORE_RETRY_AFTER_MS = 3_600_000.0
+_MIN_RETRY_AFTER_FRACTION = 0.5  # lower bound of the random Retry-After, relative to the longest
+_UNIX_CLOCK_CHECK_INTERVAL_MS = 1000.0  # while a not-before timer is set, as Unix time may step
+_DEPENDENCY_FAILURE_TEXTS = {
     DeferralReason.DEPENDENCY_FAILED: "a job that this one runs after was not served",
     DeferralReason.CYCLE: "a job that this one runs after runs after this one",
 }
@@ -119,7 +119,7 @@
         self._release_queue.bucket = AdaptiveTokenBucket(options.release_rate, options.release_burst, now)
 
     def set_draining(self, *, is_draining: bool) -> None:
-        """Set whether the node drains; while it does, the deferral of every job, present or new, ends."""
+        """Set whether the node is draining; while it is, all deferrals end, also those of new jobs."""
         if is_draining and not self._is_draining and self._entries:
             self._log(DeferralsEnded(jobs=len(self._entries)))
             self._graph.end_all()
@@ -140,14 +140,14 @@
             return
         self._released_ids.discard(request_id)
         if was_served or isinstance(answer, Rejected):
-            # Without this, released jobs would overload the endpoints: rejections reduce the release rate.
+            # Rejections reduce the release rate, so that released jobs do not overload the endpoints.
             self._release_queue.bucket.adjust_rate(now, was_served=was_served)
             self._window.adjust_size(now, was_served=was_served)
 
     def defer(
         self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
-        """Defer a job that was just opened; the decision on it is returned by a later `step`."""
+        """Defer a newly opened job; the decision on it is returned by a later `step`."""
         latest_release_at = deadline - request.work_ms - self._options.min_remaining_ms
         unix_now = self._unix_clock()
         exceeds_bytes = self.body_bytes + conditions.size_bytes > self._options.max_body_bytes
@@ -165,9 +165,9 @@
         self._status.mark_changed((request_id,))
 
     def next_due(self, now: float) -> float:
-        """Return when `step` is to be called next."""
+        """Return when `step` has to be called next."""
         due = min(self._graph.next_due(now, self._unix_clock()), self._release_queue.next_due(now))
-        return min(due, now + _UNIX_CLOCK_CHECK_MS) if self._graph.has_not_before_timers else due
+        return min(due, now + _UNIX_CLOCK_CHECK_INTERVAL_MS) if self._graph.has_not_before_timers else due
 
     def step(self, now: float, free_slots: Callable[[], float]) -> list[ReleasedJob | EndedJob]:
         """Return the jobs to end and to release now, a bounded number of them.
@@ -194,13 +194,13 @@
             answer = self._final_answer(job, unix_now)
             decisions.append(EndedJob(job.id, answer))
             self.rejected_count += 1
-            # Recorded here, not once the engine has answered, so that a long chain needs few steps.
+            # Recorded now and not after the engine has answered, so that a long chain needs few steps.
             self.on_job_ended(job.id, answer, now)
 
     def _release_jobs(
         self, now: float, free_slots: Callable[[], float], decisions: list[ReleasedJob | EndedJob]
     ) -> None:
-        remaining_slots: float | None = None  # computed only if a job may be released
+        remaining_slots: float | None = None  # computed only if there is a job to release
         while len(decisions) < _MAX_DECISIONS_PER_STEP and self._has_releasable_job():
             if remaining_slots is None:
                 remaining_slots = free_slots()
@@ -215,12 +215,12 @@
 
     def _has_releasable_job(self) -> bool:
         """Drop jobs that are no longer deferred from the head of the queue; return whether one is left."""
-        while (job := self._release_queue.first()) is not None:
-            # A job may be submitted again under its id while its earlier entry is still in the queue.
+        while (job := self._release_queue.peek()) is not None:
+            # The id may belong to a resubmitted job while the earlier job is still in the release queue.
             entry = self._entries.get(job.id)
             if entry is not None and entry.job is job and job.end_reason is None:
                 return True
-            self._release_queue.drop_first()
+            self._release_queue.discard_first()
         return False
 
     def _release(self, job: DeferredJob, now: float) -> ReleasedJob:
@@ -232,12 +232,12 @@
         return ReleasedJob(job.id, credit)
 
     def _final_answer(self, job: DeferredJob, unix_now: float) -> FinalAnswer:
-        if job.end_reason in _DEPENDENCY_FAILURES:
-            return DependencyFailed(_DEPENDENCY_FAILURES[job.end_reason])
+        if job.end_reason in _DEPENDENCY_FAILURE_TEXTS:
+            return DependencyFailed(_DEPENDENCY_FAILURE_TEXTS[job.end_reason])
         retry_after_ms = self._max_retry_after_ms * self._rng.uniform(_MIN_RETRY_AFTER_FRACTION, 1.0)
         if job.end_reason is DeferralReason.TOO_LATE and job.not_before_unix_ms > unix_now:
             # The job can't run before its not-before time.
-            retry_after_ms = min(_MAX_RETRY_AFTER_MS, job.not_before_unix_ms - unix_now)
+            retry_after_ms = min(_MAX_NOT_BEFORE_RETRY_AFTER_MS, job.not_before_unix_ms - unix_now)
         return Rejected(retry_after_ms)
 
     def _drop_entry(self, request_id: str) -> None:
--- a/burlmoor/deferred/rate_control.py
+++ b/burlmoor/deferred/rate_control.py
@@ -22,7 +22,7 @@
 
 
 class AdaptiveTokenBucket:
-    """A token bucket that fills at `rate` a second up to `burst`, and adapts its rate to answers.
+    """A token bucket that fills at `rate` a second up to `burst`, and adapts its rate to final answers.
 
     The rate increases by a constant with each released job that was served and decreases by a factor with
     each that was rejected (additive increase, multiplicative decrease: Chiu and Jain, 1989), between a tenth
@@ -34,12 +34,12 @@
         self.burst = burst
         self._full_rate = rate
         self._tokens = burst
-        self._filled_at = now
+        self._refilled_at = now
 
     def take_token(self, now: float) -> bool:
         """Take a token; return whether there was one."""
-        self._fill(now)
-        # Without the tolerance, a rounding error below one token would delay a release.
+        self._refill(now)
+        # The tolerance accepts one token less a rounding error, which would otherwise delay a release.
         if self._tokens < 1.0 - _ROUNDING_TOLERANCE:
             return False
         self._tokens = max(0.0, self._tokens - 1.0)
@@ -47,7 +47,7 @@
 
     def adjust_rate(self, now: float, *, was_served: bool) -> None:
         """Adjust the rate after a released job was served or rejected."""
-        self._fill(now)
+        self._refill(now)
         if was_served:
             rate = self.rate + _RATE_INCREASE_FRACTION * self._full_rate
         else:
@@ -58,13 +58,13 @@
 
     def next_token_at(self, now: float) -> float:
         """Return when the next token is available."""
-        self._fill(now)
+        self._refill(now)
         return now + max(0.0, 1.0 - self._tokens) * 1000.0 / self.rate
 
-    def _fill(self, now: float) -> None:
-        elapsed_ms = max(0.0, now - self._filled_at)
+    def _refill(self, now: float) -> None:
+        elapsed_ms = max(0.0, now - self._refilled_at)
         self._tokens = min(self.burst, self._tokens + elapsed_ms * self.rate / 1000.0)
-        self._filled_at = max(self._filled_at, now)
+        self._refilled_at = max(self._refilled_at, now)
 
 
 class CongestionWindow:
@@ -72,7 +72,7 @@
 
     Free slots are shared with other nodes, and a node's view of them may be out of date. So the window grows
     by one with each job served until the first rejection, then by one a window, and halves after a rejection
-    (RFC 5681, sections 3.1 and 3.2, with jobs for segments). Rejections within 200 ms count once.
+    (RFC 5681, sections 3.1 and 3.2, with jobs for segments). Rejections within 200 ms halve it only once.
     """
 
     def __init__(self) -> None:
--- a/burlmoor/deferred/release_queue.py
+++ b/burlmoor/deferred/release_queue.py
@@ -20,26 +20,26 @@
 
 
 class ReleaseQueue(Generic[_Item]):
-    """Items ordered by their latest-release time, and the token bucket that limits their release."""
+    """Orders items by their latest-release time, and limits their release with a token bucket."""
 
     def __init__(self, bucket: AdaptiveTokenBucket) -> None:
         self.bucket = bucket
         self._heap: list[tuple[float, int, float, _Item]] = []
-        self._last_number = 0
+        self._last_sequence_number = 0
 
     def __len__(self) -> int:
         return len(self._heap)
 
     def push(self, latest_release_at: float, slots: float, item: _Item) -> None:
         """Add an item that needs this many slots; items with equal times are released first in, first out."""
-        self._last_number += 1
-        heapq.heappush(self._heap, (latest_release_at, self._last_number, slots, item))
+        self._last_sequence_number += 1
+        heapq.heappush(self._heap, (latest_release_at, self._last_sequence_number, slots, item))
 
-    def first(self) -> _Item | None:
+    def peek(self) -> _Item | None:
         """Return the item to be released next; None if the queue is empty."""
         return self._heap[0][3] if self._heap else None
 
-    def drop_first(self) -> None:
+    def discard_first(self) -> None:
         """Remove the first item without releasing it."""
         heapq.heappop(self._heap)
 
--- a/burlmoor/deferred/status.py
+++ b/burlmoor/deferred/status.py
@@ -12,7 +12,7 @@
 
     from burlmoor.deferred.queue import DeferredJobQueue
 
-_ENTRIES_PER_BATCH = 2000  # counted between two checkpoints, at which other tasks can run
+_ENTRIES_PER_BATCH = 2000  # between checkpoints, at which other tasks can run
 
 
 async def build_status(queue: DeferredJobQueue, clock: Callable[[], float]) -> dict[str, Any]:
@@ -23,20 +23,22 @@
     max_jobs = queue.limits.max_jobs
     by_class: Counter[str] = Counter()
     by_reason: Counter[str] = Counter()
-    oldest: dict[str, float] = {}
+    oldest_deferred_at: dict[str, float] = {}
     for number, status in enumerate(statuses.values(), 1):
         by_class[status.job_class] += 1
         by_reason[status.reason] += 1
-        oldest[status.job_class] = min(status.deferred_at, oldest.get(status.job_class, status.deferred_at))
+        oldest_deferred_at[status.job_class] = min(
+            status.deferred_at, oldest_deferred_at.get(status.job_class, status.deferred_at)
+        )
         if number % _ENTRIES_PER_BATCH == 0:
             await trio.lowlevel.checkpoint()
     return {
         "waiting": len(statuses),
         "most": max_jobs,
         "bytes": body_bytes,
-        "oldest_ms": round(now - min(oldest.values(), default=now), 1),
+        "oldest_ms": round(now - min(oldest_deferred_at.values(), default=now), 1),
         "by_class": {
-            name: {"waiting": count, "oldest_ms": round(now - oldest[name], 1)}
+            name: {"waiting": count, "oldest_ms": round(now - oldest_deferred_at[name], 1)}
             for name, count in sorted(by_class.items())
         },
         "by_reason": dict(sorted(by_reason.items())),
--- a/burlmoor/deferred/status_snapshot.py
+++ b/burlmoor/deferred/status_snapshot.py
@@ -20,7 +20,7 @@
 
 
 class StatusSnapshot:
-    """An immutable map that is replaced atomically; readers keep the version that they hold."""
+    """An immutable map of statuses that is replaced atomically; readers keep the version that they hold."""
 
     def __init__(self) -> None:
         self.by_id: Map[str, DeferredJobStatus] = Map()
--- a/burlmoor/deferred/timer_queue.py
+++ b/burlmoor/deferred/timer_queue.py
@@ -7,11 +7,11 @@
 from typing import Generic, TypeVar
 
 _Item = TypeVar("_Item")
-_MIN_COMPACTION_SIZE = 64  # entries up to which cancelled ones always stay in the heap
+_MIN_COMPACTION_SIZE = 64  # entries; a heap of at most this size is never compacted
 
 
 class TimerQueue(Generic[_Item]):
-    """Items by the time at which they are due: O(log n) to schedule, O(1) amortised to cancel."""
+    """Orders items by due time: O(log n) to schedule, O(1) amortised to cancel."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int]] = []
@@ -21,24 +21,24 @@
     def __len__(self) -> int:
         return len(self._items)
 
-    def schedule(self, at: float, item: _Item) -> int:
-        """Add an item for this time; return the timer id that cancels it."""
+    def schedule(self, due_at: float, item: _Item) -> int:
+        """Add an item that is due at this time; return the timer id that cancels it."""
         self._last_id += 1
         self._items[self._last_id] = item
-        heapq.heappush(self._heap, (at, self._last_id))
+        heapq.heappush(self._heap, (due_at, self._last_id))
         return self._last_id
 
     def cancel(self, timer_id: int) -> None:
         """Remove an item; does nothing if it was removed before."""
         if self._items.pop(timer_id, None) is None:
             return
-        # Without this, cancelled entries would use memory until their times have passed.
+        # Compacts the heap, as cancelled entries otherwise occupy memory until they are due.
         if len(self._heap) > _MIN_COMPACTION_SIZE + 2 * len(self._items):
             self._heap = [entry for entry in self._heap if entry[1] in self._items]
             heapq.heapify(self._heap)
 
     def next_due(self) -> float:
-        """Return the earliest time; infinity if the queue is empty."""
+        """Return the earliest due time; infinity if the queue is empty."""
         while self._heap and self._heap[0][1] not in self._items:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
--- a/tests/deferred/test_conditions.py
+++ b/tests/deferred/test_conditions.py
@@ -1,4 +1,4 @@
-"""The two headers that defer a job: which values are parsed, and which are rejected as invalid."""
+"""Parsing of the two headers that defer a job, and rejection of invalid values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("headers", "words"),
+    ("headers", "problem"),
     [
         ([(b"run-after", b"")], "names no job"),
         ([(b"run-after", b" , ,")], "names no job"),
@@ -27,16 +27,18 @@
         ([(b"not-before", b"5"), (b"not-before", b"6")], "twice"),
     ],
 )
-def test_an_invalid_condition_names_its_header(headers: list[tuple[bytes, bytes]], words: str) -> None:
-    with pytest.raises(InvalidConditionError, match=words):
+def test_an_invalid_header_is_rejected_with_its_problem(
+    headers: list[tuple[bytes, bytes]], problem: str
+) -> None:
+    with pytest.raises(InvalidConditionError, match=problem):
         ConditionParser(8).parse(headers, "me", 0)
 
 
 def test_conditions_are_parsed_as_header_lists() -> None:
-    read = ConditionParser(8).parse
-    assert read([(b"host", b"x")], "me", 5) is None
+    parse = ConditionParser(8).parse
+    assert parse([(b"host", b"x")], "me", 5) is None
     headers = [(b"run-after", b"a, b,,a"), (b"x", b"y"), (b"run-after", b"c\t"), (b"not-before", b"12")]
-    assert read(headers, "me", 5) == RunConditions(("a", "b", "c"), 12.0, 5)
-    assert read([(b"not-before", b"0")], "me", 5) == RunConditions((), 0.0, 5)
-    names = b",".join(b"n%d" % (n % 8) for n in range(1000))
-    assert len(read([(b"run-after", names)], "me", 5).after) == 8  # type: ignore[union-attr]
+    assert parse(headers, "me", 5) == RunConditions(("a", "b", "c"), 12.0, 5)
+    assert parse([(b"not-before", b"0")], "me", 5) == RunConditions((), 0.0, 5)
+    ids = b",".join(b"n%d" % (n % 8) for n in range(1000))
+    assert len(parse([(b"run-after", ids)], "me", 5).after) == 8  # type: ignore[union-attr]
--- a/tests/deferred/test_dependency_graph_model.py
+++ b/tests/deferred/test_dependency_graph_model.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from burlmoor.deferred.dependency_graph import DependencyGraph
-from tests.deferred.test_dependency_graph import LIMITS, UNIX_EPOCH_MS, defer, drain
+from tests.deferred.test_dependency_graph import LIMITS, START_UNIX_MS, defer, pop_all_ready
 
 
 class Conditions(NamedTuple):
@@ -21,7 +21,7 @@
 
 @dataclass
 class NaiveModel:
-    """The same rules, computed from all events so far."""
+    """Applies the same rules by recomputing the state of every job until none changes."""
 
     states: dict[str, str] = field(default_factory=dict)  # open, deferred, served or failed
     conditions: dict[str, Conditions] = field(default_factory=dict)
@@ -75,7 +75,7 @@
 
 
 class Comparison:
-    """Applies the same events to a graph and the model; events that cannot happen are skipped."""
+    """Applies the same events to a graph and the model; skips events that are impossible in a state."""
 
     def __init__(self) -> None:
         self.graph = DependencyGraph(LIMITS)
@@ -91,7 +91,7 @@
     def defer_job(self, request_id: str, after: tuple[str, ...], delay_ms: float, timeout_ms: float) -> None:
         if request_id in self.model.states or request_id in after:
             return
-        not_before = UNIX_EPOCH_MS + self.now + delay_ms if delay_ms else 0.0
+        not_before = START_UNIX_MS + self.now + delay_ms if delay_ms else 0.0
         latest = self.now + timeout_ms
         self.model.conditions[request_id] = Conditions(after, not_before, latest, self.now)
         is_too_late = self.now + delay_ms > latest
@@ -117,8 +117,8 @@
             self.model.states[request_id] = "failed"
 
     def settle(self) -> None:
-        drain(self.graph, self.now)
-        self.model.settle(self.now, UNIX_EPOCH_MS + self.now)
+        pop_all_ready(self.graph, self.now)
+        self.model.settle(self.now, START_UNIX_MS + self.now)
 
     def check(self) -> None:
         states = self.model.states
@@ -128,7 +128,7 @@
         assert {name: was_served for name, (_, was_served) in graph._history._ended.items()} == {
             name: state == "served" for name, state in states.items() if state in ("served", "failed")
         }
-        assert graph.next_due(self.now, UNIX_EPOCH_MS + self.now) > self.now
+        assert graph.next_due(self.now, START_UNIX_MS + self.now) > self.now
 
     def check_links(self) -> None:
         """Check that the graph has no link to a job that has ended."""
--- a/tests/deferred/test_handover.py
+++ b/tests/deferred/test_handover.py
@@ -23,11 +23,14 @@
             await old.wait_ready()
             parent, child = await submit_deferred(harness, "p1"), await submit_deferred(harness, "c1", "p1")
             await wait_until_sent(harness, "p1")
-            lasting, stays = await submit_deferred(harness, "p2"), await submit_deferred(harness, "c2", "p2")
+            second_parent, second_child = (
+                await submit_deferred(harness, "p2"),
+                await submit_deferred(harness, "c2", "p2"),
+            )
             await wait_until_sent(harness, "p1", "p2")
             new = await harness.start_process()
             await new.wait_ready()
-            # Its parent is at the old process, so it is rejected soon.
+            # The parent is in the old process, so the new process rejects the job.
             assert (await harness.read_response(await submit_deferred(harness, "c3", "p1"))).status == 503
             assert await harness.send_callback("started", job=0) == 204
             assert await harness.send_callback("done", "parent", job=0) == 204
@@ -38,6 +41,6 @@
             await harness.send_callback("started", job=1)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(old.stop)
-                assert (await harness.read_response(stays)).status in (424, 503)
-                assert (await harness.read_response(lasting)).status == 502
+                assert (await harness.read_response(second_child)).status in (424, 503)
+                assert (await harness.read_response(second_parent)).status == 502
             await new.stop()
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -1,4 +1,4 @@
-"""Deferred jobs over sockets: headers, connections, disconnects, shutdown, limits and options."""
+"""Deferred jobs of a node on sockets: headers, connections, disconnects, shutdown, limits and options."""
 
 from __future__ import annotations
 
@@ -67,9 +67,9 @@
         else:
             await harness.send_callback(how)
         for connection in (child, grandchild):
-            answer = await harness.read_response(connection)
-            assert answer.status == 424
-            assert b"not served" in answer.body
+            response = await harness.read_response(connection)
+            assert response.status == 424
+            assert b"not served" in response.body
         late = await harness.read_response(await submit_deferred(harness, "late", "p"))
         assert late.status == 424
         await wait_until_sent(harness, "p")
@@ -77,9 +77,9 @@
 
 async def test_a_job_with_an_unknown_dependency_is_rejected_after_the_timeout() -> None:
     async with open_deferral_harness() as harness:
-        refused = await harness.read_response(await submit_deferred(harness, "c", "nobody"))
-        assert refused.status == 503
-        assert float(refused.headers["retry-after"]) > 0.0
+        response = await harness.read_response(await submit_deferred(harness, "c", "nobody"))
+        assert response.status == 503
+        assert float(response.headers["retry-after"]) > 0.0
         assert not harness.jobs
 
 
@@ -101,16 +101,16 @@
 
 
 @pytest.mark.parametrize(
-    "head", [{"Run_After": "c"}, {"Run_After": "a b"}, {"Run_After": ","}, {"Not_Before": "soon"}]
+    "fields", [{"Run_After": "c"}, {"Run_After": "a b"}, {"Run_After": ","}, {"Not_Before": "soon"}]
 )
 async def test_an_invalid_condition_gets_400_with_one_line_that_names_the_header(
-    head: dict[str, str],
+    fields: dict[str, str],
 ) -> None:
     async with open_deferral_harness() as harness:
-        answer = await harness.read_response(await submit_deferred(harness, "c", connection=None, **head))
-        assert answer.status == 400
-        assert next(iter(head)).replace("_", "-").encode() in answer.body
-        assert len(answer.body.splitlines()) == 1
+        response = await harness.read_response(await submit_deferred(harness, "c", connection=None, **fields))
+        assert response.status == 400
+        assert next(iter(fields)).replace("_", "-").encode() in response.body
+        assert len(response.body.splitlines()) == 1
         assert not harness.jobs
 
 
@@ -158,15 +158,15 @@
             harness.components.drain.begin_drain()
         else:
             harness.node._nursery.start_soon(harness.node.shut_down)
-        answer = await harness.read_response(child)
-        assert answer.status == 503
-        assert answer.headers["connection"] == "close"
+        response = await harness.read_response(child)
+        assert response.status == 503
+        assert response.headers["connection"] == "close"
         if how == "stop":
             await harness.send_callback("done")
             await harness.wait_until(lambda: harness.has_node_ended)
 
 
-async def test_options_apply_from_sighup_on_and_invalid_ones_change_nothing(tmp_path: Path) -> None:
+async def test_options_can_be_reloaded_and_invalid_options_change_nothing(tmp_path: Path) -> None:
     lines: list[str] = []
     options = Options(waiting=DeferredOptions())
     async with open_node_harness(options=options, lines=lines) as harness:
@@ -185,7 +185,7 @@
         harness.node.reload(given)
         assert (await harness.read_response(await submit_deferred(harness, "c2", "p"))).status == 503
         path.write_text("")
-        harness.node.reload(given)  # off: deferred jobs stay deferred, and the header has no effect any more
+        harness.node.reload(given)  # turns deferral off: deferred jobs remain, and the headers have no effect
         plain = await submit_deferred(harness, "c3", "p")
         await wait_until_sent(harness, "p", "c3")
         await harness.send_callback("done", "plain")
@@ -207,9 +207,9 @@
 
 async def test_a_dependent_of_a_job_in_the_old_process_is_rejected() -> None:
     async with open_deferral_harness() as harness:
-        harness.components.core.jobs.add_ids_in_other_process(["p"])  # as the handover reports them
-        answer = await harness.read_response(await submit_deferred(harness, "c", "p"))
-        assert answer.status == 503
+        harness.components.core.jobs.add_ids_in_other_process(["p"])  # as a handover does
+        response = await harness.read_response(await submit_deferred(harness, "c", "p"))
+        assert response.status == 503
 
 
 async def test_a_node_with_deferred_jobs_answers_them_on_sigterm(tmp_path: Path) -> None:
@@ -231,7 +231,7 @@
             async def are_answered() -> bool:
                 return bool(parent.answer_count and child.answer_count)
 
-            cluster.executors["s-000"].jobs.set_slowdown(1.6)  # the parent runs for 3.4 s
+            cluster.executors["s-000"].jobs.set_slowdown(1.6)  # so that the parent runs for 3.4 s
             for request in (parent, child):
                 nursery.start_soon(clients.send, request)
             await poll_until(has_started)
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -1,4 +1,4 @@
-"""The queue of deferred jobs in an engine: conditions, limits, answers and how deferrals end."""
+"""The deferred-job queue in an engine: conditions, limits, answers and ends of deferrals."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from burlmoor.types.actions import Action, RejectJob
 from burlmoor.types.events import JobRequest
 from burlmoor.types.outcome import Outcome
-from tests.support.deferral_harness import UNIX_EPOCH_MS, DeferralHarness
+from tests.support.deferral_harness import START_UNIX_MS, DeferralHarness
 from tests.support.engine_harness import EngineHarness, RecordingResponder
 
 
@@ -77,7 +77,7 @@
     assert all(client.answer_types() == [DependencyFailed] for client in clients)
 
 
-def test_a_job_is_rejected_once_its_remaining_time_does_not_suffice() -> None:
+def test_a_job_is_rejected_once_its_remaining_time_is_too_short() -> None:
     harness = DeferralHarness(min_remaining_ms=100.0)
     harness.start_parent()
     child = harness.submit_deferred("c", "p", timeout_ms=2000.0, work_ms=500.0)
@@ -86,18 +86,18 @@
     harness.advance(20.0)
     assert child.answer_types() == [Rejected]
     assert child.answers[0].retry_after_ms > 0.0  # type: ignore[union-attr]
-    too_far = harness.submit_deferred(
-        "d", not_before_unix_ms=UNIX_EPOCH_MS + harness.now + 5000.0, timeout_ms=5200.0, work_ms=500.0
+    too_late = harness.submit_deferred(
+        "d", not_before_unix_ms=START_UNIX_MS + harness.now + 5000.0, timeout_ms=5200.0, work_ms=500.0
     )
     harness.advance(5.0)
-    assert too_far.answer_types() == [Rejected]
-    assert too_far.answers[0].retry_after_ms == pytest.approx(5000.0, abs=10.0)  # type: ignore[union-attr]
+    assert too_late.answer_types() == [Rejected]
+    assert too_late.answers[0].retry_after_ms == pytest.approx(5000.0, abs=10.0)  # type: ignore[union-attr]
 
 
 def test_a_not_before_time_beyond_the_longest_deferral_is_rejected() -> None:
     harness = DeferralHarness(max_deferral_ms=10_000.0)
     harness.submit(request_id="p", timeout_ms=5000.0)
-    client = harness.submit_deferred("c", "p", not_before_unix_ms=UNIX_EPOCH_MS + 1e9, timeout_ms=1e8)
+    client = harness.submit_deferred("c", "p", not_before_unix_ms=START_UNIX_MS + 1e9, timeout_ms=1e8)
     harness.advance(10.0)
     assert client.answer_types() == [Rejected]
 
@@ -127,7 +127,7 @@
     assert late.answers == []
 
 
-def test_a_deferred_job_whose_client_disconnects_is_forgotten_and_its_id_is_unique_until_then() -> None:
+def test_a_deferred_job_keeps_its_id_in_use_and_is_removed_when_its_client_disconnects() -> None:
     harness = DeferralHarness()
     harness.submit(request_id="p")
     client = harness.submit_deferred("c", "p")
@@ -215,7 +215,7 @@
     def disconnect_client(self) -> None:
         job = self.rng.choice(list(self.harness.core.jobs))
         if not job.is_closed:
-            self.clients[job.id].answers.append(Failed())  # stands for the answer that it doesn't get
+            self.clients[job.id].answers.append(Failed())  # in place of the answer that it does not get
         self.harness.core.lifecycle.on_client_disconnected(job)
 
     def end_attempts(self) -> None:
@@ -254,10 +254,10 @@
     assert queue.job_count == queue.body_bytes == len(queue.status_by_id) == 0
 
 
-def test_a_decision_is_returned_by_the_next_step_and_never_earlier() -> None:
-    # Otherwise an answer from within `defer` would reach the connection before it has noted its job.
+def test_a_decision_on_a_new_job_is_returned_only_by_the_next_step() -> None:
+    # An answer from within `defer` would reach the connection before it has recorded its job.
     queue = DeferredJobQueue(
-        DeferredOptions(), 1000, 1000.0, 1, lambda *_args, **_fields: None, 0.0, lambda: UNIX_EPOCH_MS
+        DeferredOptions(), 1000, 1000.0, 1, lambda *_args, **_fields: None, 0.0, lambda: START_UNIX_MS
     )
     queue.on_job_opened("c")
     queue.defer("c", JobRequest(0, "lookup", 1.0, 500.0), RunConditions(("x",), 0.0, 1), 1.0, 0.0)
@@ -268,34 +268,34 @@
     assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [ReleasedJob]
 
 
-def test_a_fault_of_the_queue_rejects_the_deferred_jobs_and_the_engine_continues(
+def test_an_exception_in_the_queue_rejects_the_deferred_jobs_and_the_engine_continues(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = DeferralHarness()
     harness.start_parent()
     clients = [harness.submit_deferred(f"c{number}", "p") for number in range(3)]
 
-    def broken(*_given: Any) -> list[ReleasedJob | EndedJob]:
+    def failing_step(*_args: Any) -> list[ReleasedJob | EndedJob]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(harness.queue, "step", broken)
+    monkeypatch.setattr(harness.queue, "step", failing_step)
     harness.advance(10.0)
     assert [client.answer_types() for client in clients] == [[Rejected]] * 3
     assert "deferred-failed" in harness.logged_events
     harness.finish_attempt("p")
-    plain = harness.submit_deferred("late", "p")  # no job is deferred any more, so it runs as any job
+    plain = harness.submit_deferred("late", "p")  # deferral is disabled, so the job runs at once
     harness.advance(60.0)
     harness.finish_attempt("late")
     assert plain.answer_types() == [Served]
 
 
 def test_a_deferred_job_that_has_ended_is_not_kept_in_memory() -> None:
-    # Otherwise bodies would stay in memory until deadlines minutes ahead.
+    # A remaining reference would keep the body in memory until the deadline, minutes later.
     harness = DeferralHarness()
-    harness.submit_deferred("c", not_before_unix_ms=UNIX_EPOCH_MS + harness.now + 500.0, timeout_ms=600_000.0)
+    harness.submit_deferred("c", not_before_unix_ms=START_UNIX_MS + harness.now + 500.0, timeout_ms=600_000.0)
     harness.advance(600.0)
     harness.finish_attempt("c")
     harness.advance(6000.0)
     harness.started_attempts.clear()
     gc.collect()
-    assert not [each for each in gc.get_objects() if isinstance(each, Job) and each.id == "c"]
+    assert not [item for item in gc.get_objects() if isinstance(item, Job) and item.id == "c"]
--- a/tests/deferred/test_rate_control.py
+++ b/tests/deferred/test_rate_control.py
@@ -8,22 +8,22 @@
 from burlmoor.deferred.release_queue import ReleaseQueue
 
 
-def test_the_token_bucket_gives_its_rate_and_at_most_its_burst() -> None:
+def test_the_token_bucket_limits_rate_and_burst() -> None:
     bucket = AdaptiveTokenBucket(10.0, 3.0, 0.0)
     assert [bucket.take_token(0.0) for _ in range(4)] == [True, True, True, False]
     assert bucket.next_token_at(0.0) == pytest.approx(100.0)
     assert sum(bucket.take_token(float(now)) for now in range(1, 10_001)) == 100
 
 
-def test_the_release_queue_releases_the_earliest_first_while_there_are_slots_or_tokens() -> None:
-    line: ReleaseQueue[str] = ReleaseQueue(AdaptiveTokenBucket(1.0, 1.0, 0.0))
+def test_jobs_are_released_by_latest_release_time_while_there_are_free_slots_or_tokens() -> None:
+    queue: ReleaseQueue[str] = ReleaseQueue(AdaptiveTokenBucket(1.0, 1.0, 0.0))
     for latest, slots, name in ((30.0, 1.0, "c"), (10.0, 2.0, "a"), (20.0, 1.0, "b")):
-        line.push(latest, slots, name)
-    assert line.pop_releasable(0.0, 3.0) == ("a", 2.0)
-    assert line.pop_releasable(0.0, 1.0) == ("b", 1.0)
-    assert line.pop_releasable(0.0, 0.0) == ("c", 1.0)  # by the token
-    line.push(1.0, 1.0, "d")
-    assert line.pop_releasable(0.0, 0.0) is None
+        queue.push(latest, slots, name)
+    assert queue.pop_releasable(0.0, 3.0) == ("a", 2.0)
+    assert queue.pop_releasable(0.0, 1.0) == ("b", 1.0)
+    assert queue.pop_releasable(0.0, 0.0) == ("c", 1.0)  # by the token
+    queue.push(1.0, 1.0, "d")
+    assert queue.pop_releasable(0.0, 0.0) is None
 
 
 def test_the_rate_falls_with_rejections_and_rises_again() -> None:
--- a/tests/deferred/test_timer_queue.py
+++ b/tests/deferred/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""The timer queue, with random times and cancellations."""
+"""The timer queue under random times and cancellations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.booleans()), max_size=200))
-def test_a_timer_queue_returns_what_is_due_in_order_without_what_was_cancelled(
+def test_due_timers_are_returned_in_order_without_cancelled_ones(
     entries: list[tuple[int, bool]],
 ) -> None:
     timers: TimerQueue[int] = TimerQueue()
--- a/tests/support/deferral_harness.py
+++ b/tests/support/deferral_harness.py
@@ -1,4 +1,4 @@
-"""An engine with a fake clock where jobs may be deferred."""
+"""An engine with a deferred-job queue and fake clocks."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from burlmoor.engine.job import Job
 
-UNIX_EPOCH_MS = 1_700_000_000_000.0  # Unix time when the harness's clock is at 0
+START_UNIX_MS = 1_700_000_000_000.0  # Unix time when the harness's clock is at 0
 
 
 class DeferralHarness(EngineHarness):
-    """Unix time follows the harness's clock; a test steps it by `unix_offset_ms`."""
+    """An engine harness with a deferred-job queue. Unix time is the harness's time plus `unix_offset_ms`."""
 
     def __init__(self, max_connections: int = 100_000, **options: Any) -> None:
         super().__init__()
@@ -29,7 +29,7 @@
         self.core.deferral.enable(self.queue)
 
     def unix_now_ms(self) -> float:
-        return UNIX_EPOCH_MS + self.now + self.unix_offset_ms
+        return START_UNIX_MS + self.now + self.unix_offset_ms
 
     def submit_deferred(
         self,
@@ -49,14 +49,14 @@
         return client
 
     def start_parent(self, request_id: str = "p", timeout_ms: float = 5000.0) -> Job:
-        """A non-idempotent job that has begun to run."""
+        """Submit a non-idempotent job and start its attempt."""
         _, job = self.submit("once", request_id=request_id, timeout_ms=timeout_ms)
         self.advance(60.0)
         self.core.lifecycle.on_attempt_started(job.attempts[-1])
         return job
 
     def finish_attempt(self, request_id: str, outcome: Outcome = Outcome.SERVED) -> None:
-        """End the open attempt of a job."""
+        """End the open attempt of a job with this outcome."""
         attempt = next(attempt for attempt in self.open_attempts() if attempt.job.id == request_id)
         self.core.lifecycle.on_attempt_ended(attempt, outcome, b"done" if outcome is Outcome.SERVED else None)
         self.advance(50.0)
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -1,4 +1,4 @@
-"""Deferred jobs of a node on loopback sockets: submission, status, and waits for their states."""
+"""Submits deferred jobs to a node over loopback sockets and waits for their states."""
 
 from __future__ import annotations
 
@@ -21,16 +21,20 @@
 
 @asynccontextmanager
 async def open_deferral_harness(sockets: int = 1024, **deferred_options: Any) -> AsyncIterator[NodeHarness]:
-    """A node that defers jobs."""
+    """Open a harness of a node that defers jobs."""
     options = Options(waiting=DeferredOptions(**{"unknown_timeout_ms": 300.0, **deferred_options}))
     async with open_node_harness(options=options, sockets=sockets) as harness:
         yield harness
 
 
 async def submit_deferred(
-    harness: NodeHarness, request_id: str, *after: str, connection: HttpStream | None = None, **head: str
+    harness: NodeHarness,
+    request_id: str,
+    *after: str,
+    connection: HttpStream | None = None,
+    **header_fields: str,
 ) -> HttpStream:
-    """Submit a job, to run after others if `after` names any; return its connection."""
+    """Submit a job, which runs after the jobs in `after`; return its connection."""
     connection = connection or await harness.connect_client()
     harness.open_clients.append(connection)
     fields = {
@@ -38,11 +42,11 @@
         "Request_Id": request_id,
         "Request_Timeout_Ms": "8000",
         "Work_Hint": "90000",
-        **head,
+        **header_fields,
     }
     if after:
         fields["Run_After"] = ", ".join(after)
-    await connection.write(f"POST /{head.pop('name', 'once')}/0f HTTP/1.1", b"work", **fields)
+    await connection.write(f"POST /{header_fields.pop('name', 'once')}/0f HTTP/1.1", b"work", **fields)
     return connection
 
 
@@ -55,14 +59,14 @@
 async def fetch_status(harness: NodeHarness) -> dict[str, Any]:
     """Return the status of the deferred jobs from the admin server."""
     assert harness.components.admin_server is not None
-    answer = await send_http_request(harness.components.admin_server.address, "GET", "/waiting")
-    assert answer.status == 200
-    status: dict[str, Any] = json.loads(answer.body)
+    response = await send_http_request(harness.components.admin_server.address, "GET", "/waiting")
+    assert response.status == 200
+    status: dict[str, Any] = json.loads(response.body)
     return status
 
 
 async def wait_until_status(harness: NodeHarness, is_reached: Callable[[dict[str, Any]], bool]) -> None:
-    """Wait until the status fulfils the condition, 10 s at most."""
+    """Wait up to 10 s until the status fulfils the condition."""
     with trio.fail_after(10.0):
         while not is_reached(await fetch_status(harness)):  # noqa: ASYNC110 - the status has no event
             await trio.sleep(0.02)
