--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -21,7 +21,7 @@
 from burlmoor.deferred import DeferredJobQueue
 from burlmoor.deferred.status import build_status
 from burlmoor.engine.answers import Served
-from burlmoor.engine.deferral import ReleasedJob, RunConditions
+from burlmoor.engine.deferral import ReleaseDecision, RunConditions
 from burlmoor.types.events import JobRequest
 
 _SIZES = (10, 1_000, 10_000, 100_000)
@@ -82,10 +82,10 @@
     queue.on_job_opened(child)
     queue.defer(child, _REQUEST, conditions, _NOW + 60_000.0, _NOW)
     queue.step(_NOW, _no_delay)
-    queue.on_job_ended(parent, Served(b""), _NOW)
+    queue.on_job_closed(parent, Served(b""), _NOW)
     verdicts = queue.step(_NOW, _no_delay)
-    assert [type(verdict) for verdict in verdicts] == [ReleasedJob], verdicts
-    queue.on_job_ended(child, Served(b""), _NOW)
+    assert [type(verdict) for verdict in verdicts] == [ReleaseDecision], verdicts
+    queue.on_job_closed(child, Served(b""), _NOW)
 
 
 def _measure(count: int) -> dict[str, float]:
--- a/burlmoor/deferred/queue.py
+++ b/burlmoor/deferred/queue.py
@@ -16,7 +16,7 @@
 from burlmoor.deferred.release_queue import ReleaseQueue
 from burlmoor.deferred.status_snapshot import DeferredJobStatus, StatusSnapshot
 from burlmoor.engine.answers import DependencyFailed, FinalAnswer, Rejected, Served
-from burlmoor.engine.deferral import EndedJob, ReleasedJob, RunConditions
+from burlmoor.engine.deferral import EndDecision, ReleaseDecision, RunConditions
 from burlmoor.log_events import DeferralsEnded, DeferredQueueFull
 
 if TYPE_CHECKING:
@@ -63,8 +63,8 @@
 class DeferredJobQueue:
     """Owns the dependency graph, the limits on it, the release of runnable jobs, and the status snapshot.
 
-    The engine uses it as its `JobDeferral`. `max_connections` is the node's limit on downstream connections;
-    `max_retry_after_ms` is the longest Retry-After of a rejection.
+    The engine uses it as its `DeferralQueue`. `max_connections` is the node's limit on downstream
+    connections; `max_retry_after_ms` is the longest Retry-After of a rejection.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         self._graph.on_job_opened(request_id)
         self._status.mark_changed(self._graph.dependents_of(request_id))
 
-    def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
+    def on_job_closed(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
         """Record that a job has ended with this answer; None if its client has disconnected."""
         self._status.mark_changed(self._graph.dependents_of(request_id))
         was_served = isinstance(answer, Served)
@@ -169,18 +169,18 @@
         due = min(self._graph.next_due(now, self._unix_clock()), self._release_queue.next_due(now))
         return min(due, now + _UNIX_CLOCK_CHECK_MS) if self._graph.has_not_before_timers else due
 
-    def step(self, now: float, free_slots: Callable[[], float]) -> list[ReleasedJob | EndedJob]:
+    def step(self, now: float, releasable_slots: Callable[[], float]) -> list[ReleaseDecision | EndDecision]:
         """Return the jobs to end and to release now, a bounded number of them.
 
-        `free_slots` returns the slots that are known to be free at endpoints.
+        `releasable_slots` returns how many slots deferred jobs may use now.
         """
-        decisions: list[ReleasedJob | EndedJob] = []
+        decisions: list[ReleaseDecision | EndDecision] = []
         self._process_ready_jobs(now, decisions)
-        self._release_jobs(now, free_slots, decisions)
+        self._release_jobs(now, releasable_slots, decisions)
         self._status.refresh(self._find_status)
         return decisions
 
-    def _process_ready_jobs(self, now: float, decisions: list[ReleasedJob | EndedJob]) -> None:
+    def _process_ready_jobs(self, now: float, decisions: list[ReleaseDecision | EndDecision]) -> None:
         """Answer jobs whose deferral has ended, and queue runnable jobs for release."""
         unix_now = self._unix_clock()
         while len(decisions) < _MAX_DECISIONS_PER_STEP:
@@ -192,18 +192,21 @@
                 self._status.mark_changed((job.id,))
                 continue
             answer = self._final_answer(job, unix_now)
-            decisions.append(EndedJob(job.id, answer))
+            decisions.append(EndDecision(job.id, answer))
             self.rejected_count += 1
             # Recorded here, not once the engine has answered, so that a long chain needs few steps.
-            self.on_job_ended(job.id, answer, now)
+            self.on_job_closed(job.id, answer, now)
 
     def _release_jobs(
-        self, now: float, free_slots: Callable[[], float], decisions: list[ReleasedJob | EndedJob]
+        self,
+        now: float,
+        releasable_slots: Callable[[], float],
+        decisions: list[ReleaseDecision | EndDecision],
     ) -> None:
         remaining_slots: float | None = None  # computed only if a job may be released
         while len(decisions) < _MAX_DECISIONS_PER_STEP and self._has_releasable_job():
             if remaining_slots is None:
-                remaining_slots = free_slots()
+                remaining_slots = releasable_slots()
             is_window_open = len(self._released_ids) < self._window.size
             release = self._release_queue.pop_releasable(
                 now, remaining_slots if is_window_open else -math.inf
@@ -223,13 +226,13 @@
             self._release_queue.drop_first()
         return False
 
-    def _release(self, job: DeferredJob, now: float) -> ReleasedJob:
+    def _release(self, job: DeferredJob, now: float) -> ReleaseDecision:
         credit = min(1.0, (now - job.deferred_at) / self._options.full_credit_ms)
         self.released_count += 1
         self._released_ids.add(job.id)
         self._drop_entry(job.id)
         self._graph.remove(job.id)
-        return ReleasedJob(job.id, credit)
+        return ReleaseDecision(job.id, credit)
 
     def _final_answer(self, job: DeferredJob, unix_now: float) -> FinalAnswer:
         if job.end_reason in _DEPENDENCY_FAILURES:
--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -52,7 +52,7 @@
             self._log,
             self._core.clock(),
         )
-        self._core.deferral.enable(self.queue)
+        self._core.deferral_notifier.enable(self.queue)
         self._server.attach_drain_observer(self._on_draining)
         self._admin.attach_status_provider(AdminPath.DEFERRED_JOBS, self._status)
 
@@ -65,7 +65,7 @@
             self._core.wake()
         if not self._is_on and not self.queue.job_count:
             self.queue = None
-            self._core.deferral.disable()
+            self._core.deferral_notifier.disable()
             self._server.attach_drain_observer(None)
             self._admin.detach_status_provider(AdminPath.DEFERRED_JOBS)
 
--- a/burlmoor/engine/action_executor.py
+++ b/burlmoor/engine/action_applier.py
@@ -34,8 +34,8 @@
 _JobAction = StartAttempt | RejectJob | FailJob | CancelAttempt
 
 
-class ActionExecutor:
-    """Dispatches each action to the component that carries it out."""
+class ActionApplier:
+    """Passes each action to the component that carries it out."""
 
     def __init__(
         self,
@@ -55,19 +55,19 @@
         self._discovery = discovery
         self._log = log
 
-    def execute_all(self, actions: Sequence[Action], now: float) -> None:
+    def apply_all(self, actions: Sequence[Action], now: float) -> None:
         """Carry out the actions in order; log an action that raises, and continue with the next."""
         for action in actions:
             try:
-                self._execute(action, now)
+                self._apply(action, now)
             except Exception as error:  # noqa: BLE001
                 # An error in one action must neither end the node nor prevent the other actions.
                 self._log(ActionFailed(action=repr(action), error=repr(error)))
 
-    def _execute(self, action: Action, now: float) -> None:
+    def _apply(self, action: Action, now: float) -> None:
         match action:
             case StartAttempt() | RejectJob() | FailJob() | CancelAttempt():
-                self._execute_on_job(action, now)
+                self._apply_to_job(action, now)
             case SetTimer():
                 self._policy.set_timer(now + max(0.0, action.delay_ms), action.token)
             case WatchEndpoints():
@@ -79,7 +79,7 @@
             case LogWarning():
                 self._log(PolicyWarning(text=action.text))
 
-    def _execute_on_job(self, action: _JobAction, now: float) -> None:
+    def _apply_to_job(self, action: _JobAction, now: float) -> None:
         match action:
             case StartAttempt():
                 self._attempts.start(action, now)
--- a/burlmoor/engine/attempt_controller.py
+++ b/burlmoor/engine/attempt_controller.py
@@ -57,7 +57,7 @@
         else:
             if attempt_deadline < job.deadline:
                 self._deadlines.schedule(attempt_deadline, attempt)
-            self._job_log.on_attempt_started(attempt)
+            self._job_log.count_retry(attempt)
             self._upstream.start_attempt(attempt)
 
     def cancel(self, action: CancelAttempt) -> None:
@@ -81,7 +81,8 @@
             if isinstance(item, Attempt):
                 self._time_out(item, now)
             elif not item.is_closed:
-                # An attempt that is cancelled here may still run, so the job must not be sent again.
+                # An attempt that is cancelled here may still run. The guard starts no attempt of a job whose
+                # deadline is not later than now.
                 item.deadline = min(item.deadline, now)
                 for attempt in item.open_attempts():
                     self._time_out(attempt, now)
--- a/burlmoor/engine/attempt_guard.py
+++ b/burlmoor/engine/attempt_guard.py
@@ -15,7 +15,11 @@
 
 
 class AttemptGuard:
-    """Refuses attempts that would break a safety rule, even if the policy requests them."""
+    """Refuses attempts that would break a safety rule, even if the policy requests them.
+
+    Two refusals also count as invariant violations: a retry of a non-idempotent job that may have run, and an
+    attempt beyond the limit of open ones.
+    """
 
     def __init__(self, limits: Limits, invariants: InvariantMonitor) -> None:
         self._max_attempts = limits.max_attempts
--- a/burlmoor/engine/core.py
+++ b/burlmoor/engine/core.py
@@ -1,4 +1,4 @@
-"""The components of the engine that need neither upstream nor discovery, but receive their reports."""
+"""The components of the engine that are constructed before upstream and discovery, which report to them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class EngineCore:
-    """Builds the components that hold the engine's state and receive the reports of upstream and discovery.
+    """Builds the components that hold the engine's state, and that upstream and discovery report to.
 
     `clock` returns ms; `wake` is called when `Engine.next_due` may return an earlier time than before.
     """
@@ -46,5 +46,5 @@
         self.deadlines = DeadlineQueue(settings.classes)
         self.dispatcher = Dispatcher(settings, seed)
         self.policy = PolicyDriver(self.dispatcher, self.jobs, log, wake)
-        self.deferral = DeferralNotifier(self.jobs, self.deadlines, clock, wake)
-        self.lifecycle = JobLifecycle(self.jobs, self.policy, self.deferral, self.job_log, clock)
+        self.deferral_notifier = DeferralNotifier(self.jobs, self.deadlines, clock, wake)
+        self.lifecycle = JobLifecycle(self.jobs, self.policy, self.deferral_notifier, self.job_log, clock)
--- a/burlmoor/engine/deadlines.py
+++ b/burlmoor/engine/deadlines.py
@@ -20,18 +20,18 @@
     """
 
     def __init__(self, classes: tuple[JobClass, ...]) -> None:
-        self.answer_by = math.inf  # at a shutdown: the latest deadline of newly admitted jobs
-        self._class_deadlines_ms = {job_class.name: job_class.deadline_ms for job_class in classes}
+        self.max_deadline = math.inf  # of newly admitted jobs; infinity unless the node shuts down
+        self._class_timeouts_ms = {job_class.name: job_class.deadline_ms for job_class in classes}
         self._entries: list[tuple[float, int, Job | Attempt]] = []
         self._last_entry_number = 0
 
-    def class_deadline_ms(self, request: JobRequest) -> float:
+    def class_timeout_ms(self, request: JobRequest) -> float:
         """Return the longest time for which the policy may hold a job of this class, in ms."""
-        return self._class_deadlines_ms.get(request.job_class, math.inf)
+        return self._class_timeouts_ms.get(request.job_class, math.inf)
 
     def deadline_after(self, now: float, timeout_ms: float) -> float:
         """Return the deadline of a job with this timeout, bounded by the node's shutdown."""
-        return min(now + timeout_ms, self.answer_by)
+        return min(now + timeout_ms, self.max_deadline)
 
     def schedule(self, at: float, item: Job | Attempt) -> None:
         """Schedule the item to be returned by `pop_expired` from `at` on."""
--- a/burlmoor/engine/deferral.py
+++ b/burlmoor/engine/deferral.py
@@ -23,29 +23,29 @@
 
 
 class RunConditions(NamedTuple):
-    """The conditions that must be met before a deferred job runs."""
+    """The conditions that must be met before a deferred job runs, and its memory use until then."""
 
     after: tuple[str, ...]  # request ids of the jobs that have to be served first
     not_before_unix_ms: float  # 0: no such condition
     size_bytes: int  # of the request body, which remains in memory while the job is deferred
 
 
-class ReleasedJob(NamedTuple):
-    """A deferred job that may run now, by its request id."""
+class ReleaseDecision(NamedTuple):
+    """The decision that a deferred job, named by its request id, may run now."""
 
     id: str
     credit: float  # from 0 to 1: additional priority for the time for which the job was deferred
 
 
-class EndedJob(NamedTuple):
-    """A deferred job that must not run, with its final answer."""
+class EndDecision(NamedTuple):
+    """The decision that a deferred job must not run, with its final answer."""
 
     id: str
     answer: FinalAnswer
 
 
-class JobDeferral(Protocol):
-    """A queue of deferred jobs.
+class DeferralQueue(Protocol):
+    """The deferred-job queue as the engine uses it.
 
     It is notified of every job, deferred or not, and decides only in `step` which deferred jobs to release or
     to end. Times are in ms on the engine's clock.
@@ -58,8 +58,8 @@
     def on_job_opened(self, request_id: str) -> None:
         """Record that the node has admitted a job."""
 
-    def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
-        """Record that a job has ended with this answer; None if its client has disconnected."""
+    def on_job_closed(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
+        """Record that a job is closed with this answer; None if its client has disconnected."""
 
     def defer(
         self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
@@ -69,5 +69,11 @@
     def next_due(self, now: float) -> float:
         """Return when `step` has to be called next."""
 
-    def step(self, now: float, free_slots: Callable[[], float]) -> Iterable[ReleasedJob | EndedJob]:
-        """Return the jobs to release or to end now; `free_slots` returns the number of free slots."""
+    def step(
+        self, now: float, releasable_slots: Callable[[], float]
+    ) -> Iterable[ReleaseDecision | EndDecision]:
+        """Return which jobs to release and which to end now.
+
+        `releasable_slots` returns how many slots deferred jobs may use now. The number may be fractional,
+        since it is based on a fraction of the endpoints' capacity.
+        """
--- a/burlmoor/engine/deferral_controller.py
+++ b/burlmoor/engine/deferral_controller.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from burlmoor.engine.answers import Rejected
-from burlmoor.engine.deferral import EndedJob
+from burlmoor.engine.deferral import EndDecision
 from burlmoor.log_events import DeferredQueueFailed
 from burlmoor.types.reasons import EndReason
 
@@ -13,7 +13,7 @@
     from collections.abc import Callable
 
     from burlmoor.engine.deadlines import DeadlineQueue
-    from burlmoor.engine.deferral import ReleasedJob
+    from burlmoor.engine.deferral import ReleaseDecision
     from burlmoor.engine.deferral_notifier import DeferralNotifier
     from burlmoor.engine.job import Job
     from burlmoor.engine.job_lifecycle import JobLifecycle
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        deferral: DeferralNotifier,
+        deferral_notifier: DeferralNotifier,
         jobs: JobRegistry,
         deadlines: DeadlineQueue,
         policy: PolicyDriver,
@@ -38,7 +38,7 @@
         clock: Callable[[], float],
         log: EventLogger,
     ) -> None:
-        self._deferral = deferral
+        self._deferral_notifier = deferral_notifier
         self._jobs = jobs
         self._deadlines = deadlines
         self._policy = policy
@@ -49,7 +49,7 @@
 
     def step(self, now: float) -> None:
         """Release or end the jobs that the queue has selected."""
-        queue = self._deferral.queue
+        queue = self._deferral_notifier.queue
         if queue is None:
             return
         try:
@@ -59,7 +59,7 @@
             # An error in the queue must not end the node or leave deferred jobs unanswered: reject them, and
             # defer no further jobs.
             self._log(DeferredQueueFailed(error=repr(error)))
-            self._deferral.disable()
+            self._deferral_notifier.disable()
             self._reject_deferred_jobs()
 
     def _releasable_slots(self) -> float:
@@ -71,11 +71,11 @@
             self._lifecycle.answer(job, Rejected(), EndReason.RUN_CONDITIONS)
             self._jobs.remove_if_done(job)
 
-    def _apply(self, decision: ReleasedJob | EndedJob, now: float) -> None:
+    def _apply(self, decision: ReleaseDecision | EndDecision, now: float) -> None:
         job = self._jobs.find_by_id(decision.id)
         if job is None or job.is_closed or job.deferred_request is None:
             return
-        if isinstance(decision, EndedJob):
+        if isinstance(decision, EndDecision):
             self._lifecycle.answer(job, decision.answer, EndReason.RUN_CONDITIONS)
             self._jobs.remove_if_done(job)
         else:
@@ -84,15 +84,15 @@
     def _release(self, job: Job, request: JobRequest, credit: float, now: float) -> None:
         """Hand a deferred job to the policy.
 
-        The deadline of the job's class runs from the release, but not beyond the client's timeout. The policy
-        also gets the time by which deferral has shortened the timeout: it takes a job with a shorter timeout
-        than usual for a retry.
+        The timeout of the job's class counts from the release, but does not extend the client's timeout. The
+        policy also gets the time by which deferral has shortened the timeout, since it assumes that a job
+        with an unusually short timeout is a client's retry.
         """
         job.deferred_request = None
-        class_deadline_ms = self._deadlines.class_deadline_ms(request)
-        timeout_ms = max(0.0, min(job.deadline - now, class_deadline_ms))
-        deferred_ms = max(0.0, min(request.timeout_ms, class_deadline_ms) - timeout_ms)
-        job.admitted_at = now
+        class_timeout_ms = self._deadlines.class_timeout_ms(request)
+        timeout_ms = max(0.0, min(job.deadline - now, class_timeout_ms))
+        deferred_ms = max(0.0, min(request.timeout_ms, class_timeout_ms) - timeout_ms)
+        job.passed_to_policy_at = now
         job.deadline = self._deadlines.deadline_after(now, timeout_ms)
         self._deadlines.schedule(job.deadline, job)
         self._policy.post(
--- a/burlmoor/engine/deferral_notifier.py
+++ b/burlmoor/engine/deferral_notifier.py
@@ -1,4 +1,4 @@
-"""Notifies the deferred-job queue, if one is enabled, of each job that is opened or closed."""
+"""Owns the deferred-job queue, if one is enabled, and notifies it of each job that is opened or closed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
     from burlmoor.engine.answers import FinalAnswer
     from burlmoor.engine.deadlines import DeadlineQueue
-    from burlmoor.engine.deferral import JobDeferral, RunConditions
+    from burlmoor.engine.deferral import DeferralQueue, RunConditions
     from burlmoor.engine.job import Job
     from burlmoor.engine.job_registry import JobRegistry
     from burlmoor.types.events import JobRequest
 
 
 class DeferralNotifier:
-    """Holds the deferred-job queue while deferral is enabled, and notifies it of opened and closed jobs.
+    """Owns the deferred-job queue while deferral is enabled; the engine reaches the queue only through it.
 
     `wake` is called when `next_due` may return an earlier time than before. Times are in ms.
     """
@@ -29,18 +29,18 @@
         clock: Callable[[], float],
         wake: Callable[[], None],
     ) -> None:
-        self._queue: JobDeferral | None = None
+        self._queue: DeferralQueue | None = None
         self._jobs = jobs
         self._deadlines = deadlines
         self._clock = clock
         self._wake = wake
 
     @property
-    def queue(self) -> JobDeferral | None:
+    def queue(self) -> DeferralQueue | None:
         """The deferred-job queue; None if deferral is disabled."""
         return self._queue
 
-    def enable(self, queue: JobDeferral) -> None:
+    def enable(self, queue: DeferralQueue) -> None:
         """Defer jobs with run conditions in this queue from now on, and notify it of the open jobs."""
         self._queue = queue
         for job in self._jobs:
@@ -54,7 +54,7 @@
     def longest_timeout_ms(self, request: JobRequest, conditions: RunConditions | None) -> float:
         """Return the longest time for which a request with these conditions may be open, in ms."""
         if self._queue is None or conditions is None:
-            return self._deadlines.class_deadline_ms(request)
+            return self._deadlines.class_timeout_ms(request)
         return self._queue.max_deferral_ms
 
     def on_job_opened(
@@ -75,7 +75,7 @@
             return
         # The queue ends dependent jobs later, in `step`: ending them here would recurse along the chain of
         # dependencies, and a long one would block the event loop.
-        self._queue.on_job_ended(job.id, answer, self._clock())
+        self._queue.on_job_closed(job.id, answer, self._clock())
         self._wake()
 
     def next_due(self) -> float:
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -11,7 +11,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from burlmoor.engine.action_executor import ActionExecutor
+from burlmoor.engine.action_applier import ActionApplier
 from burlmoor.engine.answers import Failed, Rejected
 from burlmoor.engine.attempt_controller import AttemptController
 from burlmoor.engine.attempt_guard import AttemptGuard
@@ -45,17 +45,17 @@
         self._jobs = core.jobs
         self._deadlines = core.deadlines
         self._policy = core.policy
-        self._deferral = core.deferral
+        self._deferral_notifier = core.deferral_notifier
         self._lifecycle = core.lifecycle
         guard = AttemptGuard(core.settings.limits, core.invariants)
         self._attempts = AttemptController(
             core.jobs, core.deadlines, core.lifecycle, upstream, guard, core.job_log
         )
-        self._actions = ActionExecutor(
+        self._actions = ActionApplier(
             core.jobs, self._attempts, core.lifecycle, core.policy, upstream, discovery, core.log
         )
         self._deferral_controller = DeferralController(
-            core.deferral,
+            core.deferral_notifier,
             core.jobs,
             core.deadlines,
             core.policy,
@@ -82,7 +82,7 @@
             return None
         # A client's timeout must not keep a job open, and so delay a shutdown, far beyond the deadline of its
         # class.
-        timeout_ms = min(request.timeout_ms, self._deferral.longest_timeout_ms(request, conditions))
+        timeout_ms = min(request.timeout_ms, self._deferral_notifier.longest_timeout_ms(request, conditions))
         now = self._clock()
         job = Job(
             id=request_id,
@@ -91,21 +91,22 @@
             class_name=request.job_class,
             payload=payload,
             received_at=now,
-            # A shutdown shortens only this deadline: the policy would take a shorter timeout for a retry.
+            # A shutdown shortens this deadline but not the timeout: the policy assumes that a job with an
+            # unusually short timeout is a client's retry.
             deadline=self._deadlines.deadline_after(now, timeout_ms),
             is_non_idempotent=request.job_class in self._non_idempotent_classes,
         )
         self._jobs.add(job)
-        self._deferral.on_job_opened(job, request, conditions, now)
+        self._deferral_notifier.on_job_opened(job, request, conditions, now)
         # The queue releases or ends a deferred job before its deadline, which is scheduled on the release.
         if job.deferred_request is None:
             self._deadlines.schedule(job.deadline, job)
             self._policy.post(request._replace(id=job.number, timeout_ms=timeout_ms))
         return job
 
-    def answer_all_by(self, at: float, received_after: float = -math.inf) -> None:
-        """Bound by `at` the deadlines of all new jobs, and of open jobs received after `received_after`."""
-        self._deadlines.answer_by = at
+    def cap_deadlines(self, at: float, received_after: float = -math.inf) -> None:
+        """Limit the deadlines of new jobs, and of open jobs received after `received_after`, to `at` (ms)."""
+        self._deadlines.max_deadline = at
         for job in self._jobs:
             if not job.is_closed and job.received_at > received_after and job.deadline > at:
                 job.deadline = at
@@ -117,7 +118,7 @@
         earliest = self._stepped_at + self._tick_ms
         if self._policy.has_events():
             return earliest
-        due = min(self._deadlines.next_due(), self._policy.next_timer(), self._deferral.next_due())
+        due = min(self._deadlines.next_due(), self._policy.next_timer(), self._deferral_notifier.next_due())
         return max(due, earliest)
 
     def step(self) -> None:
@@ -125,14 +126,14 @@
         now = self._stepped_at = self._clock()
         expired_jobs = self._attempts.expire(now)
         self._deferral_controller.step(now)
-        self._actions.execute_all(self._policy.decide(now), now)
+        self._actions.apply_all(self._policy.decide(now), now)
         for job in expired_jobs:
             if not job.is_closed:
                 self._answer_expired(job, now)
 
     def _answer_expired(self, job: Job, now: float) -> None:
         """Answer a job past its deadline that the policy has left without an answer."""
-        is_shutdown = now >= self._deadlines.answer_by
+        is_shutdown = now >= self._deadlines.max_deadline
         self._log(AnsweredAtShutdown(id=job.id) if is_shutdown else AnsweredAtDeadline(id=job.id))
         reason = EndReason.SHUTDOWN if is_shutdown else EndReason.DEADLINE
         answer = Failed() if job.may_have_run() else Rejected()
--- a/burlmoor/engine/interfaces.py
+++ b/burlmoor/engine/interfaces.py
@@ -12,7 +12,10 @@
     """Starts attempts at executors, cancels them and checks health."""
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Start the attempt; its end is reported to `JobLifecycle.on_attempt_ended`."""
+        """Start the attempt; its outcome is reported to `JobLifecycle.on_attempt_ended`.
+
+        Once the endpoint has accepted the attempt, its call-back is expected to report the outcome.
+        """
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel the attempt at its endpoint.
--- a/burlmoor/engine/job.py
+++ b/burlmoor/engine/job.py
@@ -27,7 +27,7 @@
     job: Job
     number: int  # counts from 0 within the job
     endpoint: str
-    sent_at: float
+    selected_at: float  # when the attempt was created, before a connection is acquired
     deadline: float
     outcome: Outcome | None = None  # None until the attempt has ended
     pending_outcome: Outcome | None = None  # set on cancellation: its outcome once the endpoint confirms
@@ -66,8 +66,8 @@
         """Record that upstream has received the endpoint's 202."""
         self.accepted_at = now
 
-    def start(self, now: float) -> None:
-        """Record when the endpoint first reported that it runs the job."""
+    def record_started(self, now: float) -> None:
+        """Record that the endpoint runs the job; only the first report counts."""
         if self.started_at is None:
             self.started_at = now
 
@@ -89,7 +89,7 @@
     received_at: float
     deadline: float
     is_non_idempotent: bool
-    admitted_at: float = field(init=False)  # when the policy got it: at its receipt, or its release
+    passed_to_policy_at: float = field(init=False)  # at its receipt, or at the release of a deferred job
     is_closed: bool = False  # whether the job has its final answer or needs none
     deferred_request: JobRequest | None = None  # set while the job is deferred and unknown to the policy
     attempts: list[Attempt] = field(default_factory=list)
@@ -99,8 +99,8 @@
     closed_at: float = 0.0
 
     def __post_init__(self) -> None:
-        """Set the time of admission to that of receipt; the release of a deferred job sets a later one."""
-        self.admitted_at = self.received_at
+        """Set `passed_to_policy_at` to the time of receipt; a release of the job sets a later time."""
+        self.passed_to_policy_at = self.received_at
 
     def close(self, answer: FinalAnswer | None, reason: EndReason | None, now: float) -> None:
         """Record the final answer, None if the client has disconnected, and the reason for it."""
--- a/burlmoor/engine/job_lifecycle.py
+++ b/burlmoor/engine/job_lifecycle.py
@@ -58,13 +58,13 @@
         self,
         jobs: JobRegistry,
         policy: PolicyDriver,
-        deferral: DeferralNotifier,
+        deferral_notifier: DeferralNotifier,
         job_log: JobLog,
         clock: Callable[[], float],
     ) -> None:
         self._jobs = jobs
         self._policy = policy
-        self._deferral = deferral
+        self._deferral_notifier = deferral_notifier
         self._job_log = job_log
         self._clock = clock
 
@@ -89,18 +89,19 @@
         self._job_log.on_job_closed(job)
         for attempt in job.open_attempts():
             self._end_cancelled(attempt)  # a closed job is not sent again, so needs no confirmation
-        self._deferral.on_job_closed(job, answer)
+        self._deferral_notifier.on_job_closed(job, answer)
 
     def _report_closed(self, job: Job) -> None:
         """Notify the policy of a job that was closed without it, unless the job was still deferred."""
         if job.deferred_request is None:
+            # Also posted if the engine has answered: in both cases, the policy owes the job no answer.
             self._policy.post(ClientDisconnected(job.number))
         self._jobs.remove_if_done(job)
 
     def on_attempt_started(self, attempt: Attempt) -> None:
         """Record that the endpoint has begun to run the job, and notify the policy."""
         if not attempt.is_over:
-            attempt.start(self._clock())
+            attempt.record_started(self._clock())
             self._policy.post(AttemptStarted(attempt.job.number, attempt.number, attempt.endpoint))
 
     def on_attempt_progressed(self, attempt: Attempt, fraction: float) -> None:
@@ -113,10 +114,13 @@
     def begin_cancellation(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> bool:
         """Begin to cancel an attempt, which ends with `outcome` once its endpoint has confirmed that.
 
+        It ends at once if the job is closed or non-idempotent, since no retry then depends on a confirmation.
+
         Returns whether to send the cancellation to the endpoint; False if the attempt has already ended.
 
-        Without the confirmation, the job could be sent again while the first endpoint runs it: the endpoint
-        may accept the job just before the cancellation arrives, or be unreachable and never receive it.
+        Without the confirmation, an idempotent job could be sent again while the first endpoint runs it: the
+        endpoint may accept the job just before the cancellation arrives, or be unreachable and never receive
+        it.
         """
         if attempt.has_ended:
             return False
@@ -126,7 +130,9 @@
             self._job_log.on_attempt_cancelled(attempt, reason, self._clock())
         job = attempt.job
         if job.is_closed or job.is_non_idempotent:
-            self._end_cancelled(attempt)  # the job is not sent again in any case
+            # A closed job is never sent again; a non-idempotent one only if `outcome` proves that it has not
+            # started.
+            self._end_cancelled(attempt)
         elif is_first:
             self._policy.post(AttemptCancelling(job.number, attempt.number, attempt.endpoint, outcome))
         return True
@@ -151,7 +157,12 @@
             self.answer(job, Served(result or b""))
         self._policy.post(
             AttemptEnded(
-                job.number, attempt.number, attempt.endpoint, outcome, now - attempt.sent_at, job.is_closed
+                job.number,
+                attempt.number,
+                attempt.endpoint,
+                outcome,
+                now - attempt.selected_at,
+                job.is_closed,
             )
         )
         self._jobs.remove_if_done(job)
--- a/burlmoor/engine/job_log.py
+++ b/burlmoor/engine/job_log.py
@@ -45,7 +45,7 @@
         counted = answer_name if job.end_reason is None else f"{answer_name}: {job.end_reason.value}"
         self._counters.count(CounterGroup.JOBS, counted)
 
-    def on_attempt_started(self, attempt: Attempt) -> None:
+    def count_retry(self, attempt: Attempt) -> None:
         """Count a retry or a hedged request; first attempts are not counted."""
         if attempt.number > 0:
             outcome = attempt.job.attempts[attempt.number - 1].outcome
@@ -59,7 +59,10 @@
             self._counters.count(CounterGroup.CANCELS, reason.value)
 
     def on_job_removed(self, job: Job) -> None:
-        """Write the log line of a job that is closed and has no open attempt, unless it is only counted."""
+        """Write the `job-ended` line of a removed job, unless the job is only counted.
+
+        A job may be removed later than it is closed: the line has the ends of all its attempts.
+        """
         if not _completed_on_first_attempt(job):
             self._log(
                 JobEnded(
@@ -93,7 +96,7 @@
     """Return an attempt's state changes; those that have not occurred are omitted."""
     return AttemptTimeline(
         endpoint=attempt.endpoint,
-        selected=_milliseconds_after_receipt(attempt.job, attempt.sent_at),
+        selected=_milliseconds_after_receipt(attempt.job, attempt.selected_at),
         written=_state_change_ms(attempt.job, attempt.written_at),
         accepted=_state_change_ms(attempt.job, attempt.accepted_at),
         started=_state_change_ms(attempt.job, attempt.started_at),
--- a/burlmoor/engine/job_registry.py
+++ b/burlmoor/engine/job_registry.py
@@ -37,7 +37,7 @@
         self._ids_in_other_process.clear()
 
     def next_number(self) -> int:
-        """Return a number that no job of this node has had."""
+        """Return a number that no job of this process has had."""
         self._last_number += 1
         return self._last_number
 
--- a/burlmoor/engine/policy_driver.py
+++ b/burlmoor/engine/policy_driver.py
@@ -87,14 +87,14 @@
             return ()
 
     def _with_remaining_timeout(self, event: Event, now: float) -> Event:
-        """Subtract the time since admission from the timeout of a job request; return other events unchanged.
+        """Subtract the time since a job's receipt or release from its timeout; return other events unchanged.
 
-        With the full timeout, the policy would reject the job, with its advice to the client, only after the
-        job's deadline.
+        The policy would otherwise assume that more time is left than there is, and its rejection, which has a
+        Retry-After, would come after the job's deadline.
         """
         if not isinstance(event, JobRequest):
             return event
         job = self._jobs.find_by_number(event.id)
         if job is None:
             return event
-        return event._replace(timeout_ms=max(0.0, event.timeout_ms - (now - job.admitted_at)))
+        return event._replace(timeout_ms=max(0.0, event.timeout_ms - (now - job.passed_to_policy_at)))
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -52,12 +52,12 @@
         answered_by = self._clock() + 1000.0 * (self._drain.answer_within_seconds - seconds_ago)
         if self._handover.has_handed_over:
             # New clients connect to the successor; jobs still open here at SIGKILL would be lost.
-            self._engine.answer_all_by(answered_by)
+            self._engine.cap_deadlines(answered_by)
         else:
             late_from = self._clock() + 1000.0 * (_ARRIVAL_SECONDS - seconds_ago)
             await trio.sleep(max(0.0, _ARRIVAL_SECONDS - seconds_ago))
             # Without this, jobs that were admitted late and are still open at SIGKILL would be lost.
-            self._engine.answer_all_by(answered_by, received_after=late_from)
+            self._engine.cap_deadlines(answered_by, received_after=late_from)
             while self._drain.state < ServiceState.REJECTING:  # noqa: ASYNC110 - the state follows from the time
                 await trio.sleep(_POLL_SECONDS)
         await self._finish_work()
--- a/burlmoor/transport/sockets.py
+++ b/burlmoor/transport/sockets.py
@@ -73,7 +73,7 @@
 async def accept(
     sock: socket.socket, on_descriptors_exhausted: Callable[[OSError], None]
 ) -> socket.socket | None:
-    """Accept a pending connection, or return None if there is none or accepting failed.
+    """Accept a pending connection; return None if there is none or, after a pause, if accepting failed.
 
     `on_descriptors_exhausted` is called with the error if the process or system is out of descriptors.
     """
--- a/burlmoor/transport/stream.py
+++ b/burlmoor/transport/stream.py
@@ -67,6 +67,7 @@
         Returns False if the peer has shut down its sending side, or this side closes the stream meanwhile.
 
         Raises:
+            StreamClosedError: this side had closed the stream before.
             OSError: the connection broke.
         """
         while True:
@@ -82,6 +83,7 @@
         """Append available bytes to the inbound buffer, which must have free space, without waiting.
 
         Raises:
+            StreamClosedError: this side has closed the stream.
             OSError: the connection broke.
         """
         try:
@@ -97,6 +99,10 @@
         """Read and discard bytes until the peer shuts down its sending side.
 
         Bytes beyond `max_bytes` are read slowly, so that a peer that never stops sending costs little.
+
+        Raises:
+            StreamClosedError: this side has closed the stream.
+            OSError: the connection broke.
         """
         remaining_bytes = max_bytes
         while True:
@@ -117,6 +123,7 @@
         """Write as many bytes as the kernel accepts now, and buffer the rest.
 
         Raises:
+            StreamClosedError: this side has closed the stream.
             OSError: the connection broke.
             BufferFullError: the rest exceeds the free space of the buffer.
         """
@@ -127,7 +134,12 @@
             self.outbound.write(data)
 
     def flush(self) -> None:
-        """Write as many buffered bytes as the kernel accepts now."""
+        """Write as many buffered bytes as the kernel accepts now.
+
+        Raises:
+            StreamClosedError: this side has closed the stream.
+            OSError: the connection broke.
+        """
         sock = self._open_socket()
         while self.outbound:
             try:
@@ -140,7 +152,7 @@
         """Wait until the kernel has accepted all buffered bytes.
 
         Raises:
-            StreamClosedError: the stream was closed meanwhile.
+            StreamClosedError: this side has closed the stream.
             OSError: the connection broke.
         """
         while self.outbound:
@@ -159,7 +171,7 @@
                 self._drain_ended = None
 
     def is_open_and_idle(self) -> bool:
-        """Return whether the connection is open and no bytes from the peer are pending."""
+        """Return whether the connection is open and idle: no bytes from the peer are pending."""
         try:
             self._open_socket().recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -15,7 +15,7 @@
     BrokenResponseError,
     ConnectError,
     ConnectionEndedError,
-    RequestNotSentError,
+    RequestIncompleteError,
     ResponseTimeoutError,
 )
 from burlmoor.upstream.outcome import classify_failure
@@ -69,7 +69,7 @@
 
     @property
     def open_cancel_calls(self) -> int:
-        """The number of DELETE calls that wait for their response."""
+        """The number of DELETE calls that are about to be made or wait for their response."""
         return self._canceller.open_calls
 
     def start_attempt(self, attempt: Attempt) -> None:
@@ -77,10 +77,13 @@
         self._nursery.start_soon(self._run, attempt, self.in_flight.add(attempt))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel the attempt: by a DELETE and, until its 202 has arrived, also by closing its connection.
+        """Cancel the attempt at its endpoint, in a way that depends on its progress.
 
-        Until the 202 has arrived, neither is enough alone: the 202 may be in transit while the job runs, or
-        the DELETE may overtake the request. An attempt that has ended needs only one of the two.
+        - Its response has arrived: by a DELETE.
+        - Its request is not completely written: by closing the connection. The endpoint can't run the job.
+        - Its request is written, but the 202 has not arrived: by both. Neither is enough alone: the 202 may
+          be in transit while the job runs, or the DELETE may overtake the request. If the attempt has already
+          ended, no confirmation is needed, and only the connection is closed.
         """
         in_flight = self.in_flight.find(attempt)
         if in_flight is None:
@@ -96,8 +99,8 @@
         """Start a health check of an endpoint; its outcome is reported to the engine."""
         self._nursery.start_soon(self._health_checker.check, endpoint)
 
-    def abandon(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> None:
-        """Cancel an attempt that this node can't continue; it ends with `outcome` once this is confirmed."""
+    def cancel_with_outcome(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> None:
+        """Cancel an attempt that the engine has not cancelled; see `begin_cancellation` for its outcome."""
         if self._lifecycle.begin_cancellation(attempt, outcome, reason):
             self.cancel_attempt(attempt)
 
@@ -112,7 +115,7 @@
             # Contains the error in this attempt's task; in the nursery it would stop the node. It is not
             # known whether the job has run.
             self._log(AttemptError(endpoint=attempt.endpoint, error=repr(error)))
-            self.abandon(attempt, Outcome.RESET, CancelReason.INTERNAL_ERROR)
+            self.cancel_with_outcome(attempt, Outcome.RESET, CancelReason.INTERNAL_ERROR)
         finally:
             self.in_flight.remove(attempt)
 
@@ -125,7 +128,7 @@
             connection = await self._sender.send(attempt, in_flight)
         except SendPreconditionError:
             return Outcome.UNSENT
-        except (ConnectError, RequestNotSentError):
+        except (ConnectError, RequestIncompleteError):
             return Outcome.UNREACHABLE
         try:
             response = await self._read_response(attempt, connection)
@@ -167,5 +170,5 @@
             return Outcome.RESET
         is_timeout = isinstance(error, ResponseTimeoutError)
         reason = CancelReason.NO_RESPONSE if is_timeout else CancelReason.INVALID_RESPONSE
-        self.abandon(attempt, Outcome.RESET, reason)
+        self.cancel_with_outcome(attempt, Outcome.RESET, reason)
         return None
--- a/burlmoor/upstream/cancellation.py
+++ b/burlmoor/upstream/cancellation.py
@@ -1,4 +1,7 @@
-"""Cancels attempts at their endpoints by DELETE calls, which are repeated until one is answered."""
+"""Cancels attempts at their endpoints by DELETE calls.
+
+The call is repeated until the endpoint responds with a status below 500 or the attempt has ended.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 import trio
 
 from burlmoor.log_events import AttemptError
-from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
+from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestIncompleteError
 
 if TYPE_CHECKING:
     from burlmoor.engine.job import Attempt
@@ -90,7 +93,7 @@
             with trio.move_on_after(timeout_seconds):
                 response = await self._pool.call(attempt.address, b"DELETE", path, must_connect=must_connect)
                 return response.status < HTTPStatus.INTERNAL_SERVER_ERROR
-        except (ConnectError, RequestNotSentError, BrokenResponseError):
+        except (ConnectError, RequestIncompleteError, BrokenResponseError):
             return False  # the endpoint may or may not have received the DELETE
         return False
 
--- a/burlmoor/upstream/connection.py
+++ b/burlmoor/upstream/connection.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from burlmoor.types.reasons import CloseReason
-from burlmoor.upstream.errors import BrokenResponseError, RequestNotSentError
+from burlmoor.upstream.errors import BrokenResponseError, RequestIncompleteError
 from burlmoor.upstream.http import HttpClientConnection, Response
 
 if TYPE_CHECKING:
@@ -21,8 +21,8 @@
     def on_connection_closed(self, reason: CloseReason) -> None:
         """Count a closed connection under its reason."""
 
-    def on_request_not_withdrawn(self, address: str) -> None:
-        """Handle that a connection was closed whose unanswered request may still be delivered."""
+    def on_close_without_reset(self, address: str) -> None:
+        """Handle that a connection was not reset, so that its unanswered request may still be delivered."""
 
 
 class PooledConnection:
@@ -47,14 +47,14 @@
         """Write a complete request.
 
         Raises:
-            RequestNotSentError: the connection broke before the last byte of the request was written.
+            RequestIncompleteError: the connection broke before the last byte of the request was written.
         """
         self._has_open_request = True
         try:
             self._stream.send(self._http.encode_request(method, path, headers, body))
             await self._stream.drain()
         except (OSError, BufferError) as error:
-            raise RequestNotSentError(self.address, str(error)) from error
+            raise RequestIncompleteError(self.address, str(error)) from error
 
     async def read(self) -> Response:
         """Read the complete response.
@@ -76,16 +76,17 @@
         """Write a request without a body and read its response; close the connection on any error.
 
         Raises:
-            RequestNotSentError: the connection broke before the last byte of the request was written.
+            RequestIncompleteError: the connection broke before the last byte of the request was written.
             BrokenResponseError: no complete, valid response arrived.
         """
         try:
             await self.write(method, path, [], b"")
             return await self.read()
-        except (RequestNotSentError, BrokenResponseError):
+        except (RequestIncompleteError, BrokenResponseError):
             self.close(CloseReason.BROKEN)
             raise
         except BaseException:
+            # This reason also counts the cancelled calls of health checks and of discovery.
             self.close(CloseReason.ATTEMPT_CANCELLED)
             raise
 
@@ -112,15 +113,15 @@
     def close(self, reason: CloseReason) -> None:
         """Close the connection; closing it again has no effect.
 
-        A request without a complete response is withdrawn: the connection is reset, which discards the bytes
-        that are not delivered yet. Otherwise the kernel could deliver them to a partitioned executor once it
-        is reachable again, when it may be draining, the job may run elsewhere or the client may have its
-        answer.
+        If a request has no complete response, the connection is reset, which discards the bytes that are not
+        delivered yet. Otherwise the kernel could deliver them to a partitioned executor once it is reachable
+        again. By then the executor may be draining, the job may be running elsewhere, or the client may
+        already have its answer.
         """
         if not self._stream.is_closed:
             if not self._has_open_request:
                 self._stream.set_reset_on_close(enabled=False)
             elif not (self._resets_on_close or self._stream.set_reset_on_close(enabled=True)):
-                self._pool.on_request_not_withdrawn(self.address)
+                self._pool.on_close_without_reset(self.address)
             self._stream.close()
             self._pool.on_connection_closed(reason)
--- a/burlmoor/upstream/errors.py
+++ b/burlmoor/upstream/errors.py
@@ -16,17 +16,20 @@
         self.reason = reason
 
 
-class RequestNotSentError(BurlmoorError):
+class RequestIncompleteError(BurlmoorError):
     """The connection broke before the request's last byte was written, so the request has not run."""
 
     def __init__(self, address: str, reason: str) -> None:
-        super().__init__(f"request to {address} not sent: {reason}")
+        super().__init__(f"request to {address} was not completely written: {reason}")
         self.address = address
         self.reason = reason
 
 
 class BrokenResponseError(BurlmoorError):
-    """The response was not complete or not valid HTTP; whether the request has run is not known."""
+    """No complete, valid response arrived, so it is not known whether the request has run.
+
+    The connection ended, the bytes were not valid HTTP, or a limit of length or time was exceeded.
+    """
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
--- a/burlmoor/upstream/health_check.py
+++ b/burlmoor/upstream/health_check.py
@@ -9,7 +9,7 @@
 
 from burlmoor.log_events import AttemptError
 from burlmoor.types.outcome import Outcome
-from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestNotSentError
+from burlmoor.upstream.errors import BrokenResponseError, ConnectError, RequestIncompleteError
 from burlmoor.upstream.outcome import classify_failure
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         started_at = self._clock()
         try:
             outcome = await self._request(endpoint)
-        except (ConnectError, RequestNotSentError):
+        except (ConnectError, RequestIncompleteError):
             outcome = Outcome.UNREACHABLE
         except BrokenResponseError:
             outcome = Outcome.RESET
--- a/burlmoor/upstream/in_flight.py
+++ b/burlmoor/upstream/in_flight.py
@@ -21,7 +21,7 @@
     """The sending state of an attempt that waits for its 202; `RequestSender` updates it."""
 
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    connection: PooledConnection | None = None  # None until the request's first byte is written
+    connection: PooledConnection | None = None  # None until its request is about to be written
     is_written: bool = False  # whether the request's last byte has been written
 
     def abort(self) -> None:
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -14,7 +14,7 @@
 from burlmoor.upstream.errors import (
     BrokenResponseError,
     ConnectError,
-    RequestNotSentError,
+    RequestIncompleteError,
     ResponseTooLongError,
 )
 
@@ -33,8 +33,8 @@
 class ConnectionPool:
     """Owns the idle connections by address, the most recently used last, and counts all open ones.
 
-    A connection is reused only if it has been idle for at least `reuse_delay_seconds` and at most
-    `idle_limit_seconds`.
+    A connection is reused only if it has been idle for at least `reuse_delay_seconds` and less than
+    `idle_limit_seconds`, or than a shorter time after a reused connection has turned out to be stale.
     """
 
     def __init__(
@@ -70,13 +70,15 @@
         self._max_connections = max_connections
 
     @property
-    def is_reuse_risky(self) -> bool:
-        """Whether a reused connection has recently turned out to be stale."""
+    def had_recent_stale_connection(self) -> bool:
+        """Whether a reused connection has recently turned out to be stale; the idle limit is then reduced."""
         return trio.current_time() < self._idle_limit_reduced_until
 
-    def _max_idle_seconds(self) -> float:
-        """Return the longest idle time after which a connection may be reused at present."""
-        return self._reduced_idle_limit_seconds if self.is_reuse_risky else self.idle_limit_seconds
+    def _current_idle_limit_seconds(self) -> float:
+        """Return the idle limit for a reuse now; it is reduced after a stale connection."""
+        return (
+            self._reduced_idle_limit_seconds if self.had_recent_stale_connection else self.idle_limit_seconds
+        )
 
     def on_connection_broken(self, connection: PooledConnection) -> None:
         """Reduce the idle limit for a while if a reused connection broke right after its reuse.
@@ -87,7 +89,7 @@
         now = trio.current_time()
         if connection.is_reused and now < connection.reused_at + _STALE_DETECTION_SECONDS:
             half_idle_seconds = 0.5 * (connection.reused_at - connection.idle_since)
-            self._reduced_idle_limit_seconds = min(self._max_idle_seconds(), half_idle_seconds)
+            self._reduced_idle_limit_seconds = min(self._current_idle_limit_seconds(), half_idle_seconds)
             self._idle_limit_reduced_until = now + _IDLE_LIMIT_RECOVERY_SECONDS
 
     async def acquire(self, address: str) -> PooledConnection:
@@ -106,7 +108,7 @@
                 # A second response to the last request, if still in transit, would be taken for this one's.
                 continue
             idle.remove(connection)
-            if not _close_if_unusable(connection, now - self._max_idle_seconds()):
+            if not _close_if_unusable(connection, now - self._current_idle_limit_seconds()):
                 connection.record_reuse(now)
                 return connection
         return None
@@ -142,7 +144,7 @@
 
         Raises:
             ConnectError: no connection was established.
-            RequestNotSentError: the connection broke before the last byte of the request was written.
+            RequestIncompleteError: the connection broke before the last byte of the request was written.
             BrokenResponseError: no complete, valid response arrived.
             ResponseTooLongError: the response exceeds the limit of this pool.
         """
@@ -151,7 +153,7 @@
             response = await connection.exchange(method, path)
         except ResponseTooLongError:
             raise  # the peer has responded, so the connection was not stale
-        except (RequestNotSentError, BrokenResponseError):
+        except (RequestIncompleteError, BrokenResponseError):
             if not connection.is_reused:
                 raise
             self.on_connection_broken(connection)
@@ -171,8 +173,8 @@
         self.open_count -= 1
         self._counters.count(CounterGroup.ENDPOINT_CLOSES, reason.value)
 
-    def on_request_not_withdrawn(self, address: str) -> None:
-        """Count a violation: a connection was closed whose unanswered request may still be delivered."""
+    def on_close_without_reset(self, address: str) -> None:
+        """Count a violation: the unanswered request of a connection without reset may still be delivered."""
         if self._invariants is not None:
             self._invariants.record_violation(Invariant.CLOSE, address=address)
 
@@ -187,10 +189,10 @@
         return True
 
     def close_expired(self) -> None:
-        """Close the idle connections that have reached the idle limit or were closed by their peer."""
-        expired_since = trio.current_time() - self.idle_limit_seconds
+        """Close the idle connections that have reached `idle_limit_seconds` or were closed by their peer."""
+        idle_cutoff = trio.current_time() - self.idle_limit_seconds
         for address, idle in list(self._idle.items()):
-            remaining = [entry for entry in idle if not _close_if_unusable(entry, expired_since)]
+            remaining = [entry for entry in idle if not _close_if_unusable(entry, idle_cutoff)]
             if remaining:
                 self._idle[address] = remaining
             else:
@@ -202,12 +204,12 @@
             connection.close(CloseReason.ENDPOINT_CHANGED)
 
 
-def _close_if_unusable(connection: PooledConnection, expired_since: float) -> bool:
-    """Close an idle connection that has expired or whose peer has closed it; return whether it was closed.
+def _close_if_unusable(connection: PooledConnection, idle_cutoff: float) -> bool:
+    """Close a connection idle since `idle_cutoff`, or closed by its peer; return whether this closed it.
 
     A request written to a connection that its peer has closed would end with a reset.
     """
-    if connection.idle_since <= expired_since:
+    if connection.idle_since <= idle_cutoff:
         connection.close(CloseReason.IDLE)
         return True
     if not connection.is_reusable():
--- a/burlmoor/upstream/request_sender.py
+++ b/burlmoor/upstream/request_sender.py
@@ -6,7 +6,7 @@
 
 from burlmoor.invariants import Invariant
 from burlmoor.types.reasons import CloseReason
-from burlmoor.upstream.errors import RequestNotSentError
+from burlmoor.upstream.errors import RequestIncompleteError
 from burlmoor.upstream.send_precondition import check_send_precondition, recheck_send_precondition
 
 if TYPE_CHECKING:
@@ -62,10 +62,11 @@
         Raises:
             SendPreconditionError: the attempt must no longer be sent.
             ConnectError: no connection was established.
-            RequestNotSentError: the connection broke before the last byte was written; the job has not run.
+            RequestIncompleteError: the connection broke before the last byte was written; the job has not
+                run.
         """
         # A non-idempotent job can't be retried if a pooled connection turns out to be stale.
-        must_connect = attempt.job.is_non_idempotent and self._pool.is_reuse_risky
+        must_connect = attempt.job.is_non_idempotent and self._pool.had_recent_stale_connection
         while True:
             endpoint = check_send_precondition(attempt, self._directory)
             open_connection = self._pool.connect if must_connect else self._pool.acquire
@@ -75,11 +76,11 @@
                 # this check and the first byte.
                 recheck_send_precondition(attempt, self._directory, endpoint)
                 await self._write(attempt, endpoint, connection, in_flight)
-            except RequestNotSentError:
+            except RequestIncompleteError:
                 connection.close(CloseReason.BROKEN)
                 if must_connect or not connection.is_reused:
                     raise
-                # The pooled connection was stale. The request was not sent, so a new connection may carry it.
+                # The pooled connection was stale. The request has not run, so a new connection may carry it.
                 must_connect = True
                 continue
             except BaseException:
--- a/burlmoor/upstream/send_precondition.py
+++ b/burlmoor/upstream/send_precondition.py
@@ -27,11 +27,11 @@
     Three conditions must hold:
 
     - The job is open and its client connected. Executors do no work for clients that have disconnected, and
-      no hedged request is sent for a job that has its final answer. Where the settings disable cancellation,
-      nothing else stops an attempt that waits for a connection.
+      no hedged request is sent for a job that has its final answer. If cancellation is disabled, only
+      this check stops such an attempt.
     - The attempt is not over: it has neither ended nor been cancelled.
-    - The endpoint is live: neither draining, nor gone, nor disabled by an override. The drain rule allows no
-      new work for an endpoint once the node was notified that it drains.
+    - The endpoint is live: neither draining, nor gone, nor disabled by an override. Once the
+      node was notified that an endpoint drains, it must send no new work there.
 
     The caller must not suspend between this check and the first byte, since another task could change these
     conditions.
@@ -50,7 +50,7 @@
 def recheck_send_precondition(
     attempt: Attempt, directory: EndpointDirectory, connected_to: ListedEndpoint
 ) -> None:
-    """Repeat the check once connected, and check that the endpoint is still the process connected to.
+    """Repeat the check once connected, and check that the endpoint's process has not been replaced meanwhile.
 
     Raises:
         SendPreconditionError: the attempt must not use this connection.
--- a/burlmoor/upstream/withdrawal.py
+++ b/burlmoor/upstream/withdrawal.py
@@ -18,10 +18,11 @@
     from burlmoor.log import EventLogger
     from burlmoor.upstream.attempts import AttemptRunner
 
-# The time after the notification that an endpoint drains at which its unaccepted attempts are withdrawn. The
-# drain rule allows 0.25 s; the difference of 0.15 s is for stalls of the event loop.
+# The time after the notification that an endpoint drains at which its unaccepted attempts are withdrawn. A
+# node must stop sending to the endpoint within 0.25 s of the notification; the difference of 0.15 s is for
+# stalls of the event loop.
 _WITHDRAW_AFTER_SECONDS = 0.1
-# The time after the same notification at which an attempt that still waits counts as a violation.
+# The time after the same notification from which an attempt that still waits counts as a violation.
 _VIOLATION_AFTER_SECONDS = 0.25
 
 
@@ -46,20 +47,20 @@
         self._log = log
 
     def on_endpoints_not_live(self, names: frozenset[str]) -> None:
-        """Withdraw the attempts at these endpoints that are not accepted within the grace period."""
+        """Withdraw the attempts at these endpoints that are not accepted in time."""
         for attempt in self._attempts.in_flight:
             if attempt.endpoint in names:
                 self._nursery.start_soon(self._withdraw_unaccepted, attempt)
 
     async def _withdraw_unaccepted(self, attempt: Attempt) -> None:
-        """Withdraw an attempt unless its endpoint accepts it within the grace period, or is live again."""
+        """Withdraw an attempt unless its endpoint accepts it in time or is live again."""
         await trio.sleep(_WITHDRAW_AFTER_SECONDS)
         in_flight = self._attempts.in_flight.find(attempt)
         if in_flight is None or attempt.is_cancelling or self._directory.find_live(attempt.endpoint):
             return
         # A request whose last byte was not written has not run.
         outcome = Outcome.RESET if in_flight.is_written else Outcome.UNREACHABLE
-        self._attempts.abandon(attempt, outcome, CancelReason.ENDPOINT_NOT_LIVE)
+        self._attempts.cancel_with_outcome(attempt, outcome, CancelReason.ENDPOINT_NOT_LIVE)
         self._log(
             AttemptWithdrawn(
                 id=attempt.job.id,
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -194,7 +194,7 @@
         await wait_until_sent(harness, "p", "c3", "c1")
         await harness.send_callback("done", "waited")
         assert (await harness.read_response(first)).body == b"waited"
-        await harness.wait_until(lambda: harness.components.core.deferral.queue is None)
+        await harness.wait_until(lambda: harness.components.core.deferral_notifier.queue is None)
         path.write_text("[waiting]\n")
         harness.node.reload(given)
         await submit_deferred(harness, "p2")
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -11,7 +11,7 @@
 from burlmoor.config.options import DeferredOptions
 from burlmoor.deferred import DeferredJobQueue
 from burlmoor.engine.answers import DependencyFailed, Failed, Rejected, Served
-from burlmoor.engine.deferral import EndedJob, ReleasedJob, RunConditions
+from burlmoor.engine.deferral import EndDecision, ReleaseDecision, RunConditions
 from burlmoor.engine.job import Job
 from burlmoor.types.actions import Action, RejectJob
 from burlmoor.types.events import JobRequest
@@ -160,7 +160,7 @@
     harness = DeferralHarness()
     parent = harness.start_parent()
     child = harness.submit_deferred("c", "p", timeout_ms=60_000.0)
-    harness.engine.answer_all_by(harness.now + 3300.0)
+    harness.engine.cap_deadlines(harness.now + 3300.0)
     harness.advance(3301.0)
     assert child.answer_types() == [Rejected]
     assert parent.is_closed
@@ -182,7 +182,7 @@
     queue = DeferredJobQueue(
         DeferredOptions(unknown_timeout_ms=100.0), 1000, 1000.0, 1, harness.log, harness.now
     )
-    harness.core.deferral.enable(queue)
+    harness.core.deferral_notifier.enable(queue)
     client = RecordingResponder()
     harness.engine.admit(
         client, "c", JobRequest(0, "lookup", 5000.0, 10.0), None, RunConditions(("p",), 0.0, 1)
@@ -262,10 +262,10 @@
     queue.on_job_opened("c")
     queue.defer("c", JobRequest(0, "lookup", 1.0, 500.0), RunConditions(("x",), 0.0, 1), 1.0, 0.0)
     assert queue.next_due(0.0) == 0.0
-    assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [EndedJob]
+    assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [EndDecision]
     queue.on_job_opened("d")
     queue.defer("d", JobRequest(0, "lookup", 1e4, 500.0), RunConditions((), 5.0, 1), 1e4, 0.0)
-    assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [ReleasedJob]
+    assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [ReleaseDecision]
 
 
 def test_a_fault_of_the_queue_rejects_the_deferred_jobs_and_the_engine_continues(
@@ -275,7 +275,7 @@
     harness.start_parent()
     clients = [harness.submit_deferred(f"c{number}", "p") for number in range(3)]
 
-    def broken(*_given: Any) -> list[ReleasedJob | EndedJob]:
+    def broken(*_given: Any) -> list[ReleaseDecision | EndDecision]:
         raise ZeroDivisionError
 
     monkeypatch.setattr(harness.queue, "step", broken)
--- a/tests/deferred/test_release.py
+++ b/tests/deferred/test_release.py
@@ -29,7 +29,7 @@
     assert 2500.0 < job.deadline - harness.now < 3000.0
     known = harness.core.dispatcher._jobs.by_id[job.number]
     # The latency objective counts from the release: no part of it was spent on earlier attempts.
-    assert known.objective_at == pytest.approx(job.admitted_at + known.objective_ms, abs=10.0)
+    assert known.objective_at == pytest.approx(job.passed_to_policy_at + known.objective_ms, abs=10.0)
     harness.finish_attempt("c")
     assert child.answer_types() == [Served]
 
--- a/tests/engine/test_cancelling.py
+++ b/tests/engine/test_cancelling.py
@@ -88,7 +88,7 @@
     harness = EngineHarness(limits=NO_HEDGING)
     client, attempt = harness.submit_and_start(timeout_ms=5000.0, work_ms=2000.0)
     other_endpoint = next(f"a{number}" for number in range(4) if f"a{number}" != attempt.endpoint)
-    harness.engine.answer_all_by(harness.now + 100.0)
+    harness.engine.cap_deadlines(harness.now + 100.0)
     # When the job is answered, its attempt has ended, but the call that cancels it is still in flight.
     repeated_start = StartAttempt(attempt.job.number, other_endpoint)
     monkeypatch.setattr(
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -149,8 +149,9 @@
 ) -> None:
     harness = EngineHarness()
     client, attempt = harness.submit_and_start("once")
-    rejection: list[Action] = [RejectJob(attempt.job.number, 50.0), FailJob(attempt.job.number)]
-    monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: rejection)
+    # The engine must turn the rejection into a failure. The second action finds the job closed.
+    rejection_and_failure: list[Action] = [RejectJob(attempt.job.number, 50.0), FailJob(attempt.job.number)]
+    monkeypatch.setattr(harness.core.dispatcher, "handle", lambda *_: rejection_and_failure)
     harness.core.lifecycle.on_attempt_progressed(attempt, 0.5)
     harness.advance(10.0)
     assert client.answers == [Failed()]
@@ -160,6 +161,7 @@
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_attempt_ended(attempt, Outcome.RESET)
+    # The policy requests one more attempt at the same endpoint, in its first batch, and nothing afterwards.
     repeated_starts: list[Action] = [StartAttempt(attempt.job.number, attempt.endpoint)]
     monkeypatch.setattr(
         harness.core.dispatcher,
@@ -172,8 +174,8 @@
 
 
 def test_a_very_long_client_timeout_is_bounded_and_does_not_affect_other_jobs() -> None:
-    # Without the bound, the job would stay open for more than a day, and the policy would take the shorter
-    # timeouts of all other jobs for those of retries that have waited as long.
+    # Without the bound, the job would stay open for more than a day, and the policy would assume
+    # that all other jobs, whose timeouts are much shorter, are clients' retries.
     harness = EngineHarness()
     _, job = harness.submit(timeout_ms=1e8)
     assert job.deadline == harness.now + 5000.0
--- a/tests/integration/test_shutdown_over_sockets.py
+++ b/tests/integration/test_shutdown_over_sockets.py
@@ -50,7 +50,7 @@
     async with open_node_harness() as harness:
         client = await harness.submit_job("once", "a1")
         await begin_shutdown(harness)
-        await harness.wait_until(lambda: harness.components.core.deadlines.answer_by < math.inf)
+        await harness.wait_until(lambda: harness.components.core.deadlines.max_deadline < math.inf)
         for number in range(3):  # one connection carries them all
             await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
             await harness.send_callback("done", "fine")
--- a/tests/integration/test_upstream_connections.py
+++ b/tests/integration/test_upstream_connections.py
@@ -41,9 +41,9 @@
         await trio.sleep(0.05)
         reused = await pool.acquire(address)
         assert reused is second
-        assert not pool.is_reuse_risky
+        assert not pool.had_recent_stale_connection
         pool.on_connection_broken(reused)
-        assert pool.is_reuse_risky
+        assert pool.had_recent_stale_connection
         assert await pool.acquire(address) is not first
 
 
--- a/tests/support/deferral_harness.py
+++ b/tests/support/deferral_harness.py
@@ -26,7 +26,7 @@
         self.queue = DeferredJobQueue(
             DeferredOptions(**options), max_connections, 1000.0, 1, self.log, self.now, self.unix_now_ms
         )
-        self.core.deferral.enable(self.queue)
+        self.core.deferral_notifier.enable(self.queue)
 
     def unix_now_ms(self) -> float:
         return UNIX_EPOCH_MS + self.now + self.unix_offset_ms
