--- a/burlmoor/engine/attempt_controller.py
+++ b/burlmoor/engine/attempt_controller.py
@@ -81,8 +81,8 @@
             if isinstance(item, Attempt):
                 self._time_out(item, now)
             elif not item.is_closed:
-                # An attempt that is cancelled here may still run. The guard starts no attempt of a job whose
-                # deadline is not later than now.
+                # An attempt that is cancelled here may still run, so the job must not be sent again: the
+                # guard refuses attempts of a job whose deadline is not later than now.
                 item.deadline = min(item.deadline, now)
                 for attempt in item.open_attempts():
                     self._time_out(attempt, now)
--- a/burlmoor/upstream/attempts.py
+++ b/burlmoor/upstream/attempts.py
@@ -100,7 +100,10 @@
         self._nursery.start_soon(self._health_checker.check, endpoint)
 
     def cancel_with_outcome(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> None:
-        """Cancel an attempt that the engine has not cancelled; see `begin_cancellation` for its outcome."""
+        """Cancel an attempt on the initiative of upstream.
+
+        `JobLifecycle.begin_cancellation` defines when the attempt ends with `outcome`.
+        """
         if self._lifecycle.begin_cancellation(attempt, outcome, reason):
             self.cancel_attempt(attempt)
 
