--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -22,7 +22,7 @@
 from burlmoor.deferred import DeferredJobQueue
 from burlmoor.deferred.status import build_status
 from burlmoor.engine.answers import Served
-from burlmoor.engine.deferral import ReleasedJob, RunConditions
+from burlmoor.engine.deferral import ReleaseDecision, RunConditions
 from burlmoor.types.events import JobRequest
 
 _SIZES = (10, 1_000, 10_000, 100_000)
@@ -86,10 +86,10 @@
     queue.on_job_opened(child)
     queue.defer(child, _REQUEST, conditions, _NOW + 60_000.0, _NOW)
     queue.step(_NOW, _count_free_slots)
-    queue.on_job_ended(parent, Served(b""), _NOW)
+    queue.on_job_closed(parent, Served(b""), _NOW)
     decisions = queue.step(_NOW, _count_free_slots)
-    assert [type(decision) for decision in decisions] == [ReleasedJob], decisions
-    queue.on_job_ended(child, Served(b""), _NOW)
+    assert [type(decision) for decision in decisions] == [ReleaseDecision], decisions
+    queue.on_job_closed(child, Served(b""), _NOW)
 
 
 def _measure(count: int) -> dict[str, float]:
--- a/tests/deferred/test_release.py
+++ b/tests/deferred/test_release.py
@@ -29,7 +29,9 @@
     assert 2500.0 < job.deadline - harness.now < 3000.0
     policy_job = harness.core.dispatcher._jobs.by_id[job.number]
     # The latency objective counts from the release; earlier attempts have spent no part of it.
-    assert policy_job.objective_at == pytest.approx(job.admitted_at + policy_job.objective_ms, abs=10.0)
+    assert policy_job.objective_at == pytest.approx(
+        job.passed_to_policy_at + policy_job.objective_ms, abs=10.0
+    )
     harness.finish_attempt("c")
     assert child.answer_types() == [Served]
 
