--- a/burlmoor/early_signals.py
+++ b/burlmoor/early_signals.py
@@ -1,8 +1,8 @@
-"""Handlers for signals that arrive while no service handles them: during the start, and at the very end.
+"""Signal handlers for the time before the service handles signals itself, and after it has ended.
 
-Imported before anything else, since the rest of the program takes a while to import and SIGHUP would end
-the process until then. Before the interpreter runs this module, the command that starts the process has to
-ignore SIGHUP, as the deploy file does.
+This module is imported before anything else: importing the rest of the program takes a while, and until a
+handler is installed SIGHUP ends the process. The command that starts the process must ignore SIGHUP until
+the interpreter runs this module, as the command in the deploy file does.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EarlySignals:
-    """Owns the handlers that are in force whenever the service has none of its own."""
+    """Handles SIGHUP, SIGTERM and SIGINT whenever the service has no handlers of its own."""
 
     def __init__(self) -> None:
         self._is_starting = True
@@ -27,28 +27,28 @@
     def install(self) -> None:
         """Install the handlers; repeated calls change nothing."""
         signal.signal(signal.SIGHUP, self._on_reload)
-        for number in _TERMINATION_SIGNALS:
-            signal.signal(number, self._on_end)
+        for signal_number in _TERMINATION_SIGNALS:
+            signal.signal(signal_number, self._on_termination)
 
-    def _on_reload(self, _number: int, _frame: FrameType | None) -> None:
+    def _on_reload(self, _signal_number: int, _frame: FrameType | None) -> None:
         self._is_reload_requested = True
 
-    def _on_end(self, _number: int, _frame: FrameType | None) -> None:
-        # A starting process has admitted nothing; a process whose service has ended exits by itself.
+    def _on_termination(self, _signal_number: int, _frame: FrameType | None) -> None:
+        # A starting process has admitted no jobs; once the service has ended, the process exits by itself.
         if self._is_starting:
             os._exit(0)
 
     def ignore_all(self) -> None:
-        """Ignore the signals: the process ends by itself, and the interpreter would restore the defaults."""
-        for number in (signal.SIGHUP, *_TERMINATION_SIGNALS):
-            signal.signal(number, signal.SIG_IGN)
+        """Ignore the signals while the process exits; the interpreter would restore their default actions."""
+        for signal_number in (signal.SIGHUP, *_TERMINATION_SIGNALS):
+            signal.signal(signal_number, signal.SIG_IGN)
 
     def on_configuration_read(self) -> None:
-        """Note that the configuration is being read, which satisfies any reload requested before."""
+        """Clear a pending reload request: the configuration is about to be read anyway."""
         self._is_reload_requested = False
 
-    def on_service_catches(self) -> bool:
-        """Note that the service handles signals itself; return whether a reload was requested before."""
+    def on_service_handles_signals(self) -> bool:
+        """Note that the service handles signals from now on; return whether a reload request is pending."""
         self._is_starting = False
         return self._is_reload_requested
 
--- a/burlmoor/lifecycle/components.py
+++ b/burlmoor/lifecycle/components.py
@@ -38,7 +38,7 @@
     discovery: DiscoveryClient
     discovery_pool: ConnectionPool
     drain: DrainController
-    listener: socket.socket  # bound; the node or the platform makes it listen
+    listener: socket.socket  # bound; the node or the platform calls `listen`
     server: DownstreamServer
     admin: AdminService
-    admin_server: AdminServer | None  # None: the configuration has no admin address
+    admin_server: AdminServer | None  # None if the configuration has no admin address
--- a/burlmoor/lifecycle/connection_limits.py
+++ b/burlmoor/lifecycle/connection_limits.py
@@ -1,4 +1,4 @@
-"""Divides a node's limits on connections: by direction, and between its two processes."""
+"""Divides a node's connection limit between directions and, during a handover, between two processes."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
     from burlmoor.downstream.connection_set import ConnectionSet
     from burlmoor.upstream.pool import ConnectionPool
 
-# Descriptors for everything but connections to clients and executors: 12 admin connections, 4 to discovery
-# and about a dozen of the process itself. At most half of the available descriptors are reserved.
+# File descriptors for everything except connections to clients and executors: 12 admin connections, 4 to
+# discovery and about a dozen of the process itself. At most half of the available descriptors are reserved.
 _RESERVED_SOCKETS = 64
 _MIN_SOCKETS = 64
-_UPSTREAM_FRACTION = 0.3  # of the rest; an attempt holds a connection only until its 202
-_MIN_CONNECTIONS = 8  # in each direction; a process may always have these during a handover
+_UPSTREAM_FRACTION = 0.3  # of the unreserved descriptors; an attempt holds a connection only until its 202
+_MIN_CONNECTIONS = 8  # per direction; the lowest limit of a process during a handover
 
 
 class SocketBudget(NamedTuple):
@@ -24,7 +24,7 @@
 
 
 def divide_sockets(max_sockets: int) -> SocketBudget:
-    """Divide the node's descriptors between the two directions."""
+    """Reserve descriptors for internal use, and divide the rest between the two directions."""
     available = max(_MIN_SOCKETS, max_sockets)
     available -= min(_RESERVED_SOCKETS, available // 2)
     upstream = int(available * _UPSTREAM_FRACTION)
@@ -40,7 +40,7 @@
         self._node_limits = SocketBudget(connections.max_connections, pool.max_connections)
 
     def reserve(self, downstream: int, upstream: int) -> None:
-        """Subtract the connections that the other process has open."""
+        """Lower the limits by the numbers of connections that the other process has open."""
         self._connections.set_max_connections(
             max(_MIN_CONNECTIONS, self._node_limits.downstream - downstream)
         )
--- a/burlmoor/lifecycle/engine_loop.py
+++ b/burlmoor/lifecycle/engine_loop.py
@@ -13,23 +13,23 @@
 
 
 class EngineLoop:
-    """Owns the event that wakes the loop; `clock` returns ms."""
+    """Waits until the engine is due or woken, then steps it; `clock` returns milliseconds."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._wake_event = trio.Event()
 
     def wake(self) -> None:
-        """Make the loop check again when the engine is due."""
+        """Make the loop recompute when the engine is next due."""
         self._wake_event.set()
 
     async def run(self, engine: Engine) -> None:
         """Step the engine until cancelled."""
         while True:
             self._wake_event = trio.Event()
-            wait = self._seconds_until_due(engine)
-            if wait > 0.0:
-                with trio.move_on_after(wait):
+            wait_seconds = self._seconds_until_due(engine)
+            if wait_seconds > 0.0:
+                with trio.move_on_after(wait_seconds):
                     await self._wake_event.wait()
                 # Events are collected for one tick, then passed to the policy together.
                 if self._seconds_until_due(engine) > 0.0:
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: a node finishes its admitted jobs before the process exits."""
+"""Graceful shutdown: the node finishes its admitted jobs before the process exits."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from burlmoor.lifecycle.stall_monitor import StallMonitor
     from burlmoor.log import EventLogger
 
-# After SIGTERM: a job that is admitted later than this may still be open at SIGKILL.
-_ARRIVAL_SECONDS = 0.7
-_POLL_SECONDS = 0.02
+# Counted from SIGTERM; a job that is admitted later may still be open at SIGKILL.
+_LATE_ADMISSION_SECONDS = 0.7
+_POLL_INTERVAL_SECONDS = 0.02
 
 
 class GracefulShutdown:
-    """Runs the graceful shutdown of one node, once."""
+    """Runs the graceful shutdown of one node. An instance is used once."""
 
     def __init__(
         self,
@@ -44,22 +44,24 @@
         """Shut down; return once all admitted jobs are answered and every answer has been sent."""
         # The platform counts the time until SIGKILL from the signal. Part of that time has already passed if
         # the process was stalled when the signal arrived.
-        seconds_ago = self._stall_monitor.seconds_stalled()
+        stalled_for_seconds = self._stall_monitor.seconds_stalled()
         self._log(
-            ShutdownStarted(open_jobs=self._core.jobs.count_open(), stalled_seconds=round(seconds_ago, 2))
+            ShutdownStarted(
+                open_jobs=self._core.jobs.count_open(), stalled_seconds=round(stalled_for_seconds, 2)
+            )
         )
-        self._drain.begin_shutdown(seconds_ago)
-        answered_by = self._clock() + 1000.0 * (self._drain.answer_within_seconds - seconds_ago)
+        self._drain.begin_shutdown(stalled_for_seconds)
+        answered_by = self._clock() + 1000.0 * (self._drain.answer_within_seconds - stalled_for_seconds)
         if self._handover.has_handed_over:
             # New clients connect to the successor; jobs still open here at SIGKILL would be lost.
             self._engine.answer_all_by(answered_by)
         else:
-            late_from = self._clock() + 1000.0 * (_ARRIVAL_SECONDS - seconds_ago)
-            await trio.sleep(max(0.0, _ARRIVAL_SECONDS - seconds_ago))
+            late_from = self._clock() + 1000.0 * (_LATE_ADMISSION_SECONDS - stalled_for_seconds)
+            await trio.sleep(max(0.0, _LATE_ADMISSION_SECONDS - stalled_for_seconds))
             # Without this, jobs that were admitted late and are still open at SIGKILL would be lost.
             self._engine.answer_all_by(answered_by, received_after=late_from)
-            while self._drain.state < ServiceState.REJECTING:  # noqa: ASYNC110 - the state follows from the time
-                await trio.sleep(_POLL_SECONDS)
+            while self._drain.state < ServiceState.REJECTING:  # noqa: ASYNC110 - the state is computed from the time
+                await trio.sleep(_POLL_INTERVAL_SECONDS)
         await self._finish_work()
         self._handover.close()
         self._log(
@@ -67,13 +69,13 @@
         )
 
     async def _finish_work(self) -> None:
-        # Call-backs for open jobs still arrive, so the node listens until the last job is answered. It also
-        # waits until slow clients have read their answers to the last byte.
+        # The node listens until the last job is answered, since call-backs for open jobs still arrive, and
+        # waits until slow clients have read their answers completely.
         while self._has_unfinished_work:
             if not self._handover.has_handed_over:
-                # Idle connections are closed only now, when new clients are sent to other nodes.
+                # Not closed earlier: by now, new connections of clients are directed to other nodes.
                 self._connections.close_idle()
-            await trio.sleep(_POLL_SECONDS)
+            await trio.sleep(_POLL_INTERVAL_SECONDS)
 
     @property
     def _has_unfinished_work(self) -> bool:
--- a/burlmoor/lifecycle/handover.py
+++ b/burlmoor/lifecycle/handover.py
@@ -1,10 +1,9 @@
-"""Handover (hot restart): a new process of a node takes over from the old one under load.
+"""Handover (hot restart): a new process of a node takes over from the old one, transparently to clients.
 
-Clients notice nothing. The new process, the successor, contacts the old one (`handover_successor`). The old
-process, the predecessor, sends its state and, once the successor accepts connections, stops accepting and
-passes its idle connections to the successor (`handover_predecessor`). Until the predecessor has finished its
-jobs, each process forwards call-backs for jobs of the other, and overrides are applied in both
-(`peer_forwarder`).
+The new process, the successor, connects to the old one (`handover_successor`). The old process, the
+predecessor, sends its state and, once the successor accepts connections, stops accepting and passes its idle
+connections to the successor (`handover_predecessor`). Until the predecessor has finished its jobs, each
+process forwards call-backs for jobs of the other, and overrides are applied in both (`peer_forwarder`).
 """
 
 from __future__ import annotations
@@ -45,7 +44,7 @@
 
 
 class Handover:
-    """Owns the two roles of this process: successor of the process before it, predecessor of the next one."""
+    """Runs both roles of this process: successor of the previous process, predecessor of the next one."""
 
     def __init__(
         self,
@@ -78,7 +77,7 @@
 
     @property
     def has_predecessor(self) -> bool:
-        """Whether a predecessor is connected, which serves until this process accepts."""
+        """Whether a predecessor is connected; it serves clients until this process accepts connections."""
         return self._successor_role.channel is not None
 
     @property
@@ -87,7 +86,7 @@
         return self._predecessor_role.has_unsent
 
     async def contact_predecessor(self) -> None:
-        """Request and restore the state of the process that serves now, if there is one."""
+        """Request the state of the process that serves now, if there is one, and restore it here."""
         sock = connect(self._socket_path) if self._socket_path is not None else None
         if sock is not None:
             await self._successor_role.request_snapshot(self._open_channel(sock))
@@ -96,7 +95,7 @@
         """Accept connections, in place of the predecessor if there is one; then wait for successors."""
         self._predecessor_role.start_accepting()
         await self._successor_role.announce_accepting()
-        # Not earlier: once this process is ready, the predecessor gets SIGTERM and rejects new jobs.
+        # Not reported earlier: once this process is ready, the predecessor gets SIGTERM and rejects new jobs.
         self._admin.on_serving_changed(is_serving=True)
         self._log(
             Started(
@@ -122,7 +121,7 @@
         try:
             listener = listen(path)
         except OSError as error:
-            # Logged only: a node that can't hand over still serves.
+            # Not fatal: a node that cannot hand over can still serve.
             self._log(HandoverUnavailable(error=str(error)))
             return
         while True:
@@ -142,18 +141,16 @@
         self._nursery.start_soon(channel.run)
         return channel
 
-    # --- messages from the other process --------------------------------------------------------
-
     def on_message(self, channel: HandoverChannel, message: Message, sock: socket.socket | None) -> None:
         """Handle a message; `sock` is the connection that was passed with it, if any.
 
         Raises:
-            UnsupportedVersionError: a hello of another version of the protocol.
+            UnsupportedVersionError: the message is a `Hello` of another protocol version.
         """
         if channel is self._successor_role.channel:
             self._on_predecessor_message(message, sock)
         elif sock is not None:
-            sock.close()  # only the predecessor may pass connections
+            sock.close()  # only a predecessor may pass connections
         match message:
             case Hello(version):
                 self._predecessor_role.send_snapshot(channel, version)
@@ -181,7 +178,7 @@
                 self._server.adopt(sock, has_been_used=has_been_used, age_seconds=age_seconds)
 
     def on_channel_lost(self, channel: HandoverChannel) -> None:
-        """Continue alone after the process at the other end has ended."""
+        """Continue without the process at the other end, which has ended."""
         if channel is self._successor_role.channel:
             self._successor_role.on_channel_lost()
         if channel is self._predecessor_role.channel:
@@ -190,7 +187,7 @@
 
     def _on_forwarded_callback(self, channel: HandoverChannel, number: int, body: bytes) -> None:
         result = callbacks.handle_callback(self._core.jobs, self._core.lifecycle, body)
-        if result is callbacks.CallbackResult.UNKNOWN and self._forwarder.has_peers_beside(channel):
+        if result is callbacks.CallbackResult.UNKNOWN and self._forwarder.has_other_peers(channel):
             self._nursery.start_soon(self._forwarder.relay_callback, channel, number, body)
         else:
             channel.send(Acknowledged(number))
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -1,4 +1,4 @@
-"""The handover channel: the Unix socket between two processes of one node during a handover."""
+"""The handover channel: a Unix socket that connects two processes of one node during a handover."""
 
 from __future__ import annotations
 
@@ -25,39 +25,39 @@
 
     from burlmoor.log import EventLogger
 
-_MAX_QUEUED_DATAGRAMS = 2048  # beyond it `send` fails: the peer has stopped reading
+_MAX_QUEUED_DATAGRAMS = 2048  # a longer queue means that the peer has stopped reading; `send` then fails
 _MAX_PENDING_REQUESTS = 1024
 _MAX_PATH_BYTES = 100  # the kernel's limit on a Unix socket's path is slightly higher
 _BACKLOG = 4
 
 
 class SocketPathTooLongError(BurlmoorError, OSError):
-    """The path of the channel's socket is longer than the kernel allows."""
+    """The path of the channel's socket exceeds `_MAX_PATH_BYTES`."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__(f"{path}: the path is too long for a socket: at most {_MAX_PATH_BYTES} bytes")
+        super().__init__(f"socket path {path} is too long: at most {_MAX_PATH_BYTES} bytes are allowed")
         self.path = path
 
 
 class HandoverChannelObserver(Protocol):
-    """Handles the messages and the loss of a channel."""
+    """Receives the messages of a channel, and is notified when the channel ends."""
 
     def on_message(self, channel: HandoverChannel, message: Message, sock: socket.socket | None) -> None:
-        """Handle a message; `sock`, a connection passed with it, is then owned by the observer."""
+        """Handle a message and take ownership of `sock`, the connection passed with it, if any."""
 
     def on_channel_lost(self, channel: HandoverChannel) -> None:
-        """Handle the end of the channel, after which this process continues alone."""
+        """Handle the end of the channel; from then on this process runs without the peer."""
 
 
 class _OutgoingDatagram(NamedTuple):
     data: bytes
-    sock: socket.socket | None  # a connection passed with it; closed here once it is sent
+    sock: socket.socket | None  # the connection to pass, if any; closed in this process once it is sent
 
 
 class HandoverChannel:
-    """Owns the socket to the other process, the queued datagrams and the pending requests.
+    """Exchanges messages with the other process; queues datagrams while the socket is not writable.
 
-    A datagram carries one message or fragment, so a peer that dies never leaves a partial one.
+    A datagram carries exactly one message or fragment, so a peer that dies never leaves a truncated one.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         self._decoder = MessageDecoder()
         self._send_queue: deque[_OutgoingDatagram] = deque()
         self._is_waiting_to_flush = False
-        self._last_number = 0
+        self._last_request_number = 0
         self._pending_requests: dict[int, trio.Event] = {}
 
     @property
     def is_connected(self) -> bool:
-        """Whether the channel is open, as far as this process knows."""
+        """Whether the channel is open; the peer may have ended without this process having detected it."""
         return self._sock is not None
 
     @property
@@ -89,7 +89,7 @@
         return self.is_connected and bool(self._send_queue)
 
     def send(self, message: Message, sock: socket.socket | None = None) -> bool:
-        """Send a message, and with it a connection if given; return False if it can't be sent."""
+        """Send a message, with the connection `sock` if given; return False if it cannot be sent."""
         if self._sock is None or len(self._send_queue) >= _MAX_QUEUED_DATAGRAMS:
             return False
         try:
@@ -106,14 +106,14 @@
     async def request(self, build_message: Callable[[int], Message], timeout_seconds: float) -> bool:
         """Send a numbered message; return whether it was acknowledged in time.
 
-        If the peer has disconnected, the request counts as acknowledged: there is no process to carry it out.
+        If the peer has disconnected, the request counts as acknowledged: no process is left to carry it out.
         """
         if not self.is_connected:
             return True
         if len(self._pending_requests) >= _MAX_PENDING_REQUESTS:
             return False
-        self._last_number += 1
-        number = self._last_number
+        self._last_request_number += 1
+        number = self._last_request_number
         acknowledged = trio.Event()
         self._pending_requests[number] = acknowledged
         try:
@@ -171,7 +171,7 @@
         except (OSError, trio.ClosedResourceError):
             pass  # closed by the peer or by this process
         except Exception as error:  # noqa: BLE001
-            # An incompatible peer, or a fault here, must not end the node: it continues alone.
+            # An incompatible peer or a bug here must not end the node, which continues without the peer.
             self._log(HandoverFailed(error=repr(error)))
         finally:
             self.close()
@@ -211,7 +211,7 @@
     def close(self) -> None:
         """Close the channel.
 
-        Pending requests count as acknowledged: there is no peer to carry them out.
+        Pending requests count as acknowledged: no peer is left to carry them out.
         """
         sock, self._sock = self._sock, None
         if sock is None:
@@ -229,7 +229,7 @@
 
 
 def connect(path: Path) -> socket.socket | None:
-    """Connect to the process that listens at this path; return None if there is none or the path is stale."""
+    """Connect to the process that listens at this path; return None if none does, as with a stale path."""
     sock = _create_socket()
     try:
         sock.connect(str(path))
@@ -240,11 +240,11 @@
 
 
 def listen(path: Path) -> socket.socket:
-    """Listen at this path, in place of any process that listened there before.
+    """Listen at this path, replacing any process that listened there before.
 
     Raises:
-        SocketPathTooLongError: the path is longer than the kernel allows.
-        OSError: the socket can't be created there.
+        SocketPathTooLongError: the path is too long for a Unix socket.
+        OSError: the socket cannot be created there.
     """
     temporary_path = path.with_name(f"{path.name}.new")
     if len(str(temporary_path).encode()) > _MAX_PATH_BYTES:
--- a/burlmoor/lifecycle/handover_codec.py
+++ b/burlmoor/lifecycle/handover_codec.py
@@ -1,4 +1,4 @@
-"""Handover messages as datagrams: encoding, and fragmentation of what does not fit into one."""
+"""Encodes handover messages as datagrams; fragments messages that do not fit into one datagram."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from burlmoor.lifecycle.handover_messages import PROTOCOL_VERSION, Fragment, Message
 
 MAX_DATAGRAM_BYTES = 160 * 1024  # the kernel's limit is slightly higher
-_MAX_MESSAGE_BYTES = 16 << 20  # of a fragmented message: the statistics of thousands of executors
+_MAX_MESSAGE_BYTES = 16 << 20  # fits a snapshot with the statistics of thousands of executors
 _FRAGMENT_BYTES = 128 * 1024
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -16,22 +16,24 @@
 
 
 class HandoverProtocolError(BurlmoorError, ValueError):
-    """A message, received or to be sent, violates the handover protocol."""
+    """A message that was received, or is to be sent, violates the handover protocol."""
 
 
 class UnsupportedVersionError(HandoverProtocolError):
     """The other process uses another version of the protocol."""
 
     def __init__(self, version: int) -> None:
-        super().__init__(f"handover protocol version {version} is unsupported: expected {PROTOCOL_VERSION}")
+        super().__init__(f"unsupported handover protocol version {version}: expected {PROTOCOL_VERSION}")
         self.version = version
 
 
 class MessageTooLongError(HandoverProtocolError):
-    """A message is longer than the protocol allows, fragmented or not."""
+    """A message is longer than the protocol allows, even in fragments."""
 
     def __init__(self, size_bytes: int) -> None:
-        super().__init__(f"handover message of {size_bytes} bytes: at most {_MAX_MESSAGE_BYTES} are allowed")
+        super().__init__(
+            f"handover message of {size_bytes} bytes exceeds the limit of {_MAX_MESSAGE_BYTES} bytes"
+        )
         self.size_bytes = size_bytes
 
 
@@ -53,7 +55,7 @@
 
 
 class MessageDecoder:
-    """Decodes datagrams; buffers the fragments of an incomplete message."""
+    """Decodes datagrams, and reassembles fragmented messages."""
 
     def __init__(self) -> None:
         self._fragments = bytearray()
@@ -62,8 +64,8 @@
         """Decode the next datagram; return None if the message needs further fragments.
 
         Raises:
-            MessageTooLongError: the fragments together are longer than the protocol allows.
-            msgspec.MsgspecError: the bytes are not a message of this protocol.
+            MessageTooLongError: the reassembled message is longer than the protocol allows.
+            msgspec.MsgspecError: the datagram is not a message of this protocol.
         """
         message = _DECODER.decode(datagram)
         if not isinstance(message, Fragment):
--- a/burlmoor/lifecycle/handover_messages.py
+++ b/burlmoor/lifecycle/handover_messages.py
@@ -1,6 +1,6 @@
 """The messages that two processes of one node send each other during a handover.
 
-Tags and encoded field names are those of the release in production, since either process may be of that one.
+Tags and encoded field names match the release in production, because either process may run that release.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Hello(msgspec.Struct, tag="Hello"):
-    """Successor to predecessor: requests a snapshot in order to take over."""
+    """Successor to predecessor: requests a `Snapshot`, in order to take over."""
 
     version: int = PROTOCOL_VERSION
 
@@ -27,8 +27,8 @@
     endpoints: DiscoveredList | None = msgspec.field(name="hosts")
     statistics: StatisticsSnapshot = msgspec.field(name="learnt")
     job_ids: list[str] = msgspec.field(name="ids")
-    downstream: int = msgspec.field(name="clients")
-    upstream: int = msgspec.field(name="targets")
+    downstream_connections: int = msgspec.field(name="clients")
+    upstream_connections: int = msgspec.field(name="targets")
 
 
 class Accepting(msgspec.Struct, tag="Accepting"):
@@ -36,10 +36,10 @@
 
 
 class ConnectionCounts(msgspec.Struct, tag="Holds"):
-    """Predecessor to successor: the numbers of connections it still has open; it no longer accepts any."""
+    """Predecessor to successor: it has stopped accepting, and still has these numbers of connections open."""
 
-    downstream: int = msgspec.field(name="clients")
-    upstream: int = msgspec.field(name="targets")
+    downstream_connections: int = msgspec.field(name="clients")
+    upstream_connections: int = msgspec.field(name="targets")
 
 
 class JobOpened(msgspec.Struct, tag="Opened"):
--- a/burlmoor/lifecycle/handover_predecessor.py
+++ b/burlmoor/lifecycle/handover_predecessor.py
@@ -1,4 +1,4 @@
-"""The predecessor's side of a handover: this process stops accepting in favour of its successor."""
+"""The predecessor's side of a handover: this process stops accepting once its successor does."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from burlmoor.lifecycle.state_transfer import StateTransfer
     from burlmoor.log import EventLogger
 
-_REPORT_INTERVAL_SECONDS = 0.1
+_COUNTS_INTERVAL_SECONDS = 0.1
 
 
 class PredecessorRole:
-    """Owns the channel to the successor, and whether this process accepts connections.
+    """Accepts connections until a successor takes over, then passes idle connections to it.
 
-    Once it has handed over, it is the downstream server's `SuccessorProcess`.
+    After the handover, the downstream server uses it as its `SuccessorProcess`.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         return self._channel is not None and self._channel.has_unsent
 
     def attach_channel(self, channel: HandoverChannel) -> None:
-        """Use this channel as the one to the successor."""
+        """Set the channel to the successor."""
         self._channel = channel
 
     def start_accepting(self) -> None:
@@ -80,17 +80,17 @@
             await self._server.run()
 
     def send_snapshot(self, channel: HandoverChannel, version: int) -> None:
-        """Answer the hello of a new process with a snapshot.
+        """Answer the `Hello` of a new process with a snapshot.
 
         Raises:
-            UnsupportedVersionError: the process uses another version of the protocol.
+            UnsupportedVersionError: the new process uses another version of the protocol.
         """
         if version != PROTOCOL_VERSION:
             raise UnsupportedVersionError(version)
         channel.send(self._state.take_snapshot())
 
     def hand_over(self, channel: HandoverChannel) -> None:
-        """Stop accepting, and pass idle connections to the successor."""
+        """Stop accepting, and pass idle connections to the successor from now on."""
         if self._accept_scope is None:
             return
         self._accept_scope.cancel()
@@ -109,7 +109,7 @@
 
     async def _report_counts(self, channel: HandoverChannel) -> None:
         while channel.is_connected:
-            await trio.sleep(_REPORT_INTERVAL_SECONDS)
+            await trio.sleep(_COUNTS_INTERVAL_SECONDS)
             self._server.connections.pass_idle_to_successor()
             self._send_counts(channel)
 
@@ -125,7 +125,7 @@
             self._channel.send(JobOpened(request_id))
 
     def on_channel_lost(self) -> None:
-        """Accept again if the successor has ended after it had taken over."""
+        """Resume accepting if the successor has ended after taking over."""
         self._channel = None
         self._server.peers.attach_successor(None)
         if self._accept_scope is None:
--- a/burlmoor/lifecycle/handover_successor.py
+++ b/burlmoor/lifecycle/handover_successor.py
@@ -16,12 +16,12 @@
     from burlmoor.lifecycle.state_transfer import StateTransfer
     from burlmoor.log import EventLogger
 
-_SNAPSHOT_TIMEOUT_SECONDS = 1.5  # a process that has not answered by then counts as hung
+_SNAPSHOT_TIMEOUT_SECONDS = 1.5  # a predecessor that takes longer is considered hung
 _COUNTS_TIMEOUT_SECONDS = 0.5
 
 
 class SuccessorRole:
-    """Owns the channel to the predecessor, and applies the state that it sends."""
+    """Requests the predecessor's state over the channel to it, and applies what it sends."""
 
     def __init__(
         self,
@@ -55,15 +55,15 @@
             self._channel = None
 
     async def announce_accepting(self) -> None:
-        """Notify the predecessor that this process accepts, and wait briefly until that one has stopped."""
+        """Notify the predecessor that this process accepts, and wait briefly for it to stop accepting."""
         if self._channel is not None and self._channel.send(Accepting()):
             with trio.move_on_after(_COUNTS_TIMEOUT_SECONDS):
                 await self._has_counts.wait()
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Continue from the predecessor's state."""
+        """Restore the predecessor's state, and leave room for its open connections."""
         self._state.restore(snapshot)
-        self._limits.reserve(snapshot.downstream, snapshot.upstream)
+        self._limits.reserve(snapshot.downstream_connections, snapshot.upstream_connections)
         self._has_snapshot.set()
 
     def on_connection_counts(self, downstream: int, upstream: int) -> None:
@@ -72,7 +72,7 @@
         self._has_counts.set()
 
     def on_channel_lost(self) -> None:
-        """Continue alone: the predecessor has ended."""
+        """Apply the node's full limits and forget the predecessor's jobs: it has ended."""
         self._channel = None
         self._jobs.clear_ids_in_other_process()
         self._limits.reserve(0, 0)
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -25,24 +25,24 @@
     from burlmoor.deferred import DeferredService
     from burlmoor.log import EventLogger
 
-# How long a process waits for its first endpoint list before it accepts clients without one: with an agent,
-# and with discovery while clients can already connect but no other process serves them.
+# How long a process waits for its first endpoint list before it accepts clients without one: if an agent
+# provides the list, and if discovery is polled and clients can already connect, but no process serves them.
 _FIRST_AGENT_LIST_TIMEOUT_SECONDS = 0.2
-_UNANSWERED_CLIENTS_TIMEOUT_SECONDS = 0.5
-_IDLE_SWEEP_SECONDS = 1.0
-_COUNTS_INTERVAL_SECONDS = 10.0  # between two `counts` log events
-_DEFERRED_SEED_OFFSET = 2  # from the node's seed; the engine and discovery have others
+_UNSERVED_CLIENTS_TIMEOUT_SECONDS = 0.5
+_IDLE_SWEEP_INTERVAL_SECONDS = 1.0
+_COUNTS_INTERVAL_SECONDS = 10.0  # between `counts` log events
+_DEFERRED_SEED_OFFSET = 2  # added to the node's seed; the engine and discovery use other offsets
 
 
 class Node:
-    """Owns the components of one node, and the tasks that run them."""
+    """Builds the components of one node, and starts and stops the tasks that run them."""
 
     def __init__(self, config: NodeConfig, nursery: trio.Nursery, log: EventLogger) -> None:
         self._config = config
         self._nursery = nursery
         self._log = log
         self.components = components = build_components(config, nursery, log)
-        # Two processes can share the listening socket only if the platform owns it and passes it to both.
+        # Two processes can share the listening socket only if the platform creates it and passes it to both.
         is_listener_shared = config.listener_fd is not None
         self.handover = Handover(
             components,
@@ -58,8 +58,6 @@
         )
         self._deferred: DeferredService | None = None
 
-    # --- running --------------------------------------------------------------------------------
-
     def start(self) -> None:
         """Load the state files of the previous process, and start all tasks of the node."""
         components = self.components
@@ -84,8 +82,8 @@
         await self.handover.contact_predecessor()
         discovery = self.components.discovery
         self._nursery.start_soon(discovery.run)
-        # The cached list may be of any age, and a list that an agent already has counts as received by this
-        # process. Without the wait, the node might send jobs to endpoints that are draining. Until then
+        # The cached list may be of any age, so without this wait the node might send jobs to endpoints that
+        # are draining. A list that an agent already has counts as received by this process. Meanwhile new
         # connections are refused, and clients connect to other nodes or to the predecessor.
         with trio.move_on_after(self._first_contact_timeout()):
             await discovery.first_contact.wait()
@@ -94,18 +92,18 @@
         await self.handover.run()
 
     def _first_contact_timeout(self) -> float:
-        """Return how many seconds to wait for discovery before clients are accepted."""
+        """Return the seconds to wait for discovery before accepting clients."""
         if not self._config.settings.policy.must_poll:
             return _FIRST_AGENT_LIST_TIMEOUT_SECONDS
         is_listening = self._config.listener_fd is not None
         if is_listening and not self.handover.has_predecessor:
-            return _UNANSWERED_CLIENTS_TIMEOUT_SECONDS
+            return _UNSERVED_CLIENTS_TIMEOUT_SECONDS
         return FIRST_CONTACT_SECONDS
 
     async def _close_idle_connections(self) -> None:
         """Close idle connections to executors and discovery at intervals, until cancelled."""
         while True:
-            await trio.sleep(_IDLE_SWEEP_SECONDS)
+            await trio.sleep(_IDLE_SWEEP_INTERVAL_SECONDS)
             self.components.pool.close_expired()
             self.components.discovery_pool.close_expired()
 
@@ -116,27 +114,25 @@
             if counts := self.components.core.counters.take_changes():
                 self._log(Counts.from_groups(counts))
 
-    # --- signals --------------------------------------------------------------------------------
-
     async def handle_signals(self, signals: AsyncIterator[int]) -> None:
         """Reload the configuration on SIGHUP; shut down gracefully on SIGTERM and SIGINT."""
-        async for number in signals:
-            if number == signal.SIGHUP:
+        async for signal_number in signals:
+            if signal_number == signal.SIGHUP:
                 self.reload(os.environ)
             else:
                 self._nursery.start_soon(self.shut_down)
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Apply a changed configuration while the node runs; jobs and statistics are retained."""
-        new = self._reloader.reload(environment)
-        if new is not None:
-            self._apply_options(new.options)
+        """Apply the changed configuration without a restart; jobs and statistics are retained."""
+        new_config = self._reloader.reload(environment)
+        if new_config is not None:
+            self._apply_options(new_config.options)
 
     def _apply_options(self, options: Options | None) -> None:
-        """Switch subsystems on or off according to the operators' options."""
+        """Enable or disable optional subsystems as the operators' options say."""
         deferred_options = options.waiting if options is not None else None
         if deferred_options is not None and self._deferred is None:
-            # Imported lazily: nodes without deferred jobs don't load it.
+            # Imported lazily, so that nodes without deferred jobs do not load it.
             from burlmoor.deferred import DeferredService  # noqa: PLC0415
 
             components = self.components
--- a/burlmoor/lifecycle/node_builder.py
+++ b/burlmoor/lifecycle/node_builder.py
@@ -38,17 +38,18 @@
     from burlmoor.config.node_config import NodeConfig
     from burlmoor.log import EventLogger
 
-_DISCOVERY_CONNECTIONS = 4
-_MAX_LIST_BYTES = 4 << 20  # fits over 8,000 executors in indented JSON; memory is allocated on demand
-_IDLE_FRACTION = 0.4  # of the time after which an executor's machine closes an idle connection
-_DISCOVERY_SEED_OFFSET = 1  # from the node's seed; the engine uses the seed itself
+_MAX_DISCOVERY_CONNECTIONS = 4
+# Fits over 8,000 executors in indented JSON; memory is allocated on demand.
+_MAX_ENDPOINT_LIST_BYTES = 4 << 20
+_IDLE_LIMIT_FRACTION = 0.4  # of the time after which executors close idle connections
+_DISCOVERY_SEED_OFFSET = 1  # added to the node's seed; the engine uses the seed itself
 
 
 def build_components(config: NodeConfig, nursery: trio.Nursery, log: EventLogger) -> NodeComponents:
-    """Build a node's components; binds the listening socket, and starts nothing.
+    """Build a node's components and bind the listening socket; no task is started.
 
     Raises:
-        OSError: the node can't bind its address.
+        OSError: the node cannot bind its address.
     """
     policy_settings = config.settings.policy
     clock = Clock()
@@ -98,7 +99,7 @@
 def _build_pool(config: NodeConfig, core: EngineCore, max_connections: int) -> ConnectionPool:
     settings = config.settings
     return ConnectionPool(
-        settings.keepalive_ms / 1000.0 * _IDLE_FRACTION,
+        settings.keepalive_ms / 1000.0 * _IDLE_LIMIT_FRACTION,
         settings.policy.limits.connect_timeout_ms / 1000.0,
         max_connections,
         reuse_delay_seconds=REUSE_DELAY_SECONDS,
@@ -125,10 +126,13 @@
 
 
 def _build_discovery_pool(config: NodeConfig, pool: ConnectionPool) -> ConnectionPool:
-    # A pool of its own, so that hanging attempts cannot delay watch events.
+    # Separate from the pool of the attempts, so that hanging attempts cannot delay watch events.
     timeout_seconds = config.settings.policy.limits.connect_timeout_ms / 1000.0
     return ConnectionPool(
-        pool.idle_limit_seconds, timeout_seconds, _DISCOVERY_CONNECTIONS, response_limit_bytes=_MAX_LIST_BYTES
+        pool.idle_limit_seconds,
+        timeout_seconds,
+        _MAX_DISCOVERY_CONNECTIONS,
+        response_limit_bytes=_MAX_ENDPOINT_LIST_BYTES,
     )
 
 
--- a/burlmoor/lifecycle/peer_forwarder.py
+++ b/burlmoor/lifecycle/peer_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards call-backs and overrides to the node's other processes and waits for their acknowledgements."""
+"""Forwards call-backs and overrides to the node's other processes, and waits for acknowledgements."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class PeerForwarder:
-    """Forwards to the predecessor and the successor, as far as they are connected.
+    """Forwards to the predecessor and the successor, whichever are connected.
 
-    The downstream server uses it as its `CallbackForwarder` while at least one of them is.
+    The downstream server uses it as its `CallbackForwarder` while at least one of them is connected.
     """
 
     def __init__(self, successor_role: SuccessorRole, predecessor_role: PredecessorRole) -> None:
@@ -32,8 +32,8 @@
         """Whether another process of this node is connected."""
         return bool(self._connected_channels())
 
-    def has_peers_beside(self, channel: HandoverChannel) -> bool:
-        """Return whether another process is connected, apart from the one at the end of this channel."""
+    def has_other_peers(self, channel: HandoverChannel) -> bool:
+        """Return whether a process other than the one at the end of this channel is connected."""
         return bool(self._connected_channels(excluded=channel))
 
     async def forward_callback(self, body: bytes) -> bool:
@@ -43,14 +43,14 @@
     async def relay_callback(self, sender: HandoverChannel, number: int, body: bytes) -> None:
         """Forward a call-back from one peer to the other, and pass the acknowledgement back.
 
-        Without this, results would be lost if a third process starts before the first has ended.
+        Without the relay, results would be lost if a third process started before the first one has ended.
         """
         others = self._connected_channels(excluded=sender)
         if await _forward_to(others, body, _RELAYED_CALLBACK_TIMEOUT_SECONDS):
             sender.send(Acknowledged(number))
 
     async def forward_override(self, call: AdminRequest) -> None:
-        """Apply an override in the other processes too, so that it is in force for the whole node."""
+        """Forward an override to the other processes, so that it applies to the whole node."""
         for channel in self._connected_channels():
             await channel.request(
                 lambda number: ApplyOverride(number, call.path, call.name), _OVERRIDE_TIMEOUT_SECONDS
@@ -66,7 +66,7 @@
 
 
 async def _forward_to(channels: list[HandoverChannel], body: bytes, timeout_seconds: float) -> bool:
-    """Forward a call-back to each of these in turn; return whether all have acknowledged it."""
+    """Forward a call-back on each channel in turn; return whether all peers have acknowledged it."""
     acknowledged = [
         await channel.request(lambda number: ForwardedCallback(number, body), timeout_seconds)
         for channel in channels
--- a/burlmoor/lifecycle/process.py
+++ b/burlmoor/lifecycle/process.py
@@ -14,20 +14,20 @@
 from burlmoor.lifecycle.node import Node
 from burlmoor.log import EventLog
 
-# Of the three generations. Higher than the defaults, since reference counting frees most objects here.
-_COLLECTION_THRESHOLDS = (20_000, 20, 20)
+# One per generation; higher than the defaults, since reference counting frees most objects here.
+_GC_THRESHOLDS = (20_000, 20, 20)
 
 
 async def _serve(config: node_config.NodeConfig, log: EventLog) -> None:
-    # Installed before the node listens: an uncaught SIGHUP would end the process with all its jobs.
+    # Installed before the node listens: an unhandled SIGHUP would end the process and lose all its jobs.
     signals = trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with signals as received:
+    with signals as received_signals:
         async with trio.open_nursery() as nursery:
             node = Node(config, nursery, log)
             node.start()
-            if early_signals.on_service_catches():
+            if early_signals.on_service_handles_signals():
                 node.reload(os.environ)
-            nursery.start_soon(node.handle_signals, received)
+            nursery.start_soon(node.handle_signals, received_signals)
             _freeze_startup_objects()
 
 
@@ -35,7 +35,7 @@
     """Exempt all objects created so far from garbage collection, to keep its pauses short."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*_COLLECTION_THRESHOLDS)
+    gc.set_threshold(*_GC_THRESHOLDS)
 
 
 def main() -> int:
--- a/burlmoor/lifecycle/reload.py
+++ b/burlmoor/lifecycle/reload.py
@@ -15,7 +15,7 @@
     from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.log import EventLogger
 
-# Fields of `NodeConfig` that only a restart applies, by their names in the log.
+# The attributes of `NodeConfig` whose changes need a restart, by their names in the log.
 _RESTART_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -27,7 +27,7 @@
 
 
 class ConfigReloader:
-    """Applies changes that concern discovery, and logs which other changes need a restart."""
+    """Applies changes of the discovery settings, and logs which other changes need a restart."""
 
     def __init__(
         self,
@@ -46,21 +46,23 @@
     def reload(self, environment: Mapping[str, str]) -> node_config.NodeConfig | None:
         """Read, apply and return the new configuration; return None and keep the old one if it is invalid."""
         try:
-            new = node_config.reload_config(environment)
+            new_config = node_config.reload_config(environment)
         except Exception as error:  # noqa: BLE001
             # An invalid configuration must not end a running node.
             self._log(ReloadFailed(error=str(error)))
             return None
         # A list received from discovery is newer than the cached one.
-        if self._directory.version is None and new.cached_endpoints is not None:
-            self._endpoint_updater.load_cached(new.cached_endpoints)
-        self._discovery.set_address(new.discovery)
-        self._log(Reloaded(discovery=new.discovery, needs_restart=self._fields_that_need_restart(new)))
-        return new
+        if self._directory.version is None and new_config.cached_endpoints is not None:
+            self._endpoint_updater.load_cached(new_config.cached_endpoints)
+        self._discovery.set_address(new_config.discovery)
+        self._log(
+            Reloaded(discovery=new_config.discovery, needs_restart=self._fields_that_need_restart(new_config))
+        )
+        return new_config
 
-    def _fields_that_need_restart(self, new: node_config.NodeConfig) -> list[str]:
+    def _fields_that_need_restart(self, new_config: node_config.NodeConfig) -> list[str]:
         return [
-            field
-            for field, attribute in _RESTART_FIELDS.items()
-            if getattr(new, attribute) != getattr(self._config, attribute)
+            logged_name
+            for logged_name, attribute in _RESTART_FIELDS.items()
+            if getattr(new_config, attribute) != getattr(self._config, attribute)
         ]
--- a/burlmoor/lifecycle/state_files.py
+++ b/burlmoor/lifecycle/state_files.py
@@ -1,4 +1,4 @@
-"""The files that one process of a node leaves for the next, in the folder that `TMPDIR` names."""
+"""Paths of the files that one process of a node leaves for the next, in the folder that `TMPDIR` names."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-# File names of earlier releases, which an upgrade has to find.
+# Unchanged from earlier releases, so that an upgraded process finds their files.
 _OVERRIDES_SUFFIX = "by-hand"
 _HANDOVER_SOCKET_SUFFIX = "link"
 
 
 class StateFiles:
-    """The paths of one node's state files; all are None if there is no folder."""
+    """The paths of one node's state files; all are None without a folder."""
 
     def __init__(self, folder: Path | None, node_name: str) -> None:
         self._folder = folder
--- a/burlmoor/lifecycle/state_transfer.py
+++ b/burlmoor/lifecycle/state_transfer.py
@@ -1,4 +1,4 @@
-"""The state that a process passes to its successor: overrides, endpoint list, statistics, open jobs."""
+"""Passes state to a successor: overrides, endpoint list, statistics and the ids of open jobs."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
             endpoints=self._directory.snapshot(),
             statistics=self._core.dispatcher.take_statistics_snapshot(self._core.clock()),
             job_ids=self._core.jobs.ids(),
-            downstream=len(self._server.connections),
-            upstream=self._pool.open_count,
+            downstream_connections=len(self._server.connections),
+            upstream_connections=self._pool.open_count,
         )
 
     def restore(self, snapshot: Snapshot) -> None:
--- a/tests/golden/test_files_of_the_release_before.py
+++ b/tests/golden/test_files_of_the_release_before.py
@@ -40,7 +40,7 @@
 def test_the_snapshot_of_a_handover_is_decoded_and_encoded_alike() -> None:
     snapshot = msgspec.msgpack.decode(SNAPSHOT, type=Snapshot)
     assert (snapshot.overrides, snapshot.endpoints, snapshot.job_ids) == (OVERRIDES, LISTED, ["a1", "a2"])
-    assert (snapshot.downstream, snapshot.upstream) == (5, 6)
+    assert (snapshot.downstream_connections, snapshot.upstream_connections) == (5, 6)
     assert msgspec.msgpack.encode(snapshot) == SNAPSHOT
 
 
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Idle connections and whole nodes that are closed while requests arrive: rows of `docs/races.md`."""
+"""Tests that idle connections and nodes close safely while requests arrive: rows of `docs/races.md`."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 SIGKILL_MARGIN_SECONDS = 0.7
 MAX_COUNTED_DEADLINE_SECONDS = 3.0
-LATE_SECONDS = 0.7  # after SIGTERM: jobs submitted later have to be answered before SIGKILL
-LAST_RECONNECT_SECONDS = 0.4  # after SIGTERM: load balancers in front direct no client to the node later
+LATE_SECONDS = 0.7  # after SIGTERM; jobs submitted later must be answered before SIGKILL
+LAST_RECONNECT_SECONDS = 0.4  # after SIGTERM; later, load balancers in front direct no client to the node
 
 
 class AdmissionRecorder:
-    """Records the ids of the requests that a node admits from now on."""
+    """Records the ids of the requests that a node admits once this is created."""
 
     def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.request_ids: list[str] = []
@@ -35,7 +35,7 @@
 
 
 def close_idle_before_next_read(harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Close idle connections, as the sweep does, when a socket is readable and its task is about to read."""
+    """Close idle connections, as the sweep does, just before a task reads its readable socket."""
     receive_now = SocketStream.receive_now
 
     def close_idle_and_receive(stream: SocketStream) -> ReceiveResult:
@@ -46,10 +46,10 @@
     monkeypatch.setattr(SocketStream, "receive_now", close_idle_and_receive)
 
 
-async def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_not_admitted(
+async def test_a_request_that_races_with_an_idle_close_is_not_admitted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # If it were read and dropped, it would get no answer; and bytes written after a close are lost.
+    # A request that is read and dropped gets no answer, and bytes that are written after a close are lost.
     async with open_node_harness() as harness:
         client = await harness.submit_job("once", "a1")
         await harness.wait_until(lambda: harness.jobs)
@@ -68,15 +68,17 @@
 
 
 def settings_with_deadline(deadline_ms: float) -> dict[str, Any]:
-    """The usual settings, with this deadline for all classes."""
+    """Return the default test settings, with this deadline for all classes."""
     return {
         **SETTINGS_OBJECT,
-        "RequestClasses": [{**each, "HardLimit": deadline_ms} for each in SETTINGS_OBJECT["RequestClasses"]],
+        "RequestClasses": [
+            {**job_class, "HardLimit": deadline_ms} for job_class in SETTINGS_OBJECT["RequestClasses"]
+        ],
     }
 
 
 class PersistentClient:
-    """Submits jobs in turn on one connection, while that stays open, to a node that shuts down."""
+    """Submits jobs one after another to a node that shuts down, on one connection while it stays open."""
 
     def __init__(self, harness: NodeHarness, number: int, deadline_ms: float, began_at: float) -> None:
         self._harness = harness
@@ -86,13 +88,13 @@
         self.late_answers: list[float] = []  # in seconds after SIGTERM, to jobs submitted late
 
     async def submit_until(self, end_seconds: float) -> None:
-        """Submit jobs until `end_seconds` after SIGTERM, or until clients may reconnect no more."""
+        """Submit jobs until `end_seconds` after SIGTERM, or until it is too late to reconnect."""
         connection = await self._harness.connect_client()
-        for again in range(1000):
+        for job_number in range(1000):
             submitted_at = self._seconds_since_sigterm()
             if submitted_at >= end_seconds:
                 return
-            answer = await self._submit(connection, f"c{self._number}-{again}")
+            answer = await self._submit(connection, f"c{self._number}-{job_number}")
             if answer is not None and submitted_at > LATE_SECONDS:
                 self.late_answers.append(self._seconds_since_sigterm())
             if answer is None or answer.headers.get("connection") == "close":
@@ -102,7 +104,7 @@
             await trio.sleep(0.02)
 
     async def _submit(self, connection: HttpStream, request_id: str) -> HttpMessage | None:
-        """Submit one job; return its answer, None if the connection ended without one."""
+        """Submit one job; return its answer, or None if the connection ended without one."""
         try:
             await self._harness.send_job(connection, "once", request_id, self._timeout_ms)
             return await connection.read()
@@ -114,10 +116,10 @@
 
 
 @pytest.mark.parametrize("deadline_ms", [400.0, 1000.0, 2000.0, 5000.0])
-async def test_jobs_admitted_late_in_a_shutdown_are_answered_before_sigkill_may_come(
+async def test_jobs_admitted_late_in_a_shutdown_are_answered_before_sigkill(
     deadline_ms: float,
 ) -> None:
-    # SIGKILL follows SIGTERM, at the earliest, after the longest deadline (3 s at most) and 0.7 s.
+    # SIGKILL follows SIGTERM no earlier than the longest deadline (counted as 3 s at most) plus 0.7 s.
     killed_after_seconds = min(deadline_ms / 1000.0, MAX_COUNTED_DEADLINE_SECONDS) + SIGKILL_MARGIN_SECONDS
     async with open_node_harness(given_settings=settings_with_deadline(deadline_ms)) as harness:
         began_at = trio.current_time()
@@ -127,7 +129,7 @@
             async with trio.open_nursery() as nursery:
                 for client in clients:
                     nursery.start_soon(client.submit_until, killed_after_seconds)
-        # A client that still waits has submitted its job within 0.7 s of SIGTERM, or not at all.
+        # A client that still waits submitted its job within 0.7 s of SIGTERM, or has not submitted any.
         assert not harness.components.core.jobs.count_open()
         assert not harness.components.server.connections.has_unsent
     assert all(at < killed_after_seconds for client in clients for at in client.late_answers)
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: started as in production, called over sockets, stopped by a signal."""
+"""Tests the program as a process that is started as in production and stopped by a signal."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def readiness_status(harness: NodeHarness) -> int:
-    """Return the status of /health/ready, once the node listens."""
+    """Wait until the node listens; return the status of GET /health/ready."""
     clients: list[HttpStream] = []
 
     async def connect() -> bool:
@@ -38,7 +38,7 @@
     return (await harness.read_response(clients[0])).status
 
 
-async def test_a_process_reloads_on_sighup_and_answers_its_open_jobs_before_it_ends_on_sigterm(
+async def test_a_process_reloads_on_sighup_and_finishes_open_jobs_on_sigterm(
     tmp_path: Path,
 ) -> None:
     async with trio.open_nursery() as nursery:
--- a/tests/integration/test_shutdown_over_sockets.py
+++ b/tests/integration/test_shutdown_over_sockets.py
@@ -1,4 +1,4 @@
-"""A node that shuts down, over sockets: admitted jobs are answered, and slow readers are not cut off."""
+"""Tests over sockets that a node that shuts down answers admitted jobs and does not cut off slow readers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         ready = await harness.connect_client()
         await ready.write("GET /health/ready HTTP/1.1", Host="node")
         assert (await harness.read_response(ready)).status == 503
-        # Clients keep the connections they have for a while.
+        # Clients keep using their open connections for a while.
         await harness.send_job(idle, request_id="a2", timeout_ms=5000)
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         for job in (0, 1):
@@ -38,7 +38,7 @@
         late = await harness.submit_job(request_id="a3")
         assert (await harness.read_response(late)).status == 503
         for job, client in ((0, first), (1, idle)):
-            # A call-back that is slow to write its first byte must not be closed either.
+            # The node must not close a connection whose call-back is slow to send its first byte either.
             await harness.send_callback("done", "fine", job=job, pause=0.1)
             answer = await harness.read_response(client)
             assert (answer.status, answer.headers["connection"]) == (200, "close")
@@ -51,13 +51,13 @@
         client = await harness.submit_job("once", "a1")
         await begin_shutdown(harness)
         await harness.wait_until(lambda: harness.components.core.deadlines.answer_by < math.inf)
-        for number in range(3):  # one connection carries them all
+        for number in range(3):  # all on one connection
             await harness.wait_until(lambda jobs=number + 1: len(harness.jobs) == jobs)  # type: ignore[misc]
             await harness.send_callback("done", "fine")
             answer = await harness.read_response(client)
             assert (answer.status, answer.headers.get("connection")) == (200, None)
             await harness.send_job(client, "once", f"b{number}", 5000)
-        # The last one is never done: it is answered before the node may be killed.
+        # The last job never completes; it is answered before the platform may kill the node.
         assert (await harness.read_response(client)).status == 502
         await harness.wait_until(lambda: harness.has_node_ended)
     assert trio.current_time() - started_at < 4.5
--- a/tests/integration/test_stalls.py
+++ b/tests/integration/test_stalls.py
@@ -1,4 +1,4 @@
-"""A process that was stalled: the input in its sockets when it runs again may be out of date."""
+"""Tests a process that was stalled: input that waits in its sockets may be out of date when it resumes."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 CLIENTS = 12
 DISCONNECT_AFTER_MS = 50.0
-CROSSING_MS = 100.0  # within which a close may cross a request
-# On a busy machine a node rejects jobs that are close to their latency objective, before it has sent them.
-PATIENT_CLASSES = [each._replace(latency_objective_ms=5000.0) for each in JOB_CLASSES]
+MAX_CROSSING_MS = 100.0  # longest time between a request and a close that cross each other
+# On a busy machine a node rejects jobs close to their latency objective before it has sent them.
+CLASSES_WITH_LONG_OBJECTIVES = [job_class._replace(latency_objective_ms=5000.0) for job_class in JOB_CLASSES]
 KILL_AFTER_MS = 3700.0  # after SIGTERM, where deadlines are 3 s or more
 
 
 def process_state(pid: int) -> str:
-    """Return the state of a process by the letter that the kernel gives it."""
+    """Return the letter with which the kernel denotes the state of a process."""
     return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
 
 
 async def stop_process(node: NodeProcess) -> None:
-    """Stop the process, and wait until it has stopped: the signal takes effect some time later."""
+    """Stop the process and wait until it has stopped, as the signal takes effect with a delay."""
     node.send_signal(signal.SIGSTOP)
 
     async def is_stopped() -> bool:
@@ -43,10 +43,10 @@
 
 @pytest.mark.parametrize("stall_seconds", [0.3, 2.0])
 @pytest.mark.parametrize("do_clients_disconnect", [False, True])
-async def test_no_attempt_begins_for_clients_that_disconnected_while_the_process_was_stalled(
+async def test_no_attempt_begins_for_clients_that_disconnected_during_a_stall(
     tmp_path: Path, stall_seconds: float, do_clients_disconnect: bool
 ) -> None:
-    classes = platform_settings(PATIENT_CLASSES)["RequestClasses"]
+    classes = platform_settings(CLASSES_WITH_LONG_OBJECTIVES)["RequestClasses"]
     async with open_linked_cluster(tmp_path, RequestClasses=classes) as cluster:
         node = cluster.nodes[0]
         await send_jobs(cluster, SEARCH, "aa", 20)
@@ -60,16 +60,16 @@
             await trio.sleep(stall_seconds)
             node.send_signal(signal.SIGCONT)
         await trio.sleep(1.0)
-        sent = {each.id for each in cluster.event_record.attempts if each.id.startswith("bb")}
-        # The case in which clients stay shows that the node does send such jobs.
+        sent = {attempt.id for attempt in cluster.event_record.attempts if attempt.id.startswith("bb")}
+        # The case in which clients stay connected shows that the node does send such jobs.
         assert len(sent) == (0 if do_clients_disconnect else CLIENTS)
 
 
 @pytest.mark.parametrize("stall_seconds", [1.5, 3.0])
-async def test_a_process_that_was_stalled_across_sigterm_ends_before_it_may_be_killed(
+async def test_a_process_stalled_across_sigterm_exits_before_sigkill(
     tmp_path: Path, stall_seconds: float
 ) -> None:
-    """The platform counts from the signal, however late the process reads it."""
+    """The platform counts the time until SIGKILL from SIGTERM, however late the process reads the signal."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         node = cluster.nodes[0]
@@ -87,8 +87,10 @@
             ended_ms = now_ms()
         assert ended_ms - terminated_ms < KILL_AFTER_MS
         requests = cluster.event_record.requests.values()
-        unanswered = [each for each in requests if each.answered_ms is None and not each.is_unsent]
-        # Written while the process closed its idle connections, so never read: its client retries.
-        for each in unanswered:
-            assert isinstance(each.closed_ms, float)
-            assert each.closed_ms < each.sent_ms + CROSSING_MS
+        unanswered = [
+            request for request in requests if request.answered_ms is None and not request.is_unsent
+        ]
+        # Written while the process closed its idle connections, so never read: the client retries.
+        for request in unanswered:
+            assert isinstance(request.closed_ms, float)
+            assert request.closed_ms < request.sent_ms + MAX_CROSSING_MS
--- a/tests/lifecycle/test_connection_limits.py
+++ b/tests/lifecycle/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""The node's descriptors, divided between directions and between its two processes."""
+"""Tests the division of connection limits between directions and between a node's two processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         (1024, SocketBudget(672, 288)),
     ],
 )
-def test_half_of_few_descriptors_and_64_of_many_are_reserved(max_sockets: int, budget: SocketBudget) -> None:
+def test_reserved_descriptors_are_at_most_64_and_at_most_half(max_sockets: int, budget: SocketBudget) -> None:
     assert divide_sockets(max_sockets) == budget
 
 
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -1,4 +1,4 @@
-"""A new process takes over from an old one under load: real processes of one node."""
+"""Tests handovers between real processes of one node under load."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from tests.support.node_harness import NodeHarness
     from tests.support.service_process import ServiceProcess
 
-PATIENT_MS = 20_000  # a client's timeout that the start of a process does not exhaust
+LONG_TIMEOUT_MS = 20_000  # a client's timeout that outlasts the start of a process
 
 
 async def assert_overrides_apply_at_both(old: ServiceProcess, new: ServiceProcess) -> None:
@@ -29,7 +29,7 @@
 
 
 async def assert_served(harness: NodeHarness, client: HttpStream, request_id: str) -> None:
-    """Assert that a job that is sent on an open connection is answered."""
+    """Assert that a job sent on an open connection is answered."""
     job_count = len(harness.jobs)
     await harness.send_job(client, "once", request_id)
     await harness.wait_until(lambda: len(harness.jobs) == job_count + 1)
@@ -37,35 +37,36 @@
     assert (await harness.read_response(client)).body == b"fine"
 
 
-class YoungConnections(NamedTuple):
-    """Connections that the old process has accepted, less than a second before the new one is ready."""
+class RecentConnections(NamedTuple):
+    """Connections that the old process accepted less than a second before the new one was ready."""
 
-    partial: HttpStream  # with part of a request
-    silent: HttpStream  # without any
+    partial: HttpStream  # has sent part of a request
+    silent: HttpStream  # has sent nothing
 
 
-async def open_young_connections(harness: NodeHarness, new: ServiceProcess) -> YoungConnections:
+async def open_recent_connections(harness: NodeHarness, new: ServiceProcess) -> RecentConnections:
     """Wait until the new process is ready, and return the connections that were opened shortly before.
 
-    A request has 2.6 s to arrive; on a busy machine the start of a process takes longer.
+    Connections are opened repeatedly because a request has 2.6 s to arrive, and a process takes longer to
+    start on a busy machine.
     """
-    opened: list[YoungConnections] = []
+    opened: list[RecentConnections] = []
 
     async def open_repeatedly() -> None:
         while True:
             partial, silent = await harness.connect_client(), await harness.connect_client()
             await partial.socket_stream.send_all(b"POST /once/0f HTTP/1.1\r\nHost: svc\r\nRequest-Id: a3\r\n")
-            opened.append(YoungConnections(partial, silent))
+            opened.append(RecentConnections(partial, silent))
             await trio.sleep(0.2)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(open_repeatedly)
         await new.wait_ready()
         nursery.cancel_scope.cancel()
-    return opened[-2]  # the last ones may be the new process's
+    return opened[-2]  # the new process may have accepted the last ones
 
 
-async def test_a_new_process_takes_over_without_a_client_noticing(tmp_path: Path) -> None:
+async def test_handover_is_transparent_to_clients(tmp_path: Path) -> None:
     async with open_handover_harness(tmp_path) as harness:
         old = await harness.start_process()
         await old.wait_ready()
@@ -73,12 +74,12 @@
         await harness.wait_until(lambda: harness.jobs)
         assert await harness.send_callback("done", "one") == 204
         assert (await harness.read_response(used)).body == b"one"
-        waiting = await harness.submit_job("once", "a2", PATIENT_MS)
+        waiting = await harness.submit_job("once", "a2", LONG_TIMEOUT_MS)
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         assert (await old.call("/executors/disable", "e0")).status == 200
 
         new = await harness.start_process()
-        partial, silent = await open_young_connections(harness, new)
+        partial, silent = await open_recent_connections(harness, new)
         assert await get_readiness_status(harness) == 200
         assert (await old.call("/ready")).status == 503
         await assert_overrides_apply_at_both(old, new)
@@ -91,7 +92,7 @@
         later = await harness.submit_job("once", "a4")
         await harness.wait_until(lambda: len(harness.jobs) == 3)
         old.process.send_signal(signal.SIGTERM)
-        rest = b"Request-Timeout-Ms: %d\r\nContent-Length: 0\r\n\r\n" % PATIENT_MS
+        rest = b"Request-Timeout-Ms: %d\r\nContent-Length: 0\r\n\r\n" % LONG_TIMEOUT_MS
         await partial.socket_stream.send_all(rest)
         await harness.wait_until(lambda: len(harness.jobs) == 4)
         assert {name for name, _ in harness.jobs[2:]} == {"e1"}
@@ -107,19 +108,19 @@
         await new.stop()
 
 
-async def test_a_drained_node_is_upgraded_twice_while_the_first_process_still_has_a_job(
+async def test_a_drained_node_keeps_its_open_job_across_two_handovers(
     tmp_path: Path,
 ) -> None:
     async with open_handover_harness(tmp_path) as harness:
         first = await harness.start_process()
         await first.wait_ready()
-        client = await harness.submit_job("once", "a1", PATIENT_MS)
+        client = await harness.submit_job("once", "a1", LONG_TIMEOUT_MS)
         await harness.wait_until(lambda: harness.jobs)
         second = await harness.start_process()
         await second.wait_ready()
         assert (await second.call("/drain")).status == 200
         third = await harness.start_process()
-        # This process is ready, and its predecessor may end; the node is still drained.
+        # The third process is ready, so its predecessor may end; the node is still drained.
         await third.wait_ready()
         assert await get_readiness_status(harness) == 503
         # The result arrives at the third process, for a job of the first.
@@ -131,7 +132,7 @@
             await process.stop()
 
 
-async def test_a_new_process_that_fails_changes_nothing(tmp_path: Path) -> None:
+async def test_the_old_process_serves_after_its_successor_failed(tmp_path: Path) -> None:
     async with open_handover_harness(tmp_path) as harness:
         old = await harness.start_process()
         await old.wait_ready()
@@ -146,10 +147,10 @@
         await old.stop()
 
 
-async def test_a_new_process_sends_nothing_on_a_list_that_its_predecessor_may_not_use_any_more(
+async def test_a_successor_sends_no_jobs_on_an_expired_endpoint_list(
     tmp_path: Path,
 ) -> None:
-    """Discovery is silent for longer than 6 s, before and after the handover."""
+    """Discovery stays silent for more than 6 s, before and after the handover, so the list expires."""
     async with open_handover_harness(tmp_path) as harness:
         old = await harness.start_process()
         await old.wait_ready()
--- a/tests/lifecycle/test_handover_channel.py
+++ b/tests/lifecycle/test_handover_channel.py
@@ -1,4 +1,4 @@
-"""Peers on a node's handover channel that fail: invalid messages, and predecessors that don't answer."""
+"""Tests failing peers on the handover channel: invalid messages, and predecessors that do not answer."""
 
 from __future__ import annotations
 
@@ -28,9 +28,7 @@
         b"x" * 200_000,
     ],
 )
-async def test_an_invalid_first_message_ends_the_channel_and_nothing_else(
-    first_message: bytes, tmp_path: Path
-) -> None:
+async def test_an_invalid_first_message_closes_only_the_channel(first_message: bytes, tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         descriptor = listener.dup().detach()
         async with open_node_harness(listener_fd=descriptor, state_folder=tmp_path) as harness:
@@ -43,16 +41,14 @@
                 if first_message:
                     peer.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
                     peer.send(first_message)
-                    await trio.to_thread.run_sync(peer.recv, 100)  # ended by the node
+                    await trio.to_thread.run_sync(peer.recv, 100)  # returns when the node closes the channel
                 peer.close()
             assert await serve_job(harness, "a1") in ("e0", "e1")
             assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
 
 
 @pytest.mark.parametrize("predecessor", ["stale", "hangs", "gone"])
-async def test_a_node_starts_alone_without_a_predecessor_that_answers(
-    predecessor: str, tmp_path: Path
-) -> None:
+async def test_a_node_starts_alone_if_no_predecessor_answers(predecessor: str, tmp_path: Path) -> None:
     old = listen(tmp_path / "n0.link")
     if predecessor == "stale":
         old.close()
--- a/tests/lifecycle/test_handover_codec.py
+++ b/tests/lifecycle/test_handover_codec.py
@@ -1,4 +1,4 @@
-"""Handover messages as datagrams: a message too long for one is fragmented and reassembled."""
+"""Tests that handover messages too long for one datagram are fragmented and reassembled."""
 
 from __future__ import annotations
 
