--- a/burlmoor/lifecycle/node_builder.py
+++ b/burlmoor/lifecycle/node_builder.py
@@ -41,7 +41,7 @@
 _MAX_DISCOVERY_CONNECTIONS = 4
 # Fits over 8,000 executors in indented JSON; memory is allocated on demand.
 _MAX_ENDPOINT_LIST_BYTES = 4 << 20
-_IDLE_LIMIT_FRACTION = 0.4  # of the time after which executors close idle connections
+_IDLE_LIMIT_FRACTION = 0.4  # of the time after which an executor's machine closes an idle connection
 _DISCOVERY_SEED_OFFSET = 1  # added to the node's seed; the engine uses the seed itself
 
 
--- a/burlmoor/lifecycle/reload.py
+++ b/burlmoor/lifecycle/reload.py
@@ -27,7 +27,7 @@
 
 
 class ConfigReloader:
-    """Applies changes of the discovery settings, and logs which other changes need a restart."""
+    """Applies a changed discovery address or cached list, and logs which changes need a restart."""
 
     def __init__(
         self,
