--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -99,7 +99,11 @@
         "discovery-failed",
         "hosts[1].host",
     ),
-    (b'{"seq": 9, "whole": true, "hosts": [' + b" " * (5 << 20), "discovery-failed", "too long"),
+    (
+        b'{"seq": 9, "whole": true, "hosts": [' + b" " * (5 << 20),
+        "discovery-failed",
+        "body exceeds the limit of 4194304 bytes",
+    ),
 ]
 
 
