--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: makes the calls of the schedule, one at a time."""
+"""The client of the discovery service: makes the scheduled calls, one at a time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class UnexpectedStatusError(BurlmoorError):
-    """Discovery has responded with a status other than 200 OK."""
+    """Discovery responded with a status other than 200 OK."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}, expected 200")
@@ -32,16 +32,16 @@
 
 
 class _CallOutcome(NamedTuple):
-    """How a call ended; `error` is the text for the log, empty if none is logged."""
+    """How a call ended; `error` is the text for the log, empty if there is none."""
 
     result: CallResult
     error: str = ""
 
 
 class DiscoveryClient:
-    """Owns the calls to discovery; the updater applies each list to the directory.
+    """Makes the calls to discovery, and passes each response to the updater of the endpoint list.
 
-    If a call fails, the node continues with its present list for as long as the lease on it is valid.
+    If a call fails, the node continues to use its present list for as long as the lease on it is valid.
     """
 
     def __init__(
@@ -62,9 +62,9 @@
         self._lease = lease
         self._lease_changed = trio.Event()
         self._log = log
-        self._call_scope = trio.CancelScope()  # of the wait for the next call, and of the call
-        self._is_stale_logged = False  # whether it has been logged that the list may be too old
-        self.first_contact = trio.Event()  # set once the list may be used
+        self._call_scope = trio.CancelScope()  # covers the wait for the next call and the call itself
+        self._is_stale_logged = False  # since the last answer: whether the list was logged as stale
+        self.first_contact = trio.Event()  # set once discovery has answered with a list
 
     def set_address(self, address: str) -> None:
         """Call discovery at another address immediately; a call to the old address is cancelled."""
@@ -78,7 +78,7 @@
         self._call_scope.cancel()
 
     def watch(self) -> None:
-        """Do nothing: the watch runs from the start and never ends, as the policy requests."""
+        """Do nothing: the watch that the policy requests already runs from the start to the end."""
 
     def fetch(self) -> None:
         """Request the full list with the next call."""
@@ -94,7 +94,7 @@
             await self._call_forever()
 
     async def _suspend_expired_list(self) -> None:
-        """Suspend the list whenever its lease expires, so that the policy selects no endpoint in vain."""
+        """Suspend the list whenever its lease expires, so that the policy selects no unusable endpoint."""
         while True:
             self._lease_changed = trio.Event()
             with trio.move_on_at(self._lease.expires_at()):
@@ -131,7 +131,7 @@
             self._on_failure(outcome, now)
 
     async def _apply_response_to(self, call: DiscoveryCall) -> _CallOutcome:
-        """Make one call, apply its response, and return how it ended."""
+        """Send one call and apply its response; return how it ended."""
         try:
             with trio.fail_after(call.timeout_seconds):
                 body = await self._request(call)
@@ -143,13 +143,13 @@
         except UnexpectedStatusError as error:
             return _CallOutcome(CallResult.REJECTED, repr(error))
         except Exception as error:  # noqa: BLE001
-            # The boundary of the watch's task: without this, one failed call would end the node.
+            # Catch everything: an error that left the watch's task would end the node after one failed call.
             result = CallResult.FAILED if shows_peer_reachable(error) else CallResult.UNREACHABLE
             return _CallOutcome(result, repr(error))
         return _CallOutcome(CallResult.ANSWERED)
 
     async def _request(self, call: DiscoveryCall) -> bytes:
-        """Send the request, and return the body of the response.
+        """Send the request of a call, and return the body of the response.
 
         Raises:
             UnexpectedStatusError: the response's status is not 200 OK.
--- a/burlmoor/discovery/list_lease.py
+++ b/burlmoor/discovery/list_lease.py
@@ -1,28 +1,30 @@
-"""The lease on the endpoint list: until when a node may use the list that it has, where discovery is polled.
+"""The lease on the endpoint list: how long a node that polls discovery may use the list that it has.
 
 Pure: no socket and no clock; times are in seconds. Discovery may change the list at any moment, and a node
 counts as notified of a change at the latest `NOTIFICATION_SECONDS` later, whether or not the change has
-arrived. So a list is valid for that long after discovery last confirmed it. The lease is checked whenever
-something is sent: a process that was stalled may reach a send before the timer that ends the lease.
+arrived. So a list is valid for that long after discovery last confirmed it. The lease is checked before each
+send: a process that was stalled may reach a send before the timer that ends the lease.
 
 What renews the lease:
 
-- an answer; a late one counts from its call's start, since a process that was stalled reads it late;
-- a response with another status, or with no list: discovery can be reached, and is taken to be down.
-  Nothing counts as notified while it is. An overloaded discovery rejects calls in the same way, after the
-  same time, so a node can't tell the two apart (docs/watch-design.md);
+- an answer; the lease counts from the start of the call if the answer is late, since a process that was
+  stalled may read an old answer;
+- a response with a status other than 200, or without a valid list. Discovery can be reached and is assumed
+  to be down; while it is down, no node counts as notified of anything. An overloaded discovery rejects calls
+  in the same way, after the same time, so a node can't distinguish the two (docs/watch-design.md);
 - a call that is refused or reset, for the same reason.
 
 What does not renew it:
 
-- silence: to a node, a partition looks the same as a discovery that hangs;
-- a refusal or reset after a silence: a partition may have delayed it. The second in a row does;
-- anything but an answer once the lease has expired.
+- silence (no response, or no connection): a node can't distinguish a partition from a discovery that hangs;
+- the first refusal or reset after a silence, which a partition may have delayed; the second in a row renews
+  the lease;
+- after the lease has expired, anything but an answer.
 
 A process that has just started has a list of unknown age. It has no lease until discovery has answered with
-a list: that discovery is down now says nothing about earlier announcements.
+a list: changes announced before the start count as notified even if discovery is down now.
 
-Where lists are pushed, the agent is on this machine; it is silent while discovery is down, and the list stays
+Where lists are pushed, the agent is on this machine. It is silent while discovery is down, and the list stays
 valid.
 """
 
@@ -35,39 +37,39 @@
 # How long a process that has just started waits for discovery before it starts without it: a first call may
 # be queued for 2 s, and a fleet's first calls are spread over 2.5 s.
 FIRST_CONTACT_SECONDS = 5.0
-_ADDRESS_CHANGE_SECONDS = 4.0  # after a new address of discovery, until its changes count as notified
-_ANSWER_ALLOWANCE_SECONDS = 0.5  # beyond a call's wait; an answer read later may be old
+_ADDRESS_CHANGE_SECONDS = 4.0  # from a new address of discovery until its changes count as notified
+_ANSWER_ALLOWANCE_SECONDS = 0.5  # beyond a call's wait; an answer that is read later may be old
 _QUEUE_ALLOWANCE_SECONDS = 2.5  # the same for a call that was queued until discovery rejected it
 _SILENT_RESULTS = frozenset((CallResult.TIMED_OUT, CallResult.UNREACHABLE))
 
 
 class ListLease:
-    """Owns until when the endpoint list may be used.
+    """Keeps the time until which the endpoint list may be used.
 
-    `has_agent` is whether lists are pushed, by an agent on this machine: then the lease never expires.
+    `has_agent` is whether an agent on this machine pushes the lists, in which case the lease never expires.
     """
 
     def __init__(self, *, has_agent: bool) -> None:
         self._has_agent = has_agent
-        self.is_confirmed = False  # whether this process has had a lease
+        self.is_confirmed = False  # whether discovery has answered this process with a list
         self._expires_at = math.inf
         self._call_started_at = 0.0
         self._call_wait_seconds = 0.0
         self._failures = 0  # in a row
-        # How many failures in a row renew the lease; infinite where only an answer does.
+        # How many failures in a row renew the lease; infinite if only an answer renews it.
         self._failures_needed = math.inf
 
     def on_start(self, now: float) -> None:
-        """Set the time limit for first contact; the calls begin now."""
+        """Record that the calls begin now, and start the time limit for the first answer."""
         self._expires_at = now + FIRST_CONTACT_SECONDS
 
     def on_call_started(self, now: float, wait_seconds: float) -> None:
-        """Record that a call starts now, whose answer discovery may delay by `wait_seconds`."""
+        """Record that a call starts now; discovery may hold its answer back for `wait_seconds`."""
         self._call_started_at = now
         self._call_wait_seconds = wait_seconds
 
     def on_call_ended(self, result: CallResult, now: float) -> None:
-        """Renew the lease if the end of the last call confirms the list."""
+        """Renew the lease if the result of the last call confirms the list."""
         if result is CallResult.ANSWERED:
             self._renew(now, _ANSWER_ALLOWANCE_SECONDS)
         elif result in _SILENT_RESULTS:
@@ -89,7 +91,7 @@
             self._renew(now, _QUEUE_ALLOWANCE_SECONDS)
 
     def _renew(self, now: float, allowance_seconds: float) -> None:
-        """Renew the lease from now, or from the call's start if the response is late."""
+        """Renew the lease as of now, or as of the start of the call if the response is late."""
         latest = self._call_started_at + self._call_wait_seconds + allowance_seconds
         confirmed_at = now if now <= latest else self._call_started_at
         self.is_confirmed = True
@@ -99,11 +101,11 @@
 
     @property
     def awaits_second_failure(self) -> bool:
-        """Whether the last call may have failed only because a partition healed; the next one shows it."""
+        """Whether the last call may have failed only because a partition healed; the next one will tell."""
         return self._failures == 1 and self._failures_needed > 1
 
     def on_address_changed(self, now: float) -> None:
-        """Shorten the lease: discovery is at another address, whose changes count as notified sooner."""
+        """Shorten the lease: changes of discovery at a new address count as notified sooner."""
         self._expires_at = min(self._expires_at, now + _ADDRESS_CHANGE_SECONDS)
 
     def is_valid(self, now: float) -> bool:
@@ -111,5 +113,5 @@
         return self._has_agent or (self.is_confirmed and now < self._expires_at)
 
     def expires_at(self) -> float:
-        """Return when the list has to be suspended unless the lease is renewed before."""
+        """Return when the list has to be suspended unless the lease is renewed before then."""
         return math.inf if self._has_agent else self._expires_at
--- a/burlmoor/discovery/schedule.py
+++ b/burlmoor/discovery/schedule.py
@@ -1,35 +1,36 @@
-"""The schedule of calls to discovery: when the next starts, what it requests, when it times out.
+"""The schedule of calls to discovery: when the next one starts, what it requests, when it times out.
 
-Pure: no socket and no clock. It is notified how each call ended and returns the next one. All times are in
-seconds. A *watch* is a long poll: discovery answers it once something has changed, or when its wait is over.
+Pure: no socket and no clock. The caller reports how each call ended, and the schedule returns the next one.
+All times are in seconds. A *watch* is a long poll: discovery answers it once something has changed, or when
+its wait is over.
 
-How the constants follow from the protocol (docs/watch-design.md). Each change of the list has a notification
+The constants follow from the protocol (docs/watch-design.md). Each change of the list has a notification
 deadline, from which on the node counts as notified of it, whether or not the change has arrived:
 
-- a watch that falls silent: `NOTIFICATION_SECONDS` after it fell silent, for all that it misses;
-- a call that failed, was rejected or timed out: `NOTIFICATION_SECONDS` after discovery had the change and
+- if a watch falls silent: `NOTIFICATION_SECONDS` after it fell silent, for all changes that it misses;
+- if a call failed, was rejected or timed out: `NOTIFICATION_SECONDS` after discovery had the change and
   could be reached.
 
-A node observes neither moment. The earliest is the start of the call, so the deadline is counted from there,
-and the next call's answer has to arrive by then. A new call may be in discovery's queue for
-`_QUEUE_TIMEOUT_SECONDS` before it is answered or fails. So, however a call ends,
+A node can observe neither moment. The earliest that either can be is the start of the call, so the deadline
+is counted from there, and the answer to the next call has to arrive before it. A new call may be in
+discovery's queue for `_QUEUE_TIMEOUT_SECONDS` before it is answered or fails. So, however a call ends,
 
     from its start to the start of the next: at most NOTIFICATION_SECONDS - _QUEUE_TIMEOUT_SECONDS = 4.0
 
-The duration of a call is not available for jitter, which spreads a fleet's next calls:
+Jitter, which spreads the next calls of a fleet, has to fit into what the duration of the call leaves of this:
 
     a call that times out in the queue (queue timeout 2.0, wait 0.1, allowance 0.5) leaves 1.4
     a watch that falls silent (wait 1.0, allowance 0.5) leaves 2.5
 
-A silent watch looks like one without changes: an answer that is overdue is the only sign. A call that
-continues from an answer is not queued and costs discovery nothing, so the wait may be short. A node that has
-just started uses its old list only once discovery has answered (`list_lease.py`); after a failed call the
+A silent watch looks like one without changes; the only indication is that its answer is overdue. A call that
+follows directly on an answer is not queued and costs discovery nothing, so the wait may be short. A node that
+has just started uses its old list only once discovery has answered (`list_lease.py`). After a failed call the
 deadline is `_FAILED_CALL_FACTOR` times the poll interval of the settings, if that is less.
 
 Where lists are pushed, the address is that of an agent on this machine, which answers immediately and at no
-cost. The node counts as notified of what the agent has, with or without a watch, so there is no jitter and no
-growing backoff: a failed call is repeated well within the drain rule's 250 ms, and until the agent answers
-again, its calls wait no longer than that either.
+cost. The node counts as notified of every change that the agent has, with or without a watch, so there is no
+jitter and no growing backoff: a failed call is repeated well within the 250 ms of the drain rule, and until
+the agent answers again, calls to it do not wait longer than that either.
 """
 
 from __future__ import annotations
@@ -43,24 +44,24 @@
 
 NOTIFICATION_SECONDS = 6.0
 _WATCH_WAIT_SECONDS = 1.0
-_OVERDUE_ALLOWANCE_SECONDS = 0.5  # beyond the time that discovery may take, until an answer is overdue
-_QUEUE_TIMEOUT_SECONDS = 2.0  # after which a new call fails in discovery's queue
-_CALL_COST_SECONDS = 0.2  # of discovery's time, for one new call
-# A process sends nothing before its first call, so the first calls are spread over no longer than a fleet's
-# calls need: 4 s of work, of which no call may wait for over 2 s.
+_OVERDUE_ALLOWANCE_SECONDS = 0.5  # after the time that discovery may take, until an answer is overdue
+_QUEUE_TIMEOUT_SECONDS = 2.0  # in discovery's queue, after which a new call fails
+_CALL_COST_SECONDS = 0.2  # of discovery's time, per new call
+# A process sends no jobs before its first call, so the first calls are spread no further than necessary: the
+# calls of a fleet are 4 s of work for discovery, and no call may be queued for over 2 s.
 _MAX_FIRST_JITTER_SECONDS = 2.5
-# Before a new call where no connection was established: discovery has not seen the last one, and a node that
-# was partitioned needs an answer soon after the partition heals.
+# The delay before the next call if no connection was established. It may be short, since discovery has not
+# seen the last call, and a partitioned node needs an answer soon after the partition heals.
 _MIN_RECONNECT_SECONDS = 0.05
 _MAX_RECONNECT_SECONDS = 0.25
-_MIN_BACKOFF_SECONDS = 0.1  # before the first call after a failure, where a fleet's calls need no jitter
+_MIN_BACKOFF_SECONDS = 0.1  # before the first call after a failure, if the fleet needs no jitter
 _MAX_BACKOFF_SECONDS = 2.0
 _MAX_BACKOFF_DOUBLINGS = 16
-_MIN_JITTER_FRACTION = 0.25  # of the jitter, before the first call after a failure
-_FAILED_CALL_FACTOR = 4.0  # times the poll interval: the notification deadline after a failed call
-_RECOVERY_WAIT_SECONDS = 0.1  # a watch's wait after a failure, so that it is answered soon
-_AGENT_RETRY_SECONDS = 0.1  # before a new call to an agent, where one has failed
-_AGENT_ALLOWANCE_SECONDS = 0.1  # until an agent's answer is overdue, while it is silent
+_MIN_JITTER_FRACTION = 0.25  # of the maximum jitter; the least delay after a failure
+_FAILED_CALL_FACTOR = 4.0  # times the poll interval: notification deadline after a failure
+_RECOVERY_WAIT_SECONDS = 0.1  # the wait of a watch after a failure, so that it is answered soon
+_AGENT_RETRY_SECONDS = 0.1  # before the next call to an agent after a failure
+_AGENT_ALLOWANCE_SECONDS = 0.1  # until an agent's answer is overdue, after a failure or at the start
 
 
 class CallResult(enum.Enum):
@@ -68,26 +69,26 @@
 
     ANSWERED = enum.auto()  # with a list
     TIMED_OUT = enum.auto()  # no answer in time
-    UNREACHABLE = enum.auto()  # no connection was established, or it broke without a sign of discovery
+    UNREACHABLE = enum.auto()  # no connection, or it broke without a reaction of discovery
     FAILED = enum.auto()  # refused or reset
     REJECTED = enum.auto()  # answered with a status other than 200
     INVALID = enum.auto()  # answered with something that is not a list
 
 
 class DiscoveryCall(NamedTuple):
-    """The next call: when it starts, what it requests, and how long its answer may take."""
+    """A call to make: when it starts, what it requests, and how long its answer may take."""
 
     start_at: float
     is_full_list: bool  # False: a watch, which requests changes
-    wait_seconds: float  # how long discovery may hold a watch back until something changes
+    wait_seconds: float  # how long discovery may hold a watch open until something changes
     timeout_seconds: float
 
 
 class WatchSchedule:
     """Schedules the calls: `next_call` returns the next one, `on_call_ended` handles how one ended.
 
-    `poll_interval_seconds` is the longest time between two polls, by the settings; `has_agent` is whether
-    lists are pushed, so that the calls go to an agent on this machine.
+    `poll_interval_seconds` is the longest time between two polls according to the settings; `has_agent` is
+    whether lists are pushed, so that the calls go to an agent on this machine.
     """
 
     def __init__(
@@ -95,11 +96,11 @@
     ) -> None:
         self._has_agent = has_agent
         self._rng = rng
-        # How long after a call's start the deadline is for a failed call.
-        self._failure_allowance = min(NOTIFICATION_SECONDS, _FAILED_CALL_FACTOR * poll_interval_seconds)
+        # The time from the start of a failed call to its notification deadline.
+        self._failed_call_allowance = min(NOTIFICATION_SECONDS, _FAILED_CALL_FACTOR * poll_interval_seconds)
         # Without jitter, the simultaneous calls of a large fleet fill discovery's queue (a thundering herd):
-        # every call there waits until it fails, and prompt retries keep it full. Where a fleet's calls fit
-        # into the queue timeout there is none.
+        # every call waits there until it fails, and immediate retries keep the queue full. There is no
+        # jitter if the calls of the whole fleet fit into the queue timeout.
         fleet_seconds = min(NOTIFICATION_SECONDS, _CALL_COST_SECONDS * node_count)
         self._max_jitter_seconds = 0.0 if has_agent else max(0.0, fleet_seconds - _QUEUE_TIMEOUT_SECONDS)
         self._max_first_jitter_seconds = min(self._max_jitter_seconds, _MAX_FIRST_JITTER_SECONDS)
@@ -107,8 +108,8 @@
         self._is_full_list_wanted = False  # with the next call
         self._was_full_list_requested = False  # by the last call
         self._next_start = 0.0
-        self._is_continued = False  # whether the next call continues from an answer to the last one
-        self._is_recovering = False  # whether calls have failed since the last answer
+        self._follows_answer = False  # whether the next call directly follows an answer
+        self._is_recovering = False  # whether the next call should be answered soon
         self._notification_deadline = math.inf
         self._last_start = 0.0
         self._last_answer = 0.0
@@ -122,7 +123,7 @@
         self._next_start = now + first_jitter
 
     def next_call(self) -> DiscoveryCall:
-        """Return the next call. A watch without changes is answered when its wait is over."""
+        """Return the next call."""
         wait = _RECOVERY_WAIT_SECONDS if self._is_recovering else _WATCH_WAIT_SECONDS
         timeout = self._allowance() + (0.0 if self._is_full_list_wanted else wait)
         return DiscoveryCall(self._next_start, self._is_full_list_wanted, wait, timeout)
@@ -131,10 +132,10 @@
         """Return how long an answer may take beyond its call's wait."""
         if self._is_recovering and self._has_agent:
             return _AGENT_ALLOWANCE_SECONDS
-        if self._is_continued or self._has_agent:
+        if self._follows_answer or self._has_agent:
             return _OVERDUE_ALLOWANCE_SECONDS
-        # Without the addition, a rejection after the queue timeout would be taken for silence wherever the
-        # network adds a delay, and a whole fleet would suspend its lists while discovery is down.
+        # Longer than the queue timeout alone: otherwise any network delay would turn a rejection after the
+        # queue timeout into a silence, and a whole fleet would suspend its lists while discovery is down.
         return _QUEUE_TIMEOUT_SECONDS + _OVERDUE_ALLOWANCE_SECONDS
 
     def on_call_started(self, now: float) -> None:
@@ -143,18 +144,18 @@
         self._was_full_list_requested = self._is_full_list_wanted
 
     def on_call_ended(self, result: CallResult, now: float, *, must_retry_soon: bool = False) -> None:
-        """Schedule the next call by how the last one ended.
+        """Schedule the next call according to how the last one ended.
 
-        With `must_retry_soon` a failed call is repeated as soon as one that found discovery unreachable.
+        With `must_retry_soon`, a failed call is repeated as soon as if discovery had been unreachable.
         """
-        self._is_continued = result is CallResult.ANSWERED
+        self._follows_answer = result is CallResult.ANSWERED
         if result is CallResult.ANSWERED:
             self._on_answer(now)
             return
         self.failures += 1
         self._is_recovering = True
         is_timeout = result is CallResult.TIMED_OUT
-        allowance = NOTIFICATION_SECONDS if is_timeout else self._failure_allowance
+        allowance = NOTIFICATION_SECONDS if is_timeout else self._failed_call_allowance
         self._notification_deadline = min(self._notification_deadline, self._last_start + allowance)
         if self._has_agent:
             self._next_start = now + (0.0 if is_timeout else _AGENT_RETRY_SECONDS)
@@ -169,22 +170,22 @@
         self._notification_deadline = math.inf
         self._last_answer = now
         self._next_start = now
-        # A full list that was requested after this call had started is still pending.
+        # A full list that was requested after the start of this call is still pending.
         self._is_full_list_wanted = self._is_full_list_wanted and not self._was_full_list_requested
 
     def _retry_delay(self, allowance: float, now: float, *, is_timeout: bool) -> float:
-        """Draw the backoff with jitter before the next call, so that it still meets its deadline."""
+        """Return a random delay before the next call, so short that the call can still meet its deadline."""
         if is_timeout:
-            # Silence is no sign that discovery is overloaded, so a small fleet calls again immediately.
+            # Silence does not indicate an overloaded discovery, so a small fleet calls again immediately.
             backoff = min_delay = 0.0
         else:
             backoff = self._backoff()
             min_delay = max(0.5 * backoff, _MIN_JITTER_FRACTION * self._max_jitter_seconds)
         latest_start = self._notification_deadline - _QUEUE_TIMEOUT_SECONDS
         if latest_start - now <= min_delay:
-            # Too late for the earliest change: meet the deadline of those since this call was made.
+            # The earliest deadline can't be met: meet that of the changes since the start of this call.
             latest_start = self._last_start + allowance - _QUEUE_TIMEOUT_SECONDS
-        # Without the lower bound, a call whose deadline has passed would be repeated without a pause.
+        # The lower bound prevents a call whose deadline has passed from being repeated without a delay.
         max_delay = max(min(min_delay, 0.5 * _MIN_BACKOFF_SECONDS), latest_start - now)
         wanted_delay = max(backoff, self._max_jitter_seconds)
         return self._rng.uniform(min(min_delay, max_delay), min(wanted_delay, max_delay))
@@ -194,11 +195,11 @@
         return min(_MAX_BACKOFF_SECONDS, _MIN_BACKOFF_SECONDS * 2.0**doublings)
 
     def notification_deadline(self) -> float:
-        """Return when the node counts as notified of changes that it may have missed; infinity if of none."""
+        """Return when the node counts as notified of changes it may have missed; infinity if none."""
         return self._notification_deadline
 
     def age_seconds(self, now: float) -> float:
-        """Return how long ago discovery last answered."""
+        """Return how long ago discovery last answered (before the first answer: since the start)."""
         return now - self._last_answer
 
     def request_full_list(self) -> None:
@@ -206,10 +207,10 @@
         self._is_full_list_wanted = True
 
     def on_address_changed(self, now: float) -> None:
-        """Request the full list immediately: versions of discovery at another address are not comparable."""
+        """Request the full list immediately: versions from another address are not comparable."""
         self.failures = 0
         self._is_full_list_wanted = True
         self._next_start = now
-        self._is_continued = False
+        self._follows_answer = False
         self._is_recovering = False
         self._notification_deadline = math.inf
--- a/burlmoor/endpoints/__init__.py
+++ b/burlmoor/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery's endpoint list as this node has it: entries, addresses, administrative overrides."""
+"""The node's copy of the discovery service's endpoint list, and the administrative overrides on it."""
--- a/burlmoor/endpoints/directory.py
+++ b/burlmoor/endpoints/directory.py
@@ -1,4 +1,4 @@
-"""The endpoint directory: the discovered list as this node has it, with overrides applied."""
+"""The endpoint directory: the node's copy of the discovered list, with overrides applied."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 class EndpointDirectory:
     """Owns the endpoint list, the administrative overrides and whether the list is suspended.
 
-    `EndpointListUpdater` makes all changes; every other part only looks endpoints up. `from_unix` converts a
-    Unix time in ms to the node's own clock; `has_lease` returns whether the list may be used at this moment.
+    Only `EndpointListUpdater` makes changes; all other components only look endpoints up. `from_unix`
+    converts a Unix time in ms to the node's own clock; `has_lease` returns whether the lease on the list is
+    valid now.
     """
 
     def __init__(self, from_unix: Callable[[float], float], has_lease: Callable[[], bool]) -> None:
@@ -28,11 +29,9 @@
         self.has_lease = has_lease
         self.table = EndpointTable()
 
-    # --- queries ----------------------------------------------------------------------------------
-
     @property
     def version(self) -> int | None:
-        """The version of the list that this node has; None before the first."""
+        """The version of the node's list; None until a list has been merged."""
         return self.table.version
 
     @property
@@ -42,26 +41,26 @@
 
     @property
     def is_suspended(self) -> bool:
-        """Whether the policy was notified that no endpoint is live, since there is no lease on the list."""
+        """Whether all endpoints are reported as not live, because there is no lease on the list."""
         return self._is_suspended
 
     def find_live(self, name: str) -> ListedEndpoint | None:
-        """Return the endpoint if it may be sent new work now, else None."""
+        """Return the endpoint if new work may be sent to it now, else None."""
         return self.find_reported_live(name) if self.has_lease() else None
 
     def find_reported_live(self, name: str) -> ListedEndpoint | None:
-        """Return the endpoint if it was reported to be live, else None; the lease may have expired since."""
+        """Return the endpoint if it was reported as live, else None; the lease may have expired since."""
         endpoint = None if self._is_suspended else self.table.get(name)
         if endpoint is None or endpoint.state is not EndpointState.LIVE or self._overrides.is_disabled(name):
             return None
         return endpoint
 
     def reported_live_names(self) -> set[str]:
-        """Return the names of the endpoints that were reported to be live."""
+        """Return the names of the endpoints that were reported as live."""
         return {name for name in self.table.live_names() if self.find_reported_live(name) is not None}
 
     def is_known(self, name: str) -> bool:
-        """Whether an endpoint of this name is listed, or is disabled by an override."""
+        """Return whether an endpoint of this name is listed or is disabled by an override."""
         return name in self.table or self._overrides.is_disabled(name)
 
     def address_of(self, name: str) -> str | None:
@@ -70,7 +69,7 @@
         return endpoint.address if endpoint else None
 
     def snapshot(self) -> DiscoveredList | None:
-        """Return the list as this node has it; None before the first."""
+        """Return the node's list, complete; None until a list has been merged."""
         return self.table.snapshot()
 
     def policy_entries(self, entries: Iterable[DiscoveredEndpoint]) -> list[EndpointEntry]:
@@ -94,8 +93,6 @@
         state = self._overrides.effective_state(entry.name, entry.state)
         return EndpointState.DRAINING if self._is_suspended and state is EndpointState.LIVE else state
 
-    # --- changes, by the updater only -------------------------------------------------------------
-
     def replace_overrides(self, overrides: EndpointOverrides) -> None:
         """Replace all overrides."""
         self._overrides = overrides
--- a/burlmoor/endpoints/discovered_list.py
+++ b/burlmoor/endpoints/discovered_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the discovery service's form: JSON objects, whose keys keep their names."""
+"""The endpoint list in the JSON format of the discovery service; `name=` gives each key on the wire."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """One endpoint as the discovery service lists it."""
 
     name: str = msgspec.field(name="host")
-    address: str = msgspec.field(name="dial", default="")  # `host:port`; empty: as it was listed before
+    address: str = msgspec.field(name="dial", default="")  # `host:port`; empty: as listed before
     zone: str = msgspec.field(name="site", default="")
     kind: str = msgspec.field(name="class", default="")
     cell: int = msgspec.field(name="block", default=0)
@@ -28,16 +28,16 @@
 
     @property
     def state(self) -> EndpointState:
-        """The endpoint's state according to the list."""
+        """The state that corresponds to `health`."""
         return _STATE_OF_HEALTH.get(self.health, EndpointState.GONE)
 
     def with_state(self, state: EndpointState) -> DiscoveredEndpoint:
-        """Return a copy of the entry in another state."""
+        """Return a copy of the entry with another state."""
         return msgspec.structs.replace(self, health=_HEALTH_OF_STATE[state])
 
 
 class DiscoveredList(msgspec.Struct):
-    """A list of the discovery service: all endpoints, or those that changed since an earlier version."""
+    """A list sent by the discovery service: all endpoints, or those changed since an earlier version."""
 
     version: int = msgspec.field(name="seq")
     is_complete: bool = msgspec.field(name="whole", default=True)  # False: only the changed entries
--- a/burlmoor/endpoints/endpoint_table.py
+++ b/burlmoor/endpoints/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that a node knows and the rules for merging a list with them; no I/O and no clock."""
+"""The endpoints that a node knows, and the rules for merging a received list; no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """The address, state and start of one process of an endpoint."""
+    """The address, state and start time of an endpoint's process."""
 
     address: str  # `host:port`
     state: EndpointState
@@ -17,14 +17,14 @@
 
 
 class MergedList(NamedTuple):
-    """The result of a merge."""
+    """The result of merging a list."""
 
-    entries: list[DiscoveredEndpoint]  # the list's entries as they were merged
+    entries: list[DiscoveredEndpoint]  # the entries of the received list, as merged
     stale_addresses: list[str]  # the addresses of processes that have been replaced or removed
 
 
 class EndpointTable:
-    """Owns the list as this node has it: each endpoint's last entry, and the list's version."""
+    """Owns the node's copy of the list: the last entry of each endpoint, and the version of the list."""
 
     def __init__(self) -> None:
         self.version: int | None = None  # None until a list has been merged
@@ -43,7 +43,7 @@
         return {name for name, endpoint in self._listed.items() if endpoint.state is EndpointState.LIVE}
 
     def snapshot(self) -> DiscoveredList | None:
-        """Return the list as this node has it, complete; None before the first one."""
+        """Return the node's list, complete; None until a list has been merged."""
         if self.version is None:
             return None
         return DiscoveredList(self.version, is_complete=True, endpoints=list(self.entries.values()))
@@ -77,9 +77,10 @@
 
     @staticmethod
     def _keep_drain(received: DiscoveredEndpoint, known: ListedEndpoint | None) -> DiscoveredEndpoint:
-        """Apply the rule for stale versions: a process that drains stays draining.
+        """Return the entry to merge from a list of an older version: a draining process stays draining.
 
-        Without this, a list from before a drain, from another discovery server or an old file, would undo it.
+        Otherwise a list from before the drain, sent by another discovery server or read from an old file,
+        would undo the drain.
         """
         if known is None or known.state is EndpointState.LIVE:
             return received
--- a/burlmoor/endpoints/interfaces.py
+++ b/burlmoor/endpoints/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces that the updater of the endpoint list uses."""
+"""Interfaces of the components that `EndpointListUpdater` notifies."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     """Is notified of each update of the endpoint list."""
 
     def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None:
-        """Handle an update: entries with the administrative overrides applied."""
+        """Handle an update; the administrative overrides are already applied to the entries."""
 
 
 class LivenessObserver(Protocol):
-    """Is notified of endpoints that may no longer be sent new work."""
+    """Is notified of endpoints that may no longer receive new work."""
 
     def on_endpoints_not_live(self, names: frozenset[str]) -> None:
-        """Handle that these endpoints, live until now, are draining, gone, or disabled."""
+        """Handle that these endpoints, live until now, are draining, gone, disabled or suspended."""
 
 
 class IdleConnections(Protocol):
--- a/burlmoor/endpoints/list_updater.py
+++ b/burlmoor/endpoints/list_updater.py
@@ -23,7 +23,7 @@
     from burlmoor.endpoints.overrides import EndpointOverrides
     from burlmoor.log import EventLogger
 
-_MAX_LOGGED_NAMES = 8  # of endpoints in one log line
+_MAX_LOGGED_NAMES = 8  # endpoint names in one log line
 
 
 class EndpointListUpdater:
@@ -49,13 +49,11 @@
         self._log = log
         self._is_suspension_logged = False
 
-    # --- administrative overrides -----------------------------------------------------------------
-
     def disable(self, name: str) -> None:
-        """Send no new work to this endpoint until it is enabled again; no effect if it is disabled."""
+        """Send no new work to this endpoint until it is enabled; no effect if it is already disabled."""
         was_live = self._directory.find_reported_live(name) is not None
         if self._directory.overrides.disable(name, _unix_ms()):
-            self._report([name])
+            self._report_endpoints([name])
             if was_live:
                 self._report_not_live({name})
 
@@ -66,49 +64,45 @@
         if not self._directory.overrides.enable(name, listed_start_unix_ms, _unix_ms()):
             return
         if entry is not None:
-            # An idle connection may belong to an earlier process: the next job written to it would be lost.
+            # An idle connection may lead to an earlier process; the next job written to it would be lost.
             self._connections.close_idle_to(entry.address)
-        self._report([name])
+        self._report_endpoints([name])
 
     def set_overrides(self, overrides: EndpointOverrides) -> None:
         """Replace all overrides."""
         names = self._directory.overrides.names() | overrides.names()
         live_before = {name for name in names if self._directory.find_reported_live(name) is not None}
         self._directory.replace_overrides(overrides)
-        self._report(names)
+        self._report_endpoints(names)
         self._report_not_live(live_before)
 
-    # --- suspension -------------------------------------------------------------------------------
-
     def suspend(self, age_seconds: float) -> None:
-        """Send no new work until the list is resumed; it was last confirmed `age_seconds` ago."""
+        """Send no new work until `resume`; discovery last answered `age_seconds` ago."""
         if self._is_suspension_logged:
             return
         self._is_suspension_logged = True
         self._log(EndpointListSuspended(age_seconds=age_seconds, version=self._table.version))
         if self._directory.is_suspended:
-            return  # since the start, without a lease
+            return  # suspended since the start, when there was no lease
         live_before = self._directory.reported_live_names()
         self._directory.set_suspended(is_suspended=True)
-        self._report(list(self._table.entries))
+        self._report_endpoints(list(self._table.entries))
         self._report_not_live(live_before)
 
     def resume(self) -> None:
-        """Send new work again: there is a lease on the list."""
+        """Send new work again, now that there is a lease on the list."""
         if not self._directory.is_suspended:
             return
         self._directory.set_suspended(is_suspended=False)
-        self._report(list(self._table.entries))
+        self._report_endpoints(list(self._table.entries))
         if self._is_suspension_logged:
             self._is_suspension_logged = False
             self._log(EndpointListResumed(version=self._table.version))
 
-    # --- lists ------------------------------------------------------------------------------------
-
     def load_cached(self, cached: DiscoveredList | None) -> None:
-        """Load the list as this node last had it, which may be stale (None: there is none).
+        """Load the node's cached list, which may be stale (None: there is none).
 
-        Without a lease on it no endpoint is live until `resume`.
+        Without a lease on the list, no endpoint is live until `resume`.
         """
         self._directory.set_suspended(is_suspended=not self._directory.has_lease())
         entries = [] if cached is None else self._merge(cached)
@@ -123,7 +117,7 @@
             self._report_not_live(live_before)
 
     def apply_response(self, body: bytes) -> None:
-        """Apply a response of the discovery service; single invalid entries are logged and skipped.
+        """Apply a response of the discovery service; invalid entries are logged and skipped.
 
         Raises:
             InvalidEndpointListError: the response is not a usable list; nothing has changed.
@@ -131,10 +125,12 @@
         received = decode_list(body)
         live_before = self._table.live_names()
         if received.is_complete and not received.endpoints and live_before:
-            # A discovery service that has just started knows no endpoint. To apply its list would stop all
-            # work, and endpoints that are really gone refuse connections anyway.
+            # A discovery service that has just started knows no endpoint yet. Applying its empty list would
+            # stop all work, and endpoints that are really gone refuse connections anyway.
             raise InvalidEndpointListError(
-                field="hosts", value=received.endpoints, problem="empty, though executors were listed"
+                field="hosts",
+                value=received.endpoints,
+                problem=f"empty, although {len(live_before)} endpoints are live in the known list",
             )
         validated = validate_entries(received.endpoints, self._table.entries)
         if validated.invalid:
@@ -148,15 +144,13 @@
             self._report_not_live(live_before)
 
     def _merge(self, update: DiscoveredList) -> list[DiscoveredEndpoint]:
-        """Merge a list with the known endpoints, and return its entries as they were merged."""
+        """Merge a list, close idle connections to stale addresses, and return the merged entries."""
         merged = self._table.merge(update)
         for address in merged.stale_addresses:
             self._connections.close_idle_to(address)
         return merged.entries
 
-    # --- reports ----------------------------------------------------------------------------------
-
-    def _report(self, names: Iterable[str]) -> None:
+    def _report_endpoints(self, names: Iterable[str]) -> None:
         """Report the entries of the named endpoints, except for those that are not listed."""
         entries = [self._table.entries[name] for name in names if name in self._table]
         if entries:
--- a/burlmoor/endpoints/list_validation.py
+++ b/burlmoor/endpoints/list_validation.py
@@ -1,4 +1,4 @@
-"""Validation of the discovery service's responses: lists that are unusable, and single invalid entries."""
+"""Validation of discovery responses: rejects unusable lists and skips single invalid entries."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from collections.abc import Iterable, Mapping
 
 _DECODER = msgspec.json.Decoder(DiscoveredList | None)
-_EXCERPT_BYTES = 100  # of a response that an error quotes
-_PATH_MARK = " - at `$."  # before the field's path in an error of msgspec
+_EXCERPT_BYTES = 100  # of the response, quoted in an error
+_PATH_MARK = " - at `$."  # precedes the path of the field in an error of msgspec
 
 
 class InvalidEndpointListError(BurlmoorError, ValueError):
@@ -43,7 +43,7 @@
 
 
 class ValidatedEntries(NamedTuple):
-    """The valid entries of a list, one for each endpoint, and what was wrong with the others."""
+    """The valid entries of a list, one for each endpoint, and the problems of the others."""
 
     valid: list[DiscoveredEndpoint]
     invalid: list[InvalidEntry]
@@ -53,7 +53,7 @@
     """Decode a response of the discovery service.
 
     Raises:
-        InvalidEndpointListError: it is not a list; the error names the field.
+        InvalidEndpointListError: the body is not a valid list; the error names the field.
     """
     try:
         decoded = _DECODER.decode(body)
@@ -70,8 +70,8 @@
 ) -> ValidatedEntries:
     """Select the valid entries, one for each endpoint; `known` is the list as it was before.
 
-    An invalid entry of a known endpoint is replaced by the known one. Without this, one invalid entry would
-    keep the drains of all other endpoints from taking effect, or undo a drain.
+    An invalid entry is skipped; rejecting the whole list would hold up the drains of all other endpoints. If
+    the endpoint is known, its known entry takes the place of the invalid one, so that no drain is undone.
     """
     selected: dict[str, DiscoveredEndpoint] = {}
     invalid: list[InvalidEntry] = []
@@ -93,7 +93,7 @@
 
 
 class _Precedence(NamedTuple):
-    """Orders entries of one endpoint: the later start wins, and for equal starts the draining entry."""
+    """Orders duplicate entries of one endpoint: the later start wins; at equal starts, the draining entry."""
 
     started_unix_ms: float
     is_draining: bool
@@ -104,11 +104,11 @@
 
 
 def _find_problem(entry: DiscoveredEndpoint, known: Mapping[str, DiscoveredEndpoint]) -> InvalidEntry | None:
-    """Find the first invalid field of a live entry."""
+    """Return the first invalid field of a live entry, or None."""
     if not entry.name:
-        return InvalidEntry("host", "empty")
-    if not entry.weight >= 0.0:  # NaN compares false, too
-        return InvalidEntry("share", f"{entry.weight} is invalid, 0 or more is allowed")
+        return InvalidEntry("host", "the name must not be empty")
+    if not entry.weight >= 0.0:  # written so that NaN is rejected too
+        return InvalidEntry("share", f"{entry.weight} is not a valid weight: it must be at least 0")
     address = entry.address
     if not address and entry.name in known:
         address = known[entry.name].address
--- a/burlmoor/endpoints/overrides.py
+++ b/burlmoor/endpoints/overrides.py
@@ -1,4 +1,4 @@
-"""Administrative overrides of single endpoints, applied to discovery's list."""
+"""Administrative overrides, which disable or re-enable single endpoints of the discovered list."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 class EndpointOverrides(msgspec.Struct):
     """The administrative overrides of endpoints, by name; times are Unix times in ms.
 
-    Stored in the overrides file and handed over to the next process: the encoded names must not change.
+    Stored in the overrides file and handed over to the next process, so the encoded names must not change.
     """
 
-    # Disabled endpoints, which get no new work, and since when.
+    # When each disabled endpoint, which gets no new work, was disabled.
     disabled_since: dict[str, float] = msgspec.field(name="out", default={})
-    # Endpoints that were enabled again, and when they count as started.
+    # When each endpoint was enabled again, which counts as its start.
     enabled_since: dict[str, float] = msgspec.field(name="started", default={})
 
     def names(self) -> set[str]:
@@ -23,11 +23,11 @@
         return {*self.disabled_since, *self.enabled_since}
 
     def is_disabled(self, name: str) -> bool:
-        """Whether the endpoint gets no new work."""
+        """Return whether the endpoint is disabled, so that it gets no new work."""
         return name in self.disabled_since
 
     def disable(self, name: str, now_unix_ms: float) -> bool:
-        """Disable an endpoint; return False, without a change, if it is disabled already."""
+        """Disable an endpoint; return False, without a change, if it is already disabled."""
         if name in self.disabled_since:
             return False
         self.disabled_since[name] = now_unix_ms
@@ -35,7 +35,7 @@
         return True
 
     def enable(self, name: str, listed_start_unix_ms: float | None, now_unix_ms: float) -> bool:
-        """Enable an endpoint again, whose listed start is `listed_start_unix_ms` (None: it is not listed).
+        """Enable an endpoint again; `listed_start_unix_ms` is its start in the list (None: not listed).
 
         Returns False, without a change, if it is not disabled.
         """
@@ -43,17 +43,17 @@
         if disabled_since is None:
             return False
         if listed_start_unix_ms is None or listed_start_unix_ms < disabled_since:
-            # Without this, a process that was restarted while it was disabled would get no slow start: the
-            # list has its new start only later.
+            # The process may have been restarted while it was disabled. The list shows its new start only
+            # later, so without this it would get no slow start.
             self.enabled_since[name] = now_unix_ms
         return True
 
     def effective_state(self, name: str, state: EndpointState) -> EndpointState:
-        """Return the state that holds for the policy, given the state in the list."""
+        """Return the state to report to the policy, given the state in the list."""
         if state is EndpointState.LIVE and self.is_disabled(name):
             return EndpointState.DRAINING
         return state
 
     def effective_start(self, name: str, listed_start_unix_ms: float) -> float:
-        """Return the start from which slow start counts, given the start in the list."""
+        """Return the Unix time in ms at which slow start begins, given the start in the list."""
         return max(listed_start_unix_ms, self.enabled_since.get(name, 0.0))
