--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""The discovery client over sockets: broken watches, invalid lists and long lists."""
+"""The discovery client over real sockets: watch faults, invalid lists and long lists."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-PUSHED = {**SETTINGS_OBJECT, "RegistryMode": "push"}
+PUSH_SETTINGS = {**SETTINGS_OBJECT, "RegistryMode": "push"}
 
 
 async def assert_all_jobs_are_sent_to_e1(harness: NodeHarness) -> None:
@@ -31,7 +31,7 @@
 
 
 async def break_watch(harness: NodeHarness, fault: str, tmp_path: Path) -> float:
-    """Break the open watch; return the seconds after which the node counts as notified of a missed change."""
+    """Break the open watch; return the notification deadline of a missed change, in seconds from now."""
     watch = harness.open_watches.pop()
     wait_seconds = float(harness.discovery_paths[-1].partition("wait_ms=")[2]) / 1000.0
     if fault == "reset":
@@ -48,14 +48,14 @@
     return max(6.0, wait_seconds + 2.0)
 
 
-@pytest.mark.parametrize("settings", [SETTINGS_OBJECT, PUSHED], ids=["asked", "pushed"])
+@pytest.mark.parametrize("settings", [SETTINGS_OBJECT, PUSH_SETTINGS], ids=["poll", "push"])
 @pytest.mark.parametrize("fault", ["silent", "reset", "down", "address change"])
-async def test_a_drain_takes_effect_in_time_whatever_breaks_the_watch(
+async def test_a_drain_takes_effect_in_time_after_any_watch_fault(
     fault: str, settings: dict[str, Any], tmp_path: Path
 ) -> None:
     # A silent watch looks like one without changes. The notification deadline of a missed change is 6 s after
-    # the watch fell silent, or 2 s after its call's wait is over, if that is later. Of a change that an agent
-    # receives, it is the moment at which the agent answers again.
+    # the watch fell silent, or 2 s after the end of its call's wait, if that is later. For a change that an
+    # agent receives, it is the moment at which the agent answers again.
     async with open_node_harness(given_settings=settings) as harness:
         await harness.publish(5, e0="active", e1="active")
         await harness.wait_until(lambda: harness.open_watches)
@@ -74,9 +74,9 @@
         await assert_all_jobs_are_sent_to_e1(harness)
 
 
-async def test_a_silent_agent_is_called_often_enough_for_the_drain_rule() -> None:
-    # The node counts as notified of changes that the agent receives meanwhile once the agent answers again.
-    async with open_node_harness(given_settings=PUSHED) as harness:
+async def test_a_silent_agent_is_called_at_short_intervals() -> None:
+    # Once the agent answers again, the node counts as notified of the changes that the agent has received.
+    async with open_node_harness(given_settings=PUSH_SETTINGS) as harness:
         harness.is_discovery_silent = True
         await harness.wait_until(lambda: len(harness.discovery_paths) > 5)
         gaps = []
@@ -86,7 +86,7 @@
             while len(harness.discovery_paths) <= calls:
                 await harness._changed.wait()
             gaps.append(trio.current_time() - since)
-        assert sorted(gaps)[1] < 0.3  # the machine may be busy for a call or two
+        assert sorted(gaps)[1] < 0.3  # two of the four gaps may be longer, on a loaded machine
 
 
 INVALID_LISTS = [
@@ -108,14 +108,14 @@
 
 
 @pytest.mark.parametrize(("body", "event", "field"), INVALID_LISTS)
-async def test_an_invalid_list_changes_nothing_and_does_not_stop_the_watch(
+async def test_an_invalid_list_is_ignored_and_the_watch_continues(
     body: bytes, event: str, field: str
 ) -> None:
     lines: list[str] = []
     async with open_node_harness(lines=lines) as harness:
         await harness.wait_ready()
         await harness.wait_until(lambda: harness.open_watches)
-        # The node reads no more than a list may have.
+        # The node stops reading at the size limit of a list, and closes the connection.
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await harness.open_watches.pop().write("HTTP/1.1 200 OK", body)
         await harness.wait_until(lambda: any(event in line for line in lines))
@@ -129,7 +129,7 @@
     assert field in errors[0]
 
 
-async def test_an_invalid_entry_neither_hides_a_drain_nor_undoes_one() -> None:
+async def test_invalid_entries_neither_block_nor_undo_a_drain() -> None:
     lines: list[str] = []
     async with open_node_harness(lines=lines) as harness:
         published = harness.endpoint_list(7, e0="leaving", e1="active")
@@ -158,7 +158,7 @@
 MANY_ENDPOINTS = 1200
 
 
-async def test_a_long_list_is_applied_and_updated_and_all_of_it_may_be_disabled() -> None:
+async def test_a_long_list_can_be_applied_updated_and_disabled() -> None:
     async with open_node_harness() as harness:
         published = harness.endpoint_list(7, e0="active", e1="active")
         draining = {**published["hosts"][0], "health": "leaving"}
--- a/tests/discovery/test_schedule.py
+++ b/tests/discovery/test_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of calls under a fake clock: many nodes' calls to one discovery service, and their backoff."""
+"""The schedule of calls under a fake clock: a fleet that calls one discovery service, and backoff."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from burlmoor.endpoints.discovered_list import DiscoveredList
 from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.upstream.errors import ConnectionEndedError
-from tests.discovery.watch_simulation import DRAIN_RULE, QUEUE_TIMEOUT, new_schedule
+from tests.discovery.watch_simulation import DRAIN_GRACE_SECONDS, QUEUE_TIMEOUT_SECONDS, new_schedule
 
 if TYPE_CHECKING:
     from burlmoor.types.endpoint_list import EndpointEntry, ListKind
@@ -27,13 +27,15 @@
 
 
 class FleetAnswers(NamedTuple):
-    """How a discovery has answered a fleet of nodes."""
+    """How discovery answered the calls of a fleet."""
 
     answered_at: list[float]  # by node, in the order of the answers
     failed_calls: int
 
 
-def answer_in_turn(schedules: list[WatchSchedule], starts: list[float], call_seconds: float) -> FleetAnswers:
+def answer_sequentially(
+    schedules: list[WatchSchedule], starts: list[float], call_seconds: float
+) -> FleetAnswers:
     """Simulate a discovery that answers one call at a time; a call that is queued for too long fails."""
     calls = [(start, number) for number, start in enumerate(starts)]
     failed = 0
@@ -45,49 +47,47 @@
         if queue and (not calls or max(free_at, queue[0][0]) <= calls[0][0]):
             arrived_at, number = queue.popleft()
             ends = max(free_at, arrived_at) + call_seconds
-            if ends <= arrived_at + QUEUE_TIMEOUT:
+            if ends <= arrived_at + QUEUE_TIMEOUT_SECONDS:
                 free_at = ends
                 answered.append(ends)
                 continue
-            free_at = max(free_at, min(ends, arrived_at + QUEUE_TIMEOUT))
+            free_at = max(free_at, min(ends, arrived_at + QUEUE_TIMEOUT_SECONDS))
             failed += 1
             schedules[number].on_call_started(arrived_at)
-            schedules[number].on_call_ended(CallResult.FAILED, arrived_at + QUEUE_TIMEOUT)
+            schedules[number].on_call_ended(CallResult.FAILED, arrived_at + QUEUE_TIMEOUT_SECONDS)
             heapq.heappush(calls, (schedules[number].next_call().start_at, number))
         else:
             queue.append(heapq.heappop(calls))
     return FleetAnswers(answered, failed)
 
 
-def start_together(nodes: int, call_seconds: float, seed: int) -> FleetAnswers:
-    """Start all nodes of a fleet simultaneously, and return its answers."""
+def start_simultaneously(nodes: int, call_seconds: float, seed: int) -> FleetAnswers:
+    """Start all nodes of a fleet simultaneously, and return the answers that they get."""
     schedules = [new_schedule(nodes, f"{seed}/{number}") for number in range(nodes)]
     for schedule in schedules:
         schedule.on_start(0.0, has_list=True)
     starts = [schedule.next_call().start_at for schedule in schedules]
-    answers = answer_in_turn(schedules, starts, call_seconds)
+    answers = answer_sequentially(schedules, starts, call_seconds)
     assert len(answers.answered_at) == nodes
     return answers
 
 
-def test_a_fleet_that_starts_simultaneously_is_answered_in_time_by_a_discovery_that_answers_in_turn() -> None:
+def test_a_fleet_that_starts_simultaneously_is_answered_in_time() -> None:
     for nodes, call_seconds in ((5, 0.2), (40, 0.1), (182, 0.0225), (200, 0.02)):
         for seed in range(8):
-            answers = start_together(nodes, call_seconds, seed)
-            assert max(answers.answered_at) <= 6.0 + DRAIN_RULE
+            answers = start_simultaneously(nodes, call_seconds, seed)
+            assert max(answers.answered_at) <= 6.0 + DRAIN_GRACE_SECONDS
             assert answers.failed_calls == 0
 
 
-def test_a_fleet_is_answered_by_a_discovery_that_needs_longer_than_the_notification_deadline() -> None:
+def test_a_slow_discovery_answers_the_whole_fleet() -> None:
     for seed in range(8):
-        answers = start_together(40, 0.2, seed)  # 8 s of work
+        answers = start_simultaneously(40, 0.2, seed)  # 8 s of work
         assert max(answers.answered_at) < 12.0
         assert answers.failed_calls < 40
 
 
-def test_a_fleet_whose_watches_fall_silent_simultaneously_is_answered_before_the_notification_deadline() -> (
-    None
-):
+def test_a_fleet_whose_watches_fall_silent_is_answered_in_time() -> None:
     for nodes, call_seconds in ((5, 0.2), (40, 0.1), (200, 0.02), (230, 0.015)):
         for seed in range(4):
             rng = random.Random(seed)
@@ -104,11 +104,11 @@
                 schedule.on_call_ended(CallResult.TIMED_OUT, timed_out_at)
                 schedules.append(schedule)
                 starts.append(schedule.next_call().start_at)
-            answers = answer_in_turn(schedules, starts, call_seconds)
-            assert max(answers.answered_at) <= 1.0 + 6.0 + DRAIN_RULE, (nodes, seed)
+            answers = answer_sequentially(schedules, starts, call_seconds)
+            assert max(answers.answered_at) <= 1.0 + 6.0 + DRAIN_GRACE_SECONDS, (nodes, seed)
 
 
-def test_a_fleet_whose_calls_fit_into_the_queue_timeout_calls_at_once() -> None:
+def test_a_small_fleet_calls_without_jitter() -> None:
     schedule = new_schedule(4)
     schedule.on_start(5.0, has_list=True)
     assert schedule.next_call().start_at == 5.0
@@ -120,14 +120,14 @@
 
 
 @pytest.mark.parametrize("poll_interval", [0.5, 2.0, 3.0, 10.0, 60.0])
-def test_each_failed_call_is_followed_by_one_in_time_for_the_notification_deadline(
+def test_each_failed_call_is_repeated_before_the_notification_deadline(
     poll_interval: float,
 ) -> None:
     failure_allowance = min(6.0, 4.0 * poll_interval)
     for seed in range(50):
         schedule = new_schedule(4000, seed, poll_interval=poll_interval)
         schedule.on_start(0.0, has_list=True)
-        # Whatever the settings: nothing is sent before the first call has shown that discovery is reachable.
+        # For all settings: no job is sent before the first call has shown that discovery is reachable.
         assert schedule.next_call().start_at <= 2.5
         now = 0.0
         for number in range(30):
@@ -138,42 +138,42 @@
             allowance = 6.0 if result is CallResult.TIMED_OUT else failure_allowance
             next_start = schedule.next_call().start_at
             assert next_start <= max(now + allowance - 2.0, ended + 0.05)
-            # No call is repeated at once without end.
+            # A failed call is never repeated without a delay, except after a timeout.
             assert result is CallResult.TIMED_OUT or next_start >= ended + 0.025
             now = next_start
 
 
-def fail_calls_until(back_at: float, schedule: WatchSchedule, rng: random.Random) -> None:
-    """Fail all calls of a node until discovery is back: refused at once, or timed out."""
+def fail_calls_until(returns_at: float, schedule: WatchSchedule, rng: random.Random) -> None:
+    """Let all calls of a node fail until discovery returns: refused immediately, or timed out."""
     schedule.on_start(0.0, has_list=True)
     schedule.on_call_started(0.0)
     schedule.on_call_ended(CallResult.FAILED, rng.uniform(0.0, 0.5))
-    while (now := schedule.next_call().start_at) < back_at:
+    while (now := schedule.next_call().start_at) < returns_at:
         schedule.on_call_started(now)
         timed_out = rng.random() < 0.5
         result = CallResult.TIMED_OUT if timed_out else CallResult.FAILED
         schedule.on_call_ended(result, now + timed_out * schedule.next_call().timeout_seconds)
 
 
-def test_a_fleet_that_was_partitioned_from_discovery_is_answered_before_the_notification_deadline() -> None:
+def test_a_partitioned_fleet_is_answered_in_time_after_healing() -> None:
     for nodes, call_seconds in ((5, 0.2), (20, 0.2), (30, 0.1), (200, 0.02), (230, 0.015)):
         for seed in range(4):
             rng = random.Random(seed)
-            back_at = rng.uniform(3.0, 9.0)
+            returns_at = rng.uniform(3.0, 9.0)
             schedules = [new_schedule(nodes, f"{seed}/{number}") for number in range(nodes)]
             for schedule in schedules:
-                fail_calls_until(back_at, schedule, rng)
+                fail_calls_until(returns_at, schedule, rng)
             starts = [schedule.next_call().start_at for schedule in schedules]
-            answers = answer_in_turn(schedules, starts, call_seconds)
-            assert max(answers.answered_at) <= back_at + 6.0 + DRAIN_RULE, (nodes, seed)
+            answers = answer_sequentially(schedules, starts, call_seconds)
+            assert max(answers.answered_at) <= returns_at + 6.0 + DRAIN_GRACE_SECONDS, (nodes, seed)
 
 
-class Observer:
+class ListObserverStub:
     def on_endpoint_list(self, kind: ListKind, entries: list[EndpointEntry]) -> None: ...
 
 
-class BusyDiscovery:
-    """Stands in for the connection pool: each call fails."""
+class FailingConnectionPool:
+    """Stands in for the connection pool; every call fails."""
 
     def __init__(self) -> None:
         self.called_at: list[float] = []
@@ -183,16 +183,18 @@
         raise ConnectionEndedError
 
 
-def discard(*_: object, **__: object) -> None:
-    """Stand in for the log."""
+def discard_log_event(*_: object, **__: object) -> None:
+    """Stand in for the logger."""
 
 
 async def test_calls_are_spread_at_the_start_and_after_each_failure(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    discovery = BusyDiscovery()
+    discovery = FailingConnectionPool()
     directory = EndpointDirectory(from_unix=lambda unix_ms: unix_ms, has_lease=lambda: True)
-    updater = EndpointListUpdater(directory, Observer(), cast("Any", None), cast("Any", None), discard)
+    updater = EndpointListUpdater(
+        directory, ListObserverStub(), cast("Any", None), cast("Any", None), discard_log_event
+    )
     updater.load_cached(DiscoveredList(41))  # an old list
     client = DiscoveryClient(
         directory,
@@ -201,15 +203,15 @@
         "127.0.0.1:1",
         new_schedule(200, 3),
         ListLease(has_agent=False),
-        discard,
+        discard_log_event,
     )
     started_at = trio.current_time()
     with trio.move_on_after(20.0):
         await client.run()
     calls = [called_at - started_at for called_at in discovery.called_at]
     assert calls[0] > 0.1
-    # A node that called at once and then every two seconds would have made over ten calls.
+    # Calls without jitter, at once and then every two seconds, would be more than ten.
     assert 4 <= len(calls) <= 10
     pauses = [later - earlier for earlier, later in pairwise(calls)]
-    assert pauses[0] <= 0.25  # the second shows whether discovery is down, or only the first was delayed
+    assert pauses[0] <= 0.25  # the second failure shows whether a partition only delayed the first
     assert min(pauses[1:]) > 0.5
--- a/tests/discovery/test_watch_mutations.py
+++ b/tests/discovery/test_watch_mutations.py
@@ -1,4 +1,4 @@
-"""The mutations of the testbed that concern discovery change what they name, and are noticed."""
+"""Each of the testbed's discovery mutations takes effect and is detected."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from burlmoor.endpoints.list_updater import EndpointListUpdater
 from burlmoor.testbed.mutations import WATCH_MUTATIONS
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
-from tests.discovery.watch_simulation import DRAIN_RULE, World, worst_lateness
+from tests.discovery.watch_simulation import DRAIN_GRACE_SECONDS, WatchScenario, worst_lateness
 
 
-def world(seed: int) -> World:
-    return World(
+def scenario(seed: int) -> WatchScenario:
+    return WatchScenario(
         nodes=5,
         has_agent=False,
         changes=[10.0, 12.0, 16.0, 18.0, 20.0],
@@ -36,14 +36,14 @@
 ) -> None:
     constants = {constant: value for constant, value in vars(schedule).items() if constant.isupper()}
     for constant, value in constants.items():
-        monkeypatch.setattr(schedule, constant, value)  # so that each is restored afterwards
-    assert all(worst_lateness(world(seed)) <= DRAIN_RULE for seed in range(5))
+        monkeypatch.setattr(schedule, constant, value)  # so that it is restored after the test
+    assert all(worst_lateness(scenario(seed)) <= DRAIN_GRACE_SECONDS for seed in range(5))
     WATCH_MUTATIONS[name].apply()
     assert {constant for constant in vars(schedule) if constant.isupper()} == set(constants)
-    assert any(worst_lateness(world(seed)) > DRAIN_RULE for seed in range(5))
+    assert any(worst_lateness(scenario(seed)) > DRAIN_GRACE_SECONDS for seed in range(5))
 
 
-class Observer:
+class StateRecorder:
     def __init__(self) -> None:
         self.states: list[EndpointState] = []
 
@@ -52,14 +52,14 @@
 
 
 class DrainingEndpoint(NamedTuple):
-    """How a directory has an endpoint that drains."""
+    """How a directory handles a draining endpoint."""
 
-    is_sent_work: bool
+    is_live: bool  # so that new work may be sent to it
     reported_states: list[EndpointState]  # to the policy
 
 
-def load_draining() -> DrainingEndpoint:
-    observer = Observer()
+def load_draining_endpoint() -> DrainingEndpoint:
+    observer = StateRecorder()
     directory = EndpointDirectory(from_unix=lambda unix_ms: unix_ms, has_lease=lambda: True)
     updater = EndpointListUpdater(directory, observer, cast("Any", None), cast("Any", None), print)
     draining = DiscoveredEndpoint("e0", "h:1", health="leaving")
@@ -70,6 +70,6 @@
 def test_the_undrained_mutation_lets_a_draining_endpoint_get_work(monkeypatch: pytest.MonkeyPatch) -> None:
     for method in ("find_live", "_effective_state"):
         monkeypatch.setattr(EndpointDirectory, method, getattr(EndpointDirectory, method))
-    assert load_draining() == (False, [EndpointState.DRAINING])
+    assert load_draining_endpoint() == (False, [EndpointState.DRAINING])
     WATCH_MUTATIONS["undrained"].apply()
-    assert load_draining() == (True, [EndpointState.LIVE])
+    assert load_draining_endpoint() == (True, [EndpointState.LIVE])
--- a/tests/endpoints/test_endpoint_table.py
+++ b/tests/endpoints/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""Merging a list with the known endpoints: complete and partial lists, stale versions, replaced processes."""
+"""Merging lists into the table: complete and partial lists, stale versions, replaced processes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return endpoint.state
 
 
-def test_a_complete_list_removes_unlisted_endpoints_and_a_partial_one_does_not() -> None:
+def test_only_a_complete_list_removes_unlisted_endpoints() -> None:
     table = table_with(1, entry("e0"), entry("e1"))
     assert table.merge(DiscoveredList(2, is_complete=False, endpoints=[entry("e2")])).stale_addresses == []
     assert table.live_names() == {"e0", "e1", "e2"}
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("health", ["leaving", "left"])
-def test_a_list_of_an_older_version_does_not_undo_a_drain(health: str) -> None:
+def test_an_older_list_does_not_undo_a_drain(health: str) -> None:
     table = table_with(5, entry("e0", health), entry("e1"))
     merged = table.merge(DiscoveredList(4, is_complete=True, endpoints=[entry("e0"), entry("e1")]))
     assert [each.health for each in merged.entries] == [health, "active"]
@@ -48,7 +48,7 @@
     assert table.version == 4
 
 
-def test_a_list_of_the_same_version_or_of_a_new_process_ends_a_drain() -> None:
+def test_the_same_version_or_a_new_process_ends_a_drain() -> None:
     table = table_with(5, entry("e0", "leaving"))
     table.merge(DiscoveredList(4, is_complete=False, endpoints=[entry("e0", started=6.0)]))
     assert state_of(table, "e0") is EndpointState.LIVE
@@ -57,7 +57,7 @@
     assert state_of(table, "e0") is EndpointState.LIVE
 
 
-def test_a_process_that_was_replaced_or_has_another_address_has_stale_connections() -> None:
+def test_a_new_process_or_address_makes_the_old_address_stale() -> None:
     table = table_with(1, entry("e0"), entry("e1"), entry("e2"))
     changed = [entry("e0", started=6.0), entry("e1", address="127.0.0.1:10"), entry("e2", "leaving")]
     assert (
@@ -66,7 +66,7 @@
     )
 
 
-def test_an_endpoint_that_is_gone_keeps_its_address_and_an_unknown_health_counts_as_gone() -> None:
+def test_unknown_health_counts_as_gone_and_keeps_the_address() -> None:
     table = table_with(1, entry("e0"))
     table.merge(DiscoveredList(2, is_complete=False, endpoints=[entry("e0", "resting", address="")]))
     endpoint = table.get("e0")
--- a/tests/endpoints/test_list_validation.py
+++ b/tests/endpoints/test_list_validation.py
@@ -1,4 +1,4 @@
-"""Validation of discovery's responses: errors name the field, and one invalid entry affects no other."""
+"""Validation of discovery responses: errors name the field; an invalid entry affects no other."""
 
 from __future__ import annotations
 
@@ -20,9 +20,7 @@
         (b'{"seq": 1, "hosts": [{"host": "\xff"}]}', "body", None),
     ],
 )
-def test_an_error_names_the_field_and_is_a_value_error_and_a_burlmoor_error(
-    body: bytes, field: str, value: object
-) -> None:
+def test_a_decoding_error_names_the_invalid_field(body: bytes, field: str, value: object) -> None:
     with pytest.raises(InvalidEndpointListError) as raised:
         decode_list(body)
     assert isinstance(raised.value, ValueError)
@@ -32,7 +30,7 @@
     assert raised.value.value == (value if value is not None or body == b"null" else body[:100])
 
 
-def test_a_list_is_decoded_under_the_names_that_it_is_sent_with() -> None:
+def test_list_fields_are_decoded_from_their_wire_names() -> None:
     body = (
         b'{"seq": 4, "whole": false, "hosts": [{"host": "e0", "dial": "h:1", "site": "a", "class": "big",'
         b' "block": 2, "health": "active", "share": 0.5, "born_ms": 7}]}'
@@ -56,26 +54,26 @@
         (endpoint("e0"), "hosts[1].host"),
     ],
 )
-def test_an_invalid_entry_is_named_and_skipped(entry: DiscoveredEndpoint, field: str) -> None:
+def test_an_invalid_entry_is_reported_and_skipped(entry: DiscoveredEndpoint, field: str) -> None:
     others = [endpoint("e0"), endpoint("e2")]
     validated = validate_entries([others[0], entry, others[1]], {})
     assert validated.valid == others
     assert [problem.field for problem in validated.invalid] == [field]
 
 
-def test_an_invalid_entry_of_a_known_endpoint_keeps_the_known_entry() -> None:
+def test_an_invalid_entry_is_replaced_by_the_known_entry() -> None:
     known = endpoint("e0", "leaving")
     validated = validate_entries([endpoint("e0", weight=-1.0)], {"e0": known})
     assert validated.valid == [known]
     assert validate_entries([endpoint("e0", address="")], {"e0": known}).invalid == []
 
 
-def test_an_entry_that_drains_is_applied_even_if_it_is_invalid() -> None:
+def test_a_draining_entry_is_applied_even_if_invalid() -> None:
     draining = endpoint("e0", "leaving", weight=-1.0, address="nowhere")
     assert validate_entries([draining], {}) == ([draining], [])
 
 
-def test_of_two_entries_of_one_endpoint_the_later_start_has_precedence_then_the_one_that_drains() -> None:
+def test_duplicates_prefer_the_later_start_then_the_draining_entry() -> None:
     for first, second, valid_index in (
         (endpoint("e0", "leaving"), endpoint("e0"), 0),
         (endpoint("e0"), endpoint("e0", "leaving"), 1),
--- a/tests/endpoints/test_suspension.py
+++ b/tests/endpoints/test_suspension.py
@@ -1,4 +1,4 @@
-"""A suspended endpoint list: nothing is live until it is resumed, and drains are applied meanwhile."""
+"""A suspended endpoint list: no endpoint is live until it is resumed; drains are still applied."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Observer:
-    """Records the last state reported of each endpoint, and which endpoints stopped being live."""
+    """Records the last reported state of each endpoint, and the endpoints that stopped being live."""
 
     def __init__(self) -> None:
         self.states: dict[str, EndpointState] = {}
@@ -39,7 +39,7 @@
     updater.load_cached(DiscoveredList(1, is_complete=True, endpoints=entries))
     updater.disable("e2")
     assert observer.not_live == [frozenset({"e2"})]
-    for _ in range(2):  # twice changes nothing
+    for _ in range(2):  # the second call has no effect
         updater.suspend(7.5)
     assert observer.not_live[1:] == [frozenset({"e0", "e1"})]
     assert set(observer.states.values()) == {EndpointState.DRAINING}
--- a/tests/integration/test_endpoint_changes.py
+++ b/tests/integration/test_endpoint_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list, of discovery's address and of the configuration, over sockets."""
+"""Changes of the endpoint list, the discovery address and the configuration, over real sockets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         await harness.publish(2, is_complete=False, e0="leaving")
         last = "/registry/instances?after=2&wait_ms=1000"
         await harness.wait_until(lambda: harness.discovery_paths[-1] == last)
-        # The first call is answered soon in any case: the node waits for it before it accepts clients.
+        # The first call waits only 100 ms, since the node accepts no clients before its answer.
         assert harness.discovery_paths[0] == "/registry/instances?after=1&wait_ms=100"
         assert set(harness.discovery_paths[1:-1]) <= {"/registry/instances?after=1&wait_ms=1000"}
         clients = [await harness.submit_job("once", f"a{number}") for number in range(3)]
@@ -36,11 +36,11 @@
         await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
         rejection = await harness.read_response(await harness.submit_job(timeout_ms=300))
         assert rejection.status == 503
-        assert 0.0 < float(rejection.headers["retry-after"]) <= 1.0  # the most that the settings allow
+        assert 0.0 < float(rejection.headers["retry-after"]) <= 1.0  # the maximum in the settings
         assert not harness.jobs
 
 
-async def test_a_drain_during_the_connect_fails_the_send_precondition(
+async def test_a_drain_during_the_connect_prevents_the_send(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with open_node_harness() as harness:
@@ -80,10 +80,8 @@
     assert sum("discovery-failed" in line for line in lines) == 3
 
 
-@pytest.mark.parametrize("phase", ["for an answer", "after failures"])
-async def test_the_full_list_is_fetched_at_once_from_discovery_at_a_new_address(
-    phase: str, tmp_path: Path
-) -> None:
+@pytest.mark.parametrize("phase", ["during a watch", "after failures"])
+async def test_an_address_change_fetches_the_full_list_at_once(phase: str, tmp_path: Path) -> None:
     async with open_node_harness() as harness:
         await harness.publish(5, is_complete=False, e0="leaving")
         client = await harness.submit_job()
@@ -98,14 +96,14 @@
         new_address = await harness.start_discovery()
         cached = harness.endpoint_list(1, e0="active")  # older than the list that the node has
         moved = write_config(tmp_path, discovery=new_address, known=cached)
-        for _ in range(2):  # twice changes nothing
+        for _ in range(2):  # the second reload has no effect
             harness.node.reload({**moved, "RELAY_DISCOVERY": "127.0.0.1:9"})
         started_at = trio.current_time()
         await harness.wait_until(lambda: harness.discovery_paths)
         assert harness.discovery_paths == ["/registry/instances"]
-        assert trio.current_time() - started_at < 0.9  # a backoff after ten failures is a second at least
+        assert trio.current_time() - started_at < 0.9  # the backoff after ten failures would be at least 1 s
         await harness.wait_until(lambda: set(old_watches) <= set(harness.closed_discovery_connections))
-        # Its versions may be lower, but a draining endpoint is not live again without a new start.
+        # The new discovery may have lower versions, but a draining process must not become live again.
         await harness.publish(3, e0="active", e1="active")
         await harness.wait_until(lambda: len(harness.discovery_paths) > 1)
         assert harness.discovery_paths[1] == "/registry/instances?after=3&wait_ms=1000"
--- a/tests/integration/test_list_lease.py
+++ b/tests/integration/test_list_lease.py
@@ -1,7 +1,7 @@
-"""The endpoint list over processes: until when a node may send on it without contact with discovery.
+"""The lease on the endpoint list, with real processes: how long a node uses its list without discovery.
 
-In most tests, discovery lists two of three executors as left while the node cannot be notified. From 6 s
-after that the node counts as notified, so nothing may reach them.
+In most tests, discovery lists two of three executors as left while the node can't be notified. The node
+counts as notified 6 s later, so from then on no attempt may reach these executors.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
     from burlmoor.testbed.local_cluster import LocalCluster
 
 NOTIFIED_AFTER_MS = 6000.0
-GRACE_MS = 250.0 + 150.0  # of the drain rule, and for a loaded machine
-LARGE_FLEET = 200  # nodes, which may call discovery simultaneously
+GRACE_MS = 250.0 + 150.0  # the drain rule allows 250 ms; the rest is for a loaded machine
+LARGE_FLEET = 200  # nodes; sets the jitter of the calls to discovery
 
 
 async def kill_before_departures(cluster: LocalCluster) -> dict[str, Any]:
@@ -41,7 +41,7 @@
     return old_list
 
 
-async def test_a_node_that_was_partitioned_sends_nothing_on_its_old_list_once_the_partition_heals(
+async def test_a_node_sends_nothing_on_its_old_list_after_a_partition(
     tmp_path: Path,
 ) -> None:
     async with open_linked_cluster(tmp_path) as cluster:
@@ -57,13 +57,11 @@
             link.heal()
         await send_jobs(cluster, SEARCH, "bb", 60, interval=0.03)
         assert not late_attempts(cluster, healed_ms)
-        assert count_served(cluster, "bb") > 30, "the node has to serve again at once"
+        assert count_served(cluster, "bb") > 30, "the node must serve jobs once the partition has healed"
 
 
 @pytest.mark.parametrize("nodes", [4, LARGE_FLEET])
-async def test_a_new_process_sends_nothing_on_a_list_that_was_cached_before_executors_left(
-    tmp_path: Path, nodes: int
-) -> None:
+async def test_a_new_process_sends_nothing_on_its_cached_list(tmp_path: Path, nodes: int) -> None:
     async with open_linked_cluster(tmp_path, Balancers=nodes) as cluster:
         old_list = await kill_before_departures(cluster)
         started_ms = now_ms()
@@ -73,8 +71,8 @@
         assert count_served(cluster, "bb") > 30
 
 
-async def test_a_process_that_was_stalled_sends_nothing_on_its_old_list(tmp_path: Path) -> None:
-    """It is stopped for 8 s and partitioned from discovery; its sockets hold jobs when it resumes."""
+async def test_a_stalled_process_sends_nothing_on_its_old_list(tmp_path: Path) -> None:
+    """The process is partitioned and stopped for 8 s; jobs wait in its sockets when it resumes."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         node = cluster.nodes[0]
@@ -96,10 +94,8 @@
 
 
 @pytest.mark.parametrize("nodes", [4, LARGE_FLEET])
-async def test_a_reset_that_ends_a_silence_is_no_sign_that_discovery_is_down(
-    tmp_path: Path, nodes: int
-) -> None:
-    """The partition ends before the node counts as notified, and the call that it delayed is reset."""
+async def test_a_reset_after_a_silence_does_not_renew_the_lease(tmp_path: Path, nodes: int) -> None:
+    """The partition heals before the node counts as notified; the call that it delayed is then reset."""
 
     async with open_linked_cluster(tmp_path, Balancers=nodes) as cluster:
         await send_jobs(cluster, SEARCH, "aa", 20)
@@ -110,17 +106,17 @@
         await trio.sleep(4.5)
         link.heal()
         await trio.sleep(0.02)
-        link.cut()  # the node receives nothing but the reset
+        link.cut()  # so that the node receives only the reset
         await trio.sleep((notified_ms + GRACE_MS - now_ms()) / 1000.0)
         await send_jobs(cluster, SEARCH, "bb", 60, 0.03)
         assert not late_attempts(cluster, notified_ms + GRACE_MS)
 
 
 @pytest.mark.parametrize("delay_seconds", [0.0, 0.05])
-async def test_the_list_stays_valid_while_discovery_rejects_calls_after_some_time(
+async def test_the_list_stays_valid_while_discovery_is_overloaded(
     tmp_path: Path, delay_seconds: float
 ) -> None:
-    """Discovery does so while it is overloaded; with a delay, it is in another zone."""
+    """An overloaded discovery rejects each call after some time; the delay is that of another zone."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         link = cluster.discovery_link_of(cluster.nodes[0].name)
@@ -142,8 +138,8 @@
         assert not late_attempts(cluster, notified_ms + GRACE_MS)
 
 
-async def test_the_list_stays_valid_while_discovery_refuses_calls(tmp_path: Path) -> None:
-    """Discovery is down, so nothing counts as notified: without its list, the node would serve no client."""
+async def test_the_list_stays_valid_while_discovery_is_down(tmp_path: Path) -> None:
+    """Nothing counts as notified while discovery is down; without a list, the node would serve no job."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         cluster.discovery.is_down = True
@@ -152,10 +148,10 @@
         assert count_served(cluster, "aa") > 50
 
 
-async def test_a_process_that_starts_while_discovery_is_down_sends_nothing_before_its_return(
+async def test_a_process_that_starts_without_discovery_sends_nothing(
     tmp_path: Path,
 ) -> None:
-    """Changes announced before the outage count as notified; the cached list may be older than these."""
+    """Changes from before the outage count as notified, and the cached list may be older than they are."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         old_list = await kill_before_departures(cluster)
