--- a/burlmoor/admin/__init__.py
+++ b/burlmoor/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin server for operators, and administrative overrides."""
+"""The admin server for operators, and the administrative overrides that they set."""
--- a/burlmoor/admin/http.py
+++ b/burlmoor/admin/http.py
@@ -1,4 +1,4 @@
-"""The HTTP state machine of one admin connection, which handles a single call. No I/O."""
+"""The HTTP state machine of one admin connection, which carries a single request. No I/O."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from burlmoor.admin.requests import AdminPath, AdminRequest, AdminResponse, reject
 
-HEAD_LIMIT = 4096  # bytes
-BODY_LIMIT = 4096  # bytes
+MAX_HEAD_BYTES = 4096
+MAX_BODY_BYTES = 4096
 
 
 class _ExecutorBody(msgspec.Struct):
@@ -21,15 +21,15 @@
 
 
 class AdminConnection:
-    """Owns the HTTP state of one call. No I/O, no clock."""
+    """Owns the HTTP state of one connection. No I/O, no clock."""
 
     def __init__(self) -> None:
-        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
+        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head: h11.Request | None = None
         self._body = bytearray()
 
     def receive(self, data: bytes) -> AdminRequest | AdminResponse | None:
-        """Parse received bytes; return the call once it is complete, or the response that rejects it."""
+        """Parse received bytes; return the request once it is complete, or the response that rejects it."""
         try:
             self._http.receive_data(data)
             return self._parse_events()
@@ -43,7 +43,7 @@
                 self._head = event
             elif isinstance(event, h11.Data):
                 self._body += event.data
-                if len(self._body) > BODY_LIMIT:
+                if len(self._body) > MAX_BODY_BYTES:
                     return reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
             elif isinstance(event, h11.EndOfMessage):
                 assert self._head is not None
@@ -66,7 +66,7 @@
             return reject(HTTPStatus.BAD_REQUEST, 'the body is not {"name": "ID"}')
 
     def encode_response(self, response: AdminResponse) -> bytes:
-        """Encode a response; it announces that the connection closes."""
+        """Encode a response, with headers that announce the close of the connection."""
         body = msgspec.json.encode(response.body) + b"\n"
         headers = [
             ("Content-Type", "application/json"),
--- a/burlmoor/admin/overrides.py
+++ b/burlmoor/admin/overrides.py
@@ -46,7 +46,7 @@
         """Replace the stored overrides; a failure is logged and leaves the file unchanged."""
         if self._path is None:
             return
-        # The name is unique to this process, since the node's other process may write too.
+        # The name is unique to this process, since the node's other process may save at the same time.
         new_file = self._path.with_name(f"{self._path.name}.{os.getpid()}")
         try:
             # Replaced atomically: a crash leaves either the complete old file or the complete new one.
--- a/burlmoor/admin/requests.py
+++ b/burlmoor/admin/requests.py
@@ -1,4 +1,4 @@
-"""The requests and responses of the admin server, shared by codec, server and service."""
+"""The requests and responses of the admin server, shared by its HTTP codec, server and service."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class AdminRequest(NamedTuple):
-    """A valid call; `name` is the executor's name, or empty if the operation has none."""
+    """A valid request; `name` is the executor's name, or empty if the operation takes none."""
 
     path: AdminPath
     name: str = ""
@@ -54,25 +54,25 @@
 
 
 class AdminError(msgspec.Struct):
-    """The body of the response to a rejected call, which has changed nothing."""
+    """The body of the response to a rejected request, which has changed nothing."""
 
     error: str
 
 
 class AdminResponse(NamedTuple):
-    """The response to a call; the status of a subsystem is a plain JSON object."""
+    """The response to a request; the status of a subsystem is a plain JSON object."""
 
     status: HTTPStatus
     body: NodeStatus | AdminError | dict[str, Any]
 
 
 def reject(status: HTTPStatus, error: str) -> AdminResponse:
-    """Return the response to a rejected call."""
+    """Return the response to a rejected request."""
     return AdminResponse(status, AdminError(error))
 
 
 class AdminHandler(Protocol):
-    """Carries out the calls that the admin server receives."""
+    """Handles the requests that the admin server receives."""
 
     async def handle(self, request: AdminRequest) -> AdminResponse:
-        """Carry out a call; a rejected call changes nothing."""
+        """Handle a request; a rejected request changes nothing."""
--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -1,4 +1,4 @@
-"""The admin server: one call per connection, with bounded time, memory and connections."""
+"""The admin server: one request per connection, with limits on time, memory and connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import trio
 
-from burlmoor.admin.http import BODY_LIMIT, HEAD_LIMIT, AdminConnection
+from burlmoor.admin.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, AdminConnection
 from burlmoor.admin.requests import AdminHandler, AdminRequest, AdminResponse, reject
 from burlmoor.log_events import AdminConnectionFailed, DescriptorsExhausted
 from burlmoor.transport.address import SocketAddress
@@ -19,10 +19,10 @@
 
     from burlmoor.log import EventLogger
 
-_RESPONSE_LIMIT = 1 << 20  # bytes: enough to list every executor as disabled; memory is allocated on demand
-_REQUEST_TIMEOUT_SECONDS = 0.7  # for a call to arrive; its response is due within 1 s
-_LINGER_SECONDS = 0.1  # for a response to reach a caller that is still sending
-_MAX_CONNECTIONS = 12  # concurrent; beyond it the oldest one is closed
+_MAX_RESPONSE_BYTES = 1 << 20  # enough to list every executor as disabled; memory is allocated on demand
+_REQUEST_TIMEOUT_SECONDS = 0.7  # for a request to arrive; its response is due within 1 s
+_LINGER_SECONDS = 0.1  # for a response to reach a client that is still sending
+_MAX_CONNECTIONS = 12  # concurrent; a further one closes the oldest
 
 
 class AdminServer:
@@ -56,12 +56,12 @@
 
     def _start_connection(self, sock: socket.socket) -> None:
         try:
-            stream = SocketStream(sock, HEAD_LIMIT + BODY_LIMIT, _RESPONSE_LIMIT)
+            stream = SocketStream(sock, MAX_HEAD_BYTES + MAX_BODY_BYTES, _MAX_RESPONSE_BYTES)
         except OSError:
             sock.close()
             return
         if len(self._connections) >= _MAX_CONNECTIONS:
-            # Without this, idle callers would lock others out.
+            # Otherwise idle clients would keep operators from connecting.
             oldest = next(iter(self._connections))
             self._connections.pop(oldest).cancel()
         scope = trio.CancelScope()
@@ -71,17 +71,17 @@
     async def _serve_connection(self, stream: SocketStream, scope: trio.CancelScope) -> None:
         try:
             with scope:
-                await self._serve_call(stream)
+                await self._serve_request(stream)
         except (OSError, BufferError):
-            pass  # the caller has disconnected
+            pass  # the client has disconnected
         except Exception as error:  # noqa: BLE001
-            # The outermost handler of the connection's task: an error in one call must not end the node.
+            # The outermost handler of the connection's task: an error in one request must not end the node.
             self._log(AdminConnectionFailed(error=repr(error)))
         finally:
             self._connections.pop(stream, None)
             stream.close()
 
-    async def _serve_call(self, stream: SocketStream) -> None:
+    async def _serve_request(self, stream: SocketStream) -> None:
         connection = AdminConnection()
         received: AdminRequest | AdminResponse | None = None
         with trio.move_on_after(_REQUEST_TIMEOUT_SECONDS):
@@ -99,6 +99,6 @@
     async def _finish(self, stream: SocketStream) -> None:
         with trio.move_on_after(_LINGER_SECONDS):
             await stream.drain()
-            # Closing while the caller is still sending would cause a reset, which may discard the response.
+            # Closing while the client is still sending would cause a reset, which may discard the response.
             stream.shut_down_sending()
-            await stream.discard_until_end(BODY_LIMIT)
+            await stream.discard_until_end(MAX_BODY_BYTES)
--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -1,4 +1,4 @@
-"""Carries out the operators' calls: endpoint overrides, drains, and queries of the node's state."""
+"""Handles the operators' requests: endpoint overrides, drains, and queries of the node's state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from burlmoor.endpoints.list_updater import EndpointListUpdater
     from burlmoor.log import EventLogger
 
-# As documented in docs/on-call.md.
+# The states' names in responses, as documented in docs/on-call.md.
 _STATE_NAMES = {
     ServiceState.ACCEPTING: "open",
     ServiceState.UNREADY: "away",
@@ -61,45 +61,45 @@
         self._is_serving = is_serving
 
     def attach_override_forwarder(self, forward: OverrideForwarder) -> None:
-        """Forward each override that was applied to the node's other processes."""
+        """Set the function that sends each applied override to the node's other process."""
         self._forward_override = forward
 
     def attach_status_provider(self, path: AdminPath, provider: StatusProvider) -> None:
-        """Show the status of a subsystem at this path."""
+        """Return the status of a subsystem to requests for this path."""
         self._status_providers[path] = provider
 
     def detach_status_provider(self, path: AdminPath) -> None:
-        """Stop showing a status at this path, since the subsystem is off."""
+        """Reject requests for this path, since its subsystem is off."""
         self._status_providers.pop(path, None)
 
     async def handle(self, request: AdminRequest) -> AdminResponse:
-        """Carry out a call; a rejected call changes nothing."""
+        """Handle a request; a rejected request changes nothing."""
         if request.path is AdminPath.READY:
             return self._check_readiness()
         if request.path.is_query:
-            return await self._show_subsystem(request.path)
+            return await self._get_subsystem_status(request.path)
         if request.path.names_executor and not self._directory.is_known(request.name):
             return reject(HTTPStatus.NOT_FOUND, "no executor has this name")
         self.apply(request)
         self._file.save(self.overrides)
         self._log(OverrideApplied(call=request.path, name=request.name))
         if self._forward_override is not None:
-            # A success must hold for the whole node, and the other process may still send jobs.
+            # A successful response must hold for the whole node, and its other process may still send jobs.
             await self._forward_override(request)
         return AdminResponse(
             HTTPStatus.OK, self._status(is_ready=self._drain.state is ServiceState.ACCEPTING)
         )
 
     def _check_readiness(self) -> AdminResponse:
-        # Without the exception for an inherited drain, the upgrade of a drained node would never complete:
-        # its old process waits until the new one is ready.
+        # A process that inherited its drain counts as ready. Otherwise the upgrade of a drained node would
+        # never complete, since the old process waits until the new one is ready.
         is_drain_expected = self._has_inherited_drain and not self._drain.is_shutting_down
         is_ready = self._is_serving and (self._drain.state is ServiceState.ACCEPTING or is_drain_expected)
         return AdminResponse(
             HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE, self._status(is_ready=is_ready)
         )
 
-    async def _show_subsystem(self, path: AdminPath) -> AdminResponse:
+    async def _get_subsystem_status(self, path: AdminPath) -> AdminResponse:
         provider = self._status_providers.get(path)
         if provider is None:
             return reject(HTTPStatus.NOT_FOUND, "this is off here")
@@ -132,7 +132,7 @@
         self.apply(AdminRequest(known_path, name))
 
     def load(self) -> None:
-        """Replace all overrides by those of the file, if they are valid."""
+        """Replace all overrides with those stored in the file, if they are valid."""
         overrides = self._file.load()
         if overrides is not None:
             self.replace(overrides)
--- a/burlmoor/config/errors.py
+++ b/burlmoor/config/errors.py
@@ -1,4 +1,4 @@
-"""Faults of a node's configuration, which are reported completely, one a line."""
+"""Faults in a node's configuration, each reported on its own line."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True)
 class ConfigFault:
-    """One fault of the configuration; `value` and `allowed` are empty unless a value is invalid."""
+    """One fault in the configuration; `value` and `allowed` are empty unless a value is invalid."""
 
-    field: str  # dotted, or `[section] key`, or an environment variable
+    field: str  # a dotted path, `[section] key`, or an environment variable
     problem: str
     file: str = ""
     value: str = ""
     allowed: str = ""
 
     def __str__(self) -> str:
-        """Return the one line that users see."""
+        """Return the fault as the single line that users see."""
         return ": ".join(part for part in (self.file, self.field, self.problem) if part)
 
 
@@ -38,7 +38,7 @@
 
 
 def decoding_fault(error: msgspec.MsgspecError, *, file: str = "", prefix: str = "") -> ConfigFault:
-    """Return the fault that msgspec reports; the field is the path at the end of its message, if any."""
+    """Convert an error of msgspec; the field is the path at the end of its message, if any."""
     match = _PATH_IN_ERROR.fullmatch(str(error))
     if match is None:
         return ConfigFault(prefix, str(error), file)
@@ -47,12 +47,12 @@
 
 
 class InvalidConfigError(BurlmoorError):
-    """The configuration is invalid; as text, each of `faults` is a line."""
+    """The configuration is invalid; the message has one line for each of `faults`."""
 
     def __init__(self, *faults: ConfigFault) -> None:
         super().__init__(*faults)
         self.faults = faults
 
     def __str__(self) -> str:
-        """Return the faults, a line each."""
+        """Return the faults, one per line."""
         return "\n".join(map(str, self.faults))
--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -1,4 +1,4 @@
-"""A node's configuration: the environment and the configuration file."""
+"""A node's configuration, read from the environment and the configuration file."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
     listen: Address
     others: tuple[tuple[str, Address], ...]  # by name, or by index if the file gives no names
-    everyone: Address | None  # a single address that reaches all of them
+    broadcast: Address | None  # a single address that reaches all of them
 
 
 class NodeConfig(NamedTuple):
@@ -66,15 +66,15 @@
     max_sockets: int
     cached_endpoints: DiscoveredList | None
     settings: NodeSettings
-    admin: Address | None = None  # the address of the admin server; None: it is off
+    admin: Address | None = None  # the admin server's address; None: the server is off
     listener_fd: int | None = None  # the descriptor of a socket that is already listening
-    state_folder: Path | None = None  # for files that the node's next process reads
-    options: Options | None = None  # the subsystems that are switched on; None: all are off
+    state_folder: Path | None = None  # where files for the node's next process are stored
+    options: Options | None = None  # of the optional subsystems; None: all are off
     peers: Peers | None = None  # None: nodes don't exchange datagrams
 
 
 def load_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Read and check the whole configuration at a start; the environment overrides the file.
+    """Read and check the whole configuration at startup; the environment overrides the file.
 
     Raises:
         InvalidConfigError: a variable, the file or one of its fields is invalid.
@@ -87,8 +87,8 @@
 def reload_config(environment: Mapping[str, str]) -> NodeConfig:
     """Read and check the whole configuration while the node runs.
 
-    The environment is as old as the process: the file's `discovery` overrides it, and the passed listening
-    socket is ignored.
+    The environment is that of the process's start, so the file's `discovery` overrides it, and the passed
+    listening socket is ignored.
 
     Raises:
         InvalidConfigError: a variable, the file or one of its fields is invalid.
@@ -123,7 +123,7 @@
 
 
 def load_options(environment: Mapping[str, str]) -> Options | None:
-    """Read the operators' options; return None if no file is named.
+    """Read the operators' options; None if no options file is configured.
 
     Raises:
         InvalidConfigError: the options file is invalid.
@@ -140,7 +140,9 @@
 def _read_file(environment: Mapping[str, str]) -> _ConfigFile:
     path = environment.get(_CONFIG_VARIABLE)
     if not path:
-        raise InvalidConfigError(ConfigFault(_CONFIG_VARIABLE, "not set; it names the configuration file"))
+        raise InvalidConfigError(
+            ConfigFault(_CONFIG_VARIABLE, "not set; it must name the configuration file")
+        )
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=_ConfigFile)
     except OSError as error:
@@ -170,7 +172,7 @@
 
 
 def _limit_sockets(max_sockets: int) -> int:
-    """Return the smaller of the configured number of descriptors and the process's limit."""
+    """Return the configured number of sockets, capped at the process's limit of descriptors."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return max_sockets if limit == resource.RLIM_INFINITY else min(max_sockets, limit)
 
@@ -182,7 +184,7 @@
     return Peers(
         listen=_parse_address("peer_listen", file.peer_listen),
         others=tuple((str(name), _parse_address(f"peers: {name}", address)) for name, address in named),
-        everyone=_parse_address("peers_all", file.peers_all) if file.peers_all else None,
+        broadcast=_parse_address("peers_all", file.peers_all) if file.peers_all else None,
     )
 
 
@@ -203,7 +205,9 @@
     )
     descriptor = sock.detach()
     if not is_listening:
-        raise InvalidConfigError(invalid_value(_LISTENER_VARIABLE, text, "a TCP socket that listens"))
+        raise InvalidConfigError(
+            invalid_value(_LISTENER_VARIABLE, text, "the descriptor of a listening TCP socket")
+        )
     return descriptor
 
 
--- a/burlmoor/config/options/__init__.py
+++ b/burlmoor/config/options/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' options file, whose sections switch subsystems on."""
+"""The operators' options file; each section enables an optional subsystem."""
 
 from burlmoor.config.options.parser import InvalidOptionsError, read_options
 from burlmoor.config.options.sections import DeferredOptions, Options
--- a/burlmoor/config/options/parser.py
+++ b/burlmoor/config/options/parser.py
@@ -1,4 +1,4 @@
-"""Parses and checks the options file; all faults are reported together, one a line."""
+"""Parses and checks the options file; all invalid keys and sections are reported together, one per line."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if typing.TYPE_CHECKING:
     from pathlib import Path
 
-_NO_DEFAULT_SECTION = "\0"  # a name that no section has: none provides defaults for the others
+_UNUSED_DEFAULT_SECTION = "\0"  # a name that no section has, so that none provides defaults for the others
 _MAX_FILE_BYTES = 1 << 20
 
 
@@ -26,14 +26,14 @@
 
 def section_types() -> dict[str, type[Section]]:
     """Return the struct of each section that the file may contain, by the section's name."""
-    found: dict[str, type[Section]] = {}
+    types: dict[str, type[Section]] = {}
     for name, optional in typing.get_type_hints(Options).items():
-        (found[name],) = (kind for kind in typing.get_args(optional) if kind is not type(None))
-    return found
+        (types[name],) = (member for member in typing.get_args(optional) if member is not type(None))
+    return types
 
 
 def unit_kind(field_type: object) -> str | None:
-    """Return the kind of quantity of a key, one of `UNITS`; None for a plain number."""
+    """Return the kind of quantity that a key holds, one of `UNITS`; None for a plain number."""
     info = type_info(field_type)
     return (info.extra or {}).get("unit") if isinstance(info, Metadata) else None
 
@@ -48,16 +48,18 @@
         with path.open("rb") as file:
             content = file.read(_MAX_FILE_BYTES + 1)
         if len(content) > _MAX_FILE_BYTES:
-            raise InvalidOptionsError(ConfigFault("", f"over {_MAX_FILE_BYTES} bytes", str(path)))
+            raise InvalidOptionsError(ConfigFault("", f"larger than {_MAX_FILE_BYTES} bytes", str(path)))
         return parse_options(content.decode(), str(path))
     except OSError as error:
         raise InvalidOptionsError(ConfigFault("", str(error.strerror), str(path))) from error
     except UnicodeDecodeError as error:
-        raise InvalidOptionsError(ConfigFault("", f"not UTF-8 at byte {error.start}", str(path))) from error
+        raise InvalidOptionsError(
+            ConfigFault("", f"invalid UTF-8 at byte {error.start}", str(path))
+        ) from error
 
 
 def parse_options(text: str, file: str) -> Options:
-    """Parse the options file's text; `file` is its name in faults.
+    """Parse the options file's text; `file` is the file's name in error messages.
 
     Raises:
         InvalidOptionsError: the text is invalid; the error lists all faults.
@@ -72,7 +74,7 @@
         else:
             allowed = ", ".join(types)
             faults.append(
-                ConfigFault(f"[{name}]", f"no such section; allowed: {allowed}", file, name, allowed)
+                ConfigFault(f"[{name}]", f"unknown section; allowed: {allowed}", file, name, allowed)
             )
     if faults:
         raise InvalidOptionsError(*faults)
@@ -83,7 +85,7 @@
 def _parse_ini(text: str, file: str) -> configparser.ConfigParser:
     parser = configparser.ConfigParser(
         interpolation=None,
-        default_section=_NO_DEFAULT_SECTION,
+        default_section=_UNUSED_DEFAULT_SECTION,
         comment_prefixes=("#", ";"),
         delimiters=("=",),
         empty_lines_in_values=False,
@@ -99,14 +101,14 @@
 def _parse_section(
     section_type: type[Section], section: configparser.SectionProxy, file: str, faults: list[ConfigFault]
 ) -> dict[str, Any]:
-    """Return the section's valid values by attribute, and append its faults to `faults`."""
+    """Return the section's valid values by attribute name, and append its faults to `faults`."""
     fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
     values: dict[str, Any] = {}
     for key, text in section.items():
         location = f"[{section.name}] {key}"
         field = fields.get(key)
         if field is None:
-            faults.append(ConfigFault(location, "no such key", file, key, ", ".join(fields)))
+            faults.append(ConfigFault(location, "unknown key", file, key, ", ".join(fields)))
             continue
         try:
             values[field.name] = _parse_value(text, field.type)
@@ -126,7 +128,7 @@
 def _describe_value_error(
     error: ValueError, location: str, text: str, field_type: type, file: str
 ) -> ConfigFault:
-    """Return the fault of a value out of bounds; the bounds have the units that operators use."""
+    """Return the fault of a value out of bounds; the bounds are given in the units that operators write."""
     kind = unit_kind(field_type)
     info = type_info(field_type)
     if kind is None or not isinstance(info, Metadata):
@@ -138,12 +140,12 @@
 def _describe_syntax_error(error: configparser.Error, file: str) -> ConfigFault:
     match error:
         case configparser.DuplicateSectionError():
-            return ConfigFault(f"[{error.section}]", f"given twice (line {error.lineno})", file)
+            return ConfigFault(f"[{error.section}]", f"duplicate section (line {error.lineno})", file)
         case configparser.DuplicateOptionError():
             location = f"[{error.section}] {error.option}"
-            return ConfigFault(location, f"given twice (line {error.lineno})", file)
+            return ConfigFault(location, f"duplicate key (line {error.lineno})", file)
         case configparser.MissingSectionHeaderError():
-            return ConfigFault(f"line {error.lineno}", "stands before the first [section]", file)
+            return ConfigFault(f"line {error.lineno}", "text before the first [section]", file)
         case configparser.ParsingError():
-            return ConfigFault(f"line {error.errors[0][0]}", "neither a [section] nor key = value", file)
+            return ConfigFault(f"line {error.errors[0][0]}", "expected [section] or key = value", file)
     return ConfigFault("", str(error).replace("\n", " "), file)
--- a/burlmoor/config/options/sections.py
+++ b/burlmoor/config/options/sections.py
@@ -1,4 +1,4 @@
-"""The sections of the options file, each a frozen struct; the subsystem of an absent section is off."""
+"""The sections of the options file, each a frozen struct; a subsystem is off if its section is absent."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Section(msgspec.Struct, frozen=True, rename="kebab", forbid_unknown_fields=True):
-    """A section, whose keys have units, bounds and defaults."""
+    """Base class of the sections; a field declares the unit, bounds and default of its key."""
 
 
 class DeferredOptions(Section, frozen=True):
@@ -33,16 +33,16 @@
     # How long, and for how many jobs, the outcomes of ended jobs are remembered.
     history_ms: Annotated[float, duration("1 s", "24 h")] = field(name="remember", default=120_000.0)
     history_size: _Count = field(name="remembered", default=50_000)
-    # The least time until a job's deadline at its release, in addition to its work.
+    # The least time that a job must have until its deadline when it is released, in addition to its work.
     min_remaining_ms: Annotated[float, duration("0 ms", "1 min")] = field(name="least-left", default=100.0)
     # Jobs released per second, and in a burst, while no executor is known to have capacity.
     release_rate: _Count = 50
     release_burst: _Count = 3
-    # The duration of a deferral after which its credit to the job's priority is complete.
+    # The duration of a deferral after which the job gets the full priority credit for it.
     full_credit_ms: Annotated[float, duration("1 ms", "1 h")] = field(name="ageing", default=1000.0)
 
 
 class Options(msgspec.Struct, frozen=True):
-    """The whole file; the attributes have the names of its sections."""
+    """The whole options file; each attribute has the name of its section."""
 
     waiting: DeferredOptions | None = None
--- a/burlmoor/config/options/units.py
+++ b/burlmoor/config/options/units.py
@@ -1,4 +1,4 @@
-"""Durations, sizes and shares as operators write them: `250 ms`, `64 MiB`, `25 %`."""
+"""Durations, sizes and percentages as operators write them: `250 ms`, `64 MiB`, `25 %`."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 UNITS: Mapping[str, Mapping[str, float]] = {
     "duration": {"ms": 1.0, "s": 1000.0, "min": 60_000.0, "h": 3_600_000.0},
     "size": {"B": 1.0, "KiB": 1024.0, "MiB": 1024.0**2, "GiB": 1024.0**3},
-    "share": {"%": 0.01},
+    "percentage": {"%": 0.01},
 }
 
 
 class InvalidQuantityError(BurlmoorError, ValueError):
-    """A text is not a number with a unit of the expected kind."""
+    """The text is not a number with a unit of the expected kind."""
 
     def __init__(self, text: str, kind: str) -> None:
         self.text = text
@@ -44,7 +44,7 @@
 
 def percentage(minimum: str, maximum: str) -> msgspec.Meta:
     """Return the bounds of a percentage, as a fraction of one."""
-    return _bounds("share", minimum, maximum)
+    return _bounds("percentage", minimum, maximum)
 
 
 def _bounds(kind: str, minimum: str, maximum: str) -> msgspec.Meta:
@@ -54,10 +54,10 @@
 
 
 def parse_quantity(text: str, kind: str) -> float:
-    """Return a quantity in ms, in bytes, or as a fraction of one.
+    """Parse a quantity; return it in ms, in bytes, or as a fraction of one.
 
     Raises:
-        InvalidQuantityError: the text is no number with a unit of this kind.
+        InvalidQuantityError: the text is not a number with a unit of this kind.
     """
     units = UNITS[kind]
     match = _QUANTITY.fullmatch(text.strip())
@@ -67,7 +67,7 @@
 
 
 def format_quantity(quantity: float, kind: str) -> str:
-    """Return a quantity in the largest unit of its kind in which it is a whole number."""
+    """Format a quantity in the largest unit of its kind in which it is a whole number."""
     units = list(UNITS[kind].items())
     whole = [(name, factor) for name, factor in units if quantity >= factor and quantity % factor == 0.0]
     name, factor = (whole or units[:1])[-1]
--- a/burlmoor/config/settings.py
+++ b/burlmoor/config/settings.py
@@ -1,7 +1,7 @@
 """Decodes the platform's settings object into typed settings for the policy and the node.
 
-Used by both the simulator adapter and the node. Absent or null fields have their defaults; unknown fields are
-ignored.
+Both the simulator adapter and the node use this module. Absent or null fields take their defaults; unknown
+fields are ignored.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
     """The policy's settings, and those that only a node needs."""
 
     policy: Settings
-    keepalive_ms: float  # idle time after which an executor's machine closes a connection
+    keepalive_ms: float  # idle time after which an executor closes a connection
 
 
 def parse_settings(settings_object: object) -> NodeSettings:
@@ -98,13 +98,13 @@
 
 
 def _make_class(table: JobClassTable, index: int, specifics: SpecificsTable, kinds: list[str]) -> JobClass:
-    """Return the class at `index`, from its own entry and its positions in the lists of `specifics`."""
+    """Build the class at `index` from its entry and from the items at `index` in the lists of `specifics`."""
     objective_stretch = _or_default(table.objective_stretch, 0.0)
     return JobClass(
         name=table.name,
         priority_weight=_or_default(table.priority_weight, 1.0),
         latency_objective_ms=_or_default(table.latency_objective, _DEFAULT_LATENCY_OBJECTIVE_MS),
-        objective_stretch=_or_default(_item(specifics.class_stretch, index), objective_stretch),
+        objective_stretch=_or_default(_get_item(specifics.class_stretch, index), objective_stretch),
         deadline_ms=_or_default(table.deadline, _DEFAULT_DEADLINE_MS),
         idempotency=_IDEMPOTENCY.get(table.idempotency or "", Idempotency.NON_IDEMPOTENT),
         deduplication_scope=_DEDUPLICATION_SCOPES.get(
@@ -112,8 +112,8 @@
         ),
         deduplication_window_ms=_or_default(table.deduplication_window, 0.0),
         late_fraction=_or_default(table.late_fraction, 0.0),
-        required_kind=_item(kinds, _or_default(_item(specifics.class_kind, index), -1)),
-        priority=_or_default(_item(specifics.class_priority, index), 0),
+        required_kind=_get_item(kinds, _or_default(_get_item(specifics.class_kind, index), -1)),
+        priority=_or_default(_get_item(specifics.class_priority, index), 0),
     )
 
 
@@ -169,6 +169,6 @@
     return default if value is None else value
 
 
-def _item(values: Sequence[_T | None] | None, index: int) -> _T | None:
+def _get_item(values: Sequence[_T | None] | None, index: int) -> _T | None:
     """Return the value at `index`; None if there is none."""
     return values[index] if values and 0 <= index < len(values) else None
--- a/burlmoor/config/settings_object.py
+++ b/burlmoor/config/settings_object.py
@@ -1,6 +1,6 @@
 """The platform's settings object in its encoded form.
 
-All fields except names may be absent or null; unknown fields are ignored. The encoded names are the
+All fields except `Name` may be absent or null; unknown fields are ignored. The encoded names are the
 platform's (docs/settings.md); the attributes have the names of `burlmoor.types.settings`.
 """
 
@@ -11,7 +11,7 @@
 
 
 class SettingsTable(msgspec.Struct):
-    """A part of the settings object."""
+    """Base class of the settings object and of its parts."""
 
 
 class JobClassTable(SettingsTable):
@@ -62,7 +62,7 @@
 
 
 class PricesTable(SettingsTable):
-    """`Prices`, as fractions of the total priority weight."""
+    """`Prices`: penalties as fractions of the total priority weight."""
 
     cross_zone: float | None = field(name="CrossZone", default=None)
     waste: float | None = field(name="Waste", default=None)
@@ -78,9 +78,9 @@
 
 
 class SpecificsTable(SettingsTable):
-    """`Specifics`; the lists are by class, in the order of `RequestClasses`."""
+    """`Specifics`; each list has one item per class, in the order of `RequestClasses`."""
 
-    class_kind: list[int | None] | None = field(name="ClassKind", default=None)  # positions in `Kinds`
+    class_kind: list[int | None] | None = field(name="ClassKind", default=None)  # indexes into `Kinds`
     class_priority: list[int | None] | None = field(name="ClassPriority", default=None)
     class_stretch: list[float | None] | None = field(name="ClassStretch", default=None)
     progress_interval: float | None = field(name="Progress", default=None)  # ms
@@ -88,7 +88,7 @@
 
 
 class SettingsObject(SettingsTable):
-    """The whole object."""
+    """The whole settings object."""
 
     classes: list[JobClassTable] | None = field(name="RequestClasses", default=None)
     tenants: list[TenantTable] | None = field(name="Orgs", default=None)
--- a/burlmoor/types/actions.py
+++ b/burlmoor/types/actions.py
@@ -9,7 +9,7 @@
 
 
 class StartAttempt(NamedTuple):
-    """Send a job to an endpoint; a job's attempts are numbered from 0 in the order of these actions."""
+    """Send a job to an endpoint; a job's attempts are numbered from 0, in the order of these actions."""
 
     id: int
     endpoint: str
@@ -17,7 +17,7 @@
 
 
 class RejectJob(NamedTuple):
-    """Give the final answer: rejected; a retry is harmless."""
+    """Send the final answer that the job is rejected; the client may safely retry."""
 
     id: int
     retry_after_ms: float = 0.0  # for the client; 0: none
@@ -25,14 +25,14 @@
 
 
 class FailJob(NamedTuple):
-    """Give the final answer: failed. The client does not learn whether the job has run."""
+    """Send the final answer that the job failed; it doesn't tell the client whether the job has run."""
 
     id: int
     reason: EndReason | None = None
 
 
 class CancelAttempt(NamedTuple):
-    """Cancel one attempt; it ends as CANCELLED unless another outcome is reported before."""
+    """Cancel one attempt; it ends as CANCELLED unless another outcome is reported first."""
 
     id: int
     attempt: int
@@ -43,7 +43,7 @@
     """Request a `TimerFired` event; timers can't be cancelled."""
 
     delay_ms: float
-    token: int  # returned in the event
+    token: int  # copied to the event
 
 
 class WatchEndpoints(NamedTuple):
@@ -61,7 +61,7 @@
 
 
 class LogWarning(NamedTuple):
-    """Log a line for the operators."""
+    """Log a warning for the operators."""
 
     text: str
 
--- a/burlmoor/types/endpoint_list.py
+++ b/burlmoor/types/endpoint_list.py
@@ -15,7 +15,7 @@
 
 
 class ListKind(Enum):
-    """The kind of an `EndpointListUpdate`, by the entries that it has."""
+    """The kind of an `EndpointListUpdate`, which determines the entries that it has."""
 
     DELTA = "changes"  # the entries that changed
     SNAPSHOT = "full"  # all entries
@@ -30,6 +30,6 @@
     state: EndpointState = EndpointState.LIVE
     zone: str = ""
     weight: float = 1.0  # relative size, without a unit
-    cell: int = 0  # the small set of endpoints with which it shares the keys that it has seen
-    kind: str = ""  # of machine
-    started_at: float = 0.0  # last start, ms on the policy's clock; 0: long ago
+    cell: int = 0  # the small group of endpoints that share a record of the idempotency keys they have seen
+    kind: str = ""  # the kind of machine
+    started_at: float = 0.0  # the time of its last start, in ms on the policy's clock; 0: long ago
--- a/burlmoor/types/events.py
+++ b/burlmoor/types/events.py
@@ -24,14 +24,14 @@
     id: int
     job_class: str
     timeout_ms: float  # from this event on
-    work_ms: float = 0.0  # expected time on a standard core; 0: not known
-    slots: float = 1.0  # that it occupies at an endpoint
-    memory: float = 0.0  # units that it occupies at an endpoint, where memory is limited
+    work_ms: float = 0.0  # expected time on a standard core; 0: unknown
+    slots: float = 1.0  # number that the job occupies at an endpoint
+    memory: float = 0.0  # units that the job occupies at an endpoint, where memory is limited
     tenant: str = ""
     affinity_key: str = ""  # identifies the data that the job needs; "": none
-    is_client_retry: bool = False  # where clients mark their retries
+    is_client_retry: bool = False  # known only where clients mark their retries
     deferred_ms: float = 0.0  # the part of the client's timeout for which the job was deferred
-    deferral_credit: float = 0.0  # from 0 to 1: added priority for the deferral
+    deferral_credit: float = 0.0  # priority added for the deferral, from 0 to 1
 
 
 class AttemptStarted(NamedTuple):
@@ -94,14 +94,14 @@
 
 
 class PeerMessageReceived(NamedTuple):
-    """A message from another node of the tier."""
+    """A message from another node."""
 
     sender: int  # the node's index
     data: bytes
 
 
 class HandoverChanged(NamedTuple):
-    """Whether another process of this node admits its jobs, and uses its budgets, in place of this one."""
+    """Whether another process of this node now admits its jobs and uses its budgets in place of this one."""
 
     is_handed_over: bool
 
--- a/burlmoor/types/outcome.py
+++ b/burlmoor/types/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt ended (protocol: "Nodes to executors")."""
+"""The outcomes of an attempt (protocol: "Nodes to executors")."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     UNREACHABLE = "unreachable"  # no connection, or it broke before the request was written
     RESET = "reset"  # the connection or the job's process was lost; the job may have run
     CANCELLED = "cancelled"  # the node cancelled it; the job may have run
-    UNSENT = "unsent"  # never sent: the job was over, out of time or out of attempts
+    UNSENT = "unsent"  # never sent: the job had ended, or had no time or attempts left
 
     @property
     def proves_not_started(self) -> bool:
--- a/burlmoor/types/payload.py
+++ b/burlmoor/types/payload.py
@@ -12,4 +12,4 @@
     method: bytes
     path: bytes
     body: bytes
-    idempotency_key: str = ""  # by which executors recognize a repeat; "": none
+    idempotency_key: str = ""  # identifies repeats of a job to executors; "": none
--- a/burlmoor/types/reasons.py
+++ b/burlmoor/types/reasons.py
@@ -1,4 +1,7 @@
-"""Why jobs end without a result, attempts are cancelled and connections closed: for log and counters."""
+"""Reasons why jobs end without a result, attempts are cancelled and connections are closed.
+
+The log and the counters use them.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,10 @@
 
     OVERLOAD = "overload"  # shed: the queue has more jobs than can finish in time
     TOO_LATE = "too-late"  # queued for so long that no endpoint can finish it in time
-    NOT_STARTED = "not-started"  # its attempts had not started when an answer was no longer useful
+    NOT_STARTED = "not-started"  # no attempt had started by the time when an answer was no longer useful
     DEADLINE = "deadline"  # the deadline is near, or has passed
-    NO_RETRY = "no-retry"  # an attempt brought no answer, and another one is not allowed or not useful
-    SHUTDOWN = "shutdown"  # the process shuts down
+    NO_RETRY = "no-retry"  # an attempt ended without an answer, and another one is not allowed or not useful
+    SHUTDOWN = "shutdown"  # the process is shutting down
     RUN_CONDITIONS = "run-conditions"  # ended while deferred
     DISCONNECTED = "client-disconnected"
 
@@ -22,10 +25,10 @@
     """Why the node cancelled an attempt; the value is its name in the log."""
 
     OVERDUE = "overdue"  # not started in the time that a start usually takes
-    SILENT = "silent"  # started, and reports no progress
+    SILENT = "silent"  # started, but reports no progress
     SUPERSEDED = "superseded"  # another attempt of its job has started
     JOB_OVER = "job-over"  # its job no longer needs an answer
-    OUT_OF_TIME = "out-of-time"  # its own deadline or its job's has passed
+    OUT_OF_TIME = "out-of-time"  # its own deadline or that of its job has passed
     ENDPOINT_NOT_LIVE = "endpoint-not-live"  # draining or removed, and had not accepted the job
     NO_RESPONSE = "no-response"  # neither accepted nor rejected in time
     INVALID_RESPONSE = "invalid-response"
@@ -42,7 +45,7 @@
     MADE_ROOM = "made-room"  # evicted in favour of another connection
     IDLE = "idle"  # unused for too long, or one of too many idle ones
     SHUTDOWN = "shutdown"  # idle during a graceful shutdown
-    ENDPOINT_CHANGED = "endpoint-changed"  # the endpoint is another process now
+    ENDPOINT_CHANGED = "endpoint-changed"  # the endpoint is now another process
     ATTEMPT_CANCELLED = "attempt-cancelled"  # its attempt was cancelled
     BROKEN = "broken"  # an error of the socket, or no valid response
     ERROR = "error"  # an internal error
