--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -80,7 +80,7 @@
             return await self._get_subsystem_status(request.path)
         if request.path.names_executor and not self._directory.is_known(request.name):
             return reject(HTTPStatus.NOT_FOUND, "no executor has this name")
-        self.apply(request)
+        self.apply_override(request)
         self._file.save(self.overrides)
         self._log(OverrideApplied(call=request.path, name=request.name))
         if self._forward_override is not None:
@@ -109,7 +109,7 @@
         disabled = sorted(self._directory.overrides.disabled_since)
         return NodeStatus(is_ready, _STATE_NAMES[self._drain.state], self._drain.is_drained, disabled)
 
-    def apply(self, request: AdminRequest) -> None:
+    def apply_override(self, request: AdminRequest) -> None:
         """Set an override, even if the executor is not in the endpoint list; queries change nothing."""
         match request.path:
             case AdminPath.DISABLE_EXECUTOR:
@@ -123,21 +123,21 @@
                 self._has_inherited_drain = False
                 self._drain.end_drain()
 
-    def apply_forwarded(self, path: str, name: str) -> None:
+    def apply_forwarded_override(self, path: str, name: str) -> None:
         """Set an override that the node's other process has forwarded; an unknown path changes nothing."""
         try:
             known_path = AdminPath(path)
         except ValueError:
             return
-        self.apply(AdminRequest(known_path, name))
+        self.apply_override(AdminRequest(known_path, name))
 
-    def load(self) -> None:
+    def load_overrides(self) -> None:
         """Replace all overrides with those stored in the file, if they are valid."""
         overrides = self._file.load()
         if overrides is not None:
-            self.replace(overrides)
+            self.replace_overrides(overrides)
 
-    def replace(self, overrides: Overrides) -> None:
+    def replace_overrides(self, overrides: Overrides) -> None:
         """Replace all overrides; a drain among them counts as inherited."""
         self._endpoint_updater.set_overrides(overrides.endpoints)
         self._has_inherited_drain = overrides.is_drained
--- a/burlmoor/lifecycle/handover.py
+++ b/burlmoor/lifecycle/handover.py
@@ -160,7 +160,7 @@
             case JobOpened(request_id):
                 self._core.jobs.add_ids_in_other_process((request_id,))
             case ApplyOverride(number, path, name):
-                self._admin.apply_forwarded(path, name)
+                self._admin.apply_forwarded_override(path, name)
                 channel.send(Acknowledged(number))
             case ForwardedCallback(number, body):
                 self._on_forwarded_callback(channel, number, body)
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -62,7 +62,7 @@
         """Load the state files of the previous process, and start all tasks of the node."""
         components = self.components
         components.endpoint_updater.load_cached(self._config.cached_endpoints)
-        components.admin.load()
+        components.admin.load_overrides()
         self._apply_options(self._config.options)
         self._nursery.start_soon(components.engine_loop.run, components.engine)
         tasks = (
--- a/burlmoor/lifecycle/state_transfer.py
+++ b/burlmoor/lifecycle/state_transfer.py
@@ -35,7 +35,7 @@
 
     def restore(self, snapshot: Snapshot) -> None:
         """Continue from the predecessor's state."""
-        self._admin.replace(snapshot.overrides)
+        self._admin.replace_overrides(snapshot.overrides)
         self._endpoint_updater.restore(snapshot.endpoints)
         self._engine.step()  # passes the list to the policy: statistics are restored for its endpoints only
         self._core.dispatcher.restore_statistics_snapshot(snapshot.statistics, self._core.clock())
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -114,10 +114,10 @@
 async def test_a_forwarded_override_is_applied_and_an_unknown_one_ignored() -> None:
     async with open_node_harness() as harness:
         await harness.wait_ready()
-        harness.components.admin.apply_forwarded("/executors/disable", "e0")
+        harness.components.admin.apply_forwarded_override("/executors/disable", "e0")
         before = harness.components.admin.overrides
         assert list(before.endpoints.disabled_since) == ["e0"]
-        harness.components.admin.apply_forwarded("/of/a/later/release", "e1")
+        harness.components.admin.apply_forwarded_override("/of/a/later/release", "e1")
         assert harness.components.admin.overrides == before
         assert harness.components.directory.find_live("e1") is not None
 
