--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -61,7 +61,7 @@
         self._is_serving = is_serving
 
     def attach_override_forwarder(self, forward: OverrideForwarder) -> None:
-        """Set the function that sends each applied override to the node's other process."""
+        """Set the function that sends each applied override to the node's other processes."""
         self._forward_override = forward
 
     def attach_status_provider(self, path: AdminPath, provider: StatusProvider) -> None:
@@ -84,7 +84,7 @@
         self._file.save(self.overrides)
         self._log(OverrideApplied(call=request.path, name=request.name))
         if self._forward_override is not None:
-            # A successful response must hold for the whole node, and its other process may still send jobs.
+            # A successful response must hold for the whole node, and its other processes may still send jobs.
             await self._forward_override(request)
         return AdminResponse(
             HTTPStatus.OK, self._status(is_ready=self._drain.state is ServiceState.ACCEPTING)
