--- a/burlmoor/membership/codec.py
+++ b/burlmoor/membership/codec.py
@@ -1,8 +1,8 @@
-"""Encoding of membership messages: one datagram with as many member states as fit into 256 bytes.
+"""Encodes membership messages: one datagram per message, with as many member states as fit into 256 bytes.
 
-    a message: magic 1, version 1, kind 1, sequence number 4, digest 4, node to ping (length 1, bytes),
+    message: magic 1, version 1, kind 1, sequence number 4, digest 4, node to ping (length 1, bytes),
         states, CRC-32 of all preceding bytes 4
-    a state: name (length 1, bytes), IPv4 address 4, port 2, generation 4, nonce 2, incarnation 2, status 1
+    state: name (length 1, bytes), IPv4 address 4, port 2, generation 4, nonce 2, incarnation 2, status 1
 
 Numbers are field sizes in bytes; integers are in network byte order. `decode` raises `InvalidDatagramError`,
 and no other error, for any datagram that is foreign, truncated, corrupted or of another version.
@@ -22,19 +22,19 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-MAX_DATAGRAM_BYTES = 256  # the limit of the platform's protocol
-MAX_NAME_BYTES = 64  # of a node's name
+MAX_DATAGRAM_BYTES = 256  # limit of the platform's protocol
+MAX_NAME_BYTES = 64  # of a node's name in UTF-8
 _MAGIC = 0xB7
 _VERSION = 1
 _HEADER = struct.Struct("!BBBII")
 _STATE = struct.Struct("!4sHIHHB")
 _CHECKSUM = struct.Struct("!I")
 _MIN_DATAGRAM_BYTES = _HEADER.size + 1 + _CHECKSUM.size
-_MIN_STATES_PER_PIECE = 2  # the sender's own state and one more
+_MIN_STATES_PER_MESSAGE = 2  # of a split: the sender's own state and one more
 
 
 class InvalidNodeNameError(BurlmoorError, ValueError):
-    """A node's name is too short or too long to be encoded."""
+    """A node's name is empty or too long to be encoded."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"invalid node name {name!r}: it must have 1 to {MAX_NAME_BYTES} bytes")
@@ -68,9 +68,9 @@
 
     PING = 1  # requests an ACK
     ACK = 2  # the response, with the ping's sequence number
-    PING_REQUEST = 3  # requests that the recipient pings `node_to_ping` and relays the ACK
-    SYNC = 4  # a part of the sender's full state; requests the recipient's
-    GOSSIP = 5  # states only
+    PING_REQUEST = 3  # asks the recipient to ping `node_to_ping` and to relay the ACK
+    SYNC = 4  # part of the sender's full state; requests the recipient's full state
+    GOSSIP = 5  # only carries states
 
 
 class Message(NamedTuple):
@@ -78,9 +78,9 @@
 
     kind: MessageKind
     sequence_number: int
-    digest: int  # of the sender's member table
+    digest: int  # checksum of the sender's member table
     members: tuple[MemberState, ...]
-    node_to_ping: str = ""  # of a PING_REQUEST
+    node_to_ping: str = ""  # empty unless `kind` is PING_REQUEST
 
     @property
     def sender(self) -> MemberState:
@@ -96,7 +96,7 @@
 
 
 class EncodedMessage(NamedTuple):
-    """A datagram, and how many of its message's states it carries."""
+    """A datagram, and the number of the message's states that it contains."""
 
     datagram: bytes
     state_count: int
@@ -115,7 +115,7 @@
 
 
 def encode(message: Message) -> EncodedMessage:
-    """Encode a message, with as many of its states, from the first on, as fit into the datagram.
+    """Encode a message with its first states, as many as fit into the datagram.
 
     Raises:
         InvalidNodeNameError: a name is empty or too long.
@@ -142,7 +142,7 @@
         message = Message(kind, sequence_number, digest, (sender, *remaining))
         count = encode(message).state_count
         messages.append(message._replace(members=message.members[:count]))
-        if count < _MIN_STATES_PER_PIECE:
+        if count < _MIN_STATES_PER_MESSAGE:
             break
         remaining = remaining[count - 1 :]
     return messages
@@ -173,7 +173,7 @@
     except InvalidDatagramError:
         raise
     except (struct.error, IndexError, ValueError) as error:
-        raise InvalidDatagramError(DatagramField.BODY, body, "complete and known values") from error
+        raise InvalidDatagramError(DatagramField.BODY, body, "complete fields with known values") from error
 
 
 def _decode_name(data: bytes, offset: int) -> _DecodedName:
@@ -181,7 +181,7 @@
     end = offset + 1 + length
     if length > MAX_NAME_BYTES or end > len(data):
         raise InvalidDatagramError(
-            DatagramField.NAME_LENGTH, length, f"at most {MAX_NAME_BYTES} and the bytes that remain"
+            DatagramField.NAME_LENGTH, length, f"at most {MAX_NAME_BYTES} and the number of remaining bytes"
         )
     return _DecodedName(data[offset + 1 : end].decode(), end)
 
@@ -202,5 +202,5 @@
         address = (socket.inet_ntoa(host), port)
         states.append(MemberState(name, address, generation, nonce, incarnation, MemberStatus(status)))
     if not states:
-        raise InvalidDatagramError(DatagramField.STATE_COUNT, 0, "1 at least")
+        raise InvalidDatagramError(DatagramField.STATE_COUNT, 0, "at least 1")
     return tuple(states)
--- a/burlmoor/membership/dissemination.py
+++ b/burlmoor/membership/dissemination.py
@@ -1,8 +1,8 @@
-"""Dissemination: states piggybacked on every message, gossip rounds and full state exchanges.
+"""Spreads member states: piggybacked on every message, in gossip rounds and in full state exchanges.
 
-Every message carries the most urgent states; each state is sent a bounded number of times. It also carries a
-digest of the sender's table. If the digests of two nodes differ when there is nothing left to gossip, they
-exchange all states. Without that, partitions that have declared each other dead would never converge.
+Every message carries the most urgent states and a digest of the sender's table; each state is sent a bounded
+number of times. If the digests of two nodes differ when there is nothing left to gossip, the nodes exchange
+all states. Without that exchange, partitions that have declared each other dead would never converge.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     from burlmoor.membership.member_table import MemberTable
     from burlmoor.membership.parameters import ProtocolParameters
 
-_STATES_PER_DATAGRAM = 10  # approximately
+_STATES_PER_DATAGRAM = 10  # approximate number that fits
 
 
 class Datagram(NamedTuple):
@@ -46,25 +46,25 @@
         self._rng = rng
         self._parameters = parameters
         self._next_sync_at = -math.inf
-        self._differing_peer: Address | None = None  # a node whose digest differed in its latest message
-
-    # --- composing messages ---------------------------------------------------------------------
+        self._sync_peer: Address | None = None  # the latest sender whose digest differed from this node's
 
     def compose(
         self, name: str, kind: MessageKind, sequence_number: int = 0, node_to_ping: str = ""
     ) -> Datagram:
-        """Compose a message to a node; it includes the recipient's known state unless that is `ALIVE`."""
+        """Compose a message to a node; unless it is believed `ALIVE`, include its state to be refuted."""
         state = self._table.remote.get(name)
-        to_refute = state if state is not None and state.status is not MemberStatus.ALIVE else None
-        return self._compose(self._table.address_of(name), kind, sequence_number, node_to_ping, to_refute)
+        state_to_refute = state if state is not None and state.status is not MemberStatus.ALIVE else None
+        return self._compose(
+            self._table.address_of(name), kind, sequence_number, node_to_ping, state_to_refute
+        )
 
     def compose_reply(
         self, address: Address, kind: MessageKind, sequence_number: int, requester: MemberState
     ) -> Datagram:
-        """Compose a reply; it includes the requester's state if this node knows one that takes precedence."""
-        known = self._table.remote.get(requester.name)
-        newer = known if known and known.precedence > requester.precedence else None
-        return self._compose(address, kind, sequence_number, "", newer)
+        """Compose a reply. If this node knows a state of the requester that takes precedence, include it."""
+        known_state = self._table.remote.get(requester.name)
+        newer_state = known_state if known_state and known_state.precedence > requester.precedence else None
+        return self._compose(address, kind, sequence_number, "", newer_state)
 
     def _compose(
         self,
@@ -74,7 +74,7 @@
         node_to_ping: str,
         recipient_state: MemberState | None,
     ) -> Datagram:
-        """Compose a message of this node's own state, the recipient's state and the most urgent gossip."""
+        """Compose a message from this node's own state, the recipient's state and the most urgent states."""
         states = [self._table.local.state]
         if recipient_state is not None:
             states.append(recipient_state)
@@ -94,53 +94,53 @@
     def _max_transmissions(self) -> float:
         return self._parameters.retransmit_multiplier * math.log2(len(self._table.remote) + 2.0)
 
-    # --- gossip rounds --------------------------------------------------------------------------
-
     def gossip_if_due(self, now: float) -> list[Datagram]:
-        """Gossip if a round is due; without anything to gossip, exchange all states with a differing peer."""
+        """Run a gossip round if one is due.
+
+        With nothing to gossip, send all states to a peer whose digest differed, if there is one.
+        """
         if now < self.next_gossip_at:
             return []
         self.next_gossip_at = now + self._parameters.gossip_interval
         if self._gossip_queue:
             return self._gossip_round()
-        if self._differing_peer is not None and now >= self._next_sync_at:
+        if self._sync_peer is not None and now >= self._next_sync_at:
             self._next_sync_at = now + self._parameters.sync_interval
-            datagrams = self._full_state(MessageKind.SYNC, self._differing_peer)
-            self._differing_peer = None
+            datagrams = self._compose_full_state(MessageKind.SYNC, self._sync_peer)
+            self._sync_peer = None
             return datagrams
         return []
 
     def _gossip_round(self) -> list[Datagram]:
         parameters = self._parameters
-        # Several datagrams to each member if there are many changes, for instance when a whole cluster
-        # starts.
-        burst = min(parameters.max_gossip_burst, 1 + len(self._gossip_queue) // _STATES_PER_DATAGRAM)
+        # Many queued states, as when a whole cluster starts, need several datagrams for each recipient.
+        datagrams_per_recipient = min(
+            parameters.max_gossip_burst, 1 + len(self._gossip_queue) // _STATES_PER_DATAGRAM
+        )
         datagrams: list[Datagram] = []
         for name in self._table.sample_members(self._rng, parameters.gossip_fanout):
-            datagrams += [self.compose(name, MessageKind.GOSSIP) for _ in range(burst)]
+            datagrams += [self.compose(name, MessageKind.GOSSIP) for _ in range(datagrams_per_recipient)]
         return datagrams
 
     def announce_leave(self, fanout: int) -> list[Datagram]:
-        """Notify some members that this node shuts down; gossip spreads it to the others."""
+        """Notify `fanout` random members that this node is shutting down; gossip spreads it to the others."""
         self._table.leave()
         names = self._table.sample_members(self._rng, fanout)
         return [self.compose(name, MessageKind.GOSSIP) for name in names]
 
-    # --- full state exchange --------------------------------------------------------------------
-
     def on_sync(self, source: Address, now: float) -> list[Datagram]:
-        """Respond to a full state exchange with all states, unless there was one within the sync interval."""
+        """Respond to a `SYNC` with all states, unless the latest exchange was within the sync interval."""
         if now < self._next_sync_at:
             return []
         self._next_sync_at = now + self._parameters.sync_interval
-        return self._full_state(MessageKind.GOSSIP, source)
+        return self._compose_full_state(MessageKind.GOSSIP, source)
 
     def on_digest(self, digest: int, source: Address) -> None:
-        """Compare a sender's digest with that of this node's table."""
+        """Remember the sender for a full state exchange if its digest differs from this node's."""
         if digest != self._table.digest():
-            self._differing_peer = source
+            self._sync_peer = source
 
-    def _full_state(self, kind: MessageKind, destination: Address) -> list[Datagram]:
+    def _compose_full_state(self, kind: MessageKind, destination: Address) -> list[Datagram]:
         table = self._table
         states = list(table.remote.values())
         messages = split_into_messages(kind, 0, table.digest(), table.local.state, states)
--- a/burlmoor/membership/failure_detector.py
+++ b/burlmoor/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: pings, ping requests and their timeouts."""
+"""SWIM's failure detector: sends pings and ping requests, and tracks their timeouts."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     from burlmoor.membership.member_table import MemberTable
     from burlmoor.membership.parameters import ProtocolParameters
 
-_REJOIN_PROBABILITY = 0.25  # least probability of a ping to an absent node in a period
-_MAX_REJOIN_PINGS_ALONE = 3  # in one period, by a node that knows no other member
-_CURRENT_PERIODS = 3.0  # protocol periods without an acknowledgement after which a view may be out of date
+_MIN_REJOIN_PROBABILITY = 0.25  # of a ping to an absent node, per protocol period
+_MAX_REJOIN_PINGS_ALONE = 3  # per protocol period, while this node knows no other member
+_MAX_ACK_AGE_PERIODS = 3.0  # protocol periods without an acknowledgement until the view may be outdated
 
 
 @dataclass(slots=True)
@@ -28,14 +28,14 @@
     """A ping that has not been acknowledged yet."""
 
     name: str
-    ping_times_out_at: float  # then ping requests are sent
+    ping_times_out_at: float  # when ping requests are sent
     fails_at: float
     has_sent_ping_requests: bool = False
-    has_helper_response: bool = False  # whether a recipient of a ping request has responded
+    has_helper_response: bool = False  # whether a recipient of a ping request (a helper) has responded
 
 
 class RelayedPing(NamedTuple):
-    """A ping on behalf of another node, to which its acknowledgement is relayed."""
+    """A ping sent on behalf of another node, which is to receive the acknowledgement."""
 
     requester: Address
     sequence_number: int  # the requester's
@@ -43,7 +43,7 @@
 
 
 class FailureDetector:
-    """Owns the pending probes, of this node and on behalf of others."""
+    """Probes members, and pings on behalf of other nodes."""
 
     def __init__(
         self,
@@ -68,13 +68,11 @@
     def has_recent_ack(self, now: float) -> bool:
         """Whether another node has acknowledged a ping recently."""
         parameters = self._parameters
-        recent = _CURRENT_PERIODS * parameters.protocol_period * self._health.multiplier
-        return now - self._last_ack_at < recent + parameters.ping_timeout
-
-    # --- time -----------------------------------------------------------------------------------
+        max_age = _MAX_ACK_AGE_PERIODS * parameters.protocol_period * self._health.multiplier
+        return now - self._last_ack_at < max_age + parameters.ping_timeout
 
     def on_suspension(self, now: float) -> None:
-        """Discard all probes after this process was suspended, and make the next one due immediately.
+        """Discard all probes after a suspension of this process, and make the next probe due immediately.
 
         Without this, the node would suspect members whose acknowledgements arrived during the suspension.
         """
@@ -96,7 +94,7 @@
         return datagrams
 
     def probe_if_due(self, now: float) -> list[Datagram]:
-        """Ping the next member if a probe is due, and occasionally an absent node."""
+        """If a probe is due, ping the next member and, occasionally, absent nodes."""
         if now < self.next_probe_at:
             return []
         interval = self._parameters.protocol_period * self._health.multiplier
@@ -125,20 +123,20 @@
         return self._dissemination.compose(name, MessageKind.PING, self._sequence_number)
 
     def _ping_absent(self) -> list[Datagram]:
-        """Ping absent nodes at random: they may have returned, or may not know of this node yet."""
+        """Ping absent nodes at random, since they may have returned or may not know of this node yet."""
         absent = self._table.absent_names()
         if not absent:
             return []
         is_alone = not self._table.member_names()
         if not is_alone:
             absent_ratio = len(absent) / (len(self._table.remote) + 1.0)
-            if self._rng.random() >= _REJOIN_PROBABILITY * (1.0 + absent_ratio):
+            if self._rng.random() >= _MIN_REJOIN_PROBABILITY * (1.0 + absent_ratio):
                 return []
         count = min(len(absent), _MAX_REJOIN_PINGS_ALONE if is_alone else 1)
         return [self._ping(name) for name in self._rng.sample(absent, count)]
 
     def _request_pings(self, name: str, sequence_number: int) -> list[Datagram]:
-        """Send ping requests for a member that has not acknowledged a ping."""
+        """Ask other members to ping a member that has not acknowledged this node's ping."""
         helpers = self._table.sample_members(self._rng, self._parameters.ping_request_fanout, excluding=name)
         return [
             self._dissemination.compose(helper, MessageKind.PING_REQUEST, sequence_number, name)
@@ -147,16 +145,14 @@
 
     def _on_probe_failed(self, probe: PendingProbe, now: float) -> list[Datagram]:
         if not probe.has_helper_response:
-            # Lifeguard: no node responds, so this node itself may be partitioned or slow.
+            # Lifeguard: if no helper responds either, this node itself may be partitioned or slow.
             self._health.degrade()
         if probe.name not in self._table.remote:
             return []
         self._table.suspect(probe.name, now)
-        # Lifeguard's buddy system: the suspect is notified first, so that it can refute in time.
+        # Lifeguard's buddy system: notify the suspect first, so that it can refute the suspicion in time.
         return [self._dissemination.compose(probe.name, MessageKind.PING)]
 
-    # --- messages -------------------------------------------------------------------------------
-
     def on_ack(self, message: Message, now: float) -> list[Datagram]:
         """Complete the acknowledged probe, or relay the acknowledgement to the requester of the ping."""
         self._last_ack_at = now
@@ -171,22 +167,22 @@
         return [reply]
 
     def on_ping_request(self, message: Message, source: Address, now: float) -> list[Datagram]:
-        """Ping a member on behalf of another node, and notify that node."""
+        """Ping a member on behalf of another node, and confirm to that node that its request has arrived."""
         if message.node_to_ping not in self._table.remote:
             return []
         self._relayed_pings = {
             number: relayed for number, relayed in self._relayed_pings.items() if relayed.expires_at > now
         }
         expires_at = now + self._parameters.protocol_period
-        accepted = self._dissemination.compose_reply(
+        confirmation = self._dissemination.compose_reply(
             source, MessageKind.GOSSIP, message.sequence_number, message.sender
         )
         ping = self._ping(message.node_to_ping)
         self._relayed_pings[self._sequence_number] = RelayedPing(source, message.sequence_number, expires_at)
-        return [accepted, ping]
+        return [confirmation, ping]
 
     def on_helper_response(self, sequence_number: int) -> None:
-        """Record the response to a ping request, which shows that this node is not partitioned itself."""
+        """Record a response to a ping request, which shows that this node itself is not partitioned."""
         probe = self._probes.get(sequence_number)
         if probe is not None:
             probe.has_helper_response = True
--- a/burlmoor/membership/gossip_queue.py
+++ b/burlmoor/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The members whose states are still to be gossiped, and how often each has been transmitted."""
+"""The queue of member states to gossip, and how often each has been transmitted."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class _Urgency(NamedTuple):
-    """The sort key of a queued state; the lowest is the most urgent."""
+    """The sort key of a queued state; the lowest key is the most urgent."""
 
     is_routine: bool
     transmissions: int
 
 
 class GossipQueue:
-    """Owns the transmission count of each member's latest state until it has been sent often enough."""
+    """Counts the transmissions of each member's latest state until it has been sent often enough."""
 
     def __init__(self) -> None:
         self._transmissions: dict[str, int] = {}
@@ -34,8 +34,8 @@
     def select_most_urgent(self, count: int, state_of: Callable[[str], MemberState]) -> list[str]:
         """Select the members whose states go into the next datagram.
 
-        Suspicions, refutations and departures precede routine states; then those with the fewest
-        transmissions.
+        Suspicions, refutations, deaths and departures come before routine states; within each group, states
+        with the fewest transmissions come first.
         """
         return sorted(self._transmissions, key=lambda name: self._urgency(state_of(name), name))[:count]
 
@@ -44,13 +44,13 @@
         return _Urgency(is_routine, self._transmissions[name])
 
     def count_transmissions(self, names: Iterable[str]) -> None:
-        """Record that these members' states were sent once more."""
+        """Record one more transmission of the states of these members."""
         for name in names:
             if name in self._transmissions:
                 self._transmissions[name] += 1
 
     def discard_finished(self, max_transmissions: float, is_known: Callable[[str], bool]) -> None:
-        """Remove the members whose state was sent often enough, and those that are no longer known."""
+        """Remove members whose state has been sent often enough, and members that are no longer known."""
         finished = [
             name
             for name, transmissions in self._transmissions.items()
--- a/burlmoor/membership/local_health.py
+++ b/burlmoor/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Local health (Lifeguard's Local Health Multiplier): how little a node trusts its own failure detection."""
+"""Local health (Lifeguard's Local Health Multiplier): slows the failure detection of a node that is slow."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class LocalHealth:
-    """Owns the health score, from 0 (healthy) to 8.
+    """The health score, from 0 (healthy) to 8.
 
-    A node that is slow itself would suspect others by mistake. So each sign of that raises the score, and the
-    score stretches the node's protocol period and its timeouts.
+    A slow node would suspect healthy members by mistake. Each sign of slowness therefore raises the score,
+    and a higher score lengthens the node's protocol period and probe timeouts.
     """
 
     def __init__(self) -> None:
@@ -17,11 +17,11 @@
 
     @property
     def multiplier(self) -> int:
-        """The factor by which the protocol period and probe timeouts are stretched."""
+        """The factor by which the protocol period and the probe timeouts are multiplied."""
         return 1 + self.score
 
     def degrade(self) -> None:
-        """Raise the score after a sign that this node itself is unhealthy."""
+        """Raise the score after a sign that this node is slow or partitioned."""
         self.score = min(_MAX_SCORE, self.score + 1)
 
     def improve(self) -> None:
--- a/burlmoor/membership/local_member.py
+++ b/burlmoor/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This node's own state: its incarnation, its generation, refutations."""
+"""This node's own state, and how it refutes what other nodes believe of it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from burlmoor.membership.local_health import LocalHealth
 
-_MAX_GENERATION_RAISES = 6  # within the interval below; beyond it the name is contested
+_MAX_GENERATION_RAISES = 6  # per `_RAISE_INTERVAL_SECONDS`; one more means a contested name
 _RAISE_INTERVAL_SECONDS = 30.0
 
 
 class LocalMember:
-    """Owns this node's own state. Each method that may change it returns whether it did."""
+    """Holds this node's own state, and raises its incarnation or generation to override outdated states."""
 
     def __init__(self, state: MemberState, health: LocalHealth) -> None:
         self.state = state
@@ -23,15 +23,18 @@
         self._generation_raised_at: list[float] = []
 
     def leave(self) -> None:
-        """Set the final state, which no later state of this generation can replace."""
+        """Set the status to `LEFT`, which no other state of this generation can override."""
         self.state = self.state._replace(incarnation=MAX_INCARNATION, status=MemberStatus.LEFT)
 
     def on_remote_state(self, remote: MemberState, now: float) -> bool:
-        """Refute or supersede a state of this node that another node believes, if it takes precedence."""
+        """Override a gossiped state of this node if it takes precedence.
+
+        Returns whether this node's own state changed.
+        """
         if remote.precedence <= self.state.precedence or self.state.status is MemberStatus.LEFT:
             return False
         if remote.process_precedence == self.state.process_precedence:
-            # Lifeguard: being suspected is a sign of local slowness.
+            # Lifeguard: a suspicion by others is a sign that this node is slow.
             self._health.degrade()
             if remote.incarnation + 1 < MAX_INCARNATION:
                 self.state = self.state._replace(incarnation=remote.incarnation + 1)
@@ -39,11 +42,11 @@
         return self._raise_generation(remote.generation, now)
 
     def _raise_generation(self, known_generation: int, now: float) -> bool:
-        """Start a generation later than the one that the cluster knows.
+        """Raise the generation above the one that the cluster knows; return whether it was raised.
 
-        The known one belongs to an earlier process of this node whose clock was ahead, or to another node
-        with the same name. Without the limit, two nodes with one name would supersede each other without end
-        and flood the cluster.
+        The known generation belongs to an earlier process of this node whose clock was ahead, or to another
+        node with the same name. Without the rate limit, two nodes with the same name would override each
+        other endlessly and flood the cluster with updates.
         """
         self._generation_raised_at = [
             raised_at for raised_at in self._generation_raised_at if now - raised_at < _RAISE_INTERVAL_SECONDS
--- a/burlmoor/membership/member.py
+++ b/burlmoor/membership/member.py
@@ -1,8 +1,8 @@
 """The gossiped state of a member, and the precedence between states.
 
-The states of one member are totally ordered, first by generation, and the higher one takes precedence. So
-nodes that have received the same states, in any order and any number of times, have the same view: views
-converge.
+The states of one member are totally ordered, first by generation, and the highest takes precedence. Views
+therefore converge: nodes that have received the same states, in any order and any number of times, have the
+same view.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     """The believed status of a member; within one incarnation, the higher status takes precedence."""
 
     ALIVE = 0
-    SUSPECT = 1  # it has not acknowledged a probe; it may refute the suspicion
-    DEAD = 2  # it did not refute the suspicion in time; it may still return, with a higher incarnation
-    LEFT = 3  # it has announced that it shuts down
+    SUSPECT = 1  # has not acknowledged a probe; may refute the suspicion
+    DEAD = 2  # did not refute the suspicion in time; may still return, with a higher incarnation
+    LEFT = 3  # has announced its shutdown
 
 
 class Precedence(NamedTuple):
@@ -42,13 +42,14 @@
 
 
 class MemberState(NamedTuple):
-    """One member's state as a node believes it.
+    """The state of one member, as a node believes it or announces its own.
 
     Only the member itself announces a new generation, a new incarnation and the status `ALIVE`. A generation
-    identifies a process: its number is the clock at the start, and is raised if the cluster knows a later
-    one, so a clock that was set back does no harm. The nonce, drawn at the start, distinguishes two processes
-    that claim the same generation: the higher nonce takes precedence, and the other process raises its
-    generation once it learns of it. A higher incarnation refutes a suspicion.
+    identifies a process. It is initialized from the clock when the process starts, and raised if the cluster
+    knows a later one, so a clock that was set back does no harm. The nonce, drawn at random at the start,
+    distinguishes two processes that claim the same generation: the higher nonce takes precedence, and the
+    other process raises its generation once it learns of the conflict. A higher incarnation refutes a
+    suspicion.
     """
 
     name: str
@@ -60,7 +61,7 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The sort key among the states of one member; the highest is believed."""
+        """The sort key among the states of one member; the highest takes precedence."""
         return Precedence(self.generation, self.nonce, self.incarnation, self.status)
 
     @property
@@ -71,5 +72,5 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether it counts as a member: suspects do until they are declared dead."""
+        """Whether the node counts as a member; a suspect does until it is declared dead."""
         return self.status <= MemberStatus.SUSPECT
--- a/burlmoor/membership/parameters.py
+++ b/burlmoor/membership/parameters.py
@@ -1,4 +1,4 @@
-"""The protocol's parameters: intervals, timeouts, fan-outs."""
+"""The parameters of the membership protocol: intervals, timeouts and fan-outs."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class ProtocolParameters(NamedTuple):
-    """Times in seconds, counts otherwise.
+    """Durations in seconds; other values are counts and factors.
 
     With the defaults, a crashed member is probed within one protocol period by one of its predecessors in the
-    hash ring, suspected 0.9 s later and declared dead when the suspicion times out; all nodes are notified
-    within some gossip rounds: 1 + 0.9 + 3.2 + 0.8 s, so within 6 s. A process that was suspended for 3 s is
-    not declared dead, since that takes at least 0.9 + 2.7 s.
+    hash ring, suspected 0.9 s later and declared dead when the suspicion times out; all nodes learn of it
+    within a few gossip rounds. That takes 1 + 0.9 + 3.2 + 0.8 s, so less than 6 s. A process that was
+    suspended for 3 s is not declared dead, since that takes at least 0.9 + 2.7 s.
     """
 
-    protocol_period: float = 1.0  # `ring_successors` members and a random one are probed in it
+    protocol_period: float = 1.0  # in each, `ring_successors` members and a random one are probed
     ring_successors: int = 3
     ping_timeout: float = 0.3  # from a ping until ping requests are sent
     probe_timeout: float = 0.9  # from a ping until the probe has failed
@@ -25,8 +25,8 @@
     gossip_fanout: int = 2  # recipients in one round
     max_gossip_burst: int = 4  # datagrams to each recipient in one round
     retransmit_multiplier: float = 3.0  # transmissions of a state, per log2 of the cluster size
-    sync_interval: float = 2.0  # least time between two full state exchanges
-    suspension_threshold: float = 2.0  # a longer pause between two calls means that the process was suspended
+    sync_interval: float = 2.0  # minimum time between two full state exchanges
+    suspension_threshold: float = 2.0  # after a longer pause between calls, the process counts as suspended
     dead_retention: float = 120.0  # until members that are dead or have left are removed
 
 
--- a/burlmoor/membership/suspicion.py
+++ b/burlmoor/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions of unresponsive members: their confirmations and timeouts."""
+"""Tracks the suspicions of unresponsive members: their confirmations and timeouts."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     """The suspicion of one member."""
 
     started_at: float
-    confirmed_by: set[str] = field(default_factory=set)  # the nodes known to suspect it
+    confirmed_by: set[str] = field(default_factory=set)  # all nodes known to suspect the member
 
 
 class SuspicionTimers:
-    """Owns the suspicion of each suspected member (SWIM's suspicion subprotocol)."""
+    """The suspicions of all suspected members (SWIM's suspicion subprotocol)."""
 
     def __init__(self, parameters: ProtocolParameters) -> None:
         self._parameters = parameters
@@ -30,7 +30,7 @@
         self._suspicions[name] = Suspicion(now, {suspected_by})
 
     def confirm(self, name: str, suspected_by: str) -> None:
-        """Record that another node suspects a suspected member too."""
+        """Record that another node also suspects a suspected member."""
         self._suspicions[name].confirmed_by.add(suspected_by)
 
     def cancel(self, name: str) -> None:
@@ -38,12 +38,12 @@
         self._suspicions.pop(name, None)
 
     def restart_all(self, now: float) -> None:
-        """Restart all timers."""
+        """Restart the timeouts of all suspicions."""
         for suspicion in self._suspicions.values():
             suspicion.started_at = now
 
     def find_expired(self, now: float) -> list[str]:
-        """Find the members whose suspicion has timed out, in the order in which they became suspect."""
+        """Return the members whose suspicion has timed out, in the order in which they became suspect."""
         return [
             name
             for name, suspicion in self._suspicions.items()
@@ -51,7 +51,7 @@
         ]
 
     def _timeout(self, confirmations: int) -> float:
-        """Return the timeout of a suspicion in seconds (Lifeguard): more confirmations shorten it."""
+        """Return the timeout of a suspicion in seconds; more confirmations shorten it (Lifeguard)."""
         parameters = self._parameters
         fanout = parameters.ping_request_fanout
         confirmed_fraction = math.log(min(confirmations, fanout) + 1.0) / math.log(fanout + 1.0)
--- a/burlmoor/membership/view.py
+++ b/burlmoor/membership/view.py
@@ -1,4 +1,4 @@
-"""The membership view that other parts of the node read: an immutable, versioned snapshot."""
+"""The membership view for other parts of the node: an immutable, versioned snapshot."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class MembershipView(NamedTuple):
     """The members of the cluster as known to this node."""
 
-    version: int  # rises with every change
+    version: int  # increases with every change
     local: MemberState
     members: Mapping[str, MemberState]  # all known nodes, of any status, including this one
     configured_count: int  # configured nodes, including this one
@@ -21,7 +21,7 @@
 
     @property
     def member_names(self) -> tuple[str, ...]:
-        """The names of the members, sorted so that the order is the same on every node."""
+        """The names of the members, in the same (sorted) order on every node."""
         return tuple(sorted(name for name, state in self.members.items() if state.is_member))
 
     @property
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""Any message is read back from its datagram; anything else is rejected with one error."""
+"""Encoded messages decode to the same states; all other data raises `InvalidDatagramError`."""
 
 import pytest
 from hypothesis import given
@@ -28,7 +28,7 @@
 @given(
     st.sampled_from(MessageKind), st.integers(0, 2**32 - 1), st.lists(member_states, min_size=1, max_size=30)
 )
-def test_a_datagram_decodes_to_the_states_that_fitted(
+def test_datagram_decodes_to_the_states_that_fit(
     kind: MessageKind, sequence_number: int, states: list[MemberState]
 ) -> None:
     data, count = encode(
@@ -42,9 +42,7 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 255), st.integers(0, 255))
-def test_any_bytes_decode_to_a_message_or_raise_an_invalid_datagram_error(
-    noise: bytes, index: int, value: int
-) -> None:
+def test_arbitrary_bytes_decode_or_raise_invalid_datagram_error(noise: bytes, index: int, value: int) -> None:
     state = MemberState("n1", ("127.0.0.1", 9), 1, 2, 3, MemberStatus.ALIVE)
     valid, _ = encode(Message(MessageKind.PING, 1, 2, (state,)))
     index %= len(valid)
@@ -57,7 +55,7 @@
 
 
 @pytest.mark.parametrize("name", ["", "x" * 65])
-def test_a_name_that_does_not_fit_its_field_is_rejected(name: str) -> None:
+def test_name_of_invalid_length_is_rejected(name: str) -> None:
     state = MemberState(name, ("127.0.0.1", 9), 1, 2, 3, MemberStatus.ALIVE)
     with pytest.raises(InvalidNodeNameError, match="1 to 64 bytes"):
         encode(Message(MessageKind.PING, 1, 2, (state,)))
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -1,4 +1,4 @@
-"""Membership in virtual time: joins, crashes, partitions, suspensions, lost datagrams, duplicate names."""
+"""The protocol in virtual time: joins, crashes, partitions, suspensions, lost datagrams, duplicate names."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("nodes", [3, 30, 100])
-def test_views_converge_after_a_start_and_after_a_third_of_the_nodes_crashed(nodes: int) -> None:
+def test_views_converge_after_start_and_after_crashes(nodes: int) -> None:
     simulation = GossipSimulation(nodes, 1)
     assert simulation.run_until_converged(10.0) <= 10.0
     simulation.run(simulation.now + 5.0)
@@ -25,15 +25,13 @@
     assert len({node.digest() for node in simulation.running.values()}) == 1  # nothing is left to gossip
 
 
-def test_nodes_configured_with_one_address_discover_all_members() -> None:
+def test_nodes_configured_with_one_address_discover_the_others() -> None:
     simulation = GossipSimulation(40, 2, known_count=1)
     assert simulation.run_until_converged(20.0) <= 20.0
 
 
 @pytest.mark.parametrize(("loss", "max_false_declarations"), [(0.02, 0), (0.2, 2)])
-def test_lost_datagrams_cause_no_or_few_false_death_declarations(
-    loss: float, max_false_declarations: int
-) -> None:
+def test_datagram_loss_causes_few_false_death_declarations(loss: float, max_false_declarations: int) -> None:
     simulation = GossipSimulation(20, 3, loss=loss)
     simulation.run_until_converged(20.0)
     simulation.run(simulation.now + 60.0)
@@ -41,20 +39,20 @@
     assert simulation.run_until_converged(10.0) <= 10.0
 
 
-def test_views_converge_after_a_partition_longer_than_any_suspicion() -> None:
+def test_views_converge_after_a_long_partition() -> None:
     simulation = GossipSimulation(30, 4)
     simulation.run_until_converged(10.0)
     simulation.is_cut = lambda sender, recipient: (int(sender[1:]) < 10) != (int(recipient[1:]) < 10)
     simulation.run(simulation.now + 40.0)
-    small = simulation.running["n0"].view(simulation.now)
-    large = simulation.running["n20"].view(simulation.now)
-    assert (len(small.member_names), small.has_majority) == (10, False)
-    assert (len(large.member_names), large.has_majority) == (20, True)
+    minority_view = simulation.running["n0"].view(simulation.now)
+    majority_view = simulation.running["n20"].view(simulation.now)
+    assert (len(minority_view.member_names), minority_view.has_majority) == (10, False)
+    assert (len(majority_view.member_names), majority_view.has_majority) == (20, True)
     simulation.is_cut = lambda _sender, _recipient: False
     assert simulation.run_until_converged(20.0) <= 20.0
 
 
-def test_views_converge_after_a_partition_bridged_by_one_node() -> None:
+def test_views_converge_after_a_bridged_partition() -> None:
     simulation = GossipSimulation(20, 5)
     simulation.run_until_converged(10.0)
     simulation.is_cut = lambda sender, recipient: (
@@ -65,7 +63,7 @@
     assert simulation.run_until_converged(20.0) <= 20.0
 
 
-def test_a_node_that_was_suspended_declares_nobody_dead_and_reports_its_view_as_not_current() -> None:
+def test_resumed_node_declares_no_deaths_and_reports_an_outdated_view() -> None:
     simulation = GossipSimulation(30, 6)
     simulation.run_until_converged(10.0)
     simulation.suspend("n3", 30.0)
@@ -79,15 +77,19 @@
     simulation.transmit("n3", node.step(simulation.now))
     assert not node.view(simulation.now).is_current
     simulation.run(simulation.now + 0.02)
-    before = len([declarer for _, declarer, _ in simulation.death_declarations if declarer == "n3"])
+    declarations_before = len(
+        [declarer for _, declarer, _ in simulation.death_declarations if declarer == "n3"]
+    )
     assert simulation.run_until_converged(10.0) <= 10.0
-    after = len([declarer for _, declarer, _ in simulation.death_declarations if declarer == "n3"])
-    assert after == before
+    declarations_after = len(
+        [declarer for _, declarer, _ in simulation.death_declarations if declarer == "n3"]
+    )
+    assert declarations_after == declarations_before
     simulation.run(simulation.now + 1.0)
     assert node.view(simulation.now).is_current
 
 
-def test_a_tenth_of_the_nodes_suspended_for_three_seconds_causes_at_most_one_false_declaration() -> None:
+def test_short_suspensions_cause_at_most_one_false_death_declaration() -> None:
     simulation = GossipSimulation(50, 7)
     simulation.run_until_converged(10.0)
     for name in ("n1", "n11", "n21", "n31", "n41"):
@@ -98,12 +100,12 @@
 
 
 @pytest.mark.parametrize("generation", [500, 100, 3])
-def test_a_restarted_node_takes_precedence_whatever_generation_it_starts_with(generation: int) -> None:
+def test_restarted_node_takes_precedence_with_any_generation(generation: int) -> None:
     simulation = GossipSimulation(20, 8)
     simulation.run_until_converged(10.0)
     before = simulation.running["n4"].local
     simulation.crash(["n4"])
-    simulation.run(simulation.now + 0.3)  # sooner than any suspicion times out
+    simulation.run(simulation.now + 0.3)  # before any suspicion times out
     simulation.start("n4", generation)
     simulation.run(simulation.now + 10.0)
     after = simulation.running["n4"].local
@@ -114,28 +116,28 @@
 
 
 @pytest.mark.parametrize(
-    ("is_cut", "sizes"),
+    ("is_cut", "allowed_member_counts"),
     [
         (lambda sender, recipient: sender == "n3", {11, 19}),
         (lambda sender, recipient: int(sender[1:]) < 8 <= int(recipient[1:]), {8, 12}),
     ],
-    ids=["nobody receives from one node", "one group does not receive from the other"],
+    ids=["no node receives from n3", "one group does not receive from the other"],
 )
-def test_a_partition_in_one_direction_affects_only_the_nodes_cut_off_and_heals(
-    is_cut: Callable[[str, str], bool], sizes: set[int]
+def test_one_way_partition_affects_only_isolated_nodes_and_heals(
+    is_cut: Callable[[str, str], bool], allowed_member_counts: set[int]
 ) -> None:
     simulation = GossipSimulation(20, 3)
     simulation.run_until_converged(10.0)
     simulation.is_cut = is_cut
     simulation.run(simulation.now + 30.0)
     others = [node for name, node in simulation.running.items() if name != "n3"]
-    assert {len(node.view(simulation.now).member_names) for node in others} <= sizes
+    assert {len(node.view(simulation.now).member_names) for node in others} <= allowed_member_counts
     assert not (simulation.running["n3"].view(simulation.now).has_majority and is_cut("n3", "n9"))
     simulation.is_cut = lambda _sender, _recipient: False
     assert simulation.run_until_converged(20.0) <= 20.0
 
 
-def test_delays_of_half_a_second_and_a_flapping_node_cause_no_false_declarations() -> None:
+def test_delays_and_flapping_cause_no_false_death_declarations() -> None:
     simulation = GossipSimulation(20, 1, max_delay=0.5)
     assert simulation.run_until_converged(10.0) <= 10.0
     for _ in range(8):
@@ -148,7 +150,7 @@
     assert {declared for _, _, declared in simulation.death_declarations} <= {"n5"}
 
 
-def test_a_node_that_left_is_neither_suspected_nor_revived() -> None:
+def test_node_that_left_is_neither_suspected_nor_revived() -> None:
     simulation = GossipSimulation(20, 9)
     simulation.run_until_converged(10.0)
     simulation.transmit("n4", simulation.running["n4"].leave())
@@ -160,21 +162,21 @@
     assert {view.members["n4"].status for view in views} == {MemberStatus.LEFT}
 
 
-def test_two_nodes_with_one_name_detect_it_and_stop_outbidding_each_other() -> None:
+def test_duplicate_name_is_detected_and_stops_causing_updates() -> None:
     simulation = GossipSimulation(10, 10)
     simulation.run_until_converged(10.0)
-    twin = Membership("n4", ("127.0.9.9", 9000), simulation.addresses, 200, simulation.rng)
-    simulation.addresses["twin"] = ("127.0.9.9", 9000)
-    simulation._names_by_address["127.0.9.9", 9000] = "twin"
-    simulation.run_node("twin", twin, simulation.now)
+    duplicate = Membership("n4", ("127.0.9.9", 9000), simulation.addresses, 200, simulation.rng)
+    simulation.addresses["duplicate"] = ("127.0.9.9", 9000)
+    simulation._names_by_address["127.0.9.9", 9000] = "duplicate"
+    simulation.run_node("duplicate", duplicate, simulation.now)
     simulation.run(simulation.now + 40.0)
-    assert twin.is_name_contested or simulation.running["n4"].is_name_contested
+    assert duplicate.is_name_contested or simulation.running["n4"].is_name_contested
     version = simulation.running["n0"].view(simulation.now).version
     simulation.run(simulation.now + 10.0)
     assert simulation.running["n0"].view(simulation.now).version - version < 30
 
 
-def test_dead_members_are_removed_after_a_time_and_the_table_is_bounded(
+def test_member_table_is_bounded_and_dead_members_are_removed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(member_table, "MAX_MEMBERS", 50)
@@ -190,18 +192,18 @@
     assert list(node.view(now).members) == ["n0"]
 
 
-def test_bytes_sent_by_an_idle_node_do_not_grow_with_the_cluster() -> None:
-    rates = []
+def test_idle_traffic_per_node_is_independent_of_cluster_size() -> None:
+    bytes_per_node_second = []
     for nodes in (30, 100):
         simulation = GossipSimulation(nodes, 11)
         simulation.run_until_converged(10.0)
         simulation.run(simulation.now + 10.0)
         simulation.sent_bytes = 0
-        began = simulation.now
+        started_at = simulation.now
         simulation.run(simulation.now + 20.0)
-        rates.append(simulation.sent_bytes / nodes / (simulation.now - began))
-    assert max(rates) < 1.5 * min(rates)
-    assert max(rates) < 400.0
+        bytes_per_node_second.append(simulation.sent_bytes / nodes / (simulation.now - started_at))
+    assert max(bytes_per_node_second) < 1.5 * min(bytes_per_node_second)
+    assert max(bytes_per_node_second) < 400.0
 
 
 def without_refutation(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -221,22 +223,22 @@
 @pytest.mark.parametrize(
     ("mutate", "failing_test"),
     [
-        (without_refutation, test_views_converge_after_a_partition_longer_than_any_suspicion),
+        (without_refutation, test_views_converge_after_a_long_partition),
         (
             without_refutation,
-            lambda: test_a_restarted_node_takes_precedence_whatever_generation_it_starts_with(3),
+            lambda: test_restarted_node_takes_precedence_with_any_generation(3),
         ),
         (
             without_generations,
-            lambda: test_a_restarted_node_takes_precedence_whatever_generation_it_starts_with(500),
+            lambda: test_restarted_node_takes_precedence_with_any_generation(500),
         ),
         (
             without_suspicion_timeout,
-            lambda: test_views_converge_after_a_start_and_after_a_third_of_the_nodes_crashed(3),
+            lambda: test_views_converge_after_start_and_after_crashes(3),
         ),
     ],
 )
-def test_the_tests_above_detect_a_mutated_state_machine(
+def test_mutations_of_the_protocol_fail_other_tests(
     mutate: Callable[[pytest.MonkeyPatch], None],
     failing_test: Callable[[], None],
     monkeypatch: pytest.MonkeyPatch,
