--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What is measured, a file a question; results stand in docs/capacity.md."""
+"""Benchmarks, one module per question. docs/capacity.md has the results."""
--- a/benchmarks/limit.py
+++ b/benchmarks/limit.py
@@ -1,9 +1,10 @@
-"""The throughput of one node on one core: open loop, unbounded executors in other processes, 50 ms a job.
+"""Measures the throughput of one node on one core under an open-loop load.
 
     python -m benchmarks.limit [SECONDS] [RATE...]
 
-Prints a line of JSON for each rate. Where a rate is written with a `p` (as `40p`), the node samples itself,
-and the line has the fractions of its CPU by function; its CPU a job then includes the sampling.
+The executors are unbounded, run in other processes and take 50 ms per job. Prints a line of JSON for each
+rate, in jobs per second. A rate with the suffix `p` (as `40p`) also runs the node under a sampling profiler
+and prints the fraction of its CPU time by function; its CPU time per job then includes the sampling.
 """
 
 from __future__ import annotations
@@ -24,30 +25,32 @@
 from burlmoor.testbed.node_process import NODE_COMMAND
 from burlmoor.testbed.single_node import run_single_node, unbounded_executor_specs
 
-_EXECUTORS = 14
-_RUN_MS = 50.0
+_EXECUTOR_COUNT = 14
+_JOB_WORK_MS = 50.0
 _RATES = ("40", "100", "200", "400", "500", "600", "700", "800", "1000", "1200")
-_PRINTED_FUNCTIONS = 14
+_PRINTED_FUNCTION_COUNT = 14
 _UNSERVED = (JobOutcome.REJECTED, JobOutcome.FAILED, JobOutcome.NO_ANSWER)
 
 
 async def _measure(rate: float, seconds: float, folder: Path, *, is_sampled: bool) -> dict[str, Any]:
-    job_classes = tuple(job_class._replace(mean_work_ms=_RUN_MS) for job_class in JOB_CLASSES)
-    profile = folder / "profile.json"
-    command = (sys.executable, "-m", "benchmarks.sampled", str(profile)) if is_sampled else NODE_COMMAND
-    async with run_single_node(unbounded_executor_specs(_EXECUTORS), job_classes, folder, command) as node:
+    job_classes = tuple(job_class._replace(mean_work_ms=_JOB_WORK_MS) for job_class in JOB_CLASSES)
+    profile_path = folder / "profile.json"
+    command = (sys.executable, "-m", "benchmarks.sampled", str(profile_path)) if is_sampled else NODE_COMMAND
+    async with run_single_node(
+        unbounded_executor_specs(_EXECUTOR_COUNT), job_classes, folder, command
+    ) as node:
         clients = ClientPool(node.address, EventRecord())
         meter = ProcessMeter(node.pid)
         report = await LoadGenerator([clients]).run(draw_arrivals(rate, seconds, job_classes, 1))
         report.usage = meter.read()
         clients.close()
-    row = _to_row(report, rate, seconds)
+    row = _make_row(report, rate, seconds)
     if is_sampled:
-        row |= _sampled_fractions(profile)
+        row |= _read_sampled_fractions(profile_path)
     return row
 
 
-def _to_row(report: LoadReport, rate: float, seconds: float) -> dict[str, Any]:
+def _make_row(report: LoadReport, rate: float, seconds: float) -> dict[str, Any]:
     tally = report.all_classes
     return {
         "offered_per_s": rate,
@@ -60,10 +63,13 @@
     }
 
 
-def _sampled_fractions(profile: Path) -> dict[str, dict[str, float]]:
-    samples = json.loads(profile.read_text())
+def _read_sampled_fractions(profile_path: Path) -> dict[str, dict[str, float]]:
+    profile = json.loads(profile_path.read_text())
     return {
-        key: {name: round(count / samples["samples"], 3) for name, count in samples[key][:_PRINTED_FUNCTIONS]}
+        key: {
+            name: round(count / profile["samples"], 3)
+            for name, count in profile[key][:_PRINTED_FUNCTION_COUNT]
+        }
         for key in ("own", "with_callees")
     }
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,4 +1,6 @@
-"""The membership protocol in virtual time: time to converge, false death declarations, bytes and CPU time.
+"""Measures the membership protocol in virtual time.
+
+For each cluster size: the time to converge, false death declarations, bytes sent and CPU time.
 
 python -m benchmarks.membership [NODES ...]
 """
@@ -15,14 +17,14 @@
 
 
 def _measure(nodes: int) -> dict[str, float]:
-    began_cpu_seconds = time.process_time()
+    cpu_seconds_before = time.process_time()
     simulation = GossipSimulation(nodes, 21, loss=0.02)
     figures = {"start_s": simulation.run_until_converged(30.0)}
     simulation.run(simulation.now + 20.0)
     simulation.sent_bytes = 0
-    idle_since = simulation.now
+    idle_started_at = simulation.now
     simulation.run(simulation.now + _IDLE_SECONDS)
-    figures["bytes_a_node_s"] = simulation.sent_bytes / nodes / (simulation.now - idle_since)
+    figures["bytes_a_node_s"] = simulation.sent_bytes / nodes / (simulation.now - idle_started_at)
     figures["false_alarms"] = len(simulation.death_declarations)
     crashed = list(simulation.running)[:: max(2, min(3, nodes))]
     simulation.crash(crashed)
@@ -30,7 +32,7 @@
     for name in crashed:
         simulation.start(name, 200)
     figures["back_s"] = simulation.run_until_converged(30.0)
-    figures["cpu_ms_a_node_s"] = 1000.0 * (time.process_time() - began_cpu_seconds) / nodes / simulation.now
+    figures["cpu_ms_a_node_s"] = 1000.0 * (time.process_time() - cpu_seconds_before) / nodes / simulation.now
     return figures
 
 
--- a/benchmarks/sampled.py
+++ b/benchmarks/sampled.py
@@ -1,7 +1,10 @@
-"""A node that samples itself: `python -m benchmarks.sampled FILE` leaves where its CPU went in FILE.
+"""Runs a node under a sampling profiler, and writes the profile to a file.
 
-Every 2 ms of this process's CPU (SIGPROF) the running function is counted, and once each function on its call
-stack. The file holds JSON: `samples`, `own` and `with_callees`, counts by function.
+    python -m benchmarks.sampled FILE
+
+Takes a sample every 2 ms of this process's CPU time (SIGPROF). A sample counts the innermost function in
+`own`, and each function on the call stack once in `with_callees`. The file holds JSON: both counts by
+function, and the number of `samples`.
 """
 
 from __future__ import annotations
@@ -16,10 +19,10 @@
 if TYPE_CHECKING:
     from types import FrameType
 
-_INTERVAL_SECONDS = 0.002
-_ROOT = Path(__file__).parent.parent
-_MAX_OWN = 60
-_MAX_WITH_CALLEES = 120
+_SAMPLING_INTERVAL_SECONDS = 0.002
+_REPOSITORY_ROOT = Path(__file__).parent.parent
+_MAX_OWN_FUNCTIONS = 60
+_MAX_WITH_CALLEES_FUNCTIONS = 120
 
 
 class _Function(NamedTuple):
@@ -38,12 +41,18 @@
 
 def _format_function(function: _Function) -> str:
     path = Path(function.path)
-    short = path.relative_to(_ROOT).as_posix() if path.is_relative_to(_ROOT) else "/".join(path.parts[-2:])
-    return f"{short.split('site-packages/')[-1]}:{function.qualified_name}"
+    short_path = (
+        path.relative_to(_REPOSITORY_ROOT).as_posix()
+        if path.is_relative_to(_REPOSITORY_ROOT)
+        else "/".join(path.parts[-2:])
+    )
+    return f"{short_path.split('site-packages/')[-1]}:{function.qualified_name}"
 
 
-def _most_common(counts: Counter[_Function], most: int) -> list[_FunctionCount]:
-    return [_FunctionCount(_format_function(function), count) for function, count in counts.most_common(most)]
+def _most_common(counts: Counter[_Function], limit: int) -> list[_FunctionCount]:
+    return [
+        _FunctionCount(_format_function(function), count) for function, count in counts.most_common(limit)
+    ]
 
 
 def _functions_on_stack(frame: FrameType) -> set[_Function]:
@@ -56,11 +65,11 @@
 
 
 def main() -> int:
-    """Run the node, sampling; return its exit status."""
+    """Run the node under the profiler; return its exit status."""
     innermost_counts: Counter[_Function] = Counter()
     stack_counts: Counter[_Function] = Counter()
 
-    def sample(_number: int, frame: FrameType | None) -> None:
+    def sample(_signal_number: int, frame: FrameType | None) -> None:
         if frame is not None:
             innermost_counts[_function_of(frame)] += 1
             stack_counts.update(_functions_on_stack(frame))
@@ -68,13 +77,13 @@
     from burlmoor.lifecycle.process import main as run_node  # noqa: PLC0415
 
     signal.signal(signal.SIGPROF, sample)
-    signal.setitimer(signal.ITIMER_PROF, _INTERVAL_SECONDS, _INTERVAL_SECONDS)
+    signal.setitimer(signal.ITIMER_PROF, _SAMPLING_INTERVAL_SECONDS, _SAMPLING_INTERVAL_SECONDS)
     status = run_node()
     signal.setitimer(signal.ITIMER_PROF, 0.0)
     figures = {
         "samples": innermost_counts.total(),
-        "own": _most_common(innermost_counts, _MAX_OWN),
-        "with_callees": _most_common(stack_counts, _MAX_WITH_CALLEES),
+        "own": _most_common(innermost_counts, _MAX_OWN_FUNCTIONS),
+        "with_callees": _most_common(stack_counts, _MAX_WITH_CALLEES_FUNCTIONS),
     }
     Path(sys.argv[1]).write_text(json.dumps(figures))
     return status
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,4 +1,4 @@
-"""The cost of a node's start: CPU and peak memory until it is ready, plain and with [waiting].
+"""Measures the start of a node, plain and with `[waiting]`: CPU time and peak memory until it is ready.
 
 python -m benchmarks.start [TIMES]
 """
@@ -17,7 +17,7 @@
 
 from burlmoor.testbed.local_cluster import executor_specs, local_cluster
 
-_DEFAULT_TIMES = 7
+_DEFAULT_STARTS = 7
 
 
 class _StartCost(NamedTuple):
@@ -31,23 +31,28 @@
 
 
 def _read_cost(pid: int) -> _StartCost:
-    times = psutil.Process(pid).cpu_times()
+    cpu_times = psutil.Process(pid).cpu_times()
     status = Path(f"/proc/{pid}/status").read_text()
     peak_kib = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
-    return _StartCost(1000.0 * float(times.user + times.system), peak_kib / 1024.0)
+    return _StartCost(1000.0 * float(cpu_times.user + cpu_times.system), peak_kib / 1024.0)
 
 
 def main() -> None:
-    """Print a line of JSON for each way to start."""
-    times = int(sys.argv[1]) if len(sys.argv) > 1 else _DEFAULT_TIMES
+    """Print a line of JSON for each configuration."""
+    starts = int(sys.argv[1]) if len(sys.argv) > 1 else _DEFAULT_STARTS
     for name, options in (("plain", None), ("waiting", "[waiting]\n")):
         costs = []
-        for _ in range(times):
+        for _ in range(starts):
             with tempfile.TemporaryDirectory() as folder:
                 costs.append(trio.run(_measure, Path(folder), options))
         cpu_ms = statistics.median(cost.cpu_ms for cost in costs)
         peak_mib = statistics.median(cost.peak_mib for cost in costs)
-        row = {"start": name, "times": times, "cpu_ms": round(cpu_ms, 1), "peak_mib": round(peak_mib, 1)}
+        row = {
+            "start": name,
+            "times": starts,
+            "cpu_ms": round(cpu_ms, 1),
+            "peak_mib": round(peak_mib, 1),
+        }
         print(json.dumps(row))
 
 
