--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -65,10 +65,10 @@
 def _make_filled_queue(count: int) -> DeferredJobQueue:
     """Return a queue in which `count` jobs are deferred and nothing is due."""
     queue = DeferredJobQueue(_OPTIONS, _MAX_CONNECTIONS, 1000.0, 1, _ignore_event, _NOW, lambda: _UNIX_NOW_MS)
-    queue.on_job_opened("root")
+    queue.on_job_admitted("root")
     for number in range(count):
         request_id = f"other-{number}"
-        queue.on_job_opened(request_id)
+        queue.on_job_admitted(request_id)
         queue.defer(request_id, _REQUEST, _make_conditions(number), 1e12, _NOW)
         if number % _JOBS_PER_STEP == 0:
             queue.step(_NOW, _count_free_slots)
@@ -82,14 +82,14 @@
     parent = f"p{number}"
     child = f"c{number}"
     conditions = RunConditions((parent,), _UNIX_NOW_MS - 5.0, _BODY_BYTES)
-    queue.on_job_opened(parent)
-    queue.on_job_opened(child)
+    queue.on_job_admitted(parent)
+    queue.on_job_admitted(child)
     queue.defer(child, _REQUEST, conditions, _NOW + 60_000.0, _NOW)
     queue.step(_NOW, _count_free_slots)
-    queue.on_job_closed(parent, Served(b""), _NOW)
+    queue.on_job_ended(parent, Served(b""), _NOW)
     decisions = queue.step(_NOW, _count_free_slots)
     assert [type(decision) for decision in decisions] == [ReleaseDecision], decisions
-    queue.on_job_closed(child, Served(b""), _NOW)
+    queue.on_job_ended(child, Served(b""), _NOW)
 
 
 def _measure(count: int) -> dict[str, float]:
--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -107,7 +107,7 @@
 
     def _status(self, *, is_ready: bool) -> NodeStatus:
         disabled = sorted(self._directory.overrides.disabled_since)
-        return NodeStatus(is_ready, _STATE_NAMES[self._drain.state], self._drain.is_drained, disabled)
+        return NodeStatus(is_ready, _STATE_NAMES[self._drain.state], self._drain.is_drain_requested, disabled)
 
     def apply_override(self, request: AdminRequest) -> None:
         """Set an override, even if the executor is not in the endpoint list; queries change nothing."""
@@ -149,4 +149,4 @@
     @property
     def overrides(self) -> Overrides:
         """All overrides in force."""
-        return Overrides(self._directory.overrides, self._drain.is_drained)
+        return Overrides(self._directory.overrides, self._drain.is_drain_requested)
--- a/burlmoor/deferred/deferred_job.py
+++ b/burlmoor/deferred/deferred_job.py
@@ -11,16 +11,19 @@
 
 
 class DeferralReason(Enum):
-    """Why a job is deferred (the first four), or why its deferral ended without its release."""
+    """Why a job is deferred (the first four), or why its deferral ended without its release (the others).
+
+    `DEPENDENCY_UNKNOWN` is both.
+    """
 
     DEPENDENCY_OPEN = "jobs"  # a job that it depends on is open
-    DEPENDENCY_UNKNOWN = "unknown"  # a job that it depends on is not admitted here yet
+    DEPENDENCY_UNKNOWN = "unknown"  # a job that it depends on is neither open here nor remembered
     NOT_BEFORE = "time"  # its not-before time has not passed
     RELEASE_PENDING = "turn"  # all conditions are met, and it is not released yet
     DEPENDENCY_FAILED = "parent"  # a job that it depends on was not served
     CYCLE = "cycle"  # a job that it depends on depends on it in turn
     CAPACITY_REACHED = "full"  # a limit on deferred jobs is reached
-    TOO_LATE = "hopeless"  # the rest of its client's timeout is shorter than its work takes
+    TOO_LATE = "hopeless"  # its latest-release time has passed, or precedes its not-before time
     DRAINING = "closed"  # the node is draining or shutting down
 
 
@@ -33,7 +36,7 @@
     latest_release_at: float
     not_before_unix_ms: float
     unmet_dependencies: set[str] = field(default_factory=set)  # ids of jobs that have not been served yet
-    unknown_dependencies: set[str] = field(default_factory=set)  # those that this node has not admitted yet
+    unknown_dependencies: set[str] = field(default_factory=set)  # those of them that are not open here
     end_reason: DeferralReason | None = None
     is_not_before_reached: bool = True  # whether its not-before time has passed
     timers: list[tuple[TimerQueue[DeferredJob], int]] = field(default_factory=list)
@@ -44,8 +47,8 @@
         return not self.unmet_dependencies and self.is_not_before_reached and self.end_reason is None
 
     @property
-    def is_ready(self) -> bool:
-        """Whether it can leave the graph: it is runnable, or its deferral has ended."""
+    def is_decided(self) -> bool:
+        """Whether it can leave the graph: it is runnable, or its deferral has ended without its release."""
         return self.is_runnable or self.end_reason is not None
 
     @property
--- a/burlmoor/deferred/dependency_graph.py
+++ b/burlmoor/deferred/dependency_graph.py
@@ -1,10 +1,10 @@
-"""The dependency graph of the deferred jobs: a state machine that turns events and times into ready jobs.
+"""The dependency graph: a state machine that decides which deferred jobs may run and which never will.
 
 A job is *open* from its admission until it ends; a deferred job is open too. For a limited time, the history
 records whether an ended job was served. A deferred job is *runnable* once every job that it depends on was
 served and its not-before time has passed; its deferral *ends* as soon as one of them ends in any other way.
-In both cases the job is appended to the queue of ready jobs. `pop_ready` returns one of them at a time, so a
-chain of any length is processed without recursion and in bounded steps.
+In both cases the job is *decided* and is appended to a queue. `pop_decided` returns one of them at a time,
+so a chain of any length is processed without recursion and in bounded steps.
 
 No I/O, no clock: `now` is monotonic time in ms; `unix_now` is Unix time in ms, which may step.
 """
@@ -48,7 +48,7 @@
         self._not_before_timers: TimerQueue[DeferredJob] = TimerQueue()  # by Unix time
         self._unknown_timers: TimerQueue[DeferredJob] = TimerQueue()
         self._latest_release_timers: TimerQueue[DeferredJob] = TimerQueue()
-        self._ready: deque[DeferredJob] = deque()  # in the order in which they became ready
+        self._decided: deque[DeferredJob] = deque()  # in the order in which they were decided
 
     @property
     def history_length(self) -> int:
@@ -64,7 +64,7 @@
         """Return the ids of the deferred jobs that depend on this one."""
         return list(self._dependents.get(request_id, ()))
 
-    def on_job_opened(self, request_id: str) -> None:
+    def on_job_admitted(self, request_id: str) -> None:
         """Record that the node has admitted a job, deferred or not."""
         self._open_ids.add(request_id)
         self._history.discard(request_id)
@@ -84,7 +84,7 @@
             dependent.unmet_dependencies.discard(request_id)
             dependent.unknown_dependencies.discard(request_id)
             if dependent.is_runnable:
-                self._ready.append(dependent)
+                self._decided.append(dependent)
 
     def add(
         self,
@@ -95,7 +95,7 @@
         now: float,
         unix_now: float,
     ) -> DeferredJob:
-        """Defer a newly opened job, which may become runnable or have its deferral ended immediately."""
+        """Defer a newly admitted job, which may become runnable or have its deferral ended immediately."""
         job = DeferredJob(request_id, now, latest_release_at, not_before_unix_ms)
         is_full = len(self.jobs) >= self.limits.max_jobs
         self.jobs[request_id] = job
@@ -132,7 +132,7 @@
         """End a job's deferral without its release, unless it has ended already."""
         if job.end_reason is None:
             job.end_reason = reason
-            self._ready.append(job)
+            self._decided.append(job)
 
     def end_all(self, reason: DeferralReason = DeferralReason.DRAINING) -> None:
         """End the deferral of all jobs."""
@@ -140,18 +140,18 @@
             self.end_deferral(job, reason)
 
     def next_due(self, now: float, unix_now: float) -> float:
-        """Return the time, on the clock of `now`, at which `pop_ready` has to be called next."""
-        if self._ready:
+        """Return the time, on the clock of `now`, at which `pop_decided` has to be called next."""
+        if self._decided:
             return now
         not_before_due = now + max(0.0, self._not_before_timers.next_due() - unix_now)
         return min(self._unknown_timers.next_due(), self._latest_release_timers.next_due(), not_before_due)
 
-    def pop_ready(self, now: float, unix_now: float) -> DeferredJob | None:
-        """Remove and return the next job from the queue of ready jobs; None if the queue is empty."""
+    def pop_decided(self, now: float, unix_now: float) -> DeferredJob | None:
+        """Return the next decided job; None if there is none. The caller has to remove it from the graph."""
         self._expire_timers(now, unix_now)
-        while self._ready:
-            job = self._ready.popleft()
-            if self.jobs.get(job.id) is job and job.is_ready:
+        while self._decided:
+            job = self._decided.popleft()
+            if self.jobs.get(job.id) is job and job.is_decided:
                 return job
         return None
 
@@ -159,7 +159,7 @@
         while (job := self._not_before_timers.pop_due(unix_now)) is not None:
             job.is_not_before_reached = True
             if job.is_runnable:
-                self._ready.append(job)
+                self._decided.append(job)
         while (job := self._unknown_timers.pop_due(now)) is not None:
             if job.unknown_dependencies:
                 self.end_deferral(job, DeferralReason.DEPENDENCY_UNKNOWN)
@@ -180,7 +180,7 @@
             job.is_not_before_reached = False
             _set_timer(self._not_before_timers, job.not_before_unix_ms, job)
         if job.is_runnable:
-            self._ready.append(job)
+            self._decided.append(job)
 
     def _has_max_dependents(self, request_id: str) -> bool:
         return len(self._dependents.get(request_id, ())) >= self.limits.max_dependents
--- a/burlmoor/deferred/queue.py
+++ b/burlmoor/deferred/queue.py
@@ -80,7 +80,7 @@
         self.max_deferral_ms = options.max_deferral_ms
         self.body_bytes = 0  # of all deferred jobs
         self.released_count = 0
-        self.rejected_count = 0
+        self.ended_count = 0  # deferrals that ended without a release
         self._options = options
         self._max_connections = max_connections
         self._max_retry_after_ms = max_retry_after_ms
@@ -125,12 +125,12 @@
             self._graph.end_all()
         self._is_draining = is_draining
 
-    def on_job_opened(self, request_id: str) -> None:
+    def on_job_admitted(self, request_id: str) -> None:
         """Record that the node has admitted a job."""
-        self._graph.on_job_opened(request_id)
+        self._graph.on_job_admitted(request_id)
         self._status.mark_changed(self._graph.dependents_of(request_id))
 
-    def on_job_closed(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
+    def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
         """Record that a job has ended with this answer; None if its client has disconnected."""
         self._status.mark_changed(self._graph.dependents_of(request_id))
         was_served = isinstance(answer, Served)
@@ -147,7 +147,7 @@
     def defer(
         self, request_id: str, request: JobRequest, conditions: RunConditions, deadline: float, now: float
     ) -> None:
-        """Defer a newly opened job; the decision on it is returned by a later `step`."""
+        """Defer a newly admitted job; the decision on it is returned by a later `step`."""
         latest_release_at = deadline - request.work_ms - self._options.min_remaining_ms
         unix_now = self._unix_clock()
         exceeds_bytes = self.body_bytes + conditions.size_bytes > self._options.max_body_bytes
@@ -175,16 +175,16 @@
         `releasable_slots` returns how many slots deferred jobs may use now.
         """
         decisions: list[ReleaseDecision | EndDecision] = []
-        self._process_ready_jobs(now, decisions)
+        self._process_decided_jobs(now, decisions)
         self._release_jobs(now, releasable_slots, decisions)
         self._status.refresh(self._find_status)
         return decisions
 
-    def _process_ready_jobs(self, now: float, decisions: list[ReleaseDecision | EndDecision]) -> None:
+    def _process_decided_jobs(self, now: float, decisions: list[ReleaseDecision | EndDecision]) -> None:
         """Answer jobs whose deferral has ended, and queue runnable jobs for release."""
         unix_now = self._unix_clock()
         while len(decisions) < _MAX_DECISIONS_PER_STEP:
-            job = self._graph.pop_ready(now, unix_now)
+            job = self._graph.pop_decided(now, unix_now)
             if job is None:
                 return
             if job.end_reason is None:
@@ -193,9 +193,9 @@
                 continue
             answer = self._final_answer(job, unix_now)
             decisions.append(EndDecision(job.id, answer))
-            self.rejected_count += 1
+            self.ended_count += 1
             # Recorded now and not after the engine has answered, so that a long chain needs few steps.
-            self.on_job_closed(job.id, answer, now)
+            self.on_job_ended(job.id, answer, now)
 
     def _release_jobs(
         self,
@@ -207,6 +207,7 @@
         while len(decisions) < _MAX_DECISIONS_PER_STEP and self._has_releasable_job():
             if remaining_slots is None:
                 remaining_slots = releasable_slots()
+            # Beyond the window, no slots count as free, and only a token releases a job.
             is_window_open = len(self._released_ids) < self._window.size
             release = self._release_queue.pop_releasable(
                 now, remaining_slots if is_window_open else -math.inf
@@ -227,6 +228,7 @@
         return False
 
     def _release(self, job: DeferredJob, now: float) -> ReleaseDecision:
+        # Raises the job's priority; from 0 to 1 as the time for which it was deferred grows.
         credit = min(1.0, (now - job.deferred_at) / self._options.full_credit_ms)
         self.released_count += 1
         self._released_ids.add(job.id)
--- a/burlmoor/deferred/service.py
+++ b/burlmoor/deferred/service.py
@@ -56,12 +56,12 @@
         self._server.attach_drain_observer(self._on_draining)
         self._admin.attach_status_provider(AdminPath.DEFERRED_JOBS, self._status)
 
-    def _on_draining(self, *, is_draining: bool) -> None:
+    def _on_draining(self, *, is_closing_connections: bool) -> None:
         """Pass the drain state to the queue; detach the queue if deferral is off and it is empty."""
         if self.queue is None:
             return
-        self.queue.set_draining(is_draining=is_draining)
-        if is_draining:
+        self.queue.set_draining(is_draining=is_closing_connections)
+        if is_closing_connections:
             self._core.wake()
         if not self._is_on and not self.queue.job_count:
             self.queue = None
--- a/burlmoor/deferred/status.py
+++ b/burlmoor/deferred/status.py
@@ -43,5 +43,5 @@
         },
         "by_reason": dict(sorted(by_reason.items())),
         "released": queue.released_count,
-        "turned_away": queue.rejected_count,
+        "turned_away": queue.ended_count,
     }
--- a/burlmoor/discovery/client.py
+++ b/burlmoor/discovery/client.py
@@ -78,7 +78,7 @@
         self._call_scope.cancel()
 
     def watch(self) -> None:
-        """Do nothing: the watch that the policy requests already runs from the start to the end."""
+        """Do nothing: `run` watches for as long as the node runs, whether the policy requests it or not."""
 
     def fetch(self) -> None:
         """Request the full list with the next call."""
@@ -144,7 +144,7 @@
             return _CallOutcome(CallResult.REJECTED, repr(error))
         except Exception as error:  # noqa: BLE001
             # Catch everything: an error that left the watch's task would end the node after one failed call.
-            result = CallResult.FAILED if shows_peer_reachable(error) else CallResult.UNREACHABLE
+            result = CallResult.REFUSED_OR_RESET if shows_peer_reachable(error) else CallResult.UNREACHABLE
             return _CallOutcome(result, repr(error))
         return _CallOutcome(CallResult.ANSWERED)
 
--- a/burlmoor/discovery/list_lease.py
+++ b/burlmoor/discovery/list_lease.py
@@ -37,9 +37,10 @@
 # How long a process that has just started waits for discovery before it starts without it: a first call may
 # be queued for 2 s, and a fleet's first calls are spread over 2.5 s.
 FIRST_CONTACT_SECONDS = 5.0
-_ADDRESS_CHANGE_SECONDS = 4.0  # from a new address of discovery until its changes count as notified
+# From a change of discovery's address until the node counts as notified of changes announced there.
+_ADDRESS_CHANGE_SECONDS = 4.0
 _ANSWER_ALLOWANCE_SECONDS = 0.5  # beyond a call's wait; an answer that is read later may be old
-_QUEUE_ALLOWANCE_SECONDS = 2.5  # the same for a call that was queued until discovery rejected it
+_QUEUE_ALLOWANCE_SECONDS = 2.5  # the same for a call that discovery rejected, perhaps after its queue timeout
 _SILENT_RESULTS = frozenset((CallResult.TIMED_OUT, CallResult.UNREACHABLE))
 
 
@@ -55,12 +56,12 @@
         self._expires_at = math.inf
         self._call_started_at = 0.0
         self._call_wait_seconds = 0.0
-        self._failures = 0  # in a row
+        self._failures_since_silence = 0  # in a row; also reset when the lease is renewed
         # How many failures in a row renew the lease; infinite if only an answer renews it.
         self._failures_needed = math.inf
 
     def on_start(self, now: float) -> None:
-        """Record that the calls begin now, and start the time limit for the first answer."""
+        """Record that the calls begin now; the list is to be suspended unless discovery answers in time."""
         self._expires_at = now + FIRST_CONTACT_SECONDS
 
     def on_call_started(self, now: float, wait_seconds: float) -> None:
@@ -78,16 +79,16 @@
             self._on_failure(result, now)
 
     def _on_silence(self) -> None:
-        self._failures = 0
+        self._failures_since_silence = 0
         self._failures_needed = max(2, self._failures_needed)
 
     def _on_failure(self, result: CallResult, now: float) -> None:
-        self._failures += 1
+        self._failures_since_silence += 1
         if not self.is_confirmed or now >= self._expires_at:
             self._failures_needed = math.inf
-        elif result is not CallResult.FAILED:
+        elif result is not CallResult.REFUSED_OR_RESET:
             self._failures_needed = 1  # a response shows that discovery can be reached
-        if self._failures >= self._failures_needed:
+        if self._failures_since_silence >= self._failures_needed:
             self._renew(now, _QUEUE_ALLOWANCE_SECONDS)
 
     def _renew(self, now: float, allowance_seconds: float) -> None:
@@ -96,16 +97,19 @@
         confirmed_at = now if now <= latest else self._call_started_at
         self.is_confirmed = True
         self._expires_at = confirmed_at + NOTIFICATION_SECONDS
-        self._failures = 0
+        self._failures_since_silence = 0
         self._failures_needed = math.inf if self._has_agent else 1
 
     @property
     def awaits_second_failure(self) -> bool:
-        """Whether the last call may have failed only because a partition healed; the next one will tell."""
-        return self._failures == 1 and self._failures_needed > 1
+        """Whether the last call was the first failure since a silence (or the start), and renewed no lease.
+
+        A partition that has just healed may have delayed that failure, so the next call is to follow soon.
+        """
+        return self._failures_since_silence == 1 and self._failures_needed > 1
 
     def on_address_changed(self, now: float) -> None:
-        """Shorten the lease: changes of discovery at a new address count as notified sooner."""
+        """Shorten the lease: the node counts as notified sooner of changes at a new address."""
         self._expires_at = min(self._expires_at, now + _ADDRESS_CHANGE_SECONDS)
 
     def is_valid(self, now: float) -> bool:
--- a/burlmoor/discovery/schedule.py
+++ b/burlmoor/discovery/schedule.py
@@ -9,7 +9,8 @@
 
 - if a watch falls silent: `NOTIFICATION_SECONDS` after it fell silent, for all changes that it misses;
 - if a call failed, was rejected or timed out: `NOTIFICATION_SECONDS` after discovery had the change and
-  could be reached.
+  could be reached; unless it timed out, `_FAILED_CALL_FACTOR` times the poll interval of the settings, if
+  that is shorter.
 
 A node can observe neither moment. The earliest that either can be is the start of the call, so the deadline
 is counted from there, and the answer to the next call has to arrive before it. A new call may be in
@@ -24,13 +25,13 @@
 
 A silent watch looks like one without changes; the only indication is that its answer is overdue. A call that
 follows directly on an answer is not queued and costs discovery nothing, so the wait may be short. A node that
-has just started uses its old list only once discovery has answered (`list_lease.py`). After a failed call the
-deadline is `_FAILED_CALL_FACTOR` times the poll interval of the settings, if that is less.
+has just started uses its old list only once discovery has answered (`list_lease.py`).
 
 Where lists are pushed, the address is that of an agent on this machine, which answers immediately and at no
-cost. The node counts as notified of every change that the agent has, with or without a watch, so there is no
-jitter and no growing backoff: a failed call is repeated well within the 250 ms of the drain rule, and until
-the agent answers again, calls to it do not wait longer than that either.
+cost. The node counts as notified of every change that the agent has, with or without a watch. From 250 ms
+after that, it may send no new work to an endpoint that drains (the drain rule). So there is no jitter and no
+growing backoff: a failed call is repeated well within these 250 ms, and until the agent answers again, calls
+to it do not wait longer than that either.
 """
 
 from __future__ import annotations
@@ -44,14 +45,15 @@
 
 NOTIFICATION_SECONDS = 6.0
 _WATCH_WAIT_SECONDS = 1.0
-_OVERDUE_ALLOWANCE_SECONDS = 0.5  # after the time that discovery may take, until an answer is overdue
+_OVERDUE_ALLOWANCE_SECONDS = 0.5  # beyond a call's wait and its time in the queue; then its answer is overdue
 _QUEUE_TIMEOUT_SECONDS = 2.0  # in discovery's queue, after which a new call fails
 _CALL_COST_SECONDS = 0.2  # of discovery's time, per new call
 # A process sends no jobs before its first call, so the first calls are spread no further than necessary: the
 # calls of a fleet are 4 s of work for discovery, and no call may be queued for over 2 s.
 _MAX_FIRST_JITTER_SECONDS = 2.5
-# The delay before the next call if no connection was established. It may be short, since discovery has not
-# seen the last call, and a partitioned node needs an answer soon after the partition heals.
+# The delay before the next call if discovery was unreachable, or the lease awaits a second failure. It may
+# be short: an unreachable discovery has not seen the last call, and a partitioned node needs an answer soon
+# after the partition heals.
 _MIN_RECONNECT_SECONDS = 0.05
 _MAX_RECONNECT_SECONDS = 0.25
 _MIN_BACKOFF_SECONDS = 0.1  # before the first call after a failure, if the fleet needs no jitter
@@ -59,7 +61,7 @@
 _MAX_BACKOFF_DOUBLINGS = 16
 _MIN_JITTER_FRACTION = 0.25  # of the maximum jitter; the least delay after a failure
 _FAILED_CALL_FACTOR = 4.0  # times the poll interval: notification deadline after a failure
-_RECOVERY_WAIT_SECONDS = 0.1  # the wait of a watch after a failure, so that it is answered soon
+_SHORT_WAIT_SECONDS = 0.1  # the wait of a watch that should be answered soon: after a failure, at the start
 _AGENT_RETRY_SECONDS = 0.1  # before the next call to an agent after a failure
 _AGENT_ALLOWANCE_SECONDS = 0.1  # until an agent's answer is overdue, after a failure or at the start
 
@@ -70,7 +72,7 @@
     ANSWERED = enum.auto()  # with a list
     TIMED_OUT = enum.auto()  # no answer in time
     UNREACHABLE = enum.auto()  # no connection, or it broke without a reaction of discovery
-    FAILED = enum.auto()  # refused or reset
+    REFUSED_OR_RESET = enum.auto()  # or another error that shows that discovery can be reached
     REJECTED = enum.auto()  # answered with a status other than 200
     INVALID = enum.auto()  # answered with something that is not a list
 
@@ -96,8 +98,10 @@
     ) -> None:
         self._has_agent = has_agent
         self._rng = rng
-        # The time from the start of a failed call to its notification deadline.
-        self._failed_call_allowance = min(NOTIFICATION_SECONDS, _FAILED_CALL_FACTOR * poll_interval_seconds)
+        # From the start of a call that failed, but did not time out, to its notification deadline.
+        self._failed_call_deadline_seconds = min(
+            NOTIFICATION_SECONDS, _FAILED_CALL_FACTOR * poll_interval_seconds
+        )
         # Without jitter, the simultaneous calls of a large fleet fill discovery's queue (a thundering herd):
         # every call waits there until it fails, and immediate retries keep the queue full. There is no
         # jitter if the calls of the whole fleet fit into the queue timeout.
@@ -109,7 +113,7 @@
         self._was_full_list_requested = False  # by the last call
         self._next_start = 0.0
         self._follows_answer = False  # whether the next call directly follows an answer
-        self._is_recovering = False  # whether the next call should be answered soon
+        self._needs_prompt_answer = False  # whether the next call should be answered soon
         self._notification_deadline = math.inf
         self._last_start = 0.0
         self._last_answer = 0.0
@@ -117,20 +121,20 @@
     def on_start(self, now: float, *, has_list: bool) -> None:
         """Schedule the first call; a node without a list requests the full one immediately."""
         self._is_full_list_wanted = not has_list
-        self._is_recovering = has_list  # so that the first call is answered soon, changes or not
+        self._needs_prompt_answer = has_list  # so that the first call is answered soon, changes or not
         self._last_answer = now
         first_jitter = self._rng.uniform(0.0, self._max_first_jitter_seconds) if has_list else 0.0
         self._next_start = now + first_jitter
 
     def next_call(self) -> DiscoveryCall:
         """Return the next call."""
-        wait = _RECOVERY_WAIT_SECONDS if self._is_recovering else _WATCH_WAIT_SECONDS
+        wait = _SHORT_WAIT_SECONDS if self._needs_prompt_answer else _WATCH_WAIT_SECONDS
         timeout = self._allowance() + (0.0 if self._is_full_list_wanted else wait)
         return DiscoveryCall(self._next_start, self._is_full_list_wanted, wait, timeout)
 
     def _allowance(self) -> float:
         """Return how long an answer may take beyond its call's wait."""
-        if self._is_recovering and self._has_agent:
+        if self._needs_prompt_answer and self._has_agent:
             return _AGENT_ALLOWANCE_SECONDS
         if self._follows_answer or self._has_agent:
             return _OVERDUE_ALLOWANCE_SECONDS
@@ -153,28 +157,31 @@
             self._on_answer(now)
             return
         self.failures += 1
-        self._is_recovering = True
+        self._needs_prompt_answer = True
         is_timeout = result is CallResult.TIMED_OUT
-        allowance = NOTIFICATION_SECONDS if is_timeout else self._failed_call_allowance
-        self._notification_deadline = min(self._notification_deadline, self._last_start + allowance)
+        deadline_seconds = NOTIFICATION_SECONDS if is_timeout else self._failed_call_deadline_seconds
+        self._notification_deadline = min(self._notification_deadline, self._last_start + deadline_seconds)
         if self._has_agent:
             self._next_start = now + (0.0 if is_timeout else _AGENT_RETRY_SECONDS)
         elif must_retry_soon or result is CallResult.UNREACHABLE:
             self._next_start = now + self._rng.uniform(_MIN_RECONNECT_SECONDS, _MAX_RECONNECT_SECONDS)
         else:
-            self._next_start = now + self._retry_delay(allowance, now, is_timeout=is_timeout)
+            self._next_start = now + self._retry_delay(deadline_seconds, now, is_timeout=is_timeout)
 
     def _on_answer(self, now: float) -> None:
         self.failures = 0
-        self._is_recovering = False
+        self._needs_prompt_answer = False
         self._notification_deadline = math.inf
         self._last_answer = now
         self._next_start = now
         # A full list that was requested after the start of this call is still pending.
         self._is_full_list_wanted = self._is_full_list_wanted and not self._was_full_list_requested
 
-    def _retry_delay(self, allowance: float, now: float, *, is_timeout: bool) -> float:
-        """Return a random delay before the next call, so short that the call can still meet its deadline."""
+    def _retry_delay(self, deadline_seconds: float, now: float, *, is_timeout: bool) -> float:
+        """Return a random delay before the next call, if possible so short that it can meet its deadline.
+
+        `deadline_seconds` is the time from the start of the last call to its notification deadline.
+        """
         if is_timeout:
             # Silence does not indicate an overloaded discovery, so a small fleet calls again immediately.
             backoff = min_delay = 0.0
@@ -183,9 +190,9 @@
             min_delay = max(0.5 * backoff, _MIN_JITTER_FRACTION * self._max_jitter_seconds)
         latest_start = self._notification_deadline - _QUEUE_TIMEOUT_SECONDS
         if latest_start - now <= min_delay:
-            # The earliest deadline can't be met: meet that of the changes since the start of this call.
-            latest_start = self._last_start + allowance - _QUEUE_TIMEOUT_SECONDS
-        # The lower bound prevents a call whose deadline has passed from being repeated without a delay.
+            # The deadline of earlier calls can't be met any more: aim for the one counted from the last call.
+            latest_start = self._last_start + deadline_seconds - _QUEUE_TIMEOUT_SECONDS
+        # The lower bound delays the next call even if its deadline has passed, except after a timeout.
         max_delay = max(min(min_delay, 0.5 * _MIN_BACKOFF_SECONDS), latest_start - now)
         wanted_delay = max(backoff, self._max_jitter_seconds)
         return self._rng.uniform(min(min_delay, max_delay), min(wanted_delay, max_delay))
@@ -212,5 +219,5 @@
         self._is_full_list_wanted = True
         self._next_start = now
         self._follows_answer = False
-        self._is_recovering = False
+        self._needs_prompt_answer = False
         self._notification_deadline = math.inf
--- a/burlmoor/downstream/callbacks.py
+++ b/burlmoor/downstream/callbacks.py
@@ -25,7 +25,7 @@
     LOST = "lost"  # the process that ran it has ended
 
 
-class _JobEvent(msgspec.Struct):
+class _CallbackBody(msgspec.Struct):
     id: str
     endpoint_name: str = msgspec.field(name="from")
     state: str  # a `CallbackState`; any other text is ignored
@@ -33,7 +33,7 @@
     result: str = ""
 
 
-_DECODER = msgspec.json.Decoder(_JobEvent)
+_DECODER = msgspec.json.Decoder(_CallbackBody)
 _OUTCOMES_BY_STATE: dict[str, Outcome] = {
     CallbackState.DONE: Outcome.SERVED,
     CallbackState.FAILED: Outcome.ERROR,
--- a/burlmoor/downstream/connection.py
+++ b/burlmoor/downstream/connection.py
@@ -66,7 +66,7 @@
         return self._http.is_idle and not self._stream.inbound and not self._stream.outbound
 
     @property
-    def has_unsent(self) -> bool:
+    def has_unsent_output(self) -> bool:
         """Whether part of a response is still to be written."""
         return bool(self._stream.outbound)
 
@@ -198,7 +198,7 @@
         """Stop reading, and close the connection once pending output is written."""
         self._socket.record_close_reason(reason)
         self._socket.scope.cancel()
-        if self.is_finished and not self.has_unsent:
+        if self.is_finished and not self.has_unsent_output:
             self._close_socket()
 
     def close_now(self) -> None:
--- a/burlmoor/downstream/connection_set.py
+++ b/burlmoor/downstream/connection_set.py
@@ -50,9 +50,9 @@
         return len(self._connections) >= self._max_connections
 
     @property
-    def has_unsent(self) -> bool:
+    def has_unsent_output(self) -> bool:
         """Whether part of a response is still to be written on any connection."""
-        return any(connection.has_unsent for connection in self._connections)
+        return any(connection.has_unsent_output for connection in self._connections)
 
     @property
     def has_partial_requests(self) -> bool:
--- a/burlmoor/downstream/drain.py
+++ b/burlmoor/downstream/drain.py
@@ -37,9 +37,9 @@
 _CLOSING_BEFORE_SIGKILL_SECONDS = 1.7
 _REJECTING_AFTER_CLOSING_SECONDS = 0.5
 _ANSWER_MARGIN_SECONDS = 0.4  # from the last answer to SIGKILL
-_MIN_ANSWER_SHARE = 0.8  # the least share of the grace period that is left to answer jobs
+_MIN_ANSWER_FRACTION = 0.8  # the least fraction of the grace period that is left to answer jobs
 _CLOSING_AFTER_DRAIN_SECONDS = 0.8  # load balancers in front notice a failing readiness check within 0.3 s
-# 4 s after an operator starts a drain, no job may be open that was admitted in the preceding 2 s.
+# 4 s after the start of a drain, no open job may be younger than 2 s.
 _REJECTING_AFTER_DRAIN_SECONDS = 2.0
 _DRAIN_SCHEDULE: Schedule = (
     ScheduledState(_REJECTING_AFTER_DRAIN_SECONDS, ServiceState.REJECTING),
@@ -55,7 +55,7 @@
 
 
 def _build_shutdown_schedule(grace_period_seconds: float) -> Schedule:
-    """Return the schedule of a graceful shutdown, with each state as late as the grace period allows.
+    """Return the schedule of a graceful shutdown: UNREADY at once, then the others as late as possible.
 
     In a rolling restart the node that restarted before this one may not be ready yet, so an early close
     could leave a gap in service. Clients send requests as long as their connections are open, and may take
@@ -89,7 +89,7 @@
         self._shutdown_schedule = _build_shutdown_schedule(grace_period_seconds)
         # The time after SIGTERM by which jobs that were admitted late are answered: SIGKILL would lose them.
         self.answer_within_seconds = max(
-            grace_period_seconds - _ANSWER_MARGIN_SECONDS, _MIN_ANSWER_SHARE * grace_period_seconds
+            grace_period_seconds - _ANSWER_MARGIN_SECONDS, _MIN_ANSWER_FRACTION * grace_period_seconds
         )
         self._shutdown_began_at: float | None = None
         self._drain_began_at: float | None = None
@@ -109,7 +109,7 @@
         return self._shutdown_began_at is not None
 
     @property
-    def is_drained(self) -> bool:
+    def is_drain_requested(self) -> bool:
         """Whether an operator has started a drain and not ended it."""
         return self._drain_began_at is not None
 
--- a/burlmoor/downstream/eviction.py
+++ b/burlmoor/downstream/eviction.py
@@ -13,15 +13,16 @@
 
     from burlmoor.types.reasons import CloseReason
 
-# For a request to arrive completely; for the first one, from the accept. Clients may take 2 s to write a
-# request, and the connection of an incomplete one has to be closed within 3 s.
+# The time limit for a request to arrive completely, counted from its first byte, or from the accept for the
+# first request. Clients may take 2 s to write a request, and the connection of an incomplete one has to be
+# closed within 3 s.
 _REQUEST_TIMEOUT_SECONDS = 2.6
 _IDLE_TIMEOUT_SECONDS = 120.0  # idle time allowed to a connection after its first request
 # The least times before a connection may be evicted; for a stalled one, since data last arrived.
 _UNUSED_EVICTION_SECONDS = 0.1
 _IDLE_EVICTION_SECONDS = 0.25
 _STALLED_EVICTION_SECONDS = 0.5
-_MAX_IN_USE_SHARE = 0.4  # of the connection limit; above it, the longest idle ones are closed
+_MAX_IDLE_AND_WAITING_FRACTION = 0.4  # of the connection limit; above it, some idle ones are closed
 
 
 class TrackedConnection(Protocol):
@@ -36,7 +37,7 @@
         """Whether a complete request has arrived."""
 
     @property
-    def has_unsent(self) -> bool:
+    def has_unsent_output(self) -> bool:
         """Whether part of a response is still to be written."""
 
     @property
@@ -69,7 +70,7 @@
 class EvictionPriority(IntEnum):
     """The kinds of connections that may be evicted, in the order of eviction."""
 
-    UNUSED = 0  # no request has begun, or nothing more is to be read or answered
+    UNUSED_OR_FINISHED = 0  # no request has begun, or nothing more is to be read or answered
     IDLE = 1
     STALLED = 2  # in the middle of a request
 
@@ -99,10 +100,10 @@
     Clients write their first request immediately, and slow clients keep writing, so a connection on which
     nothing arrives is probably not in use by a client.
     """
-    if connection.is_awaiting_response or connection.has_unsent:
+    if connection.is_awaiting_response or connection.has_unsent_output:
         return None
     if connection.is_finished or (connection.is_idle and not connection.has_been_used):
-        rank = EvictionRank(EvictionPriority.UNUSED, connection.state_since)
+        rank = EvictionRank(EvictionPriority.UNUSED_OR_FINISHED, connection.state_since)
         after_seconds = _UNUSED_EVICTION_SECONDS
     elif connection.is_idle:
         rank = EvictionRank(EvictionPriority.IDLE, connection.state_since)
@@ -125,7 +126,7 @@
 def _timeout_seconds(connection: TrackedConnection) -> float:
     if connection.is_awaiting_response or connection.is_finished:
         return math.inf  # jobs have deadlines, and a finished connection closes itself
-    if connection.has_unsent:
+    if connection.has_unsent_output:
         return WRITE_TIMEOUT_SECONDS
     if connection.has_been_used and connection.is_idle:
         return _IDLE_TIMEOUT_SECONDS
@@ -143,13 +144,16 @@
     max_connections: int,
     now: float,
 ) -> list[TrackedConnection]:
-    """Return the longest idle connections, as many as exceed `_MAX_IN_USE_SHARE` of the connection limit.
+    """Return the idle connections to close, the longest idle first.
+
+    Idle connections and waiting clients together may take `_MAX_IDLE_AND_WAITING_FRACTION` of the connection
+    limit. Connections that became idle just now are kept.
 
     Clients that open a connection for each request and leave the last one open would otherwise use up the
     limit, and could not connect for their next requests.
     """
     idle = sorted(select_used_idle(connections), key=lambda connection: connection.state_since)
-    surplus = max(0, len(idle) + waiting_client_count - int(max_connections * _MAX_IN_USE_SHARE))
+    surplus = max(0, len(idle) + waiting_client_count - int(max_connections * _MAX_IDLE_AND_WAITING_FRACTION))
     return [
         connection for connection in idle[:surplus] if now > connection.state_since + _IDLE_EVICTION_SECONDS
     ]
--- a/burlmoor/downstream/interfaces.py
+++ b/burlmoor/downstream/interfaces.py
@@ -21,7 +21,7 @@
         accepted.
         """
 
-    def on_job_opened(self, request_id: str) -> None:
+    def on_job_admitted(self, request_id: str) -> None:
         """Record that this process has admitted a job after the handover."""
 
 
@@ -29,7 +29,10 @@
     """Forwards call-backs to the node's other processes."""
 
     async def forward_callback(self, body: bytes) -> bool:
-        """Forward a call-back for a job that is unknown here; return whether it was acknowledged."""
+        """Forward a call-back for a job that is unknown here.
+
+        Returns False if a connected process did not acknowledge it.
+        """
 
 
 class RunConditionParser(Protocol):
@@ -48,5 +51,5 @@
 class DrainObserver(Protocol):
     """Is called at each sweep with whether the node is closing its clients' connections."""
 
-    def __call__(self, *, is_draining: bool) -> None:
-        """Handle a sweep; `is_draining` also holds while the node shuts down."""
+    def __call__(self, *, is_closing_connections: bool) -> None:
+        """Handle a sweep; connections are closed in the later part of a drain or of a shutdown."""
--- a/burlmoor/downstream/job_headers.py
+++ b/burlmoor/downstream/job_headers.py
@@ -33,7 +33,10 @@
 
 
 class JobHeader(StrEnum):
-    """The names of headers as they are written in rejections."""
+    """The names of headers as written in most rejections.
+
+    Those for a repeated header and for a malformed integer give the name in lower case.
+    """
 
     REQUEST_ID = "Request-Id"
     REQUEST_TIMEOUT = "Request-Timeout-Ms"
@@ -94,10 +97,10 @@
     fields: _Fields, path_segments: list[str], timeout_ms: int, request_info: dict[str, float]
 ) -> JobRequest:
     return JobRequest(
-        id=0,
+        id=0,  # the engine sets the job's number
         job_class=path_segments[1],
         timeout_ms=float(timeout_ms),
-        work_ms=(_parse_integer(fields, b"work-hint") or 0) / 1000.0,
+        work_ms=(_parse_integer(fields, b"work-hint") or 0) / 1000.0,  # the header is in microseconds
         slots=request_info.get("slots", 1.0),
         memory=request_info.get("memory", 0.0),
         tenant=fields.get(b"tenant", ""),
--- a/burlmoor/downstream/request_handler.py
+++ b/burlmoor/downstream/request_handler.py
@@ -38,13 +38,13 @@
 class RejectionReason(StrEnum):
     """Why a job submission was rejected before it became a job; the value is its name in the log."""
 
-    SHUTTING_DOWN = "shutting down"
+    NOT_ACCEPTING_JOBS = "shutting down"
     NO_CONNECTION_LEFT = "no connection left"
     ID_IN_USE = "the id is in use"
 
 
-# Closes the connection to leave room for call-backs.
-_NO_CAPACITY = Response(
+# Closes the connection: at the connection limit this leaves room for call-backs.
+_UNAVAILABLE = Response(
     HTTPStatus.SERVICE_UNAVAILABLE, headers=((RETRY_AFTER, "0.5"),), closes_connection=True
 )
 _ID_IN_USE = Response(HTTPStatus.BAD_REQUEST, b"Request-Id is in use\n", closes_connection=True)
@@ -99,9 +99,9 @@
 
     def _admit(self, submission: JobSubmission, responder: Responder) -> Response | Job:
         if self._drain.state >= ServiceState.REJECTING:
-            return self._reject(submission, RejectionReason.SHUTTING_DOWN, _NO_CAPACITY)
+            return self._reject(submission, RejectionReason.NOT_ACCEPTING_JOBS, _UNAVAILABLE)
         if not self._connections.has_capacity_for_client():
-            return self._reject(submission, RejectionReason.NO_CONNECTION_LEFT, _NO_CAPACITY)
+            return self._reject(submission, RejectionReason.NO_CONNECTION_LEFT, _UNAVAILABLE)
         job = self._engine.admit(
             responder,
             submission.request_id,
@@ -121,7 +121,7 @@
         """Count the client as waiting, and tell the successor process of the job."""
         self._connections.on_client_waiting()
         if self._peers.successor is not None:
-            self._peers.successor.on_job_opened(job.id)
+            self._peers.successor.on_job_admitted(job.id)
 
     def on_job_answered(self, answer: FinalAnswer) -> Response:
         """Stop counting the client as waiting, and return the response to its submission."""
@@ -154,9 +154,10 @@
     def _is_ready(self) -> bool:
         """Return whether load balancers in front of the node may send clients to it.
 
-        After a handover the successor accepts clients, so the node is ready unless it is drained, although
-        this process shuts down. If it were reported as not ready, load balancers would avoid it for seconds.
+        After a handover the successor accepts clients, so the node is ready unless a drain is requested,
+        although this process shuts down. If it were reported as not ready, load balancers would avoid it for
+        seconds.
         """
         if self._peers.successor is not None:
-            return not self._drain.is_drained
+            return not self._drain.is_drain_requested
         return self._drain.state is ServiceState.ACCEPTING
--- a/burlmoor/downstream/server.py
+++ b/burlmoor/downstream/server.py
@@ -83,13 +83,15 @@
                 continue
             sock = await accept(self._listener, self._on_descriptors_exhausted)
             if sock is not None:
-                self.adopt(sock)
+                self.serve_connection(sock)
 
     def _on_descriptors_exhausted(self, error: OSError) -> None:
         self._log(DescriptorsExhausted(error=str(error)))
         self.connections.evict_one()
 
-    def adopt(self, sock: socket.socket, *, has_been_used: bool = False, age_seconds: float = 0.0) -> None:
+    def serve_connection(
+        self, sock: socket.socket, *, has_been_used: bool = False, age_seconds: float = 0.0
+    ) -> None:
         """Serve a connection that this process or its predecessor has accepted.
 
         `has_been_used` is whether a complete request has arrived on it, `age_seconds` the time since it was
@@ -134,10 +136,10 @@
             self._sweep_once(trio.current_time())
 
     def _sweep_once(self, now: float) -> None:
-        is_draining = self._drain.state >= ServiceState.CLOSING
+        is_closing_connections = self._drain.state >= ServiceState.CLOSING
         if self._drain_observer is not None:
-            self._drain_observer(is_draining=is_draining)
-        if is_draining:
+            self._drain_observer(is_closing_connections=is_closing_connections)
+        if is_closing_connections:
             self.connections.close_idle()
         self.connections.close_expired(now)
 
--- a/burlmoor/early_signals.py
+++ b/burlmoor/early_signals.py
@@ -43,11 +43,11 @@
         for signal_number in (signal.SIGHUP, *_TERMINATION_SIGNALS):
             signal.signal(signal_number, signal.SIG_IGN)
 
-    def on_configuration_read(self) -> None:
-        """Clear a pending reload request: the configuration is about to be read anyway."""
+    def clear_reload_request(self) -> None:
+        """Clear a pending reload request, because the configuration is about to be read anyway."""
         self._is_reload_requested = False
 
-    def on_service_handles_signals(self) -> bool:
+    def end_startup(self) -> bool:
         """Note that the service handles signals from now on; return whether a reload request is pending."""
         self._is_starting = False
         return self._is_reload_requested
--- a/burlmoor/endpoints/directory.py
+++ b/burlmoor/endpoints/directory.py
@@ -46,18 +46,21 @@
 
     def find_live(self, name: str) -> ListedEndpoint | None:
         """Return the endpoint if new work may be sent to it now, else None."""
-        return self.find_reported_live(name) if self.has_lease() else None
+        return self.find_effectively_live(name) if self.has_lease() else None
 
-    def find_reported_live(self, name: str) -> ListedEndpoint | None:
-        """Return the endpoint if it was reported as live, else None; the lease may have expired since."""
+    def find_effectively_live(self, name: str) -> ListedEndpoint | None:
+        """Return the endpoint if it is live in the list as the policy knows it, else None.
+
+        That is the list with the overrides and a suspension applied; the lease is not checked.
+        """
         endpoint = None if self._is_suspended else self.table.get(name)
         if endpoint is None or endpoint.state is not EndpointState.LIVE or self._overrides.is_disabled(name):
             return None
         return endpoint
 
-    def reported_live_names(self) -> set[str]:
-        """Return the names of the endpoints that were reported as live."""
-        return {name for name in self.table.live_names() if self.find_reported_live(name) is not None}
+    def effectively_live_names(self) -> set[str]:
+        """Return the names of the endpoints that are live in the list as the policy knows it."""
+        return {name for name in self.table.live_names() if self.find_effectively_live(name) is not None}
 
     def is_known(self, name: str) -> bool:
         """Return whether an endpoint of this name is listed or is disabled by an override."""
--- a/burlmoor/endpoints/discovered_list.py
+++ b/burlmoor/endpoints/discovered_list.py
@@ -18,7 +18,7 @@
     """One endpoint as the discovery service lists it."""
 
     name: str = msgspec.field(name="host")
-    address: str = msgspec.field(name="dial", default="")  # `host:port`; empty: as listed before
+    address: str = msgspec.field(name="dial", default="")  # `host:port`; empty: as in the last entry
     zone: str = msgspec.field(name="site", default="")
     kind: str = msgspec.field(name="class", default="")
     cell: int = msgspec.field(name="block", default=0)
--- a/burlmoor/endpoints/endpoint_table.py
+++ b/burlmoor/endpoints/endpoint_table.py
@@ -28,8 +28,8 @@
 
     def __init__(self) -> None:
         self.version: int | None = None  # None until a list has been merged
-        self.entries: dict[str, DiscoveredEndpoint] = {}
-        self._listed: dict[str, ListedEndpoint] = {}
+        self.entries: dict[str, DiscoveredEndpoint] = {}  # as merged; the address may be empty
+        self._listed: dict[str, ListedEndpoint] = {}  # with the last address of entries that have none
 
     def get(self, name: str) -> ListedEndpoint | None:
         """Return the endpoint of this name, whatever its state."""
@@ -55,7 +55,7 @@
         entries = []
         for received in update.endpoints:
             known = self._listed.get(received.name)
-            entry = self._keep_drain(received, known) if is_older else received
+            entry = self._keep_not_live(received, known) if is_older else received
             # An endpoint that is gone keeps its address, so that attempts there can still be cancelled.
             address = entry.address or (known.address if known else "")
             listed = ListedEndpoint(address, entry.state, entry.started_unix_ms)
@@ -76,11 +76,11 @@
         return [self._listed.pop(name).address for name in removed]
 
     @staticmethod
-    def _keep_drain(received: DiscoveredEndpoint, known: ListedEndpoint | None) -> DiscoveredEndpoint:
-        """Return the entry to merge from a list of an older version: a draining process stays draining.
+    def _keep_not_live(received: DiscoveredEndpoint, known: ListedEndpoint | None) -> DiscoveredEndpoint:
+        """Return the entry to merge from a list of an older version.
 
-        Otherwise a list from before the drain, sent by another discovery server or read from an old file,
-        would undo the drain.
+        A process that is draining or gone does not become live again. Otherwise a list from before the
+        drain, sent by another discovery server or read from an old file, would undo the drain.
         """
         if known is None or known.state is EndpointState.LIVE:
             return received
--- a/burlmoor/endpoints/interfaces.py
+++ b/burlmoor/endpoints/interfaces.py
@@ -19,7 +19,7 @@
     """Is notified of endpoints that may no longer receive new work."""
 
     def on_endpoints_not_live(self, names: frozenset[str]) -> None:
-        """Handle that these endpoints, live until now, are draining, gone, disabled or suspended."""
+        """Handle endpoints that have stopped being live: they are draining, gone, disabled or suspended."""
 
 
 class IdleConnections(Protocol):
--- a/burlmoor/endpoints/list_updater.py
+++ b/burlmoor/endpoints/list_updater.py
@@ -47,11 +47,13 @@
         self._liveness_observer = liveness_observer
         self._connections = connections
         self._log = log
+        # Whether `suspend` has taken effect since the last `resume`. Unlike `is_suspended`, this is False
+        # while the list is suspended only because the process started without a lease.
         self._is_suspension_logged = False
 
     def disable(self, name: str) -> None:
         """Send no new work to this endpoint until it is enabled; no effect if it is already disabled."""
-        was_live = self._directory.find_reported_live(name) is not None
+        was_live = self._directory.find_effectively_live(name) is not None
         if self._directory.overrides.disable(name, _unix_ms()):
             self._report_endpoints([name])
             if was_live:
@@ -71,7 +73,7 @@
     def set_overrides(self, overrides: EndpointOverrides) -> None:
         """Replace all overrides."""
         names = self._directory.overrides.names() | overrides.names()
-        live_before = {name for name in names if self._directory.find_reported_live(name) is not None}
+        live_before = {name for name in names if self._directory.find_effectively_live(name) is not None}
         self._directory.replace_overrides(overrides)
         self._report_endpoints(names)
         self._report_not_live(live_before)
@@ -84,7 +86,7 @@
         self._log(EndpointListSuspended(age_seconds=age_seconds, version=self._table.version))
         if self._directory.is_suspended:
             return  # suspended since the start, when there was no lease
-        live_before = self._directory.reported_live_names()
+        live_before = self._directory.effectively_live_names()
         self._directory.set_suspended(is_suspended=True)
         self._report_endpoints(list(self._table.entries))
         self._report_not_live(live_before)
@@ -111,7 +113,7 @@
     def restore(self, from_predecessor: DiscoveredList | None) -> None:
         """Apply the list of this process's predecessor, which is newer than the cached one."""
         if from_predecessor is not None:
-            live_before = self._directory.reported_live_names()
+            live_before = self._directory.effectively_live_names()
             entries = self._merge(from_predecessor)
             self._report_entries(ListKind.SNAPSHOT, entries)
             self._report_not_live(live_before)
@@ -161,7 +163,7 @@
 
     def _report_not_live(self, live_before: set[str]) -> None:
         """Report the endpoints in `live_before` that are no longer live."""
-        names = frozenset(name for name in live_before if self._directory.find_reported_live(name) is None)
+        names = frozenset(name for name in live_before if self._directory.find_effectively_live(name) is None)
         if names:
             self._liveness_observer.on_endpoints_not_live(names)
 
--- a/burlmoor/endpoints/list_validation.py
+++ b/burlmoor/endpoints/list_validation.py
@@ -23,7 +23,7 @@
     """A response of the discovery service that is not a usable list.
 
     `field` is the path of the invalid field in the response (`body` if it is not a list at all), `value` the
-    field's value (the start of the body if that is unknown), `problem` what is wrong.
+    field's value (for a body that can't be decoded: its first bytes), `problem` what is wrong.
     """
 
     def __init__(self, field: str, value: object, problem: str) -> None:
@@ -71,7 +71,8 @@
     """Select the valid entries, one for each endpoint; `known` is the list as it was before.
 
     An invalid entry is skipped; rejecting the whole list would hold up the drains of all other endpoints. If
-    the endpoint is known, its known entry takes the place of the invalid one, so that no drain is undone.
+    the endpoint is known, its known entry takes the place of the invalid one, so that no drain is undone. Of
+    two entries of one endpoint, `_Precedence` decides which is kept; the second one is not validated.
     """
     selected: dict[str, DiscoveredEndpoint] = {}
     invalid: list[InvalidEntry] = []
@@ -93,10 +94,10 @@
 
 
 class _Precedence(NamedTuple):
-    """Orders duplicate entries of one endpoint: the later start wins; at equal starts, the draining entry."""
+    """Orders duplicate entries of one endpoint: the later start wins; at equal starts, the one not live."""
 
     started_unix_ms: float
-    is_draining: bool
+    is_not_live: bool
 
 
 def _precedence(entry: DiscoveredEndpoint) -> _Precedence:
--- a/burlmoor/endpoints/overrides.py
+++ b/burlmoor/endpoints/overrides.py
@@ -13,9 +13,9 @@
     Stored in the overrides file and handed over to the next process, so the encoded names must not change.
     """
 
-    # When each disabled endpoint, which gets no new work, was disabled.
+    # The disabled endpoints, which get no new work, and when each was disabled.
     disabled_since: dict[str, float] = msgspec.field(name="out", default={})
-    # When each endpoint was enabled again, which counts as its start.
+    # The endpoints that may have restarted while disabled, and when each was enabled: slow start begins then.
     enabled_since: dict[str, float] = msgspec.field(name="started", default={})
 
     def names(self) -> set[str]:
--- a/burlmoor/engine/deferral.py
+++ b/burlmoor/engine/deferral.py
@@ -55,10 +55,10 @@
     def max_deferral_ms(self) -> float:
         """The longest time for which a job may be deferred."""
 
-    def on_job_opened(self, request_id: str) -> None:
+    def on_job_admitted(self, request_id: str) -> None:
         """Record that the node has admitted a job."""
 
-    def on_job_closed(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
+    def on_job_ended(self, request_id: str, answer: FinalAnswer | None, now: float) -> None:
         """Record that a job is closed with this answer; None if its client has disconnected."""
 
     def defer(
--- a/burlmoor/engine/deferral_notifier.py
+++ b/burlmoor/engine/deferral_notifier.py
@@ -45,7 +45,7 @@
         self._queue = queue
         for job in self._jobs:
             if not job.is_closed:
-                queue.on_job_opened(job.id)
+                queue.on_job_admitted(job.id)
 
     def disable(self) -> None:
         """Stop deferring jobs."""
@@ -57,25 +57,25 @@
             return self._deadlines.class_timeout_ms(request)
         return self._queue.max_deferral_ms
 
-    def on_job_opened(
+    def on_job_admitted(
         self, job: Job, request: JobRequest, conditions: RunConditions | None, now: float
     ) -> None:
         """Notify the queue of a new job; defer the job if it has conditions."""
         if self._queue is None:
             return
-        self._queue.on_job_opened(job.id)
+        self._queue.on_job_admitted(job.id)
         if conditions is not None:
             job.deferred_request = request
             self._queue.defer(job.id, request, conditions, job.deadline, now)
         self._wake()
 
-    def on_job_closed(self, job: Job, answer: FinalAnswer | None) -> None:
+    def on_job_ended(self, job: Job, answer: FinalAnswer | None) -> None:
         """Notify the queue that a job is closed; `answer` is None if its client has disconnected."""
         if self._queue is None:
             return
         # The queue ends dependent jobs later, in `step`: ending them here would recurse along the chain of
         # dependencies, and a long one would block the event loop.
-        self._queue.on_job_closed(job.id, answer, self._clock())
+        self._queue.on_job_ended(job.id, answer, self._clock())
         self._wake()
 
     def next_due(self) -> float:
--- a/burlmoor/engine/engine.py
+++ b/burlmoor/engine/engine.py
@@ -97,7 +97,7 @@
             is_non_idempotent=request.job_class in self._non_idempotent_classes,
         )
         self._jobs.add(job)
-        self._deferral_notifier.on_job_opened(job, request, conditions, now)
+        self._deferral_notifier.on_job_admitted(job, request, conditions, now)
         # The queue releases or ends a deferred job before its deadline, which is scheduled on the release.
         if job.deferred_request is None:
             self._deadlines.schedule(job.deadline, job)
--- a/burlmoor/engine/job_lifecycle.py
+++ b/burlmoor/engine/job_lifecycle.py
@@ -89,7 +89,7 @@
         self._job_log.on_job_closed(job)
         for attempt in job.open_attempts():
             self._end_cancelled(attempt)  # a closed job is not sent again, so needs no confirmation
-        self._deferral_notifier.on_job_closed(job, answer)
+        self._deferral_notifier.on_job_ended(job, answer)
 
     def _report_closed(self, job: Job) -> None:
         """Notify the policy of a job that was closed without it, unless the job was still deferred."""
--- a/burlmoor/lifecycle/engine_loop.py
+++ b/burlmoor/lifecycle/engine_loop.py
@@ -31,7 +31,8 @@
             if wait_seconds > 0.0:
                 with trio.move_on_after(wait_seconds):
                     await self._wake_event.wait()
-                # Events are collected for one tick, then passed to the policy together.
+                # Woken early: wait again until the engine is due. It collects events for one tick, then
+                # passes them to the policy together.
                 if self._seconds_until_due(engine) > 0.0:
                     continue
             else:
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -44,20 +44,20 @@
         """Shut down; return once all admitted jobs are answered and every answer has been sent."""
         # The platform counts the time until SIGKILL from the signal. Part of that time has already passed if
         # the process was stalled when the signal arrived.
-        stalled_for_seconds = self._stall_monitor.seconds_stalled()
+        seconds_since_stall_began = self._stall_monitor.seconds_since_stall_began()
         self._log(
             ShutdownStarted(
-                open_jobs=self._core.jobs.count_open(), stalled_seconds=round(stalled_for_seconds, 2)
+                open_jobs=self._core.jobs.count_open(), stalled_seconds=round(seconds_since_stall_began, 2)
             )
         )
-        self._drain.begin_shutdown(stalled_for_seconds)
-        answered_by = self._clock() + 1000.0 * (self._drain.answer_within_seconds - stalled_for_seconds)
+        self._drain.begin_shutdown(seconds_since_stall_began)
+        answered_by = self._clock() + 1000.0 * (self._drain.answer_within_seconds - seconds_since_stall_began)
         if self._handover.has_handed_over:
             # New clients connect to the successor; jobs still open here at SIGKILL would be lost.
             self._engine.cap_deadlines(answered_by)
         else:
-            late_from = self._clock() + 1000.0 * (_LATE_ADMISSION_SECONDS - stalled_for_seconds)
-            await trio.sleep(max(0.0, _LATE_ADMISSION_SECONDS - stalled_for_seconds))
+            late_from = self._clock() + 1000.0 * (_LATE_ADMISSION_SECONDS - seconds_since_stall_began)
+            await trio.sleep(max(0.0, _LATE_ADMISSION_SECONDS - seconds_since_stall_began))
             # Without this, jobs that were admitted late and are still open at SIGKILL would be lost.
             self._engine.cap_deadlines(answered_by, received_after=late_from)
             while self._drain.state < ServiceState.REJECTING:  # noqa: ASYNC110 - the state is computed from the time
@@ -73,7 +73,8 @@
         # waits until slow clients have read their answers completely.
         while self._has_unfinished_work:
             if not self._handover.has_handed_over:
-                # Not closed earlier: by now, new connections of clients are directed to other nodes.
+                # Closes them without waiting for the server's next sweep. By now, new connections of clients
+                # are directed to other nodes.
                 self._connections.close_idle()
             await trio.sleep(_POLL_INTERVAL_SECONDS)
 
@@ -83,7 +84,7 @@
         return bool(
             self._core.jobs.count_open()
             or self._attempts.open_cancel_calls
-            or self._connections.has_unsent
+            or self._connections.has_unsent_output
             or self._connections.has_partial_requests
-            or self._handover.has_unsent
+            or self._handover.has_unsent_messages
         )
--- a/burlmoor/lifecycle/handover.py
+++ b/burlmoor/lifecycle/handover.py
@@ -78,12 +78,12 @@
     @property
     def has_predecessor(self) -> bool:
         """Whether a predecessor is connected; it serves clients until this process accepts connections."""
-        return self._successor_role.channel is not None
+        return self._successor_role.predecessor_channel is not None
 
     @property
-    def has_unsent(self) -> bool:
+    def has_unsent_messages(self) -> bool:
         """Whether a message to the successor has not been sent yet."""
-        return self._predecessor_role.has_unsent
+        return self._predecessor_role.has_unsent_messages
 
     async def contact_predecessor(self) -> None:
         """Request the state of the process that serves now, if there is one, and restore it here."""
@@ -112,8 +112,8 @@
 
     def close(self) -> None:
         """Close both channels; this process has nothing more to send."""
-        successor = self._predecessor_role.release_channel()
-        for channel in (self._successor_role.channel, successor):
+        successor_channel = self._predecessor_role.release_channel()
+        for channel in (self._successor_role.predecessor_channel, successor_channel):
             if channel is not None:
                 channel.close()
 
@@ -131,7 +131,7 @@
             except OSError:
                 await trio.sleep(_ACCEPT_RETRY_SECONDS)
                 continue
-            if self._predecessor_role.channel is not None:
+            if self._predecessor_role.successor_channel is not None:
                 sock.close()
                 continue
             self._predecessor_role.attach_channel(self._open_channel(sock))
@@ -147,14 +147,14 @@
         Raises:
             UnsupportedVersionError: the message is a `Hello` of another protocol version.
         """
-        if channel is self._successor_role.channel:
+        if channel is self._successor_role.predecessor_channel:
             self._on_predecessor_message(message, sock)
         elif sock is not None:
             sock.close()  # only a predecessor may pass connections
         match message:
             case Hello(version):
                 self._predecessor_role.send_snapshot(channel, version)
-            case Accepting() if channel is self._predecessor_role.channel:
+            case Accepting() if channel is self._predecessor_role.successor_channel:
                 self._predecessor_role.hand_over(channel)
                 self._update_callback_forwarder()
             case JobOpened(request_id):
@@ -175,13 +175,13 @@
             case ConnectionCounts(downstream, upstream):
                 self._successor_role.on_connection_counts(downstream, upstream)
             case PassedConnection(has_been_used, age_seconds) if sock is not None:
-                self._server.adopt(sock, has_been_used=has_been_used, age_seconds=age_seconds)
+                self._server.serve_connection(sock, has_been_used=has_been_used, age_seconds=age_seconds)
 
     def on_channel_lost(self, channel: HandoverChannel) -> None:
-        """Continue without the process at the other end, which has ended."""
-        if channel is self._successor_role.channel:
+        """Continue without the process at the other end, which has ended or does not answer."""
+        if channel is self._successor_role.predecessor_channel:
             self._successor_role.on_channel_lost()
-        if channel is self._predecessor_role.channel:
+        if channel is self._predecessor_role.successor_channel:
             self._predecessor_role.on_channel_lost()
         self._update_callback_forwarder()
 
--- a/burlmoor/lifecycle/handover_channel.py
+++ b/burlmoor/lifecycle/handover_channel.py
@@ -27,7 +27,7 @@
 
 _MAX_QUEUED_DATAGRAMS = 2048  # a longer queue means that the peer has stopped reading; `send` then fails
 _MAX_PENDING_REQUESTS = 1024
-_MAX_PATH_BYTES = 100  # the kernel's limit on a Unix socket's path is slightly higher
+_MAX_PATH_BYTES = 100  # Linux allows 107 for a Unix socket
 _BACKLOG = 4
 
 
@@ -84,7 +84,7 @@
         return self._sock is not None
 
     @property
-    def has_unsent(self) -> bool:
+    def has_unsent_messages(self) -> bool:
         """Whether a datagram has not been sent yet."""
         return self.is_connected and bool(self._send_queue)
 
@@ -104,9 +104,9 @@
         return True
 
     async def request(self, build_message: Callable[[int], Message], timeout_seconds: float) -> bool:
-        """Send a numbered message; return whether it was acknowledged in time.
+        """Send a numbered message; return False if a connected peer did not acknowledge it in time.
 
-        If the peer has disconnected, the request counts as acknowledged: no process is left to carry it out.
+        Without a peer the request counts as acknowledged: no process is left to carry it out.
         """
         if not self.is_connected:
             return True
@@ -240,7 +240,7 @@
 
 
 def listen(path: Path) -> socket.socket:
-    """Listen at this path, replacing any process that listened there before.
+    """Listen at this path; new connections no longer reach a process that listened there before.
 
     Raises:
         SocketPathTooLongError: the path is too long for a Unix socket.
--- a/burlmoor/lifecycle/handover_codec.py
+++ b/burlmoor/lifecycle/handover_codec.py
@@ -7,7 +7,7 @@
 from burlmoor.errors import BurlmoorError
 from burlmoor.lifecycle.handover_messages import PROTOCOL_VERSION, Fragment, Message
 
-MAX_DATAGRAM_BYTES = 160 * 1024  # the kernel's limit is slightly higher
+MAX_DATAGRAM_BYTES = 160 * 1024  # Linux allows just under the send buffer, 208 KiB by default
 _MAX_MESSAGE_BYTES = 16 << 20  # fits a snapshot with the statistics of thousands of executors
 _FRAGMENT_BYTES = 128 * 1024
 
--- a/burlmoor/lifecycle/handover_messages.py
+++ b/burlmoor/lifecycle/handover_messages.py
@@ -64,7 +64,7 @@
 
 
 class Acknowledged(msgspec.Struct, tag="Taken"):
-    """In either direction: the message with this number has been carried out."""
+    """In either direction: the message with this number was handled and need not be repeated."""
 
     number: int
 
--- a/burlmoor/lifecycle/handover_predecessor.py
+++ b/burlmoor/lifecycle/handover_predecessor.py
@@ -53,7 +53,7 @@
         self._accept_scope: trio.CancelScope | None = None
 
     @property
-    def channel(self) -> HandoverChannel | None:
+    def successor_channel(self) -> HandoverChannel | None:
         """The channel to the successor, if there is one."""
         return self._channel
 
@@ -63,9 +63,9 @@
         return self._channel is not None and self._accept_scope is None
 
     @property
-    def has_unsent(self) -> bool:
+    def has_unsent_messages(self) -> bool:
         """Whether a message to the successor has not been sent yet."""
-        return self._channel is not None and self._channel.has_unsent
+        return self._channel is not None and self._channel.has_unsent_messages
 
     def attach_channel(self, channel: HandoverChannel) -> None:
         """Set the channel to the successor."""
@@ -119,7 +119,7 @@
         if self._channel is None or not self._channel.send(message, sock):
             sock.close()
 
-    def on_job_opened(self, request_id: str) -> None:
+    def on_job_admitted(self, request_id: str) -> None:
         """Notify the successor of a job that was admitted here after the handover."""
         if self._channel is not None:
             self._channel.send(JobOpened(request_id))
--- a/burlmoor/lifecycle/handover_successor.py
+++ b/burlmoor/lifecycle/handover_successor.py
@@ -39,7 +39,7 @@
         self._has_counts = trio.Event()
 
     @property
-    def channel(self) -> HandoverChannel | None:
+    def predecessor_channel(self) -> HandoverChannel | None:
         """The channel to the predecessor, if there is one."""
         return self._channel
 
@@ -72,7 +72,10 @@
         self._has_counts.set()
 
     def on_channel_lost(self) -> None:
-        """Apply the node's full limits and forget the predecessor's jobs: it has ended."""
+        """Continue without the predecessor, which has ended or does not answer.
+
+        Apply the node's full limits and forget the predecessor's jobs.
+        """
         self._channel = None
         self._jobs.clear_ids_in_other_process()
         self._limits.reserve(0, 0)
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -25,8 +25,9 @@
     from burlmoor.deferred import DeferredService
     from burlmoor.log import EventLogger
 
-# How long a process waits for its first endpoint list before it accepts clients without one: if an agent
-# provides the list, and if discovery is polled and clients can already connect, but no process serves them.
+# How long a process waits for its first endpoint list before it accepts clients without one. An agent answers
+# immediately. Where discovery is polled, clients may already be connecting to a listener that was passed to
+# this process, and no predecessor serves them. In all other cases the limit is `FIRST_CONTACT_SECONDS`.
 _FIRST_AGENT_LIST_TIMEOUT_SECONDS = 0.2
 _UNSERVED_CLIENTS_TIMEOUT_SECONDS = 0.5
 _IDLE_SWEEP_INTERVAL_SECONDS = 1.0
@@ -78,12 +79,13 @@
             self._nursery.start_soon(components.admin_server.run)
 
     async def _begin_service(self) -> None:
-        # The predecessor's endpoint list counts as received by this process, and the watch continues from it.
+        # This process counts as notified of every change in the predecessor's list, so it takes over that
+        # list before it watches, and the watch continues from it.
         await self.handover.contact_predecessor()
         discovery = self.components.discovery
         self._nursery.start_soon(discovery.run)
         # The cached list may be of any age, so without this wait the node might send jobs to endpoints that
-        # are draining. A list that an agent already has counts as received by this process. Meanwhile new
+        # are draining. The node also counts as notified of every change that an agent has. Meanwhile new
         # connections are refused, and clients connect to other nodes or to the predecessor.
         with trio.move_on_after(self._first_contact_timeout()):
             await discovery.first_contact.wait()
--- a/burlmoor/lifecycle/node_builder.py
+++ b/burlmoor/lifecycle/node_builder.py
@@ -20,7 +20,7 @@
 from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
 from burlmoor.lifecycle.components import NodeComponents
-from burlmoor.lifecycle.connection_limits import divide_sockets
+from burlmoor.lifecycle.connection_limits import divide_descriptors
 from burlmoor.lifecycle.engine_loop import EngineLoop
 from burlmoor.lifecycle.state_files import StateFiles
 from burlmoor.transport.sockets import adopt_listening_socket, bind_socket
@@ -55,7 +55,7 @@
     clock = Clock()
     engine_loop = EngineLoop(clock)
     core = EngineCore(policy_settings, config.seed, clock, log, engine_loop.wake)
-    sockets = divide_sockets(config.max_sockets)
+    sockets = divide_descriptors(config.max_sockets)
     pool = _build_pool(config, core, sockets.upstream)
     lease = ListLease(has_agent=not policy_settings.must_poll)
     directory = EndpointDirectory(clock.from_unix, lambda: lease.is_valid(trio.current_time()))
--- a/burlmoor/lifecycle/peer_forwarder.py
+++ b/burlmoor/lifecycle/peer_forwarder.py
@@ -37,7 +37,10 @@
         return bool(self._connected_channels(excluded=channel))
 
     async def forward_callback(self, body: bytes) -> bool:
-        """Forward a call-back for a job unknown to this process; return whether it was acknowledged."""
+        """Forward a call-back for a job that is unknown here.
+
+        Returns False if a connected peer did not acknowledge it in time.
+        """
         return await _forward_to(self._connected_channels(), body, _CALLBACK_TIMEOUT_SECONDS)
 
     async def relay_callback(self, sender: HandoverChannel, number: int, body: bytes) -> None:
@@ -57,7 +60,7 @@
             )
 
     def _connected_channels(self, excluded: HandoverChannel | None = None) -> list[HandoverChannel]:
-        channels = (self._successor_role.channel, self._predecessor_role.channel)
+        channels = (self._successor_role.predecessor_channel, self._predecessor_role.successor_channel)
         return [
             channel
             for channel in channels
@@ -66,7 +69,7 @@
 
 
 async def _forward_to(channels: list[HandoverChannel], body: bytes, timeout_seconds: float) -> bool:
-    """Forward a call-back on each channel in turn; return whether all peers have acknowledged it."""
+    """Forward a call-back on each channel in turn; return False if a peer did not acknowledge it."""
     acknowledged = [
         await channel.request(lambda number: ForwardedCallback(number, body), timeout_seconds)
         for channel in channels
--- a/burlmoor/lifecycle/process.py
+++ b/burlmoor/lifecycle/process.py
@@ -25,7 +25,7 @@
         async with trio.open_nursery() as nursery:
             node = Node(config, nursery, log)
             node.start()
-            if early_signals.on_service_handles_signals():
+            if early_signals.end_startup():
                 node.reload(os.environ)
             nursery.start_soon(node.handle_signals, received_signals)
             _freeze_startup_objects()
@@ -41,7 +41,7 @@
 def main() -> int:
     """Run the node until a signal ends it; return the exit status."""
     early_signals.install()
-    early_signals.on_configuration_read()
+    early_signals.clear_reload_request()
     try:
         config = node_config.load_config(os.environ)
     except node_config.InvalidConfigError as error:
--- a/burlmoor/lifecycle/stall_monitor.py
+++ b/burlmoor/lifecycle/stall_monitor.py
@@ -1,4 +1,4 @@
-"""Detects stalls: periods in which this process did not run because it or its machine was suspended."""
+"""Detects stalls: periods in which this process did not run because it or its machine was paused."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
             self._last_stall = _Stall(self._last_heartbeat_at, now)
         self._last_heartbeat_at = now
 
-    def seconds_stalled(self) -> float:
+    def seconds_since_stall_began(self) -> float:
         """Return how long ago the stall that has just ended began; 0 if there was none.
 
         A signal that is read now may have arrived at any time since the stall began.
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -199,7 +199,7 @@
         # No endpoint is live before discovery has answered.
         await harness.wait_until(harness.components.discovery.first_contact.is_set)
         assert (harness.components.directory.find_live("e0") is None) is not is_corrupt
-        assert harness.components.drain.is_drained is not is_corrupt
+        assert harness.components.drain.is_drain_requested is not is_corrupt
     assert ("override-load-failed" in "".join(lines)) is is_corrupt
 
 
--- a/tests/config/test_settings_page.py
+++ b/tests/config/test_settings_page.py
@@ -27,7 +27,7 @@
     node_config._MachineLimits,
     discovered_list.DiscoveredList,
     discovered_list.DiscoveredEndpoint,
-    callbacks._JobEvent,
+    callbacks._CallbackBody,
 ]
 
 # Fields that hold another struct: only the fields of that struct have rows.
--- a/tests/deferred/test_dependency_graph.py
+++ b/tests/deferred/test_dependency_graph.py
@@ -18,9 +18,9 @@
 def pop_all_ready(
     graph: DependencyGraph, now: float, unix_now: float | None = None
 ) -> list[tuple[str, DeferralReason | None]]:
-    """Remove all ready jobs from the graph; return their ids and end reasons."""
+    """Remove all decided jobs from the graph; return their ids and end reasons."""
     done = []
-    while (job := graph.pop_ready(now, START_UNIX_MS + now if unix_now is None else unix_now)) is not None:
+    while (job := graph.pop_decided(now, START_UNIX_MS + now if unix_now is None else unix_now)) is not None:
         done.append((job.id, job.end_reason))
         if job.end_reason is None:
             graph.remove(job.id)
@@ -37,13 +37,13 @@
     latest_release_at: float = 1e6,
     now: float = 0.0,
 ) -> DeferredJob:
-    graph.on_job_opened(request_id)
+    graph.on_job_admitted(request_id)
     return graph.add(request_id, after, not_before_unix_ms, latest_release_at, now, START_UNIX_MS + now)
 
 
 def test_a_chain_of_ten_thousand_jobs_ends_one_by_one_without_recursion() -> None:
     graph = DependencyGraph(LIMITS)
-    graph.on_job_opened("0")
+    graph.on_job_admitted("0")
     for number in range(1, 10_000):
         defer(graph, str(number), str(number - 1))
     graph.on_job_ended("0", 1.0, was_served=False)
@@ -74,7 +74,7 @@
 
 def test_a_job_waits_for_all_its_dependencies() -> None:
     graph = DependencyGraph(LIMITS)
-    graph.on_job_opened("top")
+    graph.on_job_admitted("top")
     defer(graph, "left", "top")
     defer(graph, "right", "top")
     defer(graph, "bottom", "left", "right")
@@ -91,7 +91,7 @@
     defer(graph, "early", "parent")
     defer(graph, "lost", "nobody")
     assert graph.jobs["early"].reason.value == "unknown"
-    graph.on_job_opened("parent")
+    graph.on_job_admitted("parent")
     assert graph.jobs["early"].reason.value == "jobs"
     assert graph.next_due(1.0, START_UNIX_MS) == 2000.0
     assert pop_all_ready(graph, 2000.0) == [("lost", DeferralReason.DEPENDENCY_UNKNOWN)]
@@ -104,7 +104,7 @@
     served: bool, reason: DeferralReason | None
 ) -> None:
     graph = DependencyGraph(GraphLimits(10, 10, 2000.0, history_ms=5000.0, history_size=2))
-    graph.on_job_opened("parent")
+    graph.on_job_admitted("parent")
     graph.on_job_ended("parent", 0.0, was_served=served)
     defer(graph, "soon", "parent", now=4000.0)
     assert pop_all_ready(graph, 4000.0) == [("soon", reason)]
@@ -116,7 +116,7 @@
 def test_the_history_of_ended_jobs_is_bounded_in_count() -> None:
     graph = DependencyGraph(GraphLimits(10, 10, 2000.0, history_ms=1e9, history_size=100))
     for number in range(1000):
-        graph.on_job_opened(str(number))
+        graph.on_job_admitted(str(number))
         graph.on_job_ended(str(number), float(number), was_served=True)
     assert graph.history_length == 100
 
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("limits", [GraphLimits(2, 10, 1e3, 1e3, 10), GraphLimits(10, 2, 1e3, 1e3, 10)])
 def test_a_job_beyond_a_limit_ends_and_the_others_stay_deferred(limits: GraphLimits) -> None:
     graph = DependencyGraph(limits)
-    graph.on_job_opened("parent")
+    graph.on_job_admitted("parent")
     for request_id in "abc":
         defer(graph, request_id, "parent")
     assert pop_all_ready(graph, 0.0) == [("c", DeferralReason.CAPACITY_REACHED)]
@@ -166,7 +166,7 @@
 
 def test_end_all_ends_every_deferral() -> None:
     graph = DependencyGraph(LIMITS)
-    graph.on_job_opened("parent")
+    graph.on_job_admitted("parent")
     defer(graph, "a", "parent")
     defer(graph, "b", "a")
     graph.end_all()
@@ -177,7 +177,7 @@
     graph = DependencyGraph(LIMITS)
     names = [f"p{number}" for number in range(1000)]
     for name in names:
-        graph.on_job_opened(name)
+        graph.on_job_admitted(name)
     defer(graph, "c", *names)
     for name in names:
         assert pop_all_ready(graph, 1.0) == []
--- a/tests/deferred/test_dependency_graph_model.py
+++ b/tests/deferred/test_dependency_graph_model.py
@@ -85,7 +85,7 @@
     def open_job(self, request_id: str) -> None:
         if request_id in self.model.states:
             return
-        self.graph.on_job_opened(request_id)
+        self.graph.on_job_admitted(request_id)
         self.model.states[request_id] = "open"
 
     def defer_job(self, request_id: str, after: tuple[str, ...], delay_ms: float, timeout_ms: float) -> None:
--- a/tests/deferred/test_queue.py
+++ b/tests/deferred/test_queue.py
@@ -259,11 +259,11 @@
     queue = DeferredJobQueue(
         DeferredOptions(), 1000, 1000.0, 1, lambda *_args, **_fields: None, 0.0, lambda: START_UNIX_MS
     )
-    queue.on_job_opened("c")
+    queue.on_job_admitted("c")
     queue.defer("c", JobRequest(0, "lookup", 1.0, 500.0), RunConditions(("x",), 0.0, 1), 1.0, 0.0)
     assert queue.next_due(0.0) == 0.0
     assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [EndDecision]
-    queue.on_job_opened("d")
+    queue.on_job_admitted("d")
     queue.defer("d", JobRequest(0, "lookup", 1e4, 500.0), RunConditions((), 5.0, 1), 1e4, 0.0)
     assert [type(decision) for decision in queue.step(0.0, lambda: 0.0)] == [ReleaseDecision]
 
--- a/tests/discovery/test_list_lease.py
+++ b/tests/discovery/test_list_lease.py
@@ -21,7 +21,7 @@
 )
 
 ANSWERED, INVALID = CallResult.ANSWERED, CallResult.INVALID
-FAILED, REJECTED = CallResult.FAILED, CallResult.REJECTED
+FAILED, REJECTED = CallResult.REFUSED_OR_RESET, CallResult.REJECTED
 TIMED_OUT, UNREACHABLE = CallResult.TIMED_OUT, CallResult.UNREACHABLE
 WAIT_SECONDS = 1.0
 
--- a/tests/discovery/test_schedule.py
+++ b/tests/discovery/test_schedule.py
@@ -54,7 +54,7 @@
             free_at = max(free_at, min(ends, arrived_at + QUEUE_TIMEOUT_SECONDS))
             failed += 1
             schedules[number].on_call_started(arrived_at)
-            schedules[number].on_call_ended(CallResult.FAILED, arrived_at + QUEUE_TIMEOUT_SECONDS)
+            schedules[number].on_call_ended(CallResult.REFUSED_OR_RESET, arrived_at + QUEUE_TIMEOUT_SECONDS)
             heapq.heappush(calls, (schedules[number].next_call().start_at, number))
         else:
             queue.append(heapq.heappop(calls))
@@ -115,7 +115,7 @@
     for failures, least, most in ((1, 0.05, 0.1), (9, 1.0, 2.0)):
         schedule.failures = failures - 1
         schedule.on_call_started(6.0)
-        schedule.on_call_ended(CallResult.FAILED, 6.0)
+        schedule.on_call_ended(CallResult.REFUSED_OR_RESET, 6.0)
         assert least <= schedule.next_call().start_at - 6.0 <= most
 
 
@@ -133,7 +133,7 @@
         for number in range(30):
             schedule.on_call_started(now)
             ended = now + random.Random(f"{seed}/{number}").uniform(0.0, 2.0)
-            result = (CallResult.FAILED, CallResult.INVALID, CallResult.TIMED_OUT)[number % 3]
+            result = (CallResult.REFUSED_OR_RESET, CallResult.INVALID, CallResult.TIMED_OUT)[number % 3]
             schedule.on_call_ended(result, ended)
             allowance = 6.0 if result is CallResult.TIMED_OUT else failure_allowance
             next_start = schedule.next_call().start_at
@@ -147,11 +147,11 @@
     """Let all calls of a node fail until discovery returns: refused immediately, or timed out."""
     schedule.on_start(0.0, has_list=True)
     schedule.on_call_started(0.0)
-    schedule.on_call_ended(CallResult.FAILED, rng.uniform(0.0, 0.5))
+    schedule.on_call_ended(CallResult.REFUSED_OR_RESET, rng.uniform(0.0, 0.5))
     while (now := schedule.next_call().start_at) < returns_at:
         schedule.on_call_started(now)
         timed_out = rng.random() < 0.5
-        result = CallResult.TIMED_OUT if timed_out else CallResult.FAILED
+        result = CallResult.TIMED_OUT if timed_out else CallResult.REFUSED_OR_RESET
         schedule.on_call_ended(result, now + timed_out * schedule.next_call().timeout_seconds)
 
 
--- a/tests/discovery/watch_simulation.py
+++ b/tests/discovery/watch_simulation.py
@@ -134,11 +134,11 @@
             return CallEnd(CallResult.TIMED_OUT, times_out_at)
         if outage is not None:
             fails_after = self.rng.uniform(0.01, QUEUE_TIMEOUT_SECONDS)
-            return CallEnd(CallResult.FAILED, max(self.now + fails_after, outage[0]))
+            return CallEnd(CallResult.REFUSED_OR_RESET, max(self.now + fails_after, outage[0]))
         if self.silences and self.silences[0] < answer:
             return CallEnd(CallResult.TIMED_OUT, times_out_at, self.silences[0])
         if self.resets and self.resets[0] < answer:
-            return CallEnd(CallResult.FAILED, max(self.now, self.resets[0]))
+            return CallEnd(CallResult.REFUSED_OR_RESET, max(self.now, self.resets[0]))
         if self.invalid and self.invalid[0] <= answer and not skips_faults:
             self.invalid.pop(0)
             return CallEnd(CallResult.INVALID, answer)
--- a/tests/downstream/test_other_process.py
+++ b/tests/downstream/test_other_process.py
@@ -29,10 +29,10 @@
         await harness.send_callback("done", "fine")
         assert (await harness.read_response(client)).status == 200
         assert [has_been_used for _, has_been_used in successor.connections] == [True]
-        # The passed socket stays usable: a server that adopts it serves the next request.
+        # The passed socket stays usable: a server that is given it serves the next request.
         harness.components.server.peers.attach_successor(None)
         for sock, has_been_used in successor.connections:
-            harness.components.server.adopt(sock, has_been_used=has_been_used)
+            harness.components.server.serve_connection(sock, has_been_used=has_been_used)
         await harness.send_job(client, "once", "a2")
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         await harness.send_callback("done", "again")
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -131,5 +131,5 @@
                     nursery.start_soon(client.submit_until, killed_after_seconds)
         # A client that still waits submitted its job within 0.7 s of SIGTERM, or has not submitted any.
         assert not harness.components.core.jobs.count_open()
-        assert not harness.components.server.connections.has_unsent
+        assert not harness.components.server.connections.has_unsent_output
     assert all(at < killed_after_seconds for client in clients for at in client.late_answers)
--- a/tests/integration/test_shutdown_over_sockets.py
+++ b/tests/integration/test_shutdown_over_sockets.py
@@ -71,7 +71,7 @@
         await harness.wait_until(lambda: harness.jobs)
         await begin_shutdown(harness)
         await harness.send_callback("done", "x" * 60_000)
-        assert harness.components.server.connections.has_unsent
+        assert harness.components.server.connections.has_unsent_output
         with trio.move_on_after(1.0):
             await harness.wait_until(lambda: harness.has_node_ended)
         assert len((await harness.read_response(client)).body) == 60_000
--- a/tests/lifecycle/test_connection_limits.py
+++ b/tests/lifecycle/test_connection_limits.py
@@ -4,21 +4,23 @@
 
 import pytest
 
-from burlmoor.lifecycle.connection_limits import SharedConnectionLimits, SocketBudget, divide_sockets
+from burlmoor.lifecycle.connection_limits import ConnectionLimits, SharedConnectionLimits, divide_descriptors
 from tests.support.node_harness import open_node_harness
 
 
 @pytest.mark.parametrize(
-    ("max_sockets", "budget"),
+    ("max_descriptors", "limits"),
     [
-        (0, SocketBudget(23, 9)),
-        (64, SocketBudget(23, 9)),
-        (128, SocketBudget(45, 19)),
-        (1024, SocketBudget(672, 288)),
+        (0, ConnectionLimits(23, 9)),
+        (64, ConnectionLimits(23, 9)),
+        (128, ConnectionLimits(45, 19)),
+        (1024, ConnectionLimits(672, 288)),
     ],
 )
-def test_reserved_descriptors_are_at_most_64_and_at_most_half(max_sockets: int, budget: SocketBudget) -> None:
-    assert divide_sockets(max_sockets) == budget
+def test_reserved_descriptors_are_at_most_64_and_at_most_half(
+    max_descriptors: int, limits: ConnectionLimits
+) -> None:
+    assert divide_descriptors(max_descriptors) == limits
 
 
 async def test_connections_of_the_other_process_lower_the_limits_to_a_minimum() -> None:
--- a/tests/support/handover_harness.py
+++ b/tests/support/handover_harness.py
@@ -106,5 +106,5 @@
     def pass_connection(self, sock: socket.socket, *, has_been_used: bool, age_seconds: float) -> None:
         self.connections.append((sock, has_been_used))
 
-    def on_job_opened(self, request_id: str) -> None:
+    def on_job_admitted(self, request_id: str) -> None:
         self.opened_jobs.append(request_id)
