--- a/tests/discovery/test_list_lease.py
+++ b/tests/discovery/test_list_lease.py
@@ -21,7 +21,7 @@
 )
 
 ANSWERED, INVALID = CallResult.ANSWERED, CallResult.INVALID
-FAILED, REJECTED = CallResult.REFUSED_OR_RESET, CallResult.REJECTED
+REFUSED, REJECTED = CallResult.REFUSED_OR_RESET, CallResult.REJECTED
 TIMED_OUT, UNREACHABLE = CallResult.TIMED_OUT, CallResult.UNREACHABLE
 WAIT_SECONDS = 1.0
 
@@ -89,7 +89,7 @@
     assert agent.expires_at() == math.inf
 
 
-REFUSED_CALL = Call(0.1, 0.01, FAILED)
+REFUSED_CALL = Call(0.1, 0.01, REFUSED)
 LATE_REJECTION = Call(0.1, 2.0, REJECTED)  # by a discovery that is down or overloaded
 SILENT_CALL = Call(0.0, 1.5, TIMED_OUT)
 ANSWERED_CALL = Call(0.0, 1.0, ANSWERED)
