--- a/burlmoor/testbed/__init__.py
+++ b/burlmoor/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a node meets: executors, discovery and clients, from the published protocol."""
+"""Stand-in executors, discovery and clients for tests of nodes, written from the published protocol."""
--- a/burlmoor/testbed/__main__.py
+++ b/burlmoor/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m burlmoor.testbed`: stand-in executors in a process of their own."""
+"""`python -m burlmoor.testbed`: runs stand-in executors in a separate process."""
 
 from __future__ import annotations
 
--- a/burlmoor/testbed/clients.py
+++ b/burlmoor/testbed/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients of one node: persistent connections, one request at a time on each."""
+"""Stand-in clients of one node, with persistent connections that carry one request at a time."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 if TYPE_CHECKING:
     from burlmoor.testbed.event_record import EventRecord, RequestRecord
 
-_MAX_IDLE_SECONDS = 5.0  # after which clients that don't resend no longer use a connection
-_LATE_SECONDS = 1.0  # that a client reads beyond its timeout, so that a late answer is observed
+_MAX_IDLE_SECONDS = 5.0  # clients that don't resend never reuse a connection that was idle for longer
+_EXTRA_WAIT_SECONDS = 1.0  # time after the timeout in which a client still reads, to observe late answers
 
 
 class _IdleConnection(NamedTuple):
-    """A connection without a request, and since when it is idle."""
+    """A connection without a request, and the time at which it became idle."""
 
     stream: HttpStream
     since_ms: float
 
 
-class _Outgoing(NamedTuple):
-    """A request as it is written to a connection."""
+class _OutgoingRequest(NamedTuple):
+    """The parts of a request that are written to a connection."""
 
     start_line: str
     headers: dict[str, str]
@@ -35,10 +35,10 @@
 
 
 class ClientPool:
-    """The clients of one node and their idle connections, the most recently used last.
+    """The clients of one node, which share a pool of idle connections, the most recently used last.
 
-    `may_resend`: whether a request is retried once where a connection ends without an answer. A node may
-    close an idle connection just as a request arrives; but a job of a killed node may then run twice.
+    With `may_resend` a request is sent once more if its connection ends without an answer, because a node may
+    close an idle connection just as a request arrives. The job may then run twice if its node was killed.
     """
 
     def __init__(
@@ -58,18 +58,18 @@
         is_failing: bool = False,
         tenant: str = "",
     ) -> RequestRecord:
-        """Send one request, wait for its answer, and return its record, completed.
+        """Send one request, wait for its answer, and return its completed record.
 
-        `is_failing`: whether the job's executor is to report it as failed.
+        With `is_failing` the job's executor reports it as failed.
         """
         self._event_record.requests[request.id] = request
         headers = _make_headers(request, slots, tenant)
         body = msgspec.json.encode(JobParameters(request.work_ms, slots, is_failing))
-        outgoing = _Outgoing(f"POST /{request.job_class}/{key} HTTP/1.1", headers, body)
+        outgoing = _OutgoingRequest(f"POST /{request.job_class}/{key} HTTP/1.1", headers, body)
         timeout_at_ms = request.sent_ms + request.timeout_ms
-        remaining_seconds = (timeout_at_ms - now_ms()) / 1000.0 + _LATE_SECONDS
+        remaining_seconds = (timeout_at_ms - now_ms()) / 1000.0 + _EXTRA_WAIT_SECONDS
         if remaining_seconds <= 0.0:
-            # This process was stalled for longer than its client would have waited.
+            # This process was stalled for longer than the client waits for an answer.
             request.is_unsent = True
             return request
         with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
@@ -77,36 +77,36 @@
                 await self._send(request, outgoing)
         return request
 
-    async def _send(self, request: RequestRecord, outgoing: _Outgoing) -> None:
+    async def _send(self, request: RequestRecord, outgoing: _OutgoingRequest) -> None:
         idle = self._take_idle()
         request.was_reused = idle is not None
-        stream = idle or await self._connect(request, was_written=False)
+        stream = idle or await self._connect(request, was_sent_before=False)
         if await self._exchange(stream, request, outgoing) or not self._may_resend:
             return
-        stream = await self._connect(request, was_written=True)
+        stream = await self._connect(request, was_sent_before=True)
         await self._exchange(stream, request, outgoing)
 
     def _take_idle(self) -> HttpStream | None:
-        """Return the most recently used idle connection that is usable."""
+        """Return the most recently used idle connection that is usable, or None."""
         while self._idle:
             stream, since_ms = self._idle.pop()
-            is_fresh = now_ms() - since_ms < _MAX_IDLE_SECONDS * 1000.0
-            if self._may_resend or (is_fresh and not stream.has_peer_ended()):
+            is_recent = now_ms() - since_ms < _MAX_IDLE_SECONDS * 1000.0
+            if self._may_resend or (is_recent and not stream.has_peer_closed()):
                 return stream
             stream.close()
         return None
 
-    async def _connect(self, request: RequestRecord, *, was_written: bool) -> HttpStream:
+    async def _connect(self, request: RequestRecord, *, was_sent_before: bool) -> HttpStream:
         try:
             return await connect(self.address)
         except OSError:
-            request.is_unsent = not was_written
+            request.is_unsent = not was_sent_before
             raise
 
-    async def _exchange(self, stream: HttpStream, request: RequestRecord, outgoing: _Outgoing) -> bool:
-        """Send a request on a connection and record the answer; false where there is none.
+    async def _exchange(self, stream: HttpStream, request: RequestRecord, outgoing: _OutgoingRequest) -> bool:
+        """Send a request on a connection and record the answer; return whether there is one.
 
-        The connection goes back to the idle ones, or is closed, also on cancellation.
+        The connection then returns to the pool or is closed, also on cancellation.
         """
         is_reusable = False
         try:
@@ -124,12 +124,12 @@
         return answer is not None
 
     async def _receive_answer(
-        self, stream: HttpStream, request: RequestRecord, outgoing: _Outgoing
+        self, stream: HttpStream, request: RequestRecord, outgoing: _OutgoingRequest
     ) -> HttpMessage | None:
-        """Write the request and read the answer; None where the connection ends first.
+        """Write the request and return the answer, or None if the connection ends first.
 
         Raises:
-            trio.ClosedResourceError: the client is to disconnect before the answer.
+            trio.ClosedResourceError: it is time for the client to disconnect, and there is no answer yet.
         """
         try:
             await stream.write(outgoing.start_line, outgoing.body, **outgoing.headers)
@@ -149,7 +149,7 @@
 
 
 def _make_headers(request: RequestRecord, slots: int, tenant: str) -> dict[str, str]:
-    """Return the headers of a request, with `_` for `-`."""
+    """Return the headers of a request, with `_` in place of `-` in their names."""
     headers = {
         "Host": "svc",
         "Request_Id": request.id,
--- a/burlmoor/testbed/clock.py
+++ b/burlmoor/testbed/clock.py
@@ -6,7 +6,7 @@
 
 
 def now_ms() -> float:
-    """Return the monotonic time, which all processes on one machine read alike."""
+    """Return the monotonic time, which is the same for all processes on a machine."""
     return time.monotonic() * 1000.0
 
 
--- a/burlmoor/testbed/deferred_verdict.py
+++ b/burlmoor/testbed/deferred_verdict.py
@@ -92,7 +92,7 @@
     return {
         "unanswered": Claim(len(record.find_unanswered()), 0),
         "late": Claim(len(record.find_late(_LATE_TOLERANCE_MS)), 0),
-        "answered twice": Claim(answered_twice + len(record.find_misplaced()), 0),
+        "answered twice": Claim(answered_twice + len(record.find_misdelivered()), 0),
         "ran twice": Claim(len(record.find_repeated(_NON_IDEMPOTENT)), 0),
         "invented": Claim(len(record.find_fabricated()), 0),
     }
@@ -168,7 +168,7 @@
 
     None where it never was, and where its client had disconnected or its node had ended by then.
     """
-    if not _has_run_conditions(request) or record.is_rejected_by_closing_node(request):
+    if not _has_run_conditions(request) or record.is_rejected_by_stopping_node(request):
         return None
     if request.disconnected_ms is not None and not request.answer_count:
         return None
--- a/burlmoor/testbed/discovery.py
+++ b/burlmoor/testbed/discovery.py
@@ -1,6 +1,6 @@
 """A stand-in discovery service: one versioned endpoint list, served in full or by long-polling watches.
 
-Each node has an address of its own here, and is given addresses of its own for the executors.
+Each node calls the service at a separate address, and its lists hold its own addresses of the executors.
 """
 
 from __future__ import annotations
@@ -25,16 +25,15 @@
     from burlmoor.testbed.http_stream import HttpMessage, HttpStream
 
 _DELAY_POLL_SECONDS = 0.05
-_QUEUE_TIMEOUT_SECONDS = 2.0  # after which an overloaded service rejects a call
+_QUEUE_TIMEOUT_SECONDS = 2.0  # an overloaded service rejects a call after this time
 _PATH = "/registry/instances"
 
 
 class DiscoveryService:
-    """The endpoint list, the nodes that watch it, and the failures of this service.
+    """Serves the endpoint list to the nodes, and simulates failures of a discovery service.
 
-    `delay_ms_by_node` holds the nodes that get every change late. While `is_overloaded`, each call is
-    rejected after a time in the queue; changes nevertheless count as notified. `notifications` records what
-    nodes were notified of, including what a stalled or failed watch missed and they count as notified of.
+    `delay_ms_by_node` holds the delay of every change for nodes that see changes late. While `is_overloaded`,
+    each call waits in a queue and is then rejected; nodes nevertheless count as notified of changes.
     """
 
     def __init__(self, nursery: trio.Nursery) -> None:
@@ -46,22 +45,25 @@
         self._addresses: dict[str, dict[str, str]] = {}  # by node and endpoint
         self._changed = trio.Event()
         self._watches: dict[str, dict[HttpStream, Watch]] = {}  # by node
-        self._stalled: set[HttpStream] = set()  # connections on which nothing is answered any more
-        # Nodes that are cut off; the event is set when they are back.
+        self._stalled: set[HttpStream] = set()  # connections whose calls are no longer answered
+        # By node that is isolated; the event is set once it is reconnected.
         self._isolated: dict[str, trio.Event] = {}
 
     @property
     def version(self) -> int:
-        """The version of the list; each change adds one."""
+        """The version of the list, which each change increments."""
         return self._history.version
 
     @property
     def notifications(self) -> list[Notification]:
-        """What nodes were notified of, or count as notified of."""
+        """The changes that nodes were notified of, or count as notified of after a stalled or failed call."""
         return self._notification_log.notifications
 
     async def listen_for_node(self, node: str, endpoint_addresses: dict[str, str]) -> str:
-        """Open an address for one node, which reaches endpoints at `endpoint_addresses`, and return it."""
+        """Listen at a new address for one node and return it.
+
+        `endpoint_addresses` are the addresses at which this node reaches the endpoints, by name.
+        """
         self._addresses[node] = endpoint_addresses
 
         async def serve(stream: HttpStream) -> None:
@@ -80,12 +82,10 @@
         self._changed = trio.Event()
 
     def full_list(self, node: str) -> dict[str, Any]:
-        """Return the complete list as the node's configuration has it."""
+        """Return the complete list, in the form of the node's configuration."""
         message: dict[str, Any] = msgspec.to_builtins(self._full_list(node))
         return message
 
-    # --- failures -------------------------------------------------------------------------------
-
     @property
     def is_down(self) -> bool:
         """Whether every call is rejected."""
@@ -100,13 +100,13 @@
             self._notification_log.on_outage_ended()
 
     def stall_watches(self, node: str) -> None:
-        """Stop answering the node's watches, with connections left open."""
+        """Stop answering the node's watches, but leave their connections open."""
         for stream, watch in self._watches.get(node, {}).items():
             self._stalled.add(stream)
             self._notification_log.on_watch_stalled(node, watch)
 
     def isolate(self, node: str) -> None:
-        """Cut a node off: its watches stall, and what it calls from now on is reset once it is back."""
+        """Cut a node off: its watches stall, and later calls hang and are reset once it is reconnected."""
         self.stall_watches(node)
         self._notification_log.on_call_failed(node)
         self._isolated[node] = trio.Event()
@@ -121,29 +121,27 @@
             self._notification_log.on_call_failed(node)
             stream.reset()
 
-    # --- serving --------------------------------------------------------------------------------
-
     async def _serve(self, node: str, stream: HttpStream) -> None:
         while (request := await stream.read()) is not None:
             if node in self._isolated:
                 await self._isolated[node].wait()
                 stream.reset()
                 return
-            if not await self._may_answer():
+            if not await self._accepts_call():
                 self._notification_log.on_call_failed(node)
                 await stream.write_response(HTTPStatus.SERVICE_UNAVAILABLE)
             elif not await self._answer(node, stream, request):
                 return
 
-    async def _may_answer(self) -> bool:
-        """Whether a call is not rejected; returns after the call's time in the queue."""
+    async def _accepts_call(self) -> bool:
+        """Return whether a call is accepted, after its time in the queue if the service is overloaded."""
         is_overloaded = self.is_overloaded
         if is_overloaded:
             await trio.sleep(_QUEUE_TIMEOUT_SECONDS)
         return not (is_overloaded or self.is_down)
 
     async def _answer(self, node: str, stream: HttpStream, request: HttpMessage) -> bool:
-        """Answer a call; false where its connection is not used any more."""
+        """Answer a call; return whether its connection remains usable."""
         url = urlsplit(request.path)
         if url.path != _PATH:
             await stream.write_response(HTTPStatus.NOT_FOUND)
@@ -163,13 +161,13 @@
         return True
 
     async def _wait_for_change(self, node: str, stream: HttpStream, version: int, wait_ms: float) -> None:
-        """Wait until the node may see a newer version, or its wait is over."""
+        """Wait until a newer version is visible to the node, or `wait_ms` have passed."""
         watches = self._watches.setdefault(node, {})
         watches[stream] = Watch(version, now_ms() + wait_ms)
         try:
             with trio.move_on_after(wait_ms / 1000.0):
                 while self._visible_version(node) <= version:
-                    # A delayed node sees a change at some later time, for which there is no event.
+                    # No event is set when a change becomes visible to a delayed node, so poll for it.
                     is_delayed = self.version > version
                     with trio.move_on_after(_DELAY_POLL_SECONDS if is_delayed else math.inf):
                         await self._changed.wait()
@@ -177,15 +175,13 @@
             del watches[stream]
 
     async def _wait_for_disconnect(self, node: str, stream: HttpStream) -> None:
-        """Leave a stalled watch unanswered until the node cancels it."""
+        """Leave a stalled watch unanswered until the node closes its connection."""
         self._stalled.discard(stream)
         await stream.read()
         self._notification_log.on_call_failed(node)
 
-    # --- what a node sees -----------------------------------------------------------------------
-
     def _visible_version(self, node: str) -> int:
-        """Return the version that the node may see by now."""
+        """Return the version that is visible to the node now."""
         delay_ms = self.delay_ms_by_node.get(node, 0.0)
         if not delay_ms:
             return self.version
--- a/burlmoor/testbed/drill_deferred.py
+++ b/burlmoor/testbed/drill_deferred.py
@@ -17,7 +17,7 @@
 from burlmoor.testbed.deferred_schedule import CORES, EXECUTORS, ScheduledJob, draw_schedule
 from burlmoor.testbed.deferred_verdict import judge
 from burlmoor.testbed.drill import Drill, DrillParameters, Verdict
-from burlmoor.testbed.event_record import ClosingPeriod, RequestRecord
+from burlmoor.testbed.event_record import RequestRecord, ShutdownPeriod
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.local_cluster import LocalCluster, local_cluster
 from burlmoor.testbed.mutations import DEFERRED_MUTATIONS, mutated_node_command
@@ -102,8 +102,8 @@
         assert node.process is not None
         with trio.move_on_after(_EXIT_WITHIN_SECONDS):
             self.exit_statuses.append(await node.process.wait())
-        period = ClosingPeriod(_RESTARTED_NODE, rejecting_ms, now_ms())
-        self._cluster.event_record.closing_periods.append(period)
+        period = ShutdownPeriod(_RESTARTED_NODE, rejecting_ms, now_ms())
+        self._cluster.event_record.shutdown_periods.append(period)
         await self._cluster.start_node(node)
         self._avoided_nodes.discard(_RESTARTED_NODE)
 
--- a/burlmoor/testbed/event_record.py
+++ b/burlmoor/testbed/event_record.py
@@ -1,4 +1,4 @@
-"""What clients and executors observed in one run; verdicts rest on these records alone."""
+"""What clients and executors observed in one run; verdicts use these records only."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class RequestRecord(msgspec.Struct):
     """One request as its client observed it.
 
-    Times are ms on the testbed's monotonic clock where the name does not say otherwise. The encoded names are
-    those of recorded runs.
+    Times are ms on the testbed's monotonic clock unless the name says otherwise. The encoded names are those
+    of recorded runs.
     """
 
     id: str
@@ -29,19 +29,21 @@
     run_after: tuple[str, ...] = msgspec.field(name="after", default=())
     not_before_unix_ms: float = msgspec.field(name="not_before", default=0.0)
     answered_ms: float | None = msgspec.field(name="answered", default=None)
-    status: int = 0  # 0: no answer came
+    status: int = 0  # 0: no answer
     retry_after_ms: float = msgspec.field(name="retry_after", default=0.0)
     answer_count: int = msgspec.field(name="answers", default=0)
     body: bytes = b""
-    # When its client closed the connection without waiting for the answer, if it did.
+    # Time at which the client closes the connection without waiting for an answer; None: it waits.
     disconnected_ms: float | None = msgspec.field(name="left", default=None)
     node: int = 0  # the node it was sent to
     slots: int = 1
-    is_unsent: bool = msgspec.field(name="unsent", default=False)  # no connection: no node has the request
+    is_unsent: bool = msgspec.field(
+        name="unsent", default=False
+    )  # it could not be sent, so that no node has it
     node_changes: int = msgspec.field(name="moves", default=0)  # other nodes tried after a refused connection
-    # Whether it was written to a connection that had carried another one before.
+    # Whether it was sent on a connection that had carried another request before.
     was_reused: bool | UnsetType = msgspec.field(name="reused", default=UNSET)
-    # When that connection ended without an answer, if it did.
+    # Time at which the connection ended without an answer.
     closed_ms: float | UnsetType = msgspec.field(name="closed", default=UNSET)
 
     @property
@@ -56,7 +58,7 @@
 
     @property
     def latency_ms(self) -> float:
-        """Time from the intended sending until the answer is complete, or until the timeout."""
+        """The time from the intended start to the complete answer, or to the timeout if there is none."""
         answered_ms = self.answered_ms
         if answered_ms is None:
             answered_ms = self.sent_ms + self.timeout_ms
@@ -66,8 +68,8 @@
 class AttemptOutcome(StrEnum):
     """How an attempt ended at its executor; the values are those of recorded runs."""
 
-    PENDING = ""  # queued or running, or its executor hangs
-    FAILING = "to fail"  # pending, and to be reported as failed once it has run
+    PENDING = ""  # queued, running, or at an executor that hangs
+    FAILING = "to fail"  # pending; its executor reports it as failed once it has run
     DONE = "done"
     FAILED = "failed"
     RETURNED = "handed back"  # not started, by an executor that drains
@@ -90,19 +92,19 @@
     node: str = ""  # the sender
     work_ms: float = msgspec.field(name="work", default=0.0)  # on one core of speed 1, for each slot
     slots: int = 1
-    # When its executor observed that the node had cancelled it: by DELETE, or by a close before the 202.
+    # Time at which the executor observed a cancellation by the node: a DELETE, or a close before the 202.
     cancelled_ms: float | UnsetType = msgspec.field(name="cancelled", default=UNSET)
 
     def is_open(self, at_ms: float) -> bool:
-        """Whether it had been received by then, and had neither ended nor been cancelled."""
+        """Whether it had been received at a time, and had neither ended nor been cancelled."""
         if at_ms < self.received_ms:
             return False
         has_ended = self.ended_ms is not None and self.ended_ms <= at_ms
         return not has_ended and (self.cancelled_ms is UNSET or self.cancelled_ms > at_ms)
 
 
-class ClosingPeriod(NamedTuple):
-    """A period in which a stopping node rejected the jobs that waited there."""
+class ShutdownPeriod(NamedTuple):
+    """A period in which a stopping node rejected its deferred jobs."""
 
     node: int
     since_ms: float
@@ -111,16 +113,16 @@
 
 @dataclass(slots=True)
 class EventRecord:
-    """All that clients and executors observed in one run, and the checks that need nothing else."""
+    """What clients and executors observed in one run, with the checks that need no other data."""
 
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     attempts: list[AttemptRecord] = field(default_factory=list)
-    closing_periods: list[ClosingPeriod] = field(default_factory=list)
+    shutdown_periods: list[ShutdownPeriod] = field(default_factory=list)
     unix_offset_ms: float = 0.0  # Unix time minus the testbed's clock
-    protocol_violations: list[str] = field(default_factory=list)  # a line each
+    protocol_violations: list[str] = field(default_factory=list)  # one line of text each
 
     def started_attempts_by_id(self) -> dict[str, list[AttemptRecord]]:
-        """Return the attempts that an executor started, by the request's id."""
+        """Return the attempts that executors started, by request id."""
         return attempts_by_id(attempt for attempt in self.attempts if attempt.started_ms is not None)
 
     def find_repeated(self, non_idempotent_classes: set[str]) -> list[str]:
@@ -131,9 +133,9 @@
             if len(attempts) > 1 and attempts[0].job_class in non_idempotent_classes
         ]
 
-    def find_simultaneous(self, most_at_once: int) -> list[str]:
-        """Return the ids of requests of which more attempts were open at once than may be."""
-        return [excess.attempt.id for excess in find_simultaneous(self.attempts, most_at_once)]
+    def find_simultaneous(self, max_open: int) -> list[str]:
+        """Return the request id of each attempt that exceeded `max_open` open attempts of its request."""
+        return [excess.attempt.id for excess in find_simultaneous(self.attempts, max_open)]
 
     def find_unanswered(self) -> list[RequestRecord]:
         """Return the requests whose client stayed connected and received no answer."""
@@ -151,10 +153,10 @@
             if request.answered_ms is not None and request.latency_ms > request.timeout_ms + tolerance_ms
         ]
 
-    def find_misplaced(self) -> list[str]:
-        """Return the ids of requests that were served another job's result.
+    def find_misdelivered(self) -> list[str]:
+        """Return the ids of requests that were answered with the result of another job.
 
-        A second answer to one request shows as the answer to the next one on that connection.
+        If a node answers a request twice, its client takes the second answer for that to its next request.
         """
         return [
             request.id
@@ -162,11 +164,11 @@
             if request.is_served and request.body and request.body.partition(b"@")[0] != request.id.encode()
         ]
 
-    def is_rejected_by_closing_node(self, request: RequestRecord) -> bool:
-        """Whether the request was rejected by a node that was about to end."""
+    def is_rejected_by_stopping_node(self, request: RequestRecord) -> bool:
+        """Whether the request was rejected by a node that was stopping."""
         return request.is_rejected and any(
             period.node == request.node and period.since_ms <= (request.answered_ms or 0.0) <= period.until_ms
-            for period in self.closing_periods
+            for period in self.shutdown_periods
         )
 
     def find_fabricated(self) -> list[str]:
@@ -180,7 +182,7 @@
 
 
 def attempts_by_id(attempts: Iterable[AttemptRecord]) -> dict[str, list[AttemptRecord]]:
-    """Return attempts by the id of their request, in their order."""
+    """Group attempts by request id, in their order."""
     by_id: dict[str, list[AttemptRecord]] = {}
     for attempt in attempts:
         by_id.setdefault(attempt.id, []).append(attempt)
@@ -188,23 +190,23 @@
 
 
 class SimultaneousAttempts(NamedTuple):
-    """More attempts of one request were open at once than may be."""
+    """An attempt that exceeded the limit of open attempts of its request."""
 
-    attempt: AttemptRecord  # whose arrival made them too many
-    open_attempts: list[AttemptRecord]  # at that moment, this one among them
+    attempt: AttemptRecord  # the one whose arrival exceeded the limit
+    open_attempts: list[AttemptRecord]  # at that time, including this one
 
 
-def find_simultaneous(attempts: Iterable[AttemptRecord], most_at_once: int) -> Iterator[SimultaneousAttempts]:
-    """Find each attempt that was received while as many of its request as may be were open."""
-    for of_request in attempts_by_id(attempts).values():
-        for attempt in of_request:
-            open_attempts = [other for other in of_request if other.is_open(attempt.received_ms)]
-            if len(open_attempts) > most_at_once:
+def find_simultaneous(attempts: Iterable[AttemptRecord], max_open: int) -> Iterator[SimultaneousAttempts]:
+    """Find each attempt that was received while `max_open` others of its request were open."""
+    for request_attempts in attempts_by_id(attempts).values():
+        for attempt in request_attempts:
+            open_attempts = [other for other in request_attempts if other.is_open(attempt.received_ms)]
+            if len(open_attempts) > max_open:
                 yield SimultaneousAttempts(attempt, open_attempts)
 
 
 class AnyRequestId(dict[str, RequestRecord]):
-    """Requests of an event record whose clients are in another process: any id may be one of theirs."""
+    """Stands for the requests of clients in another process, so that any id counts as sent by a client."""
 
     def __contains__(self, key: object) -> bool:
         return bool(key)
--- a/burlmoor/testbed/executor.py
+++ b/burlmoor/testbed/executor.py
@@ -1,4 +1,4 @@
-"""A stand-in executor: its process with its addresses and failures, and its answers to nodes."""
+"""A stand-in executor: its addresses, its responses to nodes, and its simulated failures."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PlannedFault(StrEnum):
-    """What an executor does with a request in place of running its job."""
+    """What an executor does with a request instead of running its job."""
 
     FULL = "full"  # it rejects the job: not started
     ERROR = "error"  # it answers with status 500
@@ -33,7 +33,7 @@
 
 
 class CallingNode(NamedTuple):
-    """The node that a connection comes from, and where it takes call-backs."""
+    """The node that opened a connection, and the address to which its call-backs are sent."""
 
     name: str
     callback_address: tuple[str, int]
@@ -42,8 +42,8 @@
 class Executor:
     """One executor, whose process may be killed and restarted.
 
-    `planned_faults` are those of the next requests, one each. `jobs` runs what is admitted, and may be slowed
-    down or stalled.
+    Each of the next requests takes one fault from `planned_faults`. `jobs` runs the admitted jobs, and may be
+    slowed down or stalled.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.name = name
         self.jobs = JobRunner(name, spec, nursery)
         self.planned_faults: list[PlannedFault] = []
-        self.is_failing = False  # whether every job fails at once
+        self.is_failing = False  # whether every job request is answered with status 500
         self.is_alive = True
         self.started_unix_ms = 0.0  # 0: long ago
         self._event_record = event_record
@@ -60,7 +60,7 @@
         self._servers: list[HttpServer] = []
 
     async def listen_for_node(self, node: str, callback_address: tuple[str, int]) -> str:
-        """Open an address for one node, which takes call-backs at `callback_address`, and return it."""
+        """Listen at a new address for one node, which takes call-backs at `callback_address`; return it."""
         self.jobs.set_callback_address(node, callback_address)
 
         async def serve(stream: HttpStream) -> None:
@@ -71,13 +71,13 @@
     async def listen_for_all_nodes(
         self, address: tuple[str, int], identify_node: Callable[[str], CallingNode]
     ) -> None:
-        """Open one address for all nodes; `identify_node` maps a connection's source address to its node."""
+        """Listen at one address for all nodes; `identify_node` maps a source address to its node."""
 
         async def serve(stream: HttpStream) -> None:
             try:
                 source = stream.socket_stream.socket.getpeername()[0]
             except OSError:
-                return  # it was reset meanwhile
+                return  # the connection was reset meanwhile
             node = identify_node(source)
             self.jobs.set_callback_address(node.name, node.callback_address)
             await self._serve(node.name, stream)
@@ -88,30 +88,26 @@
         self._servers.append(server)
         return await server.open()
 
-    # --- failures -------------------------------------------------------------------------------
-
     def kill(self) -> None:
-        """Kill the process: its jobs are lost and no node is notified."""
+        """Kill the process: its jobs are lost, and nodes get no call-backs for them."""
         self.is_alive = False
         for server in self._servers:
             server.abort()
         self.jobs.lose_all()
 
     async def restart(self) -> None:
-        """Start a new process at the same addresses, in slow start."""
+        """Start a new process, in slow start, at the same addresses."""
         self.jobs.restart()
         self.started_unix_ms = unix_now_ms()
         self.is_alive = True
         for server in self._servers:
             await server.open()
 
-    def _take_fault(self) -> PlannedFault | None:
+    def _next_fault(self) -> PlannedFault | None:
         if self.planned_faults:
             return self.planned_faults.pop(0)
         return PlannedFault.ERROR if self.is_failing else None
 
-    # --- requests of nodes ----------------------------------------------------------------------
-
     async def _serve(self, node: str, stream: HttpStream) -> None:
         while (request := await stream.read()) is not None:
             received_ms = now_ms()
@@ -127,7 +123,7 @@
     async def _serve_job(
         self, node: str, stream: HttpStream, request: HttpMessage, received_ms: float
     ) -> bool:
-        """Answer the request for one job; false where the connection is not used any more."""
+        """Answer the request for one job; return whether the connection remains usable."""
         request_id = request.headers.get("request-id", "")
         if request_id not in self._event_record.requests:
             violation = f"{self.name}: id {request_id!r} that no client sent"
@@ -140,11 +136,11 @@
             work_ms=parameters.work_ms, slots=parameters.slots,
         )  # fmt: skip
         self._event_record.attempts.append(attempt)
-        if stream.has_peer_ended():
-            # The executor was stalled, and a close before the 202 cancels the job.
+        if stream.has_peer_closed():
+            # Closed while the executor was stalled: a close before the 202 cancels the job.
             record_cancellation(attempt)
             return False
-        fault = self._take_fault()
+        fault = self._next_fault()
         if fault is None and self.jobs.admit(attempt, node, is_failing=parameters.is_failing):
             await stream.write_response(HTTPStatus.ACCEPTED)
             return True
@@ -153,17 +149,17 @@
             attempt.ended_ms = now_ms()
             await stream.write_response(HTTPStatus.SERVICE_UNAVAILABLE, Not_Started="1")
             return True
-        return await _cause_fault(fault, attempt, stream)
+        return await _inject_fault(fault, attempt, stream)
 
 
-async def _cause_fault(fault: PlannedFault, attempt: AttemptRecord, stream: HttpStream) -> bool:
-    """Answer a request with a fault; false where the connection is not used any more."""
+async def _inject_fault(fault: PlannedFault, attempt: AttemptRecord, stream: HttpStream) -> bool:
+    """Handle a request with a fault; return whether the connection remains usable."""
     if fault is PlannedFault.HANG:
         while await stream.read() is not None:
             pass
         record_cancellation(attempt)
         return False
-    # Also before a reset: the job may have run, and a second attempt must count as a repetition.
+    # After a reset the job may have run too, so that a second attempt must count as a repetition.
     attempt.started_ms = now_ms()
     if fault is PlannedFault.RESET:
         stream.reset()
--- a/burlmoor/testbed/executor_callbacks.py
+++ b/burlmoor/testbed/executor_callbacks.py
@@ -1,4 +1,4 @@
-"""The call-backs by which a stand-in executor notifies nodes of what happens to their jobs."""
+"""The call-backs by which a stand-in executor reports the progress of jobs to their nodes."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
     from burlmoor.testbed.messages import JobEvent
 
-_ATTEMPTS = 10
-_RETRY_SECONDS = 0.2
-_TIMEOUT_SECONDS = 1.0  # for one attempt
+_MAX_ATTEMPTS = 10
+_RETRY_DELAY_SECONDS = 0.2
+_ATTEMPT_TIMEOUT_SECONDS = 1.0
 
 
 class CallbackSender:
-    """Sends call-backs in the background and repeats each until the node acknowledges it.
+    """Sends call-backs in the background, and retries each until its node acknowledges it.
 
     `wait_until_resumed` blocks while the executor is stalled.
     """
@@ -33,25 +33,25 @@
         self._addresses: dict[str, tuple[str, int]] = {}
 
     def set_address(self, node: str, address: tuple[str, int]) -> None:
-        """Set where a node takes call-backs."""
+        """Set the address at which a node takes call-backs."""
         self._addresses[node] = address
 
     def send(self, node: str, event: JobEvent) -> None:
-        """Notify a node, with up to ten attempts."""
+        """Send an event to a node, with up to ten attempts."""
         self._nursery.start_soon(self._send, node, msgspec.json.encode(event))
 
     async def _send(self, node: str, body: bytes) -> None:
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             await self._wait_until_resumed()
             with suppress(OSError, trio.TooSlowError, trio.BrokenResourceError):
-                with trio.fail_after(_TIMEOUT_SECONDS):
+                with trio.fail_after(_ATTEMPT_TIMEOUT_SECONDS):
                     status = await self._post(node, body)
                 if status in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
                     return
-            await trio.sleep(_RETRY_SECONDS)
+            await trio.sleep(_RETRY_DELAY_SECONDS)
 
     async def _post(self, node: str, body: bytes) -> int | None:
-        """Post an event; return the response's status, or None where the connection ended without one."""
+        """Post an event; return the response's status, or None if the connection ends without one."""
         stream = await connect(self._addresses[node])
         try:
             await stream.write("POST /v1/job-events HTTP/1.1", body, Host="node", Connection="close")
--- a/burlmoor/testbed/executor_jobs.py
+++ b/burlmoor/testbed/executor_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of a stand-in executor from admission to end: the model in real time, and call-backs."""
+"""Runs the jobs of a stand-in executor: drives the executor model in real time and sends call-backs."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from burlmoor.testbed.executor_model import ExecutorModel, ExecutorSpec, JobProgress
 from burlmoor.testbed.messages import JobEvent, JobState
 
-_MIN_WAIT_SECONDS = 0.0005  # between two steps of the model
+_MIN_STEP_SECONDS = 0.0005  # minimum time between two steps of the model
 
 
 class _AssignedJob(NamedTuple):
-    """A job that runs or is queued here, and the node that sent it."""
+    """A job that is running or queued, and the node that sent it."""
 
     attempt: AttemptRecord
     node: str
 
 
 class JobRunner:
-    """Runs the jobs of one executor, records how their attempts end and reports it to their nodes."""
+    """Runs the jobs of one executor, records how their attempts end, and reports it to the nodes."""
 
     def __init__(self, executor: str, spec: ExecutorSpec, nursery: trio.Nursery) -> None:
         self.model = ExecutorModel(spec, now_ms())
@@ -38,11 +38,11 @@
         nursery.start_soon(self._run_model)
 
     def set_callback_address(self, node: str, address: tuple[str, int]) -> None:
-        """Set where a node takes call-backs."""
+        """Set the address at which a node takes call-backs."""
         self._callbacks.set_address(node, address)
 
     def admit(self, attempt: AttemptRecord, node: str, *, is_failing: bool) -> bool:
-        """Queue a job, which will be reported as failed if `is_failing`; false where it is rejected."""
+        """Queue a job; return false if it is rejected. With `is_failing` it is reported as failed."""
         if not self.model.admit(now_ms(), attempt.id, attempt.work_ms, attempt.slots):
             return False
         self._assigned_jobs[attempt.id] = _AssignedJob(attempt, node)
@@ -52,7 +52,7 @@
         return True
 
     def cancel(self, job: str) -> None:
-        """Record that a node cancels a job: it is dropped from the queue, or still runs to its end."""
+        """Record that a node cancels a job; a queued job is dropped, a running one continues to its end."""
         assigned = self._assigned_jobs.get(job)
         if assigned is None:
             return
@@ -63,12 +63,12 @@
             assigned.attempt.ended_ms = now_ms()
 
     def return_queued(self) -> None:
-        """Return the jobs that have not started, as an executor that drains may."""
+        """Return the queued jobs to their nodes, as a draining executor may."""
         for job in self.model.take_queued(now_ms()):
             self._end_job(job, AttemptOutcome.RETURNED, JobState.RETURNED)
 
     def lose_all(self) -> None:
-        """Lose all jobs without a report, as a process that is killed does."""
+        """Discard all jobs without call-backs, as a killed process does."""
         for assigned in self._assigned_jobs.values():
             if assigned.attempt.outcome is AttemptOutcome.PENDING:
                 assigned.attempt.outcome = AttemptOutcome.LOST
@@ -77,7 +77,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Start without jobs, in slow start."""
+        """Start anew without jobs, in slow start."""
         self.model = ExecutorModel(self._spec, now_ms(), in_slow_start=True)
 
     def set_stalled(self, *, is_stalled: bool) -> None:
@@ -104,7 +104,7 @@
             for progress in self.model.step(now_ms()):
                 self._on_progress(progress)
             wait_seconds = (self.model.next_due_ms() - now_ms()) / 1000.0
-            with trio.move_on_after(max(_MIN_WAIT_SECONDS, wait_seconds)):
+            with trio.move_on_after(max(_MIN_STEP_SECONDS, wait_seconds)):
                 await self._model_changed.wait()
 
     def _on_progress(self, progress: JobProgress) -> None:
@@ -133,6 +133,6 @@
 
 
 def record_cancellation(attempt: AttemptRecord) -> None:
-    """Record that the executor has observed the cancellation of an attempt; only the first one counts."""
+    """Record when the executor first observed the cancellation of an attempt."""
     if attempt.cancelled_ms is UNSET:
         attempt.cancelled_ms = now_ms()
--- a/burlmoor/testbed/executor_process.py
+++ b/burlmoor/testbed/executor_process.py
@@ -1,7 +1,7 @@
-"""A process of stand-in executors, so that load generator, executors and node have an interpreter each.
+"""A process of stand-in executors, so that load generator, executors and node run in separate interpreters.
 
-It reads its plan as one line of JSON from standard input and ends with that input. Its first line of output
-is a JSON object of the address of each executor.
+The process reads its plan as one line of JSON from standard input, and exits at the end of that input. It
+writes one line, a JSON object that maps the name of each executor to its address.
 """
 
 from __future__ import annotations
--- a/burlmoor/testbed/fleet/connection_flood.py
+++ b/burlmoor/testbed/fleet/connection_flood.py
@@ -34,7 +34,7 @@
         """Drop the connections that the node has closed, and open as many."""
         remaining = []
         for stream in self._streams:
-            if stream.has_peer_ended():
+            if stream.has_peer_closed():
                 stream.close()
             else:
                 remaining.append(stream)
--- a/burlmoor/testbed/http_server.py
+++ b/burlmoor/testbed/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of stand-ins: a listening socket and its connections, which may be aborted."""
+"""The HTTP server of the stand-ins: a listening socket and its connections, which can be aborted."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import trio
 
 from burlmoor.testbed.http_stream import HttpStream
-from burlmoor.testbed.ports import listen_at_free_port
+from burlmoor.testbed.ports import listen_on_free_port
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -19,7 +19,7 @@
 
 
 class HttpServer:
-    """A listening socket on loopback and the connections accepted on it; by default at a free port."""
+    """Listens on loopback, by default on a free port, and runs `serve` for each connection."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
 
     async def open(self) -> str:
         """Listen, at the previous address if there was one, and return it as `host:port`."""
-        sock = listen_at_free_port(_BACKLOG) if self._address is None else _listen_at(self._address)
+        sock = listen_on_free_port(_BACKLOG) if self._address is None else _listen_on(self._address)
         host, port = sock.getsockname()
         self._address = (host, port)
         self._listener = trio.SocketListener(trio.socket.from_stdlib_socket(sock))
@@ -49,7 +49,7 @@
             except trio.ClosedResourceError:
                 return
             except OSError:
-                # Out of descriptors, for instance: a later attempt may succeed.
+                # A later attempt may succeed, for instance after running out of descriptors.
                 await trio.sleep(_ACCEPT_RETRY_SECONDS)
                 continue
             self._nursery.start_soon(self._serve_connection, HttpStream(socket_stream))
@@ -65,20 +65,20 @@
                 stream.close()
 
     def abort(self) -> None:
-        """Stop as a killed process does: reset all connections and refuse new ones."""
+        """Reset all connections and refuse new ones, as if the process was killed."""
         self.close()
         for stream in list(self._streams):
             stream.reset()
 
     def close(self) -> None:
-        """Stop listening; open connections continue."""
+        """Stop listening; open connections remain."""
         if self._listener is not None:
             self._listener.socket.close()
             self._listener = None
 
 
-def _listen_at(address: tuple[str, int]) -> socket.socket:
-    """Return a socket that listens at an address, also if connections of an earlier one still close there."""
+def _listen_on(address: tuple[str, int]) -> socket.socket:
+    """Return a socket that listens on an address, even if earlier connections there are in TIME_WAIT."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
--- a/burlmoor/testbed/http_stream.py
+++ b/burlmoor/testbed/http_stream.py
@@ -1,4 +1,4 @@
-"""A minimal HTTP/1.1 implementation for stand-ins: complete messages framed by Content-Length."""
+"""A minimal HTTP/1.1 implementation for stand-ins, for complete messages framed by Content-Length."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 
 
 class HttpStream:
-    """One connection that carries HTTP messages, and the bytes received but not parsed yet."""
+    """A connection that carries HTTP messages, with the received bytes that are not parsed yet."""
 
     def __init__(self, socket_stream: trio.SocketStream) -> None:
         self.socket_stream = socket_stream
         self._buffer = b""
 
     async def read(self) -> HttpMessage | None:
-        """Read the next message; None where the connection ends before it is complete."""
+        """Read the next message; return None if the connection ends before it is complete."""
         while b"\r\n\r\n" not in self._buffer:
             if not await self._receive():
                 return None
@@ -65,7 +65,7 @@
         return HttpMessage(start_line, headers, body)
 
     async def _receive(self) -> bool:
-        """Receive more bytes; false where the connection has ended."""
+        """Receive more bytes; return false if the connection has ended."""
         try:
             data = await self.socket_stream.receive_some(_RECEIVE_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -84,8 +84,8 @@
         head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
         await self.socket_stream.send_all(f"{start_line}\r\n{head}\r\n".encode() + body)
 
-    def has_peer_ended(self) -> bool:
-        """Whether the peer has ended the connection, and nothing that it wrote is unread."""
+    def has_peer_closed(self) -> bool:
+        """Whether the connection has ended, with nothing left to read."""
         try:
             with socket.socket(fileno=os.dup(self.socket_stream.socket.fileno())) as sock:
                 return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
@@ -110,7 +110,8 @@
 async def connect(address: tuple[str, int], source: str = "") -> HttpStream:
     """Open a connection to a loopback address, from the address `source` if given.
 
-    Raises OSError where the connection is refused.
+    Raises:
+        OSError: the connection fails.
     """
     sock = trio.socket.socket()
     try:
@@ -119,7 +120,7 @@
             await sock.bind((source, 0))
         await sock.connect(address)
     except BaseException:
-        # Also on cancellation: without this the socket would be leaked.
+        # BaseException, so that the socket is not leaked on cancellation either.
         sock.close()
         raise
     return HttpStream(trio.SocketStream(sock))
--- a/burlmoor/testbed/job_classes.py
+++ b/burlmoor/testbed/job_classes.py
@@ -1,4 +1,4 @@
-"""The classes of jobs that stand-in clients send, and the platform settings that declare them to nodes."""
+"""The job classes that stand-in clients use, and the platform settings that declare them to nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class JobClass(NamedTuple):
-    """One class of jobs as clients send it."""
+    """A class of jobs, with the properties that clients and nodes use."""
 
     name: str
     fraction: float  # of all jobs
@@ -18,7 +18,7 @@
     is_non_idempotent: bool = False
     priority_weight: float = 2.0
     latency_objective_ms: float = 300.0
-    objective_stretch: float = 2.0  # added to the objective for each ms of work
+    objective_stretch: float = 2.0  # ms added to the latency objective for each ms of work
 
 
 JOB_CLASSES = (
@@ -34,7 +34,7 @@
 def platform_settings(
     job_classes: Sequence[JobClass] = JOB_CLASSES, nodes: int = 1, zone: str = "a"
 ) -> dict[str, Any]:
-    """Return the settings object that the platform would hand to each node of the testbed."""
+    """Return the settings that the platform gives to each node, as an object for JSON."""
     return {
         "Balancers": nodes,
         "RequestClasses": [_class_settings(job_class) for job_class in job_classes],
--- a/burlmoor/testbed/load.py
+++ b/burlmoor/testbed/load.py
@@ -1,4 +1,4 @@
-"""An open-loop load: arrivals drawn ahead, latency from the intended start, HDR histograms by class."""
+"""An open-loop load generator: arrivals are drawn in advance, and latency counts from the intended start."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
     from burlmoor.testbed.clients import ClientPool
     from burlmoor.testbed.job_classes import JobClass
 
-_MAX_LATENCY_US = 60_000_000  # the highest value of a histogram
+_MAX_LATENCY_US = 60_000_000  # upper end of a histogram; higher values are recorded as this one
 _SIGNIFICANT_DIGITS = 3
-_WORK_SIGMA = 0.5  # of the logarithm of a job's work
+_WORK_SIGMA = 0.5  # standard deviation of the logarithm of a job's work
 _ZIPF_EXPONENT = 1.5
 _MAX_KEYS = 50
 _MIN_SLEEP_MS = 0.5
-_CHECKPOINT_EVERY = 8  # jobs that are sent without a sleep between them
+_CHECKPOINT_INTERVAL_JOBS = 8  # a generator that lags runs other tasks once per so many jobs
 
 
 class JobOutcome(StrEnum):
-    """How a job ended for its client, as a report has it."""
+    """How a job ended for its client; the values are those of reports."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -42,7 +42,7 @@
 class Arrival(NamedTuple):
     """One job of a load."""
 
-    at_seconds: float  # from the begin of the load
+    at_seconds: float  # since the start of the load
     job_class: JobClass
     work_ms: float
     key: str
@@ -51,9 +51,9 @@
 def draw_arrivals(
     rate: float, seconds: float, job_classes: Sequence[JobClass], seed: int, scale: float = 1.0
 ) -> list[Arrival]:
-    """Draw a Poisson stream of `rate` jobs a second.
+    """Draw the arrivals of a Poisson process of `rate` jobs per second.
 
-    Classes are drawn by their fractions, work log-normally around `scale` times the class's mean.
+    Classes are drawn by their fractions. Work is log-normal, with a mean of `scale` times that of its class.
     """
     rng = np.random.default_rng(seed)
     count = rng.poisson(rate * seconds)
@@ -80,7 +80,7 @@
     )
 
     def add(self, request: RequestRecord) -> None:
-        """Count one job that is over for its client."""
+        """Count one job whose client has an answer or no longer waits."""
         if request.is_served:
             self.outcomes[JobOutcome.SERVED] += 1
             latency_us = int(request.latency_ms * 1000.0)
@@ -101,10 +101,10 @@
 
 
 class ProcessUsage(NamedTuple):
-    """What a process has used."""
+    """The CPU time and memory that a process has used."""
 
     cpu_ms: float = 0.0
-    memory_bytes: int = 0  # resident at the end
+    memory_bytes: int = 0  # resident, at the end of the measurement
 
     @property
     def memory_mib(self) -> float:
@@ -114,12 +114,12 @@
 
 @dataclass
 class LoadReport:
-    """What was measured during a load."""
+    """The measurements of one load."""
 
     seconds: float
     by_class: dict[str, OutcomeTally] = field(default_factory=dict)
-    usage: ProcessUsage = field(default_factory=ProcessUsage)  # of the node's process; 0 where unknown
-    max_lag_ms: float = 0.0  # by which the generator itself sent a job late
+    usage: ProcessUsage = field(default_factory=ProcessUsage)  # of the node's process; 0 if unknown
+    max_lag_ms: float = 0.0  # longest delay of a job by the generator itself
 
     @property
     def all_classes(self) -> OutcomeTally:
@@ -132,11 +132,11 @@
 
     @property
     def cpu_ms_per_job(self) -> float:
-        """The CPU time of the node's process for each job."""
+        """The CPU time of the node's process per job."""
         return self.usage.cpu_ms / max(1, self.all_classes.job_count)
 
     def to_json_object(self) -> dict[str, Any]:
-        """Return the report as an object to be written as JSON."""
+        """Return the report as an object for JSON."""
         all_classes = self.all_classes
         tallies = {**self.by_class, "all": all_classes}
         return {
@@ -161,7 +161,7 @@
 
 
 class LoadGenerator:
-    """An open loop: each job is sent at its time, whether or not earlier ones are answered."""
+    """Sends each job at its time, whether or not earlier ones have been answered (open loop)."""
 
     def __init__(self, clients: Sequence[ClientPool], id_prefix: str = "load") -> None:
         self.report = LoadReport(1.0)
@@ -172,18 +172,18 @@
         self, arrivals: Sequence[Arrival], on_answered: Callable[[int], None] = lambda _count: None
     ) -> LoadReport:
         """Send every job and wait for all answers; `on_answered` is called with 1 after each."""
-        begin_ms = now_ms()
+        start_ms = now_ms()
         async with trio.open_nursery() as nursery:
             for number, arrival in enumerate(arrivals):
-                intended_ms = begin_ms + arrival.at_seconds * 1000.0
+                intended_ms = start_ms + arrival.at_seconds * 1000.0
                 wait_ms = intended_ms - now_ms()
                 if wait_ms > _MIN_SLEEP_MS:
                     await trio.sleep(wait_ms / 1000.0)
-                elif number % _CHECKPOINT_EVERY == 0:
+                elif number % _CHECKPOINT_INTERVAL_JOBS == 0:
                     await trio.lowlevel.checkpoint()
                 self.report.max_lag_ms = max(self.report.max_lag_ms, now_ms() - intended_ms)
                 nursery.start_soon(self._send, number, arrival, intended_ms, on_answered)
-        run_seconds = arrivals[-1].at_seconds if arrivals else (now_ms() - begin_ms) / 1000.0
+        run_seconds = arrivals[-1].at_seconds if arrivals else (now_ms() - start_ms) / 1000.0
         self.report.seconds = max(run_seconds, 1e-3)
         return self.report
 
@@ -191,7 +191,7 @@
         self, number: int, arrival: Arrival, intended_ms: float, on_answered: Callable[[int], None]
     ) -> None:
         job_class = arrival.job_class
-        # Latency counts from when the job was to be sent: without this a generator that lags would hide it.
+        # Latency counts from the intended start, so that a generator that lags does not hide it.
         request = RequestRecord(
             f"{self._id_prefix}-{number}", job_class.name, intended_ms, job_class.timeout_ms, arrival.work_ms
         )
@@ -201,16 +201,16 @@
 
 
 class ProcessMeter:
-    """Measures the CPU time of one process since the meter was made, and its memory."""
+    """Measures the memory of a process, and its CPU time since the meter was created."""
 
     def __init__(self, pid: int) -> None:
         self._process = psutil.Process(pid)
-        self._begin_cpu_ms = self._read_cpu_ms()
+        self._start_cpu_ms = self._read_cpu_ms()
 
     def _read_cpu_ms(self) -> float:
         times = self._process.cpu_times()
         return 1000.0 * float(times.user + times.system)
 
     def read(self) -> ProcessUsage:
-        """Return the CPU time since the meter was made, and the resident memory now."""
-        return ProcessUsage(self._read_cpu_ms() - self._begin_cpu_ms, self._process.memory_info().rss)
+        """Return the CPU time since the meter was created, and the current resident memory."""
+        return ProcessUsage(self._read_cpu_ms() - self._start_cpu_ms, self._process.memory_info().rss)
--- a/burlmoor/testbed/local_cluster.py
+++ b/burlmoor/testbed/local_cluster.py
@@ -1,4 +1,4 @@
-"""A whole installation on loopback: discovery, executors, nodes as real processes, and their clients."""
+"""A complete installation on loopback: real node processes with stand-in discovery, executors and clients."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     from collections.abc import AsyncIterator, Mapping, Sequence
     from pathlib import Path
 
-_DRAIN_SECONDS = 0.1  # from the announcement until an executor that drains returns its queued jobs
+_DRAIN_SECONDS = 0.1  # time from the announcement until a draining executor returns its queued jobs
 
 
 class ExecutorSize(NamedTuple):
-    """The size of an executor; `speed` is that of each core."""
+    """The size of an executor; `speed` is the speed of each core."""
 
     cores: float
     slots: int
@@ -41,14 +41,14 @@
 
 
 def total_capacity(specs: Mapping[str, ExecutorSpec]) -> float:
-    """Return the work (ms on a core of speed 1) that all executors do in a ms after slow start."""
+    """Return the work (ms on a core of speed 1) that all executors together do per ms after slow start."""
     return sum(spec.capacity for spec in specs.values())
 
 
 def executor_specs(
     count: int, sizes: Sequence[ExecutorSize] = EXECUTOR_SIZES, queue_capacity: int = 24
 ) -> dict[str, ExecutorSpec]:
-    """Return specs of `count` executors by name, with the sizes in turn."""
+    """Return the specs of `count` executors by name; their sizes cycle through `sizes`."""
     specs = {}
     for number in range(count):
         cores, slots, speed = sizes[number % len(sizes)]
@@ -59,10 +59,10 @@
 
 
 class LocalCluster:
-    """All processes of one installation, and the record of what clients and executors observe.
+    """All parts of one installation, and the record of what clients and executors observe.
 
-    With `has_links` nodes reach executors and discovery, and executors reach nodes, over links that can be
-    cut. A link accepts connections for an executor that is not running, and resets them.
+    With `has_links`, nodes connect to executors and discovery, and executors to nodes, over links that can be
+    cut. A link accepts connections for an executor that is not running, and then resets them.
     """
 
     def __init__(
@@ -88,10 +88,10 @@
         self._links: dict[tuple[str, str], NetworkLink] = {}  # by node and executor
         self._discovery_addresses: dict[str, str] = {}  # by node
         self._discovery_links: dict[str, NetworkLink] = {}  # by node
-        self._callback_links: dict[str, NetworkLink] = {}  # by node, from all executors
+        self._callback_links: dict[str, NetworkLink] = {}  # by node; for the call-backs of all executors
 
     async def start(self) -> None:
-        """Open every stand-in, then start the nodes and wait until all are ready."""
+        """Start all stand-ins, then the nodes, and wait until all nodes are ready."""
         for node in self.nodes:
             addresses = {}
             callback_address = await self._open_callback_address(node)
@@ -112,7 +112,7 @@
                 starting.start_soon(self.start_node, node)
 
     async def _open_callback_address(self, node: NodeProcess) -> tuple[str, int]:
-        """Return the address at which executors reach a node with call-backs."""
+        """Return the address to which executors send call-backs for a node, which may be that of a link."""
         if not self._has_links:
             return node.address
         host, port = node.address
@@ -120,14 +120,12 @@
         return parse_address(await link.open())
 
     async def start_node(self, node: NodeProcess, known_list: Mapping[str, object] | None = None) -> None:
-        """Start one node's process, for the first time or again; by default with the list as it is now."""
+        """Start or restart a node's process with an endpoint list, by default the current one."""
         if known_list is None:
             known_list = self.discovery.full_list(node.name)
         discovery_address = self._discovery_addresses[node.name]
         await node.start(self.nursery, self._settings, discovery_address, known_list)
 
-    # --- the network ----------------------------------------------------------------------------
-
     def links_to(self, executor: str) -> list[NetworkLink]:
         """Return the links from all nodes to one executor."""
         return [link for (_, name), link in self._links.items() if name == executor]
@@ -142,17 +140,18 @@
         return list(self._links.values())
 
     def callback_links(self) -> list[NetworkLink]:
-        """Return the links on which executors reach the nodes with call-backs."""
+        """Return the links over which executors send call-backs to nodes."""
         return list(self._callback_links.values())
 
     def discovery_link_of(self, node: str) -> NetworkLink:
         """Return the link from one node to discovery."""
         return self._discovery_links[node]
 
-    # --- failures that discovery announces ------------------------------------------------------
-
     async def kill_executor(self, name: str, announced_after: float, restarted_after: float) -> None:
-        """Kill an executor, announce it some seconds later, and restart it in slow start."""
+        """Kill an executor, announce it after some seconds, and restart the executor in slow start.
+
+        Both times count from the kill.
+        """
         executor = self.executors[name]
         executor.kill()
         await trio.sleep(announced_after)
@@ -174,8 +173,6 @@
         await executor.restart()
         self.discovery.set_entry(name, health="active", started_unix_ms=executor.started_unix_ms)
 
-    # --- the end --------------------------------------------------------------------------------
-
     async def stop(self) -> None:
         """Stop the nodes gracefully and close idle connections."""
         with trio.CancelScope(shield=True):
@@ -187,7 +184,7 @@
                         stopping.start_soon(node.stop)
 
     async def kill(self) -> None:
-        """Kill the nodes that still run, also when cancelled."""
+        """Kill the nodes that are still running, also when cancelled."""
         with trio.CancelScope(shield=True):
             for node in self.nodes:
                 await node.kill()
@@ -205,9 +202,9 @@
     has_links: bool = False,
     **changes: object,
 ) -> AsyncIterator[LocalCluster]:
-    """Run an installation; with `start` false the caller starts it.
+    """Run an installation until the context ends; if `start` is false, the caller starts it.
 
-    `options` is the text of the nodes' options file; `changes` alter the platform settings.
+    `options` is the text of the nodes' options file; `changes` override platform settings by name.
     """
     settings = {**platform_settings(nodes=nodes), **changes}
     processes = [
@@ -234,7 +231,7 @@
     timeout_ms: float | None = None,
     run_after: tuple[str, ...] = (),
 ) -> RequestRecord:
-    """Return the record of a request that is sent now, by default with its class's timeout."""
+    """Return a record for a request that is to be sent now, by default with its class's timeout."""
     if timeout_ms is None:
         timeout_ms = job_class.timeout_ms
     return RequestRecord(request_id, job_class.name, now_ms(), timeout_ms, work_ms, run_after)
--- a/burlmoor/testbed/messages.py
+++ b/burlmoor/testbed/messages.py
@@ -1,4 +1,4 @@
-"""The bodies of requests and responses that stand-ins write and read: JSON, by the published protocol."""
+"""The JSON bodies that stand-ins read and write, as the published protocol defines them."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class JobState(StrEnum):
-    """What an executor reports of a job."""
+    """The state of a job in a call-back."""
 
     STARTED = "started"
     RUNNING = "running"
     DONE = "done"
     FAILED = "failed"
-    RETURNED = "returned"  # not started, by an executor that drains
+    RETURNED = "returned"  # by a draining executor, not started
 
 
 class JobParameters(msgspec.Struct):
     """The body of a job, which tells its executor what to do."""
 
-    work_ms: float = msgspec.field(name="work")  # on one core of speed 1, for each slot
+    work_ms: float = msgspec.field(name="work")  # ms on one core of speed 1, for each slot
     slots: int = 1
-    is_failing: bool = msgspec.field(name="fails", default=False)  # whether it is to be reported as failed
+    is_failing: bool = msgspec.field(name="fails", default=False)  # the executor reports it as failed
 
 
 class JobEvent(msgspec.Struct):
-    """A call-back: what an executor reports of a job to the node that sent it."""
+    """A call-back: an executor's report on a job to the node that sent it."""
 
     id: str
     executor: str = msgspec.field(name="from")
--- a/burlmoor/testbed/network_link.py
+++ b/burlmoor/testbed/network_link.py
@@ -1,10 +1,10 @@
-"""A TCP link between two processes that can be cut and healed, as a partitioned network is, or be slow.
+"""A TCP link between two processes that can be cut and healed, to simulate a network partition, or delayed.
 
-While it is cut nothing passes. What was written meanwhile on a connection that was established before is
-delivered once the link heals, as TCP retransmits it: also if its sender has closed the connection with FIN,
-which only queues the end behind the data. A sender that has reset the connection has discarded its data, so
-nothing of it is delivered. A connection that is opened while the link is cut is not established, and is reset
-once the link heals. On a slow link, bytes and the end of a connection arrive after a delay, in their order.
+While the link is cut nothing passes. Data written meanwhile to an established connection is delivered once
+the link heals, as TCP retransmits it. That includes data of a sender that has closed the connection, because
+a FIN only follows the data. If the sender has reset the connection, its kernel has discarded the data and
+none is delivered. A connection that is opened while the link is cut is not established, and is reset once the
+link heals. On a delayed link, bytes and the end of a connection arrive late but in order.
 """
 
 from __future__ import annotations
@@ -21,30 +21,30 @@
 
 _CHUNK_BYTES = 65_536
 _LINE_ENDS = b"\r\n"
-# Each byte of a corrupted direction by what arrives in its place: lines keep their length, without content.
+# Replaces every byte except line ends, so that lines keep their length but lose their content.
 _CORRUPTION_TABLE = bytes(byte if byte in _LINE_ENDS else ord("?") for byte in range(256))
 
 
 @dataclass
 class DirectionConditions:
-    """How one direction of a link treats the bytes that pass."""
+    """The delay and corruption of bytes in one direction of a link."""
 
     delay_seconds: float = 0.0
-    is_corrupted: bool = False  # whether bytes arrive changed
+    is_corrupted: bool = False
 
 
 class NetworkLink:
-    """One link to the process that listens at `server` (`host:port`); not cut at first.
+    """A link to the server at `server` (`host:port`), initially not cut.
 
-    `open` gives the address for the other processes. `handshake_seconds` is the additional delay of the first
-    bytes on a new connection.
+    `open` returns the address to which clients connect. `handshake_seconds` is the additional delay of the
+    first bytes on a new connection.
     """
 
     def __init__(self, server: str, nursery: trio.Nursery) -> None:
         self.forward = DirectionConditions()  # towards the server
         self.back = DirectionConditions()
         self.handshake_seconds = 0.0
-        self.delayed_connections = 0  # established ones with data that waited since the link was last cut
+        self.delayed_connections = 0  # established ones with data delayed by the last cut
         self._server = server
         self._listener = HttpServer(self._relay, nursery)
         self._healed = trio.Event()
@@ -60,21 +60,21 @@
 
     @property
     def is_cut(self) -> bool:
-        """Whether nothing passes now."""
+        """Whether the link is cut."""
         return not self._healed.is_set()
 
     def cut(self) -> None:
-        """Let nothing pass in either direction from now on."""
+        """Stop delivering in both directions."""
         if not self.is_cut:
             self.delayed_connections = 0
             self._healed = trio.Event()
 
     def heal(self) -> None:
-        """Deliver what has waited, and let everything pass again."""
+        """Deliver the delayed data, and resume delivery."""
         self._healed.set()
 
     async def wait_until_healed(self, *, has_data: bool = False) -> None:
-        """Wait until bytes pass; with `has_data`, count an established connection whose data waits."""
+        """Wait until the link is healed; with `has_data`, count a connection with delayed data."""
         self.delayed_connections += has_data
         await self._healed.wait()
 
@@ -99,7 +99,7 @@
 
 
 class _Arrival(NamedTuple):
-    """What arrives at the sink of a pipe, and when; no data: the end of the connection."""
+    """Data that arrives at the sink of a pipe at a time; empty data is the end of the connection."""
 
     at: float
     data: bytes = b""
@@ -118,7 +118,7 @@
         self._was_reset = False  # by the source
 
     async def run(self, established_at: float, both_directions: trio.CancelScope) -> None:
-        """Forward bytes until the source ends its side; a reset of either side resets the other."""
+        """Forward bytes until the source closes its side; a reset of one connection resets the other."""
         sender, receiver = trio.open_memory_channel[_Arrival](math.inf)
         try:
             async with trio.open_nursery() as nursery:
@@ -147,12 +147,12 @@
                 is_open = bool(data)
 
     async def _deliver_all(self, receiver: trio.MemoryReceiveChannel[_Arrival]) -> None:
-        """Deliver each arrival at its time, and once the link is healed."""
+        """Deliver each arrival when it is due, or later when the link is healed."""
         async for arrival in receiver:
             await trio.sleep_until(arrival.at)
             if self._link.is_cut:
                 await self._link.wait_until_healed(has_data=bool(arrival.data))
-                await trio.sleep(0.0)  # so that `_receive_all` sees a reset that came meanwhile
+                await trio.sleep(0.0)  # lets `_receive_all` observe a reset that came meanwhile
                 self._raise_if_reset()  # its sender's kernel has discarded the data
             if arrival.data:
                 await self._sink.socket_stream.send_all(arrival.data)
@@ -164,7 +164,7 @@
         """Check that the source has not reset the connection.
 
         Raises:
-            trio.BrokenResourceError: it has.
+            trio.BrokenResourceError: the source has reset it.
         """
         if self._was_reset:
             raise trio.BrokenResourceError
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -1,4 +1,4 @@
-"""A real node process on loopback: its files, its start, its log, and its end by a signal to its id."""
+"""Runs a real node process on loopback: writes its files, starts and stops it, and reads its log."""
 
 from __future__ import annotations
 
@@ -26,34 +26,34 @@
 _READY_POLL_SECONDS = 0.02
 _STOP_TIMEOUT_SECONDS = 12.0
 _RESPONSE_TIMEOUT_SECONDS = 5.0
-_SEED = "5eed"
-_SOCKETS = 4096
-_PRODUCT_VARIABLES = ("RELAY_", "BURLMOOR_")
+_RANDOM_SEED = "5eed"
+_MAX_SOCKETS = 4096
+_CONFIG_VARIABLE_PREFIXES = ("RELAY_", "BURLMOOR_")
 
 
 class NodeExitedError(BurlmoorError, RuntimeError):
-    """A node's process ended before it was ready; `log` holds its last events."""
+    """A node's process exited before it was ready; `log` holds its events."""
 
     def __init__(self, name: str, status: int | None, log: list[dict[str, Any]]) -> None:
-        super().__init__(f"node {name} ended with status {status}: {log}")
+        super().__init__(f"node {name} exited with status {status} before it was ready; its log: {log}")
         self.name = name
         self.status = status
         self.log = log
 
 
 class NoAnswerError(BurlmoorError, OSError):
-    """A connection ended, or the time limit passed, before a response was complete."""
+    """The connection ended, or the time limit passed, before the response was complete."""
 
-    def __init__(self, method: str, path: str, reason: str = "no answer") -> None:
+    def __init__(self, method: str, path: str, reason: str = "no complete response") -> None:
         super().__init__(f"{method} {path}: {reason}")
         self.method = method
         self.path = path
 
 
 class NodeProcess:
-    """One node's files, its process and its log; the folder is made where it is missing.
+    """A node's process with its files and its log; the folder is created if it is missing.
 
-    `options_text` is the text of its options file; without it the node has none.
+    `options_text` is the text of the options file; without it the node has no such file.
     """
 
     def __init__(
@@ -87,8 +87,8 @@
         """Write the files, start the process, and wait until it is ready.
 
         Raises:
-            NodeExitedError: the process has ended instead.
-            trio.TooSlowError: 30 s have passed.
+            NodeExitedError: the process exited before it was ready.
+            trio.TooSlowError: the node is not ready after 30 s.
         """
         self._write_config(settings, discovery_address, known_list)
         environment = self._make_environment()
@@ -110,10 +110,10 @@
             "listen": _format_address(self.address),
             "control": _format_address(self.admin_address),
             "discovery": discovery_address,
-            "seed": _SEED,
+            "seed": _RANDOM_SEED,
             "settings": settings,
             "known": known_list,
-            "limits": {"sockets": _SOCKETS},
+            "limits": {"sockets": _MAX_SOCKETS},
             **self._extra_config,
         }
         self._config_path.write_text(json.dumps(config))
@@ -161,7 +161,7 @@
         return self.process.pid
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send the process a signal if it still runs."""
+        """Send the process a signal if it is still running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
@@ -175,7 +175,7 @@
         return await self.process.wait()
 
     async def kill(self) -> None:
-        """Kill the process if it still runs, and wait for its end also when cancelled."""
+        """Kill the process if it is still running, and wait until it has exited, even when cancelled."""
         if self.process is not None:
             self.send_signal(signal.SIGKILL)
             with trio.CancelScope(shield=True):
@@ -183,8 +183,10 @@
 
 
 def inherited_environment() -> dict[str, str]:
-    """Return the environment that a node's process inherits: without variables that would configure it."""
-    return {name: value for name, value in os.environ.items() if not name.startswith(_PRODUCT_VARIABLES)}
+    """Return the environment for a node's process, without the variables that would configure the node."""
+    return {
+        name: value for name, value in os.environ.items() if not name.startswith(_CONFIG_VARIABLE_PREFIXES)
+    }
 
 
 def _parse_log_line(line: bytes) -> dict[str, Any]:
@@ -205,8 +207,8 @@
     """Send one request on a new connection and return the response.
 
     Raises:
-        NoAnswerError: none is complete within 5 s.
-        OSError: the connection is refused.
+        NoAnswerError: the connection ends, or 5 s pass, before the response is complete.
+        OSError: the connection fails.
     """
     stream = await connect(address)
     try:
--- a/burlmoor/testbed/notification_log.py
+++ b/burlmoor/testbed/notification_log.py
@@ -1,4 +1,7 @@
-"""When nodes were notified of changes to the endpoint list, or count as notified by the drain rule."""
+"""When nodes were notified of changes to the endpoint list, or count as notified by the drain rule.
+
+The drain rule assumes that a node knows of a change some time after its watch stalled or its call failed.
+"""
 
 from __future__ import annotations
 
@@ -15,18 +18,18 @@
 
     from burlmoor.testbed.endpoint_history import Change, EndpointHistory
 
-# A node whose watch is stalled counts as notified of a change so many ms after the stall began, or after the
-# watch's wait would have ended, whichever is later.
+# A node with a stalled watch counts as notified of a change this long after the stall began, or this long
+# after the watch would have ended, whichever is later.
 _NOTIFIED_AFTER_STALL_MS = 6000.0
-_NOTIFIED_AFTER_WAIT_MS = 2000.0
-# A node whose last call failed, was rejected or was cancelled counts as notified so long after the change, or
-# after this service could be reached again, whichever is later.
+_NOTIFIED_AFTER_WATCH_END_MS = 2000.0
+# A node whose last call failed, was rejected or was cancelled counts as notified this long after the change,
+# or after the end of the outage, whichever is later.
 _NOTIFIED_AFTER_FAILURE_MS = 6000.0
 _OUTAGE_POLL_MS = 50.0
 
 
 class Notification(NamedTuple):
-    """When a node was notified of an endpoint's health, or counts as notified."""
+    """The time at which a node was notified of an endpoint's health, or counts as notified."""
 
     at_ms: float
     node: str
@@ -35,16 +38,16 @@
 
 
 class Watch(NamedTuple):
-    """A watch that waits: the version that the node has, and when its wait ends."""
+    """A pending watch: the version that the node has, and the time at which the watch ends."""
 
     version: int
     ends_ms: float
 
 
 class NotificationLog:
-    """Records what each node was notified of, and what it missed by a failure and counts as notified of.
+    """Records the changes that each node was notified of, or missed and counts as notified of.
 
-    While `is_service_down`, no node counts as notified because of time that has passed.
+    While `is_service_down`, nodes whose last call failed don't count as notified.
     """
 
     def __init__(self, history: EndpointHistory, nursery: trio.Nursery) -> None:
@@ -53,7 +56,7 @@
         self._nursery = nursery
         self._is_service_down = False
         self._recovered_ms = -math.inf
-        self._failed_nodes: set[str] = set()  # whose last call was rejected, reset or cancelled
+        self._failed_nodes: set[str] = set()  # nodes whose last call was rejected, reset or cancelled
         self._notified_health: dict[tuple[str, str], EndpointHealth] = {}  # by node and endpoint
 
     @property
@@ -62,11 +65,11 @@
         return self._is_service_down
 
     def on_outage_started(self) -> None:
-        """Wait with notifications that count by time."""
+        """Suspend the notifications of nodes whose last call failed."""
         self._is_service_down = True
 
     def on_outage_ended(self) -> None:
-        """Count the time of notifications from now on."""
+        """Resume these notifications; their time limit starts anew."""
         if self._is_service_down:
             self._recovered_ms = now_ms()
         self._is_service_down = False
@@ -76,7 +79,7 @@
         self._failed_nodes.discard(node)
 
     def on_call_failed(self, node: str) -> None:
-        """Count the node as notified by time, until a call succeeds."""
+        """Count the node as notified of changes after a time limit, until one of its calls succeeds."""
         self._failed_nodes.add(node)
 
     def on_call_answered(self, node: str, entries: Iterable[EndpointEntry]) -> None:
@@ -86,12 +89,12 @@
             self._record(node, entry)
 
     def on_list_changed(self, change: Change) -> None:
-        """Record the change for nodes that miss it because of a failed call, once they count as notified."""
+        """Record the change for nodes whose last call failed, once they count as notified."""
         self._nursery.start_soon(self._notify_failed_nodes, change, self._history.version)
 
     def on_watch_stalled(self, node: str, watch: Watch) -> None:
-        """Record what the watch misses, once the node counts as notified."""
-        notified_ms = max(now_ms() + _NOTIFIED_AFTER_STALL_MS, watch.ends_ms + _NOTIFIED_AFTER_WAIT_MS)
+        """Record the changes that the watch misses, once the node counts as notified."""
+        notified_ms = max(now_ms() + _NOTIFIED_AFTER_STALL_MS, watch.ends_ms + _NOTIFIED_AFTER_WATCH_END_MS)
         self._nursery.start_soon(self._notify_stalled_node, node, watch.version, notified_ms)
 
     async def _notify_failed_nodes(self, change: Change, version: int) -> None:
@@ -105,7 +108,7 @@
         if any(later.name == endpoint for later in self._history.find_changed(version)):
             return
         for node in self._failed_nodes:
-            # A new process has the list that it was started with, where every endpoint is active.
+            # A new process starts with a list on which every endpoint is active.
             if self._notified_health.get((node, endpoint), EndpointHealth.ACTIVE) is not health:
                 self._record(node, change.entry)
 
--- a/burlmoor/testbed/ports.py
+++ b/burlmoor/testbed/ports.py
@@ -1,7 +1,7 @@
 """Ports of 127.0.0.1 for servers whose port is chosen before it is bound, or bound again after a failure.
 
-They are below those that the kernel gives to connections: a connection could otherwise get the port of a
-server that does not listen yet, or not at the moment.
+They are below the ephemeral ports. Otherwise the kernel could give an outgoing connection the port of a
+server that does not listen yet, or is down.
 """
 
 from __future__ import annotations
@@ -15,17 +15,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_FIRST_PORT = 30_000  # above the ports of whole fleets
-_FIRST_EPHEMERAL_PORT = 32_768  # from which on the kernel gives ports to connections
+_FIRST_PORT = 30_000  # above the ports that fleets use
+_FIRST_EPHEMERAL_PORT = 32_768  # Linux default; ports from here on are given to outgoing connections
 _PORTS = range(_FIRST_PORT, _FIRST_EPHEMERAL_PORT)
-# Between the first ports of two processes with successive ids, so that they seldom choose the same one.
+# Distance of the first ports of processes with successive ids, so that they rarely try the same port.
 _PORTS_PER_PROCESS = 83
 _FIRST_INDEX = os.getpid() * _PORTS_PER_PROCESS % len(_PORTS)
 
 _next_ports: Iterator[int] = cycle([*_PORTS[_FIRST_INDEX:], *_PORTS[:_FIRST_INDEX]])
 
-
-# The latest ports stay reserved, for longer than a process takes from its start until it listens.
+# Ports stay reserved for longer than a process takes from its start until it listens.
 _MAX_RESERVED_PORTS = 64
 _reserved_sockets: deque[socket.socket] = deque()
 
@@ -33,7 +32,8 @@
 def reserve_free_port() -> int:
     """Return a port that is not in use, for a server that sets `SO_REUSEADDR`.
 
-    No other process that looks for a port here gets it meanwhile, and the kernel gives it to no connection.
+    While it is reserved, no other caller of this module gets the port, in this process or another, and the
+    kernel gives it to no connection.
     """
     sock = _bind_free_port()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -43,15 +43,15 @@
     return int(sock.getsockname()[1])
 
 
-def listen_at_free_port(backlog: int) -> socket.socket:
-    """Return a socket that listens at a port that was not in use."""
+def listen_on_free_port(backlog: int) -> socket.socket:
+    """Return a socket that listens on a port that was not in use."""
     sock = _bind_free_port()
     sock.listen(backlog)
     return sock
 
 
 def _bind_free_port() -> socket.socket:
-    """Return a socket that alone is bound to its port."""
+    """Return a socket with exclusive use of its port."""
     while True:
         sock = socket.socket()
         try:
--- a/burlmoor/testbed/single_node.py
+++ b/burlmoor/testbed/single_node.py
@@ -1,4 +1,4 @@
-"""One node with stand-in executors in processes of their own, for loads beyond one interpreter."""
+"""Runs one node with stand-in executors in separate processes, for loads that exceed one interpreter."""
 
 from __future__ import annotations
 
@@ -23,28 +23,30 @@
     from pathlib import Path
 
 _MAX_EXECUTOR_PROCESSES = 4
-_UNBOUNDED = 10_000
-_READ_BYTES = 65_536
+_UNLIMITED = 10_000
+_RECEIVE_BYTES = 65_536
 
 
 class ExecutorsExitedError(BurlmoorError, RuntimeError):
-    """A process of stand-in executors ended before it was ready; `executors` names them."""
+    """A process of stand-in executors exited before it was ready; `executors` holds their names."""
 
     def __init__(self, executors: list[str]) -> None:
-        super().__init__(f"the process of the stand-in executors {', '.join(executors)} has ended")
+        super().__init__(
+            f"the process of the stand-in executors {', '.join(executors)} exited before it was ready"
+        )
         self.executors = executors
 
 
 class _ExecutorProcess(NamedTuple):
-    """A process of stand-in executors that is ready."""
+    """A running process of stand-in executors."""
 
     process: trio.Process
     addresses: dict[str, str]  # by executor
 
 
 def unbounded_executor_specs(count: int) -> dict[str, ExecutorSpec]:
-    """Return specs of executors that never limit the load, so that the node alone is measured."""
-    spec = ExecutorSpec(cores=float(_UNBOUNDED), slots=_UNBOUNDED, queue_capacity=_UNBOUNDED)
+    """Return specs of executors that never limit the load, so that only the node is measured."""
+    spec = ExecutorSpec(cores=float(_UNLIMITED), slots=_UNLIMITED, queue_capacity=_UNLIMITED)
     return {f"s-{number:03d}": spec for number in range(count)}
 
 
@@ -60,7 +62,7 @@
     await process.stdin.send_all(msgspec.json.encode(plan) + b"\n")
     line = b""
     while not line.endswith(b"\n"):
-        data = await process.stdout.receive_some(_READ_BYTES)
+        data = await process.stdout.receive_some(_RECEIVE_BYTES)
         if not data:
             raise ExecutorsExitedError(list(specs))
         line += data
@@ -70,15 +72,15 @@
 async def _start_all_executors(
     specs: dict[str, ExecutorSpec], callback_address: tuple[str, int], processes: list[trio.Process]
 ) -> dict[str, str]:
-    """Start processes that divide the executors between them, and return the address of each executor.
+    """Start processes that share the executors, and return the address of each executor.
 
-    Processes are added to `processes` as they start, so that the caller ends them also after an error.
+    Each process is added to `processes` as it starts, so that the caller can kill it after an error too.
     """
     names = list(specs)
     addresses: dict[str, str] = {}
     for part in range(min(_MAX_EXECUTOR_PROCESSES, len(names))):
-        specs_of_part = {name: specs[name] for name in names[part::_MAX_EXECUTOR_PROCESSES]}
-        started = await _start_executors(specs_of_part, callback_address)
+        part_specs = {name: specs[name] for name in names[part::_MAX_EXECUTOR_PROCESSES]}
+        started = await _start_executors(part_specs, callback_address)
         processes.append(started.process)
         addresses |= started.addresses
     return addresses
@@ -91,9 +93,9 @@
     folder: Path,
     command: Sequence[str] = NODE_COMMAND,
 ) -> AsyncIterator[NodeProcess]:
-    """Run one node, with its executors in up to four processes so that their capacity exceeds the node's.
+    """Run one node, with its executors in up to four processes so that their throughput exceeds the node's.
 
-    `command` starts the node's process in place of `python -m burlmoor`.
+    `command` starts the node's process, by default `python -m burlmoor`.
     """
     node = NodeProcess("n0", folder, command=command)
     processes: list[trio.Process] = []
--- a/tests/simulation/test_slow_start.py
+++ b/tests/simulation/test_slow_start.py
@@ -11,7 +11,7 @@
 from burlmoor.simulation.audit import audit
 from burlmoor.simulation.cluster import SimulatedCluster
 from burlmoor.simulation.cluster_spec import ClusterSpec
-from burlmoor.testbed.executor_model import ExecutorSpec, max_calls_by_chance
+from burlmoor.testbed.executor_model import ExecutorSpec, max_jobs_by_chance
 from burlmoor.types.settings import Idempotency, JobClass, Limits, Rules, Settings, Tenant
 
 MEAN_WORK_MS = 250.0
@@ -107,4 +107,4 @@
 
 
 def test_the_allowance_for_chance_is_as_specified() -> None:
-    assert [max_calls_by_chance(budget) for budget in (0.0, 4.0, 25.0, 100.0)] == [2.0, 10.0, 37.0, 122.0]
+    assert [max_jobs_by_chance(budget) for budget in (0.0, 4.0, 25.0, 100.0)] == [2.0, 10.0, 37.0, 122.0]
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -15,9 +15,9 @@
 from burlmoor.testbed.event_record import (
     AttemptOutcome,
     AttemptRecord,
-    ClosingPeriod,
     EventRecord,
     RequestRecord,
+    ShutdownPeriod,
 )
 from burlmoor.testbed.mutations import DEFERRED_MUTATIONS
 
@@ -162,11 +162,11 @@
 def test_rejections_by_a_closing_node_do_not_count_as_released_jobs() -> None:
     record = make_sound_record()
     reject_most_released_jobs(record)
-    record.closing_periods = [ClosingPeriod(0, 80.0, 100.0)]
+    record.shutdown_periods = [ShutdownPeriod(0, 80.0, 100.0)]
     assert judge_claims(record)[RATIO_CLAIM] is False  # too few released jobs are left to compare
-    record.closing_periods = [ClosingPeriod(1, 80.0, 100.0)]
+    record.shutdown_periods = [ShutdownPeriod(1, 80.0, 100.0)]
     assert judge_claims(record)[RATIO_CLAIM] is False
-    assert record.is_rejected_by_closing_node(record.requests["w-0"]) is False
-    record.closing_periods = [ClosingPeriod(0, 80.0, 100.0)]
-    assert record.is_rejected_by_closing_node(record.requests["w-0"]) is True
-    assert record.is_rejected_by_closing_node(record.requests["w-9"]) is False  # served
+    assert record.is_rejected_by_stopping_node(record.requests["w-0"]) is False
+    record.shutdown_periods = [ShutdownPeriod(0, 80.0, 100.0)]
+    assert record.is_rejected_by_stopping_node(record.requests["w-0"]) is True
+    assert record.is_rejected_by_stopping_node(record.requests["w-9"]) is False  # served
--- a/tests/testbed/test_executor_model.py
+++ b/tests/testbed/test_executor_model.py
@@ -1,4 +1,4 @@
-"""The executor model: cores are shared, the queue is bounded and in order, capacity grows at first."""
+"""The executor model: shared cores, a bounded queue in order of arrival, and slow start."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def run_until(model: ExecutorModel, until_ms: float) -> list[TimedProgress]:
-    """Step whenever something is due, up to a time."""
-    events = [TimedProgress(model._now, progress) for progress in model.step(model._now)]
+    """Step the model whenever something is due, up to a time, and return the timed progress of jobs."""
+    events = [TimedProgress(model._now_ms, progress) for progress in model.step(model._now_ms)]
     while model.next_due_ms() <= until_ms:
         at_ms = model.next_due_ms()
         events += [TimedProgress(at_ms, progress) for progress in model.step(at_ms)]
@@ -34,11 +34,11 @@
     model = ExecutorModel(ExecutorSpec(cores=2.0, slots=4, speed=2.0), 0.0)
     for job in ("a", "b", "c", "d"):
         assert model.admit(0.0, job, 200.0)
-    # Four run on two cores of speed 2: each gets one unit of work a ms.
+    # Four jobs on two cores of speed 2: each gets 1 ms of work per ms.
     assert completion_times(run_until(model, 1000.0)) == pytest.approx(dict.fromkeys("abcd", 200.0))
 
 
-def test_the_queue_is_first_in_first_out_and_bounded() -> None:
+def test_the_queue_is_fifo_and_bounded() -> None:
     model = ExecutorModel(ExecutorSpec(cores=2.0, slots=2, queue_capacity=2), 0.0)
     assert model.admit(0.0, "one", 100.0)
     model.step(0.0)
@@ -71,7 +71,7 @@
     assert starting.slow_start_factor(5000.0) == 1.0
 
 
-def test_a_stalled_executor_reports_nothing_and_resumes_where_it_was() -> None:
+def test_a_stalled_executor_reports_nothing_and_resumes_its_jobs() -> None:
     model = ExecutorModel(ExecutorSpec(cores=1.0, slots=1, progress_interval_ms=30.0), 0.0)
     model.admit(0.0, "a", 100.0)
     model.step(0.0)
--- a/tests/testbed/test_local_cluster.py
+++ b/tests/testbed/test_local_cluster.py
@@ -1,4 +1,4 @@
-"""The local cluster: a real node between stand-ins, planned faults, and records of both sides that agree."""
+"""The local cluster: a real node between stand-in clients and executors, and the records of both sides."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return bool(cluster.event_record.started_attempts_by_id())
 
 
-async def test_every_job_of_a_load_is_answered_and_the_records_agree(tmp_path: Path) -> None:
+async def test_every_job_of_a_load_is_answered_without_violations(tmp_path: Path) -> None:
     with trio.fail_after(TIMEOUT_SECONDS):
         async with local_cluster(tmp_path, executor_specs(2)) as cluster:
             arrivals = draw_arrivals(30.0, 1.0, JOB_CLASSES, 1, scale=0.2)
@@ -95,7 +95,7 @@
     assert record.find_repeated({"d"}) == []
 
 
-def test_a_load_depends_on_its_seed_alone_and_counts_by_outcome() -> None:
+def test_arrivals_are_reproducible_by_seed_and_outcomes_are_counted() -> None:
     first = draw_arrivals(100.0, 2.0, JOB_CLASSES, 3)
     assert first == draw_arrivals(100.0, 2.0, JOB_CLASSES, 3)
     assert first != draw_arrivals(100.0, 2.0, JOB_CLASSES, 4)
@@ -110,7 +110,7 @@
     assert tally.latency_percentile_ms(50.0) == pytest.approx(40.0, rel=0.01)
 
 
-def test_try_and_load_run_without_any_file() -> None:
+def test_the_try_and_load_commands_need_no_files() -> None:
     for command in ("try", "load"):
         result = CliRunner().invoke(main, [command, "--seconds", "1", "--rate", "20", "--json", "-"])
         assert result.exit_code == 0, result.output
--- a/tests/testbed/test_network_link.py
+++ b/tests/testbed/test_network_link.py
@@ -1,4 +1,4 @@
-"""Links between stand-ins: delays, corrupted bytes, and which bytes before a reset arrive."""
+"""Network links: delays, corrupted bytes, and which bytes sent before a reset arrive."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EchoLink(NamedTuple):
-    """A link to a server that records what it receives and sends it back, and a client of it."""
+    """A link to a server that records what it receives and sends it back, and a client connected to it."""
 
     link: NetworkLink
     client: HttpStream
@@ -46,7 +46,7 @@
     return bytes(await client.socket_stream.receive_some(RECEIVE_BYTES))
 
 
-async def test_a_slow_link_delays_each_direction_and_the_first_bytes_of_a_connection(
+async def test_a_delayed_link_delays_both_directions_and_the_handshake(
     echo_link: EchoLink,
 ) -> None:
     link, client, _ = echo_link
@@ -65,7 +65,7 @@
         assert trio.current_time() - start > 2 * DELAY_SECONDS + 0.9 * HANDSHAKE_SECONDS
 
 
-async def test_bytes_in_transit_before_a_reset_arrive_and_those_that_waited_for_a_cut_link_do_not(
+async def test_a_reset_discards_only_bytes_held_back_by_a_cut_link(
     echo_link: EchoLink,
 ) -> None:
     link, client, received = echo_link
@@ -89,7 +89,7 @@
         assert received == [b"one", b"one", b"two"]
 
 
-async def test_a_link_that_corrupts_bytes_keeps_their_number(echo_link: EchoLink) -> None:
+async def test_a_corrupting_link_keeps_the_number_of_bytes(echo_link: EchoLink) -> None:
     link, client, received = echo_link
     with trio.fail_after(TIMEOUT_SECONDS):
         link.back.is_corrupted = True
