--- a/burlmoor/testbed/event_record.py
+++ b/burlmoor/testbed/event_record.py
@@ -37,9 +37,7 @@
     disconnected_ms: float | None = msgspec.field(name="left", default=None)
     node: int = 0  # the node it was sent to
     slots: int = 1
-    is_unsent: bool = msgspec.field(
-        name="unsent", default=False
-    )  # it could not be sent, so that no node has it
+    is_unsent: bool = msgspec.field(name="unsent", default=False)  # never sent: no node has the request
     node_changes: int = msgspec.field(name="moves", default=0)  # other nodes tried after a refused connection
     # Whether it was sent on a connection that had carried another request before.
     was_reused: bool | UnsetType = msgspec.field(name="reused", default=UNSET)
