--- a/burlmoor/testbed/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -1,8 +1,8 @@
-"""The rules that must hold over all nodes together, checked against what clients and executors observed.
+"""Checks the rules for the whole fleet against what clients and executors observed.
 
-What a node logs excuses nothing. Excused is only what the fault schedule itself caused: jobs at a node that
-was killed, answers that a paused node could not give, bytes that a link fault delayed. Each excuse is
-counted.
+The nodes' own logs are not considered. A deviation is excused, and counted, only if the fault schedule itself
+caused it: jobs at a node that was killed, answers that a paused node could not give, bytes that a link fault
+delayed.
 """
 
 from __future__ import annotations
--- a/burlmoor/testbed/fleet/audit_answers.py
+++ b/burlmoor/testbed/fleet/audit_answers.py
@@ -1,4 +1,4 @@
-"""The rules on answers: one for each request in time, and a result only of the job requested."""
+"""Checks answers: each request is answered in time, and results belong to the requested job."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from burlmoor.testbed.event_record import RequestRecord
     from burlmoor.testbed.fleet.record import RunRecord
 
-UNREAD_MS = 250.0  # that a request may be unread at a node, on a loaded machine
-LATE_ANSWER_ALLOWANCE_MS = 500.0  # beyond a client's timeout, on a loaded machine
-RESUME_ALLOWANCE_MS = 1000.0  # from when a paused node resumes until it has read its input
-# Requests that are sent later than this after SIGTERM must be answered before SIGKILL.
+UNREAD_MS = 250.0  # how long a node on a loaded machine may take to read a request
+LATE_ANSWER_ALLOWANCE_MS = 500.0  # how late after the timeout an answer may arrive on a loaded machine
+RESUME_ALLOWANCE_MS = 1000.0  # how long a resumed node may take to read its pending input
+# A request that is sent later than this after SIGTERM must be answered before SIGKILL.
 _UNANSWERED_AFTER_TERM_MS = 700.0
 
 
@@ -38,7 +38,7 @@
         self._received_ids = {attempt.id for attempt in record.attempts}
 
     def check(self) -> None:
-        """Check that each client got an answer in time, and a result only of the job that it requested."""
+        """Check that each client got an answer in time, and only results of the job that it requested."""
         for request in self._record.requests:
             if request.is_unsent:
                 self._result.excuse(Excuse.NO_CONNECTION, request.id)
@@ -62,7 +62,7 @@
             self._result.violations.append(f"{request.id}: answered {answered_ms - deadline_ms:.0f} ms late")
 
     def _check_missing(self, request: RequestRecord) -> None:
-        """Check that a request without an answer was lost by a fault of its node."""
+        """Check that a request without an answer was lost because of a fault of its node."""
         excuse = self._excuse_of_missing(request)
         if excuse is not None:
             self._result.excuse(excuse, request.id)
@@ -82,16 +82,16 @@
             faults.overlaps(node, sent_ms, sent_ms) for faults in (self._terminated, self._restarted)
         )
         if is_shutting_down and _may_be_unread(request):
-            # Written to an idle connection at the moment at which a terminating node closed it.
+            # The request was written to an idle connection just as the terminating node closed it.
             return Excuse.NODE_SHUTTING_DOWN
-        # Closed to make room: a new connection, or an idle one as the request was written to it.
+        # A node makes room by closing a new connection, or an idle one just as a request is written to it.
         may_make_room = request.was_reused is False or _may_be_unread(request)
         if may_make_room and self._flooded.overlaps(node, sent_ms, deadline_ms):
             return Excuse.CONNECTION_FLOOD
         return self._excuse_of_kill_in_restart(request)
 
     def _excuse_of_kill_in_restart(self, request: RequestRecord) -> Excuse | None:
-        """Excuse a job that was open at SIGKILL, and was sent before the shutdown or soon after it began."""
+        """Return the excuse for a job that was open at SIGKILL and was sent before or soon after SIGTERM."""
         node, sent_ms = request.node, request.sent_ms
         kill = self._killed_in_restart.first_within(node, sent_ms, sent_ms + request.timeout_ms)
         if kill is None:
--- a/burlmoor/testbed/fleet/audit_attempts.py
+++ b/burlmoor/testbed/fleet/audit_attempts.py
@@ -1,4 +1,4 @@
-"""The rules on attempts: repeated runs, simultaneous attempts, jobs sent to an executor that drains."""
+"""Checks attempts: repeated runs, simultaneous attempts, and jobs sent to draining executors."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
     from burlmoor.testbed.fleet.record import RunRecord
     from burlmoor.testbed.notification_log import Notification
 
-NOTIFICATION_DEADLINE_MS = 250.0  # from when a node was notified of a drain until nothing new arrives
-TRANSIT_ALLOWANCE_MS = 150.0  # that an attempt may take to reach its executor on a loaded machine
-LINK_RECOVERY_SECONDS = 1.0  # that bytes may still be delayed after a link fault has ended
-_JUST_BEFORE_SECONDS = 1e-3  # within the fault, whose interval is half-open
+NOTIFICATION_DEADLINE_MS = 250.0  # how long a node may send new jobs after it was notified of a drain
+TRANSIT_ALLOWANCE_MS = 150.0  # how long an attempt may take to reach its executor on a loaded machine
+LINK_RECOVERY_SECONDS = 1.0  # how long bytes may still be delayed after a link fault ends
+# Subtracted from a fault's end to get a moment within the fault, whose interval is half-open.
+_JUST_BEFORE_SECONDS = 1e-3
 
 
 def check_runs(record: RunRecord, result: AuditResult) -> None:
-    """Check which jobs executors started, and how often."""
+    """Check which jobs the executors started, and how often."""
     started_attempts = [attempt for attempt in record.attempts if attempt.started_ms is not None]
     started = attempts_by_id(started_attempts)
     non_idempotent = {job_class.name for job_class in JOB_CLASSES if job_class.is_non_idempotent}
@@ -55,7 +56,10 @@
     non_idempotent: Set[str],
     result: AuditResult,
 ) -> None:
-    """Check that a client sent each job that started, and was not answered that a retry is safe."""
+    """Check that a client sent each job that started.
+
+    Also check that no client was told after the start of a non-idempotent job that a retry is safe.
+    """
     requests = {request.id: request for request in record.requests}
     for job_id, attempts in started.items():
         request = requests.get(job_id)
@@ -70,26 +74,28 @@
 
 
 def check_simultaneous_attempts(record: RunRecord, result: AuditResult) -> None:
-    """Check that no more attempts of a job are open at once than settings allow.
+    """Check that no more attempts of a job are open at once than the settings allow.
 
-    An attempt is over once its executor has ended it, or has received its cancellation. One whose connection
-    the schedule has reset has ended for its node, though its executor may still run it.
+    An attempt is over once its executor has ended it or received its cancellation. If the schedule reset the
+    connection of an attempt, the attempt is over for its node, though the executor may still run it.
     """
-    most_at_once = 2 if record.plan.may_hedge else 1
-    for attempt, out in find_simultaneous(record.attempts, most_at_once):
-        if any(_may_be_reset(record, each, attempt.received_ms) for each in out if each is not attempt):
+    max_simultaneous = 2 if record.plan.may_hedge else 1
+    for attempt, open_attempts in find_simultaneous(record.attempts, max_simultaneous):
+        if any(
+            _may_be_reset(record, each, attempt.received_ms) for each in open_attempts if each is not attempt
+        ):
             result.excuse(Excuse.LINK_RESET)
             continue
         listed = ", ".join(
-            f"{each.executor} from {each.received_ms - record.start_ms:.0f} ms" for each in out
+            f"{each.executor} from {each.received_ms - record.start_ms:.0f} ms" for each in open_attempts
         )
         result.violations.append(
-            f"{attempt.id}: {len(out)} attempts out at once, {most_at_once} allowed: {listed}"
+            f"{attempt.id}: {len(open_attempts)} attempts out at once, {max_simultaneous} allowed: {listed}"
         )
 
 
 def _may_be_reset(record: RunRecord, attempt: AttemptRecord, until_ms: float) -> bool:
-    """Whether the schedule may have reset an attempt's connection between its arrival and a moment."""
+    """Return whether the schedule may have reset an attempt's connection from arrival to `until_ms`."""
     schedule = record.plan.schedule
     link = _link_to_executor(record, int(attempt.node), attempt.executor)
     since_seconds = (attempt.received_ms - record.start_ms) / 1000.0
@@ -110,9 +116,10 @@
 
 
 def check_drains(record: RunRecord, result: AuditResult) -> None:
-    """Check that no job reaches an executor that drains after the deadline, however its node was notified.
+    """Check that no job reaches a draining executor once its node has had time to react to the notification.
 
-    A link that was cut or stalled is no excuse: nodes have to withdraw what it has not delivered.
+    This holds whichever way the node was notified. A link that was cut or stalled is no excuse: nodes must
+    withdraw the jobs that it has not delivered.
     """
     notifications: dict[tuple[int, str], list[Notification]] = defaultdict(list)
     for notification in record.notifications:
@@ -121,11 +128,11 @@
     for attempt in record.attempts:
         node = int(attempt.node)
         received_ms = attempt.received_ms
-        earlier = notifications.get((node, attempt.executor), [])
-        count = bisect.bisect_right(earlier, received_ms, key=lambda each: each.at_ms)
-        if not count or earlier[count - 1].health is EndpointHealth.ACTIVE:
+        link_notifications = notifications.get((node, attempt.executor), [])
+        earlier_count = bisect.bisect_right(link_notifications, received_ms, key=lambda each: each.at_ms)
+        if not earlier_count or link_notifications[earlier_count - 1].health is EndpointHealth.ACTIVE:
             continue
-        late_ms = received_ms - earlier[count - 1].at_ms
+        late_ms = received_ms - link_notifications[earlier_count - 1].at_ms
         if late_ms <= NOTIFICATION_DEADLINE_MS + TRANSIT_ALLOWANCE_MS:
             continue
         if paused.overlaps(node, received_ms, received_ms, RESUME_ALLOWANCE_MS):
@@ -140,7 +147,7 @@
 
 
 def _is_link_faulty(record: RunRecord, node: int, executor: str, at_ms: float) -> bool:
-    """Whether the schedule slows the bytes on this link down, or did so until a moment before."""
+    """Return whether a fault of the schedule slows this link down, or did so until recently."""
     schedule = record.plan.schedule
     at_seconds = (at_ms - record.start_ms) / 1000.0
     just_ended = [fault for fault in schedule.faults if 0.0 <= at_seconds - fault.end < LINK_RECOVERY_SECONDS]
--- a/burlmoor/testbed/fleet/audit_result.py
+++ b/burlmoor/testbed/fleet/audit_result.py
@@ -1,4 +1,4 @@
-"""The result of an audit, and the faults that may excuse what it finds."""
+"""The result of an audit, and the fault intervals that may excuse its findings."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from burlmoor.testbed.fleet.fault_kinds import FaultKind
     from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
 
-RULES_CLAIM = "rules broken"  # the name of the claim that no rule was violated, in verdicts
+RULES_CLAIM = "rules broken"  # names the claim that no rule was violated, in verdicts
 
 
 class Excuse(StrEnum):
-    """Why the fault schedule itself caused an event; the values are what verdicts print."""
+    """How the fault schedule itself caused a deviation from the rules; verdicts print the values."""
 
     NO_CONNECTION = "no node took a connection"
     NODE_KILLED = "its node was killed"
@@ -33,14 +33,14 @@
 
 
 class AuditResult(msgspec.Struct):
-    """The result: one line for each violation, and how many events were excused for which reason."""
+    """The violations, one line each, and the number of deviations excused for each reason."""
 
     violations: list[str] = []
     excused: dict[Excuse, int] = {}
-    lost_job_ids: list[str] = []  # jobs without an answer in time because of a fault of their node
+    lost_job_ids: list[str] = []  # jobs that got no answer in time because of a fault of their node
 
     def excuse(self, reason: Excuse, job_id: str = "") -> None:
-        """Count one event that the fault schedule itself caused; with a job where that job was lost."""
+        """Count one deviation that the fault schedule itself caused, and record the job if one was lost."""
         self.excused[reason] = self.excused.get(reason, 0) + 1
         if job_id:
             self.lost_job_ids.append(job_id)
@@ -50,12 +50,12 @@
         return Claim(float(len(self.violations)), 0.0)
 
     def excuse_figures(self) -> dict[str, float]:
-        """Return how often each excuse was used, as figures of a verdict."""
+        """Return how often each excuse applied, as figures of a verdict."""
         return {f"excused: {reason}": float(count) for reason, count in sorted(self.excused.items())}
 
 
 class NodeFaultHistory:
-    """The intervals of one kind of fault, by the number of the node."""
+    """The intervals of one kind of fault, by node number."""
 
     def __init__(self, record: RunRecord, kind: FaultKind) -> None:
         self._intervals: dict[int, list[FaultInterval]] = defaultdict(list)
@@ -65,13 +65,13 @@
                 self._intervals[parse_node_name(interval.subject)].append(interval)
 
     def overlaps(self, node: int, start_ms: float, end_ms: float, allowance_ms: float = 0.0) -> bool:
-        """Whether the node had the fault, or had it until `allowance_ms` before, within the period."""
+        """Return whether the fault, prolonged by `allowance_ms`, overlaps the period on this node."""
         return self.first_within(node, start_ms, end_ms, allowance_ms) is not None
 
     def first_within(
         self, node: int, start_ms: float, end_ms: float, allowance_ms: float = 0.0
     ) -> FaultInterval | None:
-        """Return the first interval of the node that overlaps the period, if there is one."""
+        """Return the earliest interval of the node that overlaps the period, if any."""
         overlapping = [
             interval
             for interval in self._intervals[node]
--- a/burlmoor/testbed/fleet/audit_slow_start.py
+++ b/burlmoor/testbed/fleet/audit_slow_start.py
@@ -1,4 +1,4 @@
-"""The rule on slow start: an executor that has just started gets no more work than it can do."""
+"""Checks slow start: an executor that has just started gets no more work than it can handle."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def check_slow_starts(record: RunRecord, result: AuditResult) -> None:
-    """Check that the work that reaches a starting executor within a window does not overload it."""
+    """Check that the work that a starting executor receives in any window does not overload it."""
     started: dict[str, list[float]] = defaultdict(list)
     for interval in record.fault_intervals:
         if interval.kind in (FaultKind.EXECUTOR_KILL, FaultKind.EXECUTOR_DRAIN):
@@ -41,7 +41,7 @@
 def _overloads(
     node_count: int, spec: ExecutorSpec, received: list[AttemptRecord], start_ms: float, mean_work: float
 ) -> Iterator[float]:
-    """Yield by how much the work exceeds the budget, for each window of the slow start in which it does."""
+    """Yield the ratio of work to budget for each window of the slow start in which work exceeds it."""
     rules = platform_settings(JOB_CLASSES, node_count)["Rules"]
     window_ms = rules["OverloadFor"]
     attempts = [each for each in received if start_ms <= each.received_ms < start_ms + spec.slow_start_ms]
@@ -55,5 +55,5 @@
 
 
 def _total_work(attempt: AttemptRecord) -> float:
-    """Core-ms over all slots of the job."""
+    """Return the work of the job over all its slots, in core-ms."""
     return attempt.work_ms * attempt.slots
--- a/burlmoor/testbed/fleet/baseline_replay.py
+++ b/burlmoor/testbed/fleet/baseline_replay.py
@@ -1,6 +1,7 @@
-"""Replays the jobs of a run in virtual time, with a simple way of endpoint selection and the same faults.
+"""Replays the jobs of a run in virtual time, with a simple selection strategy and the same faults.
 
-There is no network: nothing is lost or delayed on it, so a baseline does no worse than it would as processes.
+The network is not modelled, so nothing is lost or delayed. A baseline therefore does no worse here than it
+would with real processes.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 if TYPE_CHECKING:
     from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
 
-# Returns the number of the executor for a job, out of the listed ones, which are in ascending order.
-Selector = Callable[["BaselineReplay", Job, Sequence[int]], int]
+# Returns the number of the executor selected for a job; the candidates are in ascending order.
+SelectionStrategy = Callable[["BaselineReplay", Job, Sequence[int]], int]
 
-_ATTEMPTS = 2  # a rejected job goes to one other executor, as a node's retry would
-_MAX_OVERRUN_MS = 10_000.0  # beyond the load, for jobs in flight at its end
+_MAX_ATTEMPTS = 2  # a rejected job is sent once more, as a node's retry would be
+_MAX_OVERRUN_MS = 10_000.0  # how long the replay continues after the load ends, for jobs in flight
 
 
 class ReplayResult(NamedTuple):
-    """What clients and executors would have observed."""
+    """The events that clients and executors would have observed."""
 
     requests: list[RequestRecord]
     attempts: list[AttemptRecord]
@@ -40,7 +41,7 @@
 
 class _ScheduledEvent(NamedTuple):
     at_ms: float
-    order: int  # of scheduling: events of the same time run in this order
+    order: int  # scheduling order, in which events due at the same time run
     action: Callable[[], None]
 
 
@@ -52,18 +53,18 @@
 
 
 class BaselineReplay:
-    """Owns one replay: models of the executors, and what each node counts as its own jobs."""
+    """Owns one replay: the executor models, and the count of each node's jobs in flight."""
 
-    def __init__(self, record: RunRecord, select: Selector, seed: int = 1) -> None:
+    def __init__(self, record: RunRecord, select: SelectionStrategy, seed: int = 1) -> None:
         self.record = record
         self.rng = random.Random(seed)
         self.executor_names = record.executor_names()
         self.executors = [ExecutorModel(spec, 0.0) for spec in record.executor_specs()]
         self.capacities = [spec.capacity for spec in record.executor_specs()]
-        # Jobs in flight, by node, then by executor.
+        # The number of jobs in flight, by node and then by executor.
         self.jobs_by_node: dict[int, list[float]] = defaultdict(lambda: [0.0] * len(self.executors))
-        self.next_turns: dict[int, int] = {}  # by node, for round robin
-        self.outstanding_work = [0.0] * len(self.executors)  # true state, in core-ms
+        self.next_positions: dict[int, int] = {}  # by node, for round robin
+        self.outstanding_work = [0.0] * len(self.executors)  # by executor, across all nodes, in core-ms
         self.now_ms = 0.0
         self._select = select
         self._result = ReplayResult([], [])
@@ -92,8 +93,6 @@
         self._event_count += 1
         heapq.heappush(self._events, _ScheduledEvent(at_ms, self._event_count, action))
 
-    # --- jobs -----------------------------------------------------------------------------------
-
     def _dispatch(self, job: Job) -> None:
         request = RequestRecord(
             f"j{job.number}",
@@ -105,14 +104,14 @@
         )
         request.node = job.node
         self._result.requests.append(request)
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             executor = self._select(self, job, sorted(self._listed))
             if self._attempt(request, job, executor):
                 return
         self._answer(request, HTTPStatus.SERVICE_UNAVAILABLE)
 
     def _attempt(self, request: RequestRecord, job: Job, executor: int) -> bool:
-        """Send the job to an executor; whether it was admitted there."""
+        """Send the job to an executor, and return whether the executor admitted it."""
         attempt = AttemptRecord(
             request.id,
             request.job_class,
@@ -141,7 +140,7 @@
         request.answer_count = 1
 
     def _step(self, executor: int) -> None:
-        """Advance an executor to the present and schedule its next step."""
+        """Advance an executor to the current time and schedule its next step."""
         model = self.executors[executor]
         for progress in model.step(self.now_ms):
             if progress.state is JobState.STARTED:
@@ -156,24 +155,22 @@
                 self._schedule(max(due_ms, self.now_ms), partial(self._on_step_due, executor, due_ms))
 
     def _on_step_due(self, executor: int, due_ms: float) -> None:
-        # Any other value: a step that was scheduled later has replaced this one.
+        # If the values differ, a step scheduled later has replaced this one.
         if self._next_steps_ms[executor] == due_ms:
             self._next_steps_ms[executor] = math.inf
             self._step(executor)
 
-    def _on_done(self, job: _InFlight) -> None:
-        job.attempt.outcome = AttemptOutcome.DONE
-        job.attempt.ended_ms = self.now_ms
-        if self.now_ms <= job.request.sent_ms + job.request.timeout_ms:
-            self._answer(job.request, HTTPStatus.OK)
-        self._remove(job)
-
-    def _remove(self, job: _InFlight) -> None:
-        del self._in_flight[job.attempt.id]
-        self.jobs_by_node[job.request.node][job.executor] -= 1.0
-        self.outstanding_work[job.executor] -= job.attempt.work_ms * job.attempt.slots
+    def _on_done(self, in_flight: _InFlight) -> None:
+        in_flight.attempt.outcome = AttemptOutcome.DONE
+        in_flight.attempt.ended_ms = self.now_ms
+        if self.now_ms <= in_flight.request.sent_ms + in_flight.request.timeout_ms:
+            self._answer(in_flight.request, HTTPStatus.OK)
+        self._remove(in_flight)
 
-    # --- faults ---------------------------------------------------------------------------------
+    def _remove(self, in_flight: _InFlight) -> None:
+        del self._in_flight[in_flight.attempt.id]
+        self.jobs_by_node[in_flight.request.node][in_flight.executor] -= 1.0
+        self.outstanding_work[in_flight.executor] -= in_flight.attempt.work_ms * in_flight.attempt.slots
 
     def _schedule_faults(self) -> None:
         numbers = {name: number for number, name in enumerate(self.executor_names)}
@@ -201,17 +198,17 @@
             self._schedule(interval.start, partial(self._set_slowdown, executor, max(1.0, factor)))
             self._schedule(interval.end, partial(self._set_slowdown, executor, 1.0))
         elif interval.kind in (FaultKind.EXECUTOR_HANG, FaultKind.EXECUTOR_ERRORS):
-            # An executor that fails every job at once counts as stalled: it serves no client.
+            # An executor that fails every job is modelled as stalled: either way it serves no client.
             self._schedule(interval.start, partial(self._set_stalled, executor, is_stalled=True))
             self._schedule(interval.end, partial(self._set_stalled, executor, is_stalled=False))
 
     def _kill(self, executor: int) -> None:
         self._running.discard(executor)
-        for job in [job for job in self._in_flight.values() if job.executor == executor]:
-            job.attempt.outcome = AttemptOutcome.LOST
-            job.attempt.ended_ms = self.now_ms
-            self._answer(job.request, HTTPStatus.BAD_GATEWAY)
-            self._remove(job)
+        for lost in [each for each in self._in_flight.values() if each.executor == executor]:
+            lost.attempt.outcome = AttemptOutcome.LOST
+            lost.attempt.ended_ms = self.now_ms
+            self._answer(lost.request, HTTPStatus.BAD_GATEWAY)
+            self._remove(lost)
         self._reset(executor)
         self._next_steps_ms[executor] = math.inf
 
--- a/burlmoor/testbed/fleet/connection_flood.py
+++ b/burlmoor/testbed/fleet/connection_flood.py
@@ -1,4 +1,4 @@
-"""A connection flood: idle clients that fill a node's connections, and connect again when they are closed."""
+"""Floods a node with idle connections, and reopens those that the node closes."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from burlmoor.testbed.http_stream import HttpStream, connect
 
-_REOPEN_SECONDS = 0.2  # between two looks at which connections the node has closed
+_REOPEN_SECONDS = 0.2  # interval between checks for connections that the node has closed
 
 
 class ConnectionFlood:
-    """Owns the connections of one flood, which send nothing."""
+    """Owns the connections of one flood, over which nothing is sent."""
 
     def __init__(self, address: tuple[str, int], size: int) -> None:
         self._address = address
@@ -20,7 +20,7 @@
         self._streams: list[HttpStream] = []
 
     async def run(self, seconds: float) -> None:
-        """Keep the connections open for so long."""
+        """Keep the connections open for this number of seconds."""
         try:
             with trio.move_on_after(seconds):
                 while True:
@@ -31,7 +31,7 @@
                 stream.close()
 
     async def _replace_closed(self) -> None:
-        """Drop the connections that the node has closed, and open as many."""
+        """Replace the connections that the node has closed."""
         remaining = []
         for stream in self._streams:
             if stream.has_peer_closed():
@@ -39,6 +39,6 @@
             else:
                 remaining.append(stream)
         self._streams = remaining
-        with suppress(OSError):  # the node is down: the next look tries again
+        with suppress(OSError):  # the node is down; the next check tries again
             while len(self._streams) < self._size:
                 self._streams.append(await connect(self._address))
--- a/burlmoor/testbed/fleet/datagram_faults.py
+++ b/burlmoor/testbed/fleet/datagram_faults.py
@@ -1,4 +1,4 @@
-"""What link faults do to datagrams between nodes."""
+"""Applies link faults to the datagrams between nodes."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
         self._rng = random.Random(seed)
 
     def apply(self, payload: bytes, source: int, destination: int) -> list[DatagramCopy]:
-        """Return what arrives of a datagram between two nodes: nothing, one copy or several.
+        """Return the copies that arrive of a datagram between two nodes: none, one or several.
 
-        Forward is from those that a fault has in `nodes` to those in `peers`; the link in the other direction
-        is affected with the two exchanged.
+        The forward direction of a fault is from its `nodes` to its `peers`, so a datagram from one of its
+        `peers` to one of its `nodes` goes in the back direction.
         """
         copies = [DatagramCopy(0.0, payload)]
         forward = DirectedLink(source, destination, LinkDirection.FORWARD)
@@ -44,17 +44,17 @@
         return copies
 
     def _apply_fault(self, fault: LinkFault, copies: list[DatagramCopy]) -> list[DatagramCopy]:
-        # Drawn for every kind of fault, needed or not: the draws of a seed do not depend on the kinds.
-        is_hit = self._rng.random() < fault.magnitude
-        if fault.kind in BLOCKING_FAULTS or (fault.kind is FaultKind.LINK_LOSS and is_hit):
+        # Drawn even for kinds that do not need it, so that later draws do not depend on the kinds.
+        is_affected = self._rng.random() < fault.magnitude
+        if fault.kind in BLOCKING_FAULTS or (fault.kind is FaultKind.LINK_LOSS and is_affected):
             return []
-        if fault.kind is FaultKind.LINK_DUPLICATION and is_hit:
+        if fault.kind is FaultKind.LINK_DUPLICATION and is_affected:
             return [*copies, copies[0]]
         if fault.kind is FaultKind.LINK_DELAY:
             return [_delay(copy, fault.magnitude * self._rng.uniform(*DELAY_JITTER) / 1e3) for copy in copies]
         if fault.kind is FaultKind.LINK_REORDERING:
             return [_delay(copy, self._rng.uniform(0.0, fault.magnitude) / 1e3) for copy in copies]
-        if fault.kind is FaultKind.LINK_CORRUPTION and copies[0].payload and is_hit:
+        if fault.kind is FaultKind.LINK_CORRUPTION and copies[0].payload and is_affected:
             position = self._rng.randrange(len(copies[0].payload))
             return [copy._replace(payload=corrupt_byte(copy.payload, position)) for copy in copies]
         return copies
--- a/burlmoor/testbed/fleet/datagram_switch.py
+++ b/burlmoor/testbed/fleet/datagram_switch.py
@@ -1,8 +1,8 @@
-"""The switch for datagrams between nodes, in a process of its own.
+"""Switches datagrams between nodes, in a separate process.
 
-Started as `python -m burlmoor.testbed.fleet.datagram_switch`. A node sends to the address of its link with
-another node. The switch delivers the datagram to that other node from the address of the link in the other
-direction, so that an answer finds its way. What happens to datagrams is decided by `datagram_faults.py`.
+The process is started as `python -m burlmoor.testbed.fleet.datagram_switch`. A node sends to the address of
+its link to another node. The switch delivers the datagram to that node from the address of the reverse link,
+so that answers are routed back. Link faults are applied by `datagram_faults.py`.
 """
 
 from __future__ import annotations
@@ -28,27 +28,27 @@
 from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_acknowledgement
 from burlmoor.testbed.fleet.link_faults import LinkFault, LinkProcessConfig
 
-MAX_QUEUED = 100_000  # datagrams; more are lost, as in a real switch
-_MAX_BATCH = 256  # datagrams received before others are delivered
+MAX_QUEUED = 100_000  # datagrams; any more are lost, as in a real switch
+_MAX_BATCH = 256  # datagrams received in a row before due ones are delivered
 _MAX_DATAGRAM_BYTES = 2048
 _RECEIVE_BUFFER_BYTES = 4 << 20
 _IDLE_SECONDS = 60.0
 _MIN_WAIT_SECONDS = 0.0005
-_IP_PKTINFO = 8  # linux/in.h; the socket module of Python 3.11 has no name for it
-_PKTINFO_BYTES = 12  # of struct in_pktinfo: the interface, the local address, the destination
+_IP_PKTINFO = 8  # from linux/in.h; the socket module of Python 3.11 does not define it
+_PKTINFO_BYTES = 12  # size of struct in_pktinfo: interface, local address, destination
 _PKTINFO_DESTINATION = slice(8, 12)
 
 
 class _QueuedDatagram(NamedTuple):
     due_seconds: float  # on the monotonic clock
-    order: int  # of arrival: datagrams due at the same time are delivered in this order
+    order: int  # arrival order, in which datagrams due at the same time are delivered
     source: int
     destination: int
     payload: bytes
 
 
 class DatagramSwitch:
-    """Owns the socket and the datagrams that are queued."""
+    """Owns the socket and the queued datagrams."""
 
     def __init__(self, config: LinkProcessConfig) -> None:
         self.faults = DatagramFaults(config.seed)
@@ -60,7 +60,7 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
     def open(self) -> None:
-        """Bind the socket on all addresses of links."""
+        """Bind the socket to the addresses of all links."""
         self._socket.setsockopt(socket.IPPROTO_IP, _IP_PKTINFO, 1)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
         bind_to_loopback(self._socket)
@@ -76,7 +76,7 @@
                     payload, ancillary, _flags, _source = self._socket.recvmsg(
                         _MAX_DATAGRAM_BYTES, socket.CMSG_SPACE(_PKTINFO_BYTES)
                     )
-                    with suppress(LinkAddressError):  # for no node
+                    with suppress(LinkAddressError):  # the destination is not a node
                         self._enqueue(payload, socket.inet_ntoa(ancillary[0][2][_PKTINFO_DESTINATION]))
             self._queue_changed.set()
 
@@ -92,7 +92,7 @@
             heapq.heappush(self._queue, queued)
 
     async def deliver(self) -> None:
-        """Deliver each datagram at its time, until cancelled."""
+        """Deliver each datagram when it is due, until cancelled."""
         while True:
             self._queue_changed = trio.Event()
             while self._queue and self._queue[0].due_seconds <= time.monotonic():
@@ -102,11 +102,11 @@
                 await self._queue_changed.wait()
 
     def _send(self, datagram: _QueuedDatagram) -> None:
-        """Send a datagram from the address of the link back, by struct in_pktinfo."""
+        """Send a datagram from the address of the reverse link, which is set through struct in_pktinfo."""
         reverse_link = socket.inet_aton(link_address(datagram.destination, datagram.source))
         packet_info = b"\0\0\0\0" + reverse_link + b"\0\0\0\0"
         destination = (node_address(datagram.destination), self._ports.node_datagrams)
-        # The node may be down; its datagrams are lost.
+        # The node may be down: its datagrams are lost then.
         with suppress(OSError):
             self._socket.sendmsg(
                 [datagram.payload], [(socket.IPPROTO_IP, _IP_PKTINFO, packet_info)], 0, destination
@@ -114,7 +114,7 @@
 
 
 async def serve(config: LinkProcessConfig) -> None:
-    """Switch datagrams until the input ends; each line is the list of link faults from then on."""
+    """Switch datagrams until the input ends; each input line replaces the link faults in effect."""
     async with trio.open_nursery() as nursery:
         switch = DatagramSwitch(config)
         switch.open()
--- a/burlmoor/testbed/fleet/discovery_faults.py
+++ b/burlmoor/testbed/fleet/discovery_faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of discovery, and of the nodes' watches on it."""
+"""Injects faults of discovery and of the nodes' watches."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DiscoveryFaultInjector:
-    """Injects one fault of discovery, as one node sees it, at a time."""
+    """Injects faults of discovery, each for one node."""
 
     def __init__(self, record: RunRecord, node_names: Sequence[str], discovery: DiscoveryService) -> None:
         self._record = record
@@ -24,10 +24,10 @@
         self._discovery = discovery
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time, inject it for a node, and end it.
+        """Wait until the fault starts, inject it for a node, and revert it at its end.
 
         Raises:
-            UnsupportedFaultError: the fault is of another group.
+            UnsupportedFaultError: the fault is not a discovery fault.
         """
         await sleep_until(self._record, fault.start)
         node = self._node_names[number]
--- a/burlmoor/testbed/fleet/executor_faults.py
+++ b/burlmoor/testbed/fleet/executor_faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of executors: killed, drained, cut off, hanging, slow, or failing every job."""
+"""Injects faults of executors: kills, drains, partitions, hangs, slowdowns, and errors for every job."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
     from burlmoor.testbed.fleet.helper_processes import HelperProcesses
     from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
 
-_HAND_BACK_DELAY_SECONDS = 0.1  # from when a drain is announced until the executor hands its queue back
+_HAND_BACK_DELAY_SECONDS = (
+    0.1  # between the announcement of a drain and the moment the executor hands its queue back
+)
 _DEGRADATIONS = {
     FaultKind.EXECUTOR_HANG: ExecutorAction.HANG,
     FaultKind.EXECUTOR_SLOWDOWN: ExecutorAction.SLOW_DOWN,
@@ -28,7 +30,7 @@
 
 
 class ExecutorFaultInjector:
-    """Injects one fault into one executor at a time; processes and discovery are owned by others."""
+    """Injects faults, each into one executor; does not own the processes or discovery."""
 
     def __init__(self, record: RunRecord, helpers: HelperProcesses, discovery: DiscoveryService) -> None:
         self._record = record
@@ -36,10 +38,10 @@
         self._discovery = discovery
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time, inject it into an executor, and end it.
+        """Wait until the fault starts, inject it into an executor, and revert it at its end.
 
         Raises:
-            UnsupportedFaultError: the fault is of another group.
+            UnsupportedFaultError: the fault is not an executor fault.
         """
         await sleep_until(self._record, fault.start)
         name = self._record.executor_names()[number]
@@ -74,7 +76,7 @@
         interval.end = now_ms()
 
     async def _announce_partition(self, fault: Fault, name: str, interval: FaultInterval) -> None:
-        """Let discovery announce an executor that is cut off, and that it is back; its process still runs."""
+        """Announce a partitioned executor as gone, and as active afterwards; its process keeps running."""
         with trio.move_on_after(fault.duration):
             await trio.sleep(fault.notification_delay)
             self._discovery.set_entry(name, health=EndpointHealth.GONE)
@@ -84,7 +86,7 @@
         self._discovery.set_entry(name, health=EndpointHealth.ACTIVE)
 
     async def _degrade(self, fault: Fault, name: str, interval: FaultInterval) -> None:
-        """Let an executor hang, be slow or fail every job at once."""
+        """Make an executor hang, slow down or fail every job immediately, until the fault ends."""
         action = _DEGRADATIONS[fault.kind]
         self._helpers.command_executor(name, action, max(1.0, fault.magnitude))
         await sleep_until(self._record, fault.end)
--- a/burlmoor/testbed/fleet/fault_injection.py
+++ b/burlmoor/testbed/fleet/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a schedule into a run, at their times, and records when each took place."""
+"""Injects the faults of a schedule into a run on time, and records their intervals."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FaultInjector:
-    """Injects the faults of a run; everything it acts on is owned by others."""
+    """Injects the faults of a run; does not own the processes or services that it acts on."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._discovery_faults = DiscoveryFaultInjector(record, nodes.names, discovery)
 
     async def run(self) -> None:
-        """Inject all faults; returns when the last one is over."""
+        """Inject all faults, and return when the last one is over."""
         async with trio.open_nursery() as nursery:
             for fault in self._record.plan.schedule.faults:
                 if fault.kind in LINK_FAULTS:
@@ -57,17 +57,17 @@
         self._record.fault_intervals.append(FaultInterval(fault.kind, LINKS_SUBJECT, start_ms, end_ms))
 
     async def _inject(self, fault: Fault) -> None:
-        """Inject one fault into each of those that it selects, staggered by its parameters."""
+        """Inject a fault into each selected node or executor, staggered as the fault specifies."""
         numbers = self._select_members(fault)
         async with trio.open_nursery() as nursery:
-            for place, number in enumerate(numbers):
-                start = fault.start + fault.stagger * place / len(numbers)
-                duration = fault.duration + fault.restart_stagger * place / len(numbers)
+            for position, number in enumerate(numbers):
+                start = fault.start + fault.stagger * position / len(numbers)
+                duration = fault.duration + fault.restart_stagger * position / len(numbers)
                 staggered = msgspec.structs.replace(fault, start=start, duration=duration)
                 nursery.start_soon(self._inject_into, staggered, number)
 
     def _select_members(self, fault: Fault) -> list[int]:
-        """Return the numbers of the nodes or executors that a fault affects."""
+        """Return the numbers of the nodes or executors that a fault selects."""
         seed = self._record.plan.schedule.seed
         if fault.kind in EXECUTOR_FAULTS:
             return resolve_selector(self._record.executor_population(), fault.executors, seed)
@@ -82,7 +82,7 @@
             await self._discovery_faults.inject(fault, number)
 
     async def _update_link_faults(self) -> None:
-        """Send the link faults in effect to the relays and the switch at each change."""
+        """Send the active link faults to the relays and the switch whenever they change."""
         schedule = self._record.plan.schedule
         nodes = self._record.node_population()
         executors = self._record.executor_population()
--- a/burlmoor/testbed/fleet/fault_kinds.py
+++ b/burlmoor/testbed/fleet/fault_kinds.py
@@ -8,9 +8,9 @@
 
 
 class FaultKind(StrEnum):
-    """What goes wrong; the values are the words of stored schedules and records."""
+    """The kind of a fault; the values are used in stored schedules and records."""
 
-    # Links. Those that repeat or reorder are for datagrams alone, resets and throttling for connections.
+    # Links. Duplication and reordering apply to datagrams only, resets and throttling to connections only.
     LINK_PARTITION = "cut"
     LINK_DELAY = "delay"
     LINK_LOSS = "drop"
@@ -24,7 +24,7 @@
     NODE_KILL = "kill"
     NODE_PAUSE = "stop"
     NODE_TERMINATION = "term"
-    NODE_RESTART = "restart"  # SIGTERM, `magnitude` more signals, then SIGKILL at the platform's earliest
+    NODE_RESTART = "restart"  # SIGTERM, `magnitude` more signals, then SIGKILL as early as the platform may
     NODE_RELOAD = "reload"  # SIGHUP, `magnitude` times in a row
     CONNECTION_FLOOD = "crowd"  # `magnitude` idle clients
     # Executors.
@@ -35,15 +35,15 @@
     EXECUTOR_ERRORS = "fail"
     # The executor stays up; discovery announces it as gone, and later as back.
     EXECUTOR_PARTITION = "vanish"
-    # Discovery, and each node's way to it.
+    # Discovery, and each node's connection to it.
     DISCOVERY_DELAY = "late"
     DISCOVERY_OUTAGE = "down"
-    DISCOVERY_OVERLOAD = "crowded"  # calls wait for their turn until they fail
+    DISCOVERY_OVERLOAD = "crowded"  # calls are queued until they fail
     WATCH_STALL = "silent"
     WATCH_RESET = "broken"
     # Cut off from discovery and all executors, while clients still reach the node.
     NODE_ISOLATION = "isolate"
-    # Only in records, never in schedules: SIGKILL at the end of a restart.
+    # SIGKILL at the end of a restart. Occurs in records only, never in schedules.
     RESTART_KILL = "sigkill"
 
 
@@ -82,14 +82,14 @@
     FaultKind.WATCH_RESET,
     FaultKind.NODE_ISOLATION,
 )
-# Those of executors and discovery that cut links as well.
+# Faults of executors and discovery that cut links as well.
 PARTITION_FAULTS = (FaultKind.EXECUTOR_PARTITION, FaultKind.NODE_ISOLATION)
 SCHEDULED_FAULTS = (*LINK_FAULTS, *NODE_FAULTS, *EXECUTOR_FAULTS, *DISCOVERY_FAULTS)
 
 
 class UnsupportedFaultError(BurlmoorError, ValueError):
-    """A fault of a kind that its injector has no case for."""
+    """Raised when an injector does not handle a kind of fault."""
 
     def __init__(self, kind: FaultKind) -> None:
-        super().__init__(f"no injector for the fault {kind}")
+        super().__init__(f"unsupported fault kind: {kind}")
         self.kind = kind
--- a/burlmoor/testbed/fleet/fault_selectors.py
+++ b/burlmoor/testbed/fleet/fault_selectors.py
@@ -1,7 +1,7 @@
-"""Which nodes or executors the selectors of a fault name.
+"""Resolves the selectors of a fault to nodes or executors.
 
-A selector is a list, separated by commas, of globs of names, shares of all (`30%`, drawn from the schedule's
-seed) and zones (`zone:a`).
+A selector is a comma-separated list of terms. A term is a glob for names, a percentage of all members (`30%`,
+drawn at random from the schedule's seed) or a zone (`zone:a`).
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class Population(NamedTuple):
-    """The nodes or the executors of a run, as selectors see them: names and zones by number."""
+    """The names and zones of a run's nodes or executors, indexed by number."""
 
     names: Sequence[str]
     zones: Sequence[str]
 
 
 def resolve_selector(population: Population, selector: str, seed: int) -> list[int]:
-    """Return the numbers of the members that a selector names, in ascending order."""
+    """Return the numbers of the members that match a selector, in ascending order."""
     selected: set[int] = set()
     for term in selector.split(","):
         selected |= _resolve_term(population, term.strip(), seed)
--- a/burlmoor/testbed/fleet/faults.py
+++ b/burlmoor/testbed/fleet/faults.py
@@ -1,7 +1,7 @@
-"""Faults as data: what goes wrong, with which nodes and executors, and when.
+"""Data types for faults and fault schedules.
 
-Times are seconds from the beginning of the load. Fields keep the names that they have in stored schedules and
-records through `msgspec.field(name=...)`.
+Times are in seconds since the start of the load. `msgspec.field(name=...)` gives the names that fields have
+in stored schedules and records.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class LinkDirection(StrEnum):
-    """Which way the bytes flow that a link fault affects; forward is from nodes to their peers."""
+    """The direction of traffic that a link fault affects; FORWARD is from nodes to peers."""
 
     BOTH = "both"
     FORWARD = "forward"
@@ -22,14 +22,20 @@
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault, from `start` for `duration` seconds, of the nodes and executors that its selectors name.
-
-    Selectors are described in `fault_selectors.py`; `peers` selects the other nodes of links between nodes.
-    The direction forward is from nodes to executors (or from `nodes` to `peers`). `magnitude` is in ms for a
-    delay of links or of discovery and for reordering; the share of messages affected for loss, resets,
-    corruption and duplication; bytes a second for throttling; how many times slower for a slowdown; and a
-    number of signals or clients for a restart, a reload and a connection flood. The duration of a restart is
-    the time between the end and the next start.
+    """One fault, from `start` for `duration` seconds, of the nodes and executors that its selectors match.
+
+    Selectors are described in `fault_selectors.py`; `peers` selects the other ends of links between nodes.
+    The forward direction is from nodes to executors, or from `nodes` to `peers`. For a restart, `duration` is
+    the time from the end of the process to its next start.
+
+    `magnitude` depends on the kind:
+
+    - link delay, discovery delay, reordering: a delay in ms;
+    - loss, reset, corruption, duplication: the share of messages affected;
+    - throttling: bytes per second;
+    - executor slowdown: the factor by which the executor is slower;
+    - restart and reload: a number of signals;
+    - connection flood: a number of clients.
     """
 
     kind: FaultKind = msgspec.field(name="what")
@@ -40,30 +46,30 @@
     peers: str = ""
     direction: LinkDirection = LinkDirection.BOTH
     magnitude: float = msgspec.field(default=0.0, name="size")
-    # Seconds until discovery announces that an executor has died, is cut off or is back.
+    # Seconds until discovery announces that an executor has died, is partitioned or is back.
     notification_delay: float = msgspec.field(default=1.0, name="told")
-    # The nodes or executors fail one after another within so many seconds, rather than all at once.
+    # Seconds over which the fault's starts are spread across the nodes or executors; 0: all at once.
     stagger: float = msgspec.field(default=0.0, name="over")
-    # Nodes that were killed or terminated start again one after another within so many seconds.
+    # Seconds over which the restarts of killed or terminated nodes are spread.
     restart_stagger: float = msgspec.field(default=0.0, name="back")
 
     @property
     def end(self) -> float:
-        """When the fault is over for the first of those that it affects."""
+        """The time when the fault is over for the first node or executor that it affects."""
         return self.start + self.duration
 
     @property
     def end_for_all(self) -> float:
-        """When the fault is over for all that it affects."""
+        """The time when the fault is over for all nodes or executors that it affects."""
         return self.end + self.stagger + self.restart_stagger
 
     def is_active(self, at_seconds: float) -> bool:
-        """Whether the fault is in effect at a moment for the first of those that it affects."""
+        """Return whether the fault is in effect at a time for the first node or executor that it affects."""
         return self.start <= at_seconds < self.end
 
 
 class FaultSchedule(msgspec.Struct, frozen=True):
-    """All faults of a run, and the seed from which selectors draw."""
+    """All faults of a run, and the seed for selectors that draw members at random."""
 
     seed: int
     faults: tuple[Fault, ...] = msgspec.field(default=(), name="troubles")
--- a/burlmoor/testbed/fleet/link_faults.py
+++ b/burlmoor/testbed/fleet/link_faults.py
@@ -1,4 +1,4 @@
-"""Which faults affect which links at a moment; the relays and the datagram switch apply them."""
+"""Determines which link faults are active at a time; the relays and the datagram switch apply them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from burlmoor.testbed.fleet.fault_selectors import Population, resolve_selector
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule, LinkDirection
 
-BLOCKING_FAULTS = (FaultKind.LINK_PARTITION, FaultKind.LINK_STALL)  # while these last, nothing passes
-DELAY_JITTER = (0.8, 1.2)  # by which a delay is multiplied, drawn uniformly
+BLOCKING_FAULTS = (FaultKind.LINK_PARTITION, FaultKind.LINK_STALL)  # nothing passes while active
+DELAY_JITTER = (0.8, 1.2)  # the range of the uniformly drawn factor that a delay is multiplied by
 _CORRUPTED_BIT = 0x20
 
 
@@ -20,7 +20,7 @@
     """The configuration of a process that applies link faults: a relay, or the datagram switch."""
 
     ports: Ports
-    seed: int  # of what link faults draw
+    seed: int  # for the random draws of link faults
 
 
 class DirectedLink(NamedTuple):
@@ -28,7 +28,7 @@
 
     node: int
     peer: int
-    direction: LinkDirection  # forward: from the node to the peer; never both
+    direction: LinkDirection  # FORWARD is from the node to the peer; never BOTH
 
     def reverse(self) -> DirectedLink:
         """Return the other direction of the same link."""
@@ -38,24 +38,26 @@
 
 
 class LinkFault(msgspec.Struct, frozen=True):
-    """A fault of some links that is in effect now."""
+    """An active fault of some links."""
 
     kind: FaultKind
     nodes: frozenset[int]
-    peers: frozenset[int] | None  # executors, or other nodes; None: all
+    peers: frozenset[int] | None  # numbers of executors or of other nodes; None means all
     direction: LinkDirection = LinkDirection.BOTH
     magnitude: float = 0.0
 
     def affects(self, link: DirectedLink) -> bool:
-        """Whether it affects this direction of this link."""
-        is_direction = self.direction in (LinkDirection.BOTH, link.direction)
-        return is_direction and link.node in self.nodes and (self.peers is None or link.peer in self.peers)
+        """Return whether the fault affects this direction of this link."""
+        matches_direction = self.direction in (LinkDirection.BOTH, link.direction)
+        return (
+            matches_direction and link.node in self.nodes and (self.peers is None or link.peer in self.peers)
+        )
 
 
 def active_executor_link_faults(
     schedule: FaultSchedule, at_seconds: float, nodes: Population, executors: Population
 ) -> list[LinkFault]:
-    """Return the faults of links between nodes and executors at a moment."""
+    """Return the link faults between nodes and executors that are active at a time."""
     active = [fault for fault in _active_faults(schedule, at_seconds) if not fault.peers]
     link_faults = [_resolve(fault, schedule.seed, nodes, executors, fault.executors) for fault in active]
     every_node = frozenset(range(len(nodes.names)))
@@ -63,8 +65,8 @@
         if not fault.is_active(at_seconds):
             continue
         if fault.kind is FaultKind.EXECUTOR_PARTITION:
-            cut_off = frozenset(resolve_selector(executors, fault.executors, schedule.seed))
-            link_faults.append(LinkFault(FaultKind.LINK_PARTITION, every_node, cut_off))
+            partitioned = frozenset(resolve_selector(executors, fault.executors, schedule.seed))
+            link_faults.append(LinkFault(FaultKind.LINK_PARTITION, every_node, partitioned))
         elif fault.kind is FaultKind.NODE_ISOLATION:
             isolated = frozenset(resolve_selector(nodes, fault.nodes, schedule.seed))
             link_faults.append(LinkFault(FaultKind.LINK_PARTITION, isolated, None))
@@ -72,7 +74,7 @@
 
 
 def active_node_link_faults(schedule: FaultSchedule, at_seconds: float, nodes: Population) -> list[LinkFault]:
-    """Return the faults of links between nodes at a moment."""
+    """Return the link faults between nodes that are active at a time."""
     active = [fault for fault in _active_faults(schedule, at_seconds) if fault.peers]
     return [_resolve(fault, schedule.seed, nodes, nodes, fault.peers) for fault in active]
 
@@ -93,5 +95,5 @@
 
 
 def corrupt_byte(data: bytes, position: int) -> bytes:
-    """Return the data with one bit changed in the byte at this position."""
+    """Return the data with one bit flipped in the byte at this position."""
     return data[:position] + bytes([data[position] ^ _CORRUPTED_BIT]) + data[position + 1 :]
--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -1,11 +1,12 @@
-"""How load was spread in a run, measured by what clients and executors observed.
+"""Measures how evenly load was spread in a run, from what clients and executors observed.
 
-- thundering herd: jobs that reach one executor within a window, over what the same jobs, dealt round robin,
-  give.
-- evenness: outstanding work over capacity, its maximum over its mean and its coefficient of variation (Jain
-  et al. 1984 compare such indices; the variation tells a few hot executors from many uneven ones).
+- thundering herd: the number of jobs that reach one executor within a window, relative to the number if the
+  same jobs are assigned round robin.
+- evenness: the ratio of maximum to mean, and the coefficient of variation, of outstanding work per capacity
+  (Jain et al. 1984 compare such indices; the variation tells a few hot executors from many uneven ones).
 - idleness: the share of executors' time without any job while jobs waited or were rejected anywhere.
-- recovery time: from a fault's end until the variation is back, and stays, where it was before any fault.
+- recovery time: the time from a fault's end until the variation returns to its level before any fault, and
+  stays there.
 """
 
 from __future__ import annotations
@@ -34,39 +35,39 @@
     from burlmoor.testbed.fleet.record import RunRecord
 
 HERD_WINDOW_MS = 50.0
-RECOVERED_FACTOR = 1.25  # of the usual variation, up to which it counts as recovered
-RECOVERED_SECONDS = 2.0  # for which the variation must stay there
-_TRANSIT_ALLOWANCE_MS = 100.0  # that a job may be in transit without counting as waiting
+RECOVERED_FACTOR = 1.25  # multiple of the usual variation up to which a run counts as recovered
+RECOVERED_SECONDS = 2.0  # how long the variation must stay within that limit
+_TRANSIT_ALLOWANCE_MS = 100.0  # how long a job may be in transit without counting as waiting
 _HERD_QUANTILE = 0.999
 _MEDIAN = 0.5
 _TAIL = 0.99
-_HALF = 0.5  # counts are sums of floats: more than a half is one or more
+_HALF = 0.5  # counts are sums of floats: above a half means at least one
 
 
 class SpreadMetrics(msgspec.Struct):
-    """What was measured of one way to spread the jobs of a run."""
+    """The metrics of one way to spread the jobs of a run."""
 
-    thundering_herd: float  # at p99.9, over what round robin gives
+    thundering_herd: float  # at p99.9, relative to round robin
     thundering_herd_max: float
     max_over_mean: float  # median over the slices
     variation: float  # median over the slices
     idleness: float
     served: float  # share of the jobs
     served_in_time: float  # share of the jobs that were served within their latency objective
-    latency_p50_ms: float  # of what was served
+    latency_p50_ms: float  # of served jobs
     latency_p99_ms: float
     recovery_seconds: dict[str, float] = {}  # from the end of each fault
 
 
 class ThunderingHerd(NamedTuple):
-    """Jobs that reach one executor within a window, over what round robin gives."""
+    """The number of jobs that reach one executor within a window, relative to round robin."""
 
-    p999: float  # of all windows in which an executor got a job
+    p999: float  # over all windows in which an executor got a job
     maximum: float
 
 
 class FaultWindow(NamedTuple):
-    """When a fault was in effect anywhere, in ms on the machine's clock."""
+    """The period in which a fault was in effect anywhere, in ms on the machine's clock."""
 
     name: str
     start_ms: float
@@ -74,42 +75,42 @@
 
 
 def measure_thundering_herd(grid: LoadGrid, attempts: Sequence[AttemptRecord]) -> ThunderingHerd:
-    """Compare the jobs of each executor and window with the same jobs dealt round robin."""
+    """Compare the job counts per executor and window with those of the same jobs assigned round robin."""
     if not attempts:
         return ThunderingHerd(0.0, 0.0)
     received = sorted((attempt.received_ms, grid.numbers[attempt.executor]) for attempt in attempts)
     windows = [int((at_ms - grid.start_ms) // HERD_WINDOW_MS) for at_ms, _ in received]
-    seen = _count_per_window(grid, windows, [executor for _, executor in received])
-    even = _count_per_window(grid, windows, _deal_round_robin(grid, len(received)))
+    observed = _count_per_window(grid, windows, [executor for _, executor in received])
+    round_robin = _count_per_window(grid, windows, _assign_round_robin(grid, len(received)))
     return ThunderingHerd(
-        float(np.quantile(seen, _HERD_QUANTILE) / np.quantile(even, _HERD_QUANTILE)),
-        float(seen.max() / even.max()),
+        float(np.quantile(observed, _HERD_QUANTILE) / np.quantile(round_robin, _HERD_QUANTILE)),
+        float(observed.max() / round_robin.max()),
     )
 
 
 def _count_per_window(grid: LoadGrid, windows: Sequence[int], executors: Sequence[int]) -> np.ndarray:
-    """Return the number of jobs for each window and executor that got any."""
+    """Return the job counts of all pairs of a window and an executor that have any job."""
     keys = np.array(windows, dtype=np.int64) * len(grid.capacities) + np.array(executors, dtype=np.int64)
     return np.unique(keys, return_counts=True)[1]
 
 
-def _deal_round_robin(grid: LoadGrid, count: int) -> list[int]:
-    """Return the executors of so many jobs by smooth round robin, weighted by capacity."""
+def _assign_round_robin(grid: LoadGrid, count: int) -> list[int]:
+    """Assign `count` jobs to executors by smooth round robin, weighted by capacity."""
     shares = grid.capacities / grid.capacities.sum()
-    balances = np.zeros(len(shares))
-    dealt = []
+    current_weights = np.zeros(len(shares))
+    assigned = []
     for _ in range(count):
-        balances += shares
-        executor = int(np.argmax(balances))
-        balances[executor] -= 1.0
-        dealt.append(executor)
-    return dealt
+        current_weights += shares
+        executor = int(np.argmax(current_weights))
+        current_weights[executor] -= 1.0
+        assigned.append(executor)
+    return assigned
 
 
 def find_unmet_demand(
     grid: LoadGrid, requests: Sequence[RequestRecord], attempts: Sequence[AttemptRecord]
 ) -> np.ndarray:
-    """Return for each slice whether any job waited to start, or was rejected."""
+    """Return whether any job waited to start or was rejected, for each slice."""
     started_ms: dict[str, float] = {}
     for attempt in attempts:
         if attempt.started_ms is not None:
@@ -144,10 +145,11 @@
 def measure_recovery(
     grid: LoadGrid, variation: np.ndarray, windows: Sequence[FaultWindow]
 ) -> dict[str, float]:
-    """Return the seconds from each fault's end until the variation is usual and stays so.
+    """Return the seconds from each fault's end until the variation is back at its usual level to stay.
 
-    `windows` are in order of their start. Usual is the median of the variation before the first fault,
-    smoothed over a second. Infinite where there is no recovery before the next fault or the end of the run.
+    `windows` must be ordered by start. The usual level is the median of the variation before the first fault,
+    smoothed over a second. The time is infinite if there is no recovery before the next fault or the end of
+    the run.
     """
     if not windows:
         return {}
@@ -161,12 +163,12 @@
         later = [each.start_ms for each in windows[number + 1 :] if each.start_ms > window.end_ms]
         end = grid.slice_at(min(later)) if later else grid.slice_count
         is_usual = smooth[grid.slice_at(window.end_ms) : end] <= RECOVERED_FACTOR * usual
-        recovery[window.name] = _first_lasting(is_usual) * SLICE_MS / 1000.0
+        recovery[window.name] = _first_lasting_slice(is_usual) * SLICE_MS / 1000.0
     return recovery
 
 
-def _first_lasting(is_usual: np.ndarray) -> float:
-    """Return the first slice from which the variation stays usual for long enough; infinite for none."""
+def _first_lasting_slice(is_usual: np.ndarray) -> float:
+    """Return the first slice from which the variation stays usual for `RECOVERED_SECONDS`, or infinity."""
     length = int(RECOVERED_SECONDS * SLICES_PER_SECOND)
     for first in range(max(0, len(is_usual) - length + 1)):
         if is_usual[first : first + length].all():
@@ -175,7 +177,7 @@
 
 
 def fault_windows(record: RunRecord) -> list[FaultWindow]:
-    """Return when each fault of a run was in effect, in order of their start."""
+    """Return the period of each fault of a run, ordered by start."""
     return [
         FaultWindow(
             f"{fault.kind} at {fault.start:g} s",
@@ -189,7 +191,7 @@
 def measure_spread(
     record: RunRecord, requests: Sequence[RequestRecord], attempts: Sequence[AttemptRecord]
 ) -> SpreadMetrics:
-    """Return all figures for one way in which the jobs of a run were spread."""
+    """Return all metrics of one way to spread the jobs of a run."""
     grid = LoadGrid.from_record(record)
     evenness = measure_evenness(grid, attempts)
     herd = measure_thundering_herd(grid, attempts)
@@ -210,7 +212,7 @@
 
 
 def _is_within_objective(request: RequestRecord) -> bool:
-    """Whether the answer came within the latency objective of its class, which grows with the job's work."""
+    """Return whether the latency is within the objective of the job's class, which grows with its work."""
     job_class = next(each for each in JOB_CLASSES if each.name == request.job_class)
     objective_ms = job_class.latency_objective_ms + job_class.objective_stretch * request.work_ms
     return request.latency_ms <= objective_ms
--- a/burlmoor/testbed/fleet/node_faults.py
+++ b/burlmoor/testbed/fleet/node_faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of node processes: kills, pauses, restarts, reloads and connection floods."""
+"""Injects faults of node processes: kills, pauses, restarts, reloads and connection floods."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
     from burlmoor.testbed.fleet.faults import Fault
     from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
 
-# Seconds from SIGTERM to the earliest SIGKILL: the longest deadline, this at most, and a fixed part.
+# The earliest SIGKILL after SIGTERM is the longest job deadline, up to this limit, plus the margin.
 _MAX_COUNTED_DEADLINE_SECONDS = 3.0
 _KILL_MARGIN_SECONDS = 0.7
-_RELOAD_PAUSE_SECONDS = 0.15  # between two reloads of a series
-_FURTHER_SIGNALS = (signal.SIGTERM, signal.SIGHUP)  # that a node may get while it shuts down
+_RELOAD_PAUSE_SECONDS = 0.15  # between consecutive reloads
+_FURTHER_SIGNALS = (signal.SIGTERM, signal.SIGHUP)  # sent to a node while it shuts down
 
 
 def kill_after_seconds() -> float:
-    """Return the earliest moment after SIGTERM at which the platform may kill a node."""
-    longest = max(job_class.timeout_ms for job_class in JOB_CLASSES) / 1000.0
-    return min(longest, _MAX_COUNTED_DEADLINE_SECONDS) + _KILL_MARGIN_SECONDS
+    """Return the earliest time after SIGTERM at which the platform may kill a node."""
+    longest_deadline = max(job_class.timeout_ms for job_class in JOB_CLASSES) / 1000.0
+    return min(longest_deadline, _MAX_COUNTED_DEADLINE_SECONDS) + _KILL_MARGIN_SECONDS
 
 
 class NodeFaultInjector:
-    """Injects one fault into one node at a time; the processes are owned by others."""
+    """Injects faults, each into one node; does not own the processes."""
 
     def __init__(self, record: RunRecord, nodes: NodeProcesses, ports: Ports) -> None:
         self._record = record
@@ -43,10 +43,10 @@
         self._rng = random.Random(record.plan.seed)
 
     async def inject(self, fault: Fault, number: int) -> None:
-        """Wait for the fault's time and inject it into a node.
+        """Wait until the fault starts, and inject it into a node.
 
         Raises:
-            UnsupportedFaultError: the fault is of another group.
+            UnsupportedFaultError: the fault is not a node fault.
         """
         await sleep_until(self._record, fault.start)
         match fault.kind:
@@ -74,18 +74,18 @@
         interval.end = now_ms()
 
     async def _end(self, fault: Fault, number: int) -> None:
-        """Kill or terminate a node, and start it again at the fault's end."""
+        """Kill or terminate a node, and start it again when the fault ends."""
         if self._nodes.is_ended_by_fault(number):
-            return  # by another fault, which starts it again
+            return  # the other fault starts the node again
         interval = self._begin(fault, number)
         await self._nodes.end_by_fault(number, fault.kind)
         await sleep_until(self._record, fault.end)
         await self._start_again(number, interval)
 
     async def _restart(self, fault: Fault, number: int) -> None:
-        """Restart a node as the platform does: SIGTERM, more signals, SIGKILL at the earliest.
+        """Restart a node as the platform does: SIGTERM, more signals, then SIGKILL as early as allowed.
 
-        It is started again once the fault's duration has passed since its end.
+        The node is started again after the fault's duration, counted from the end of its process.
         """
         if self._nodes.is_ended_by_fault(number):
             return
@@ -95,10 +95,10 @@
         await self._start_again(number, interval)
 
     def _draw_signals(self, count: int) -> list[DelayedSignal]:
-        """Draw the signals that follow the first SIGTERM, in order of time."""
-        longest = kill_after_seconds()
+        """Draw the signals that follow the first SIGTERM, ordered by time."""
+        latest = kill_after_seconds()
         return sorted(
-            DelayedSignal(self._rng.uniform(0.0, longest), self._rng.choice(_FURTHER_SIGNALS))
+            DelayedSignal(self._rng.uniform(0.0, latest), self._rng.choice(_FURTHER_SIGNALS))
             for _ in range(count)
         )
 
@@ -109,7 +109,7 @@
         interval.end = now_ms()
 
     async def _reload(self, fault: Fault, number: int) -> None:
-        """Let a node read its configuration again, several times in a row."""
+        """Make a node reload its configuration, several times in a row."""
         self._begin(fault, number)
         for _ in range(max(1, int(fault.magnitude))):
             if not self._nodes.is_ended_by_fault(number):
@@ -117,7 +117,7 @@
             await trio.sleep(_RELOAD_PAUSE_SECONDS)
 
     async def _flood(self, fault: Fault, number: int) -> None:
-        """Fill a node's connections with idle clients."""
+        """Take up a node's connections with idle clients."""
         interval = self._begin(fault, number)
         flood = ConnectionFlood((node_address(number), self._ports.node_http), int(fault.magnitude))
         await flood.run(fault.duration)
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -1,10 +1,12 @@
-"""The TCP relays between nodes and executors, which apply link faults to the bytes that pass.
+"""Relays TCP connections between nodes and executors, and applies link faults to their bytes.
 
-They run in processes of their own, `python -m burlmoor.testbed.fleet.tcp_relay`, several of which share the
-ports. The configuration is the first line of a process's input, each further line the list of link faults
-from then on; the process ends with its input. What a relay cannot do is refuse a connection on a link that is
-cut: the connection is accepted, then nothing arrives, and it is reset once the link recovers. Bytes written
-to a connection that was established before are delivered then, unless its sender has reset it meanwhile.
+Relays run in separate processes, started as `python -m burlmoor.testbed.fleet.tcp_relay`, several of which
+share the ports. The first line of a process's input is the configuration; each further line replaces the link
+faults in effect. The process ends when its input ends.
+
+A relay cannot refuse a connection on a link that is cut: it accepts the connection, delivers nothing, and
+resets the connection once the link recovers. Bytes written to a connection that was established before the
+cut are delivered on recovery, unless the sender has reset the connection meanwhile.
 """
 
 from __future__ import annotations
@@ -40,21 +42,21 @@
 
 _CHUNK_BYTES = 65_536
 _BACKLOG = 4096
-_RETRANSMIT_SECONDS = 0.2  # by which dropped bytes are late, as TCP would send them again
+_RETRANSMIT_SECONDS = 0.2  # the delay of lost bytes, which TCP would retransmit
 _ACCEPT_RETRY_SECONDS = 0.02
 _STREAM_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 class LinkResetError(BurlmoorError, trio.BrokenResourceError):
-    """A connection that the fault schedule resets, or that its sender has reset."""
+    """Raised when the fault schedule resets a connection, or its sender has reset it."""
 
     def __init__(self, link: DirectedLink) -> None:
-        super().__init__(f"reset on {link}")
+        super().__init__(f"connection reset on {link}")
         self.link = link
 
 
 class TcpRelays:
-    """Owns the listeners, the connections through them, and the link faults that are in effect."""
+    """Owns the listeners, the relayed connections, and the link faults in effect."""
 
     def __init__(self, config: LinkProcessConfig, nursery: trio.Nursery) -> None:
         self._ports = config.ports
@@ -64,13 +66,13 @@
         self._faults_changed = trio.Event()
 
     def apply_faults(self, faults: list[LinkFault]) -> None:
-        """Replace the link faults that are in effect."""
+        """Replace the link faults in effect."""
         self._faults = faults
         self._faults_changed.set()
         self._faults_changed = trio.Event()
 
     async def open(self) -> None:
-        """Listen on every link's address, for connections from nodes and from executors."""
+        """Listen on the addresses of all links, for connections from nodes and from executors."""
         for port, direction in (
             (self._ports.relay_to_executors, LinkDirection.FORWARD),
             (self._ports.relay_to_nodes, LinkDirection.BACK),
@@ -93,7 +95,7 @@
             self._nursery.start_soon(self._relay, stream, direction)
 
     async def _relay(self, accepted: trio.SocketStream, direction: LinkDirection) -> None:
-        """Connect to the other end and relay both directions until one of the connections is over.
+        """Connect to the other end, and relay both directions until they end or either connection fails.
 
         Raises:
             LinkResetError: the link is reset.
@@ -120,15 +122,15 @@
                         stream.socket.close()
 
     async def _connect(self, link: DirectedLink) -> trio.SocketStream:
-        """Connect to the end that this direction leads to."""
+        """Connect to the destination of this direction of the link."""
         if link.direction is LinkDirection.BACK:
             return (await connect((node_address(link.node), self._ports.node_http))).socket_stream
         address = (executor_address(link.peer), self._ports.executor_http)
-        # From the link's own address, so that the executor knows which node connects.
+        # The source address is that of the link, so that the executor knows which node connects.
         return (await connect(address, link_address(link.node, link.peer))).socket_stream
 
     async def _wait_until_open(self, link: DirectedLink) -> bool:
-        """Wait until the link passes bytes in this direction; whether that took any time."""
+        """Wait until the link passes bytes in this direction, and return whether it was blocked."""
         has_waited = False
         while any(fault.kind in BLOCKING_FAULTS and fault.affects(link) for fault in self._faults):
             has_waited = True
@@ -142,13 +144,13 @@
         link: DirectedLink,
         both_directions: trio.CancelScope,
     ) -> None:
-        """Copy bytes until the source ends; an error of either stream ends both directions."""
-        # Bytes of one direction stay in order whatever the faults: it is a TCP connection.
+        """Copy bytes until the source ends; an error on either stream ends both directions."""
+        # Faults never reorder the bytes of one direction: this is a TCP connection.
         while True:
             try:
                 data = await self._receive(source, link)
             except _STREAM_ERRORS:
-                # Handled here: out of the nursery it would come in a group, and end the relay's process.
+                # Handled here: the nursery would raise it in a group, which would end the relay's process.
                 HttpStream(sink).reset()
                 break
             if not data:
@@ -163,7 +165,7 @@
         both_directions.cancel()
 
     async def _receive(self, source: trio.SocketStream, link: DirectedLink) -> bytes:
-        """Receive the next chunk once faults let it pass.
+        """Receive the next chunk, and return it once the faults let it pass.
 
         Raises:
             LinkResetError: the link is reset, by a fault or by the peer.
@@ -172,11 +174,11 @@
         if self._faults:
             data = await self._apply_to_chunk(data, link)
             if source.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                raise LinkResetError(link)  # by its sender, whose kernel has discarded the data
+                raise LinkResetError(link)  # reset by its sender, whose kernel has discarded the data
         return data
 
     async def _apply_to_chunk(self, data: bytes, link: DirectedLink) -> bytes:
-        """Apply this direction's faults: wait, corrupt the data, or reset the link.
+        """Apply the faults of this direction: delay the data, corrupt it, or reset the link.
 
         Raises:
             LinkResetError: a fault resets the link.
@@ -198,7 +200,7 @@
 
 
 async def serve(config: LinkProcessConfig) -> None:
-    """Relay until the input ends."""
+    """Relay connections until the input ends; each input line replaces the link faults in effect."""
     async with trio.open_nursery() as nursery:
         relays = TcpRelays(config, nursery)
         await relays.open()
--- a/burlmoor/testbed/fleet/verdict.py
+++ b/burlmoor/testbed/fleet/verdict.py
@@ -1,4 +1,4 @@
-"""What a run shows: the nodes' spread of load beside the baselines', and the claims that it must hold."""
+"""Assesses a run: compares the nodes' spread of load with the baselines, and derives the claims to hold."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 if TYPE_CHECKING:
     from burlmoor.testbed.fleet.record import RunRecord
 
-MAX_RATIO_TO_BOUND = 1.5  # of variation, and of maximum over mean
+MAX_RATIO_TO_BOUND = 1.5  # for the variation and for maximum over mean
 MAX_THUNDERING_HERD = 3.0
 MAX_IDLENESS = 0.02
-MAX_RECOVERY_SECONDS = 5.0  # or what the bound takes, where that is longer
+MAX_RECOVERY_SECONDS = 5.0  # or the recovery time of the bound, if that is longer
 _BOUND = "shortest"  # the baseline that knows the true state, which no node can
 
 
 class RunAssessment(msgspec.Struct):
-    """All figures of one run."""
+    """The metrics, the audit and the resource usage of one run."""
 
     node: SpreadMetrics
     baselines: dict[str, SpreadMetrics]
     audit: AuditResult
-    cpu_ms: float  # of node processes, for each job sent
-    memory_mib: float  # of the node with the most
+    cpu_ms: float  # of all node processes, per job sent
+    memory_mib: float  # of the node that uses the most
 
     def claims(self) -> dict[str, Claim]:
-        """Return what must hold: name, value and bound."""
+        """Return the claims that must hold, by name."""
         return {**self._spread_claims(), **self._baseline_claims(), **self._recovery_claims()}
 
     def _spread_claims(self) -> dict[str, Claim]:
@@ -60,14 +60,14 @@
         bound = self.baselines[_BOUND]
         claims = {}
         for name, seconds in self.node.recovery_seconds.items():
-            # Infinite: the run was too short to see any recovery.
+            # An infinite time means that the run was too short for the bound to recover.
             if math.isfinite(bound.recovery_seconds[name]):
                 limit_seconds = max(MAX_RECOVERY_SECONDS, bound.recovery_seconds[name])
                 claims[f"healed after {name}, s"] = Claim(seconds, limit_seconds)
         return claims
 
     def figures(self) -> dict[str, float]:
-        """Return the finite figures that are shown beside the claims."""
+        """Return the finite figures to show beside the claims."""
         figures = {
             "served": self.node.served,
             "served in time": self.node.served_in_time,
@@ -92,10 +92,10 @@
 
 
 def assess_run(record: RunRecord) -> RunAssessment:
-    """Return all figures of a run.
+    """Assess a run against the baselines.
 
-    No way of endpoint selection can serve what was at a node when it was killed or stopped, and the baselines
-    have no nodes that fail: those jobs are left out for all of them.
+    No selection strategy can serve the jobs that were at a node when it was killed or paused, and no nodes
+    fail in the replays of the baselines. Those jobs are therefore left out for the nodes and all baselines.
     """
     audited = audit(record)
     lost_ids = set(audited.lost_job_ids)
--- a/tests/testbed/fleet/recorded_runs.py
+++ b/tests/testbed/fleet/recorded_runs.py
@@ -1,4 +1,4 @@
-"""Synthetic records of runs, whose figures are known."""
+"""Builds synthetic run records whose metrics are known."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_record(*faults: Fault) -> RunRecord:
-    """Return the record of a run of four nodes and four equal executors, without any job."""
+    """Return the record of a run with four nodes and four equal executors, but no jobs."""
     plan = RunPlan(4, 4, 20.0, 1, 20.0, schedule=FaultSchedule(1, faults))
     load = Load(20.0, 20.0, 4, 1, scale=2.0)
     return RunRecord(plan, load, SPECS, ["a"] * 4, ["a"] * 4, start_ms=1000.0)
@@ -28,7 +28,7 @@
 def make_job(
     number: int, sent_ms: float, executor: int, work_ms: float = 100.0
 ) -> tuple[RequestRecord, AttemptRecord]:
-    """Return a job as its client and its executor observed it: started at once, and served."""
+    """Return the records of a job that started immediately and was served."""
     job_id = f"j{number}"
     ended_ms = sent_ms + work_ms
     request = RequestRecord(
@@ -49,7 +49,7 @@
 
 
 def make_run(select_executor: Callable[[int], int], interval_ms: float = 20.0) -> RunRecord:
-    """Return the record of a run with a job at each interval, at the executor selected by its number."""
+    """Return the record of a run with one job per interval, each at the executor selected for its number."""
     record = make_record()
     for number in range(int(20_000.0 / interval_ms)):
         sent_ms = record.start_ms + number * interval_ms
@@ -60,5 +60,5 @@
 
 
 def make_even_run() -> RunRecord:
-    """Return the record of a run whose jobs are dealt in turn, without any violation."""
+    """Return the record of a run without violations, whose jobs are assigned round robin."""
     return make_run(lambda number: number % 4)
--- a/tests/testbed/fleet/test_audit.py
+++ b/tests/testbed/fleet/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit reports each violation of a rule, and excuses only what the schedule caused."""
+"""Tests that the audit reports each violation, and excuses only what the fault schedule caused."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from collections.abc import Callable
 
 
-def test_a_run_without_fault_has_no_violation() -> None:
+def test_run_without_faults_has_no_violations() -> None:
     assert audit(make_even_run()).violations == []
 
 
@@ -55,7 +55,7 @@
 
 
 def lose_in_restart(record: RunRecord, sent_after_term_ms: float) -> None:
-    """A node loses a job to SIGKILL at the end of a restart."""
+    """Lose a job at a node that gets SIGKILL at the end of a restart."""
     leave_unanswered(record)
     term_ms = record.requests[5].sent_ms - sent_after_term_ms
     kill_ms = record.requests[5].sent_ms + 100.0
@@ -76,7 +76,7 @@
 
 
 def lose_in_connection_flood(record: RunRecord) -> None:
-    """A node closes a connection unread because it has no descriptors left."""
+    """Lose a job because its node, out of descriptors, closes the connection unread."""
     leave_unanswered(record)
     del record.attempts[5]
     sent_ms = record.requests[5].sent_ms
@@ -124,7 +124,7 @@
         (crash_node, "ended with -11"),
     ],
 )
-def test_each_violation_is_reported(break_rule: Callable[[RunRecord], None], message: str) -> None:
+def test_violation_is_reported(break_rule: Callable[[RunRecord], None], message: str) -> None:
     record = make_even_run()
     break_rule(record)
     assert any(message in violation for violation in audit(record).violations)
@@ -148,7 +148,9 @@
         (lose_in_connection_flood, Excuse.CONNECTION_FLOOD),
     ],
 )
-def test_only_what_the_schedule_caused_is_excused(lose: Callable[[RunRecord], None], excuse: Excuse) -> None:
+def test_only_deviations_caused_by_the_schedule_are_excused(
+    lose: Callable[[RunRecord], None], excuse: Excuse
+) -> None:
     record = make_even_run()
     lose(record)
     result = audit(record)
--- a/tests/testbed/fleet/test_datagram_faults.py
+++ b/tests/testbed/fleet/test_datagram_faults.py
@@ -1,4 +1,4 @@
-"""The effect of link faults on datagrams between nodes, and the switch that delivers these."""
+"""Tests of link faults on datagrams between nodes, and of the datagram switch."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return faults
 
 
-def test_a_partition_of_one_direction_does_not_affect_the_other() -> None:
+def test_one_way_partition_does_not_affect_the_other_direction() -> None:
     forward = make_faults(
         LinkFault(FaultKind.LINK_PARTITION, frozenset({1}), frozenset({2}), LinkDirection.FORWARD)
     )
@@ -41,7 +41,7 @@
     assert both.apply(b"x", 1, 2) == both.apply(b"x", 2, 1) == []
 
 
-def test_a_node_outside_of_a_partition_reaches_both_halves() -> None:
+def test_node_outside_a_partition_reaches_both_sides() -> None:
     faults = make_faults(LinkFault(FaultKind.LINK_PARTITION, frozenset({0, 1}), frozenset({3, 4})))
     assert faults.apply(b"x", 0, 3) == faults.apply(b"x", 4, 1) == []
     assert faults.apply(b"x", 2, 0)
@@ -59,7 +59,7 @@
         FaultKind.LINK_REORDERING,
     ],
 )
-def test_each_fault_kind_affects_datagrams_as_specified(kind: FaultKind) -> None:
+def test_fault_kind_affects_datagrams_as_specified(kind: FaultKind) -> None:
     delaying = (FaultKind.LINK_DELAY, FaultKind.LINK_REORDERING)
     magnitude = 40.0 if kind in delaying else 0.5
     faults = make_faults(LinkFault(kind, frozenset({1}), None, magnitude=magnitude))
@@ -74,7 +74,7 @@
 
 @pytest.fixture
 async def switch_ports(tmp_path: Path) -> AsyncIterator[Ports]:
-    """The ports of a datagram switch that runs for the test."""
+    """Run a datagram switch for the test, and yield its ports."""
     ports = find_free_ports()
     process = ChildProcess(["-m", "burlmoor.testbed.fleet.datagram_switch"], tmp_path / "log", has_pipes=True)
     try:
@@ -85,7 +85,7 @@
         await process.kill()
 
 
-async def test_the_switch_delivers_datagrams_and_answers_reach_the_sender(switch_ports: Ports) -> None:
+async def test_switch_delivers_datagrams_and_answers(switch_ports: Ports) -> None:
     with socket.socket(type=socket.SOCK_DGRAM) as one, socket.socket(type=socket.SOCK_DGRAM) as two:
         for sock, node in ((one, 1), (two, 2)):
             sock.bind((node_address(node), switch_ports.node_datagrams))
--- a/tests/testbed/fleet/test_fault_injection.py
+++ b/tests/testbed/fleet/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Each injector handles the faults of its group, and no others."""
+"""Tests that fault injectors reject faults of other groups."""
 
 from __future__ import annotations
 
@@ -26,9 +26,7 @@
 LINK_DELAY = Fault(kind=FaultKind.LINK_DELAY, start=0.0, duration=0.0, nodes="*")
 
 
-async def test_injectors_raise_an_error_for_a_fault_of_another_group(
-    tmp_path: Path, nursery: trio.Nursery
-) -> None:
+async def test_injectors_reject_faults_of_other_groups(tmp_path: Path, nursery: trio.Nursery) -> None:
     record = make_record()
     ports = find_free_ports()
     discovery = DiscoveryService(nursery)
--- a/tests/testbed/fleet/test_faults.py
+++ b/tests/testbed/fleet/test_faults.py
@@ -1,4 +1,4 @@
-"""Fault schedules: their file format, their selectors, and schedules drawn at random."""
+"""Tests of fault schedules: file format, selectors and random schedules."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 @given(st.lists(faults), st.integers(0, 10**9))
-def test_a_schedule_is_parsed_as_it_was_formatted(drawn: list[Fault], seed: int) -> None:
+def test_formatted_schedule_parses_to_the_same_schedule(drawn: list[Fault], seed: int) -> None:
     schedule = FaultSchedule(seed, tuple(drawn))
     assert parse_schedule(format_schedule(schedule)) == schedule
 
@@ -59,13 +59,13 @@
         ("what = cut", "section"),
     ],
 )
-def test_an_invalid_schedule_raises_an_error_of_one_line(text: str, message: str) -> None:
+def test_invalid_schedule_raises_a_one_line_error(text: str, message: str) -> None:
     with pytest.raises(ValueError, match=message) as error:
         parse_schedule(text)
     assert "\n" not in str(error.value)
 
 
-def test_selectors_select_the_same_members_every_time() -> None:
+def test_selectors_and_random_schedules_are_deterministic() -> None:
     nodes = Population(
         [f"n{number:03d}" for number in range(100)], ["ab"[number % 2] for number in range(100)]
     )
@@ -77,7 +77,7 @@
     assert draw_schedule(5, 60.0, 4) == draw_schedule(5, 60.0, 4) != draw_schedule(6, 60.0, 4)
 
 
-def test_every_fault_kind_is_in_one_group_and_a_drawn_schedule_can_be_stored() -> None:
+def test_fault_kinds_are_in_one_group_and_random_schedules_can_be_stored() -> None:
     assert set(LINK_FAULTS) | set(EXECUTOR_FAULTS) | set(DISCOVERY_FAULTS) < set(SCHEDULED_FAULTS)
     assert len(LINK_FAULTS) + len(NODE_FAULTS) + len(EXECUTOR_FAULTS) + len(DISCOVERY_FAULTS) == len(
         set(SCHEDULED_FAULTS)
@@ -88,7 +88,7 @@
     assert schedule == draw_schedule(1, 60.0, 9)
 
 
-def test_schedules_keep_the_words_of_each_fault_kind() -> None:
+def test_stored_names_of_fault_kinds_are_stable() -> None:
     words = "cut delay drop reset stall throttle corrupt repeat reorder kill stop term restart reload crowd"
     words += " die drain still slow fail vanish late down crowded silent broken isolate"
     assert " ".join(SCHEDULED_FAULTS) == words
--- a/tests/testbed/fleet/test_metrics.py
+++ b/tests/testbed/fleet/test_metrics.py
@@ -1,4 +1,4 @@
-"""The measures of spread, on runs whose figures are known, and the baselines."""
+"""Tests of the spread metrics on runs whose metrics are known, and of the baselines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return LoadGrid(list(SPECS.values()), list(SPECS), 0.0, 20.0, [])
 
 
-def test_jobs_dealt_in_turn_are_even_and_jobs_in_bursts_are_not() -> None:
+def test_round_robin_is_even_and_bursts_are_not() -> None:
     even_run = make_even_run()
     bursty_run = make_run(lambda number: number // 50 % 4)
     even, bursty = (measure_spread(run, run.requests, run.attempts) for run in (even_run, bursty_run))
@@ -28,7 +28,7 @@
     assert even.served == bursty.served == even.served_in_time == 1.0
 
 
-def test_idle_executors_count_only_while_a_job_waits() -> None:
+def test_idleness_counts_only_while_a_job_waits() -> None:
     run = make_run(lambda _: 0)
     assert measure_spread(run, run.requests, run.attempts).idleness == 0.0
     for request, attempt in zip(run.requests, run.attempts, strict=True):
@@ -37,13 +37,13 @@
     assert 0.6 < measure_spread(run, run.requests, run.attempts).idleness <= 0.75
 
 
-def test_a_job_that_never_ends_is_outstanding_until_the_end() -> None:
+def test_unfinished_job_is_outstanding_until_the_run_ends() -> None:
     work = make_grid().outstanding_work([AttemptRecord("j1", SEARCH.name, "s-0", 5000.0, work_ms=10.0)])
     assert work[49].sum() == 0.0
     assert work[50:].sum() == 10.0 * 150
 
 
-def test_recovery_time_counts_from_the_end_of_a_fault() -> None:
+def test_recovery_time_starts_at_the_end_of_the_fault() -> None:
     windows = [FaultWindow("x", 10_000.0, 12_000.0)]
     variation = np.full(200, 0.4)
     variation[100:150] = 2.0
@@ -53,7 +53,7 @@
     assert measure_recovery(make_grid(), variation, windows)["x"] == math.inf
 
 
-def test_baselines_serve_the_same_jobs_and_the_one_that_knows_more_spreads_better() -> None:
+def test_baselines_serve_the_same_jobs_and_shortest_spreads_better() -> None:
     record = make_record()
     metrics = {}
     for name in BASELINES:
