--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -117,15 +117,15 @@
             started_ms[attempt.id] = min(attempt.started_ms, started_ms.get(attempt.id, math.inf))
     changes = np.zeros(grid.slice_count + 1)
     for request in requests:
-        over_ms = request.sent_ms + request.timeout_ms
+        ended_ms = request.sent_ms + request.timeout_ms
         if request.answered_ms is not None:
-            over_ms = request.answered_ms
-        waited_until_ms = min(started_ms.get(request.id, math.inf), over_ms)
+            ended_ms = request.answered_ms
+        waited_until_ms = min(started_ms.get(request.id, math.inf), ended_ms)
         if waited_until_ms > request.sent_ms + _TRANSIT_ALLOWANCE_MS:
             changes[grid.slice_at(request.sent_ms + _TRANSIT_ALLOWANCE_MS)] += 1.0
             changes[grid.slice_at(waited_until_ms)] -= 1.0
         if request.is_rejected:
-            rejected = grid.slice_at(over_ms)
+            rejected = grid.slice_at(ended_ms)
             changes[rejected] += 1.0
             changes[min(grid.slice_count, rejected + 1)] -= 1.0
     return np.asarray(np.cumsum(changes)[:-1] > _HALF)
@@ -154,15 +154,15 @@
     if not windows:
         return {}
     smooth = smooth_over_a_second(variation, "same")
-    first = grid.slice_at(min(window.start_ms for window in windows))
-    usual = math.inf
-    if first > SETTLING_SECONDS * SLICES_PER_SECOND:
-        usual = float(np.median(smooth[SETTLING_SLICES:first]))
+    first_fault = grid.slice_at(min(window.start_ms for window in windows))
+    usual_variation = math.inf
+    if first_fault > SETTLING_SECONDS * SLICES_PER_SECOND:
+        usual_variation = float(np.median(smooth[SETTLING_SLICES:first_fault]))
     recovery = {}
     for number, window in enumerate(windows):
         later = [each.start_ms for each in windows[number + 1 :] if each.start_ms > window.end_ms]
         end = grid.slice_at(min(later)) if later else grid.slice_count
-        is_usual = smooth[grid.slice_at(window.end_ms) : end] <= RECOVERED_FACTOR * usual
+        is_usual = smooth[grid.slice_at(window.end_ms) : end] <= RECOVERED_FACTOR * usual_variation
         recovery[window.name] = _first_lasting_slice(is_usual) * SLICE_MS / 1000.0
     return recovery
 
--- a/burlmoor/testbed/fleet/node_faults.py
+++ b/burlmoor/testbed/fleet/node_faults.py
@@ -29,8 +29,8 @@
 
 def kill_after_seconds() -> float:
     """Return the earliest time after SIGTERM at which the platform may kill a node."""
-    longest_deadline = max(job_class.timeout_ms for job_class in JOB_CLASSES) / 1000.0
-    return min(longest_deadline, _MAX_COUNTED_DEADLINE_SECONDS) + _KILL_MARGIN_SECONDS
+    longest_deadline_seconds = max(job_class.timeout_ms for job_class in JOB_CLASSES) / 1000.0
+    return min(longest_deadline_seconds, _MAX_COUNTED_DEADLINE_SECONDS) + _KILL_MARGIN_SECONDS
 
 
 class NodeFaultInjector:
@@ -96,9 +96,9 @@
 
     def _draw_signals(self, count: int) -> list[DelayedSignal]:
         """Draw the signals that follow the first SIGTERM, ordered by time."""
-        latest = kill_after_seconds()
+        latest_seconds = kill_after_seconds()
         return sorted(
-            DelayedSignal(self._rng.uniform(0.0, latest), self._rng.choice(_FURTHER_SIGNALS))
+            DelayedSignal(self._rng.uniform(0.0, latest_seconds), self._rng.choice(_FURTHER_SIGNALS))
             for _ in range(count)
         )
 
