--- a/burlmoor/cli/drill.py
+++ b/burlmoor/cli/drill.py
@@ -1,4 +1,4 @@
-"""`burlmoor drill NAME`."""
+"""The `burlmoor drill` command."""
 
 from __future__ import annotations
 
@@ -22,18 +22,27 @@
 @click.command()
 @click.argument("name", type=click.Choice(sorted(DRILLS)))
 @click.option(
-    "--seconds", default=60.0, show_default=True, type=click.FloatRange(10.0, 3600.0), help="How long."
+    "--seconds",
+    default=60.0,
+    show_default=True,
+    type=click.FloatRange(10.0, 3600.0),
+    help="Duration in seconds.",
 )
-@click.option("--seed", default=1, show_default=True, help="Of all that is drawn.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random choices.")
 @click.option(
-    "--nodes", default=0, type=click.IntRange(0, 1000), help="How many, where a drill has a choice."
+    "--nodes",
+    default=0,
+    type=click.IntRange(0, 1000),
+    help="Number of nodes, if it is variable; 0: the drill decides.",
+)
+@click.option("--sabotage", "mutation", help="Mutation of the node that must make the drill fail.")
+@click.option(
+    "--json", "sink", type=click.File("w"), help="File for the verdict as JSON; - is standard output."
 )
-@click.option("--sabotage", "mutation", help="A fault of the node, with which the drill must fail.")
-@click.option("--json", "sink", type=click.File("w"), help="Write the verdict there; - is standard output.")
 def drill(
     name: str, seconds: float, seed: int, nodes: int, mutation: str | None, sink: IO[str] | None
 ) -> None:
-    """Run a subsystem under failures on loopback; status 1 where a claim of the verdict did not hold."""
+    """Run a subsystem under failures on loopback; exit with status 1 if a claim does not hold."""
     chosen = DRILLS[name]
     _check_options(name, chosen, mutation, nodes)
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
@@ -46,5 +55,5 @@
         problem = f"invalid value {mutation!r}; allowed: {', '.join(chosen.mutations)}"
         raise click.BadParameter(problem, param_hint="--sabotage")
     if nodes and not chosen.is_sizable:
-        problem = f"the drill {name} has its own number"
+        problem = f"drill {name} has a fixed number of nodes"
         raise click.BadParameter(problem, param_hint="--nodes")
--- a/burlmoor/cli/errors.py
+++ b/burlmoor/cli/errors.py
@@ -1,4 +1,4 @@
-"""Reports invalid usage and files on standard error and by the exit status."""
+"""Reports invalid usage and invalid files on standard error and through the exit status."""
 
 from __future__ import annotations
 
--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`burlmoor fleet run` and `burlmoor fleet report`."""
+"""The `burlmoor fleet run` and `burlmoor fleet report` commands."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Run many node processes on loopback, stand-ins round them, and faults between them."""
+    """Run many node processes on loopback, with stand-ins for what surrounds them, and inject faults."""
 
 
 @fleet.command()
@@ -32,22 +32,28 @@
 @click.option("--nodes", default=20, show_default=True, type=click.IntRange(1, 1000))
 @click.option("--executors", default=20, show_default=True, type=click.IntRange(1, 1000))
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(5.0, 3600.0))
-@click.option("--seed", default=1, show_default=True, help="Of all that is drawn.")
-@click.option("--rate", default=150.0, show_default=True, help="Jobs a second, over all nodes.")
-@click.option("--load", default=0.7, show_default=True, help="Of what executors can do.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random choices.")
+@click.option("--rate", default=150.0, show_default=True, help="Jobs per second, over all nodes.")
+@click.option("--load", default=0.7, show_default=True, help="Load as a fraction of the executors' capacity.")
 @click.option("--zones", default=1, show_default=True, type=click.IntRange(1, 8))
-@click.option("--hot", default=0.0, show_default=True, help="The share of jobs that one key has.")
-@click.option("--keys", default=0, show_default=True, help="Keys that jobs share; 0: each its own.")
-@click.option("--loud", default=1.0, show_default=True, help="How many times its share the first node gets.")
+@click.option("--hot", default=0.0, show_default=True, help="Fraction of jobs that share one hot key.")
+@click.option(
+    "--keys", default=0, show_default=True, help="Number of keys that jobs share; 0: each job has its own."
+)
+@click.option("--loud", default=1.0, show_default=True, help="Factor on the first node's share of the jobs.")
 @click.option(
     "--troubles",
     "fault_count",
     default=0,
     show_default=True,
-    help="How many to draw, where no SCHEDULE is given.",
+    help="Number of faults to draw at random if there is no SCHEDULE.",
+)
+@click.option(
+    "--keep", type=click.Path(file_okay=False, path_type=Path), help="Directory to keep the record in."
+)
+@click.option(
+    "--json", "sink", type=click.File("w"), help="File for the verdict as JSON; - is standard output."
 )
-@click.option("--keep", type=click.Path(file_okay=False, path_type=Path), help="Where to keep the record.")
-@click.option("--json", "sink", type=click.File("w"), help="Write the verdict there; - is standard output.")
 def run(
     schedule: Path | None,
     nodes: int,
@@ -64,7 +70,7 @@
     keep: Path | None,
     sink: IO[str] | None,
 ) -> None:
-    """Run a fleet under a SCHEDULE of faults (INI); status 1 where a claim of the verdict did not hold."""
+    """Run a fleet under a SCHEDULE of faults (INI); exit with status 1 if a claim does not hold."""
     plan = records.RunPlan(
         nodes=nodes,
         executors=executors,
@@ -80,7 +86,7 @@
     )
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         record = _run_fleet(plan, keep or Path(folder))
-    verdict = _judge(record)
+    verdict = _assess(record)
     print_status(f"nodes ready after {record.startup_seconds:.1f} s; {record.cores_used:.1f} cores used")
     exit_with_verdict(verdict, sink)
 
@@ -102,18 +108,20 @@
     return record
 
 
-def _judge(record: records.RunRecord) -> Verdict:
-    """Return the verdict on a record, and print the first violations."""
-    judged = assess_run(record)
-    print_violations(judged.audit.violations)
-    return Verdict("fleet", record.plan.seed, record.plan.seconds, judged.claims(), judged.figures())
+def _assess(record: records.RunRecord) -> Verdict:
+    """Assess a run: print its first violations and return the verdict."""
+    assessment = assess_run(record)
+    print_violations(assessment.audit.violations)
+    return Verdict("fleet", record.plan.seed, record.plan.seconds, assessment.claims(), assessment.figures())
 
 
 @fleet.command()
 @click.argument("run", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="The picture; RUN/report.png.")
+@click.option(
+    "--out", type=click.Path(dir_okay=False, path_type=Path), help="Image file. [default: RUN/report.png]"
+)
 def report(run: Path, out: Path | None) -> None:
-    """Draw the record that a RUN has kept, and print its verdict again."""
+    """Plot the record kept in the directory RUN, and print its verdict."""
     from burlmoor.testbed.fleet.report import draw_report  # noqa: PLC0415
 
     try:
@@ -122,5 +130,5 @@
         exit_with_errors([str(error)])
     path = out or run / "report.png"
     draw_report(record, path)
-    print_verdict(_judge(record))
+    print_verdict(_assess(record))
     print(path)
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -1,4 +1,4 @@
-"""`burlmoor try` and `burlmoor load`."""
+"""The `burlmoor try` and `burlmoor load` commands."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
 
 _seconds_option = _number_option(
-    "--seconds", default=8.0, minimum=1.0, maximum=3600.0, help_text="How long jobs come."
+    "--seconds", default=8.0, minimum=1.0, maximum=3600.0, help_text="Duration in seconds."
 )
 _rate_option = _number_option(
-    "--rate", default=40.0, minimum=0.1, maximum=10_000.0, help_text="Jobs a second."
+    "--rate", default=40.0, minimum=0.1, maximum=10_000.0, help_text="Jobs per second."
 )
 _seed_option = _number_option(
-    "--seed", default=1, minimum=0, maximum=2**31, help_text="Of the jobs that are drawn."
+    "--seed", default=1, minimum=0, maximum=2**31, help_text="Seed of the random jobs."
 )
 _json_option = click.option(
-    "--json", "sink", type=click.File("w"), help="Write figures there; - is standard output."
+    "--json", "sink", type=click.File("w"), help="File for the figures as JSON; - is standard output."
 )
 
 
@@ -47,10 +47,10 @@
 @_seconds_option
 @_rate_option
 @_seed_option
-@_number_option("--executors", default=6, minimum=1, maximum=100, help_text="Stand-in executors.")
+@_number_option("--executors", default=6, minimum=1, maximum=100, help_text="Number of stand-in executors.")
 @_json_option
 def try_(seconds: float, rate: float, seed: int, executors: int, sink: IO[str] | None) -> None:
-    """Run a whole installation on loopback: discovery, executors, one node, clients. Needs no file."""
+    """Run a complete installation on loopback: discovery, executors, one node, clients. Needs no files."""
     report = trio.run(load_new_installation, Load(rate, seconds, seed), executors)
     console = standard_error()
     console.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
@@ -61,9 +61,11 @@
 
 @click.command()
 @click.option(
-    "--to", metavar="HOST:PORT", help="A node that runs. [default: one of our own, with room for all]"
+    "--to",
+    metavar="HOST:PORT",
+    help="A running node. [default: a new one, whose executors have unlimited capacity]",
 )
-@click.option("--pid", type=int, help="The process of the node, for its CPU and memory.")
+@click.option("--pid", type=int, help="Process id of the running node, to measure its CPU time and memory.")
 @_rate_option
 @_seconds_option
 @_number_option(
@@ -71,9 +73,11 @@
     default=50.0,
     minimum=0.1,
     maximum=60_000.0,
-    help_text="How long a job runs on a core, on average.",
+    help_text="Mean time that a job runs on a core, in ms.",
+)
+@_number_option(
+    "--executors", default=14, minimum=1, maximum=1000, help_text="Number of executors of a new node."
 )
-@_number_option("--executors", default=14, minimum=1, maximum=1000, help_text="Of our own.")
 @_seed_option
 @_json_option
 def load(
@@ -86,7 +90,7 @@
     seed: int,
     sink: IO[str] | None,
 ) -> None:
-    """Put an open-loop load on one node: latency from the intended start, outcomes, the node's CPU a job."""
+    """Put an open-loop load on one node; report latency from the intended start, outcomes and CPU per job."""
     job_classes = tuple(job_class._replace(mean_work_ms=run_ms) for job_class in JOB_CLASSES)
     plan = Load(rate, seconds, seed, job_classes)
     if to is not None:
@@ -110,7 +114,7 @@
 
 
 def format_report(report: LoadReport, title: str) -> Table:
-    """Return a table of outcomes and latencies, a row per class."""
+    """Return a table of outcomes and latencies, with one row per class."""
     table = Table(title=title)
     for heading in ("class", "asked", *JobOutcome, "p50 ms", "p90 ms", "p99 ms", "max ms"):
         is_class = heading == "class"
--- a/burlmoor/cli/load_runs.py
+++ b/burlmoor/cli/load_runs.py
@@ -1,4 +1,4 @@
-"""Runs a load, with a progress bar, on a new installation, a new node or a running node."""
+"""Puts a load on a new installation, a new node or a running node, and shows a progress bar."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 class Load(NamedTuple):
     """A load as specified on the command line."""
 
-    rate: float  # jobs a second
+    rate: float  # jobs per second
     seconds: float
     seed: int
     job_classes: Sequence[JobClass] = JOB_CLASSES
 
     def draw_arrivals(self) -> list[Arrival]:
-        """Draw the arrivals of jobs, which are the same for the same seed."""
+        """Draw the arrivals of jobs; the same seed gives the same arrivals."""
         return draw_arrivals(self.rate, self.seconds, self.job_classes, self.seed)
 
 
 async def load_new_installation(load: Load, executors: int) -> LoadReport:
-    """Start an installation and load its node."""
+    """Start a complete installation, and put the load on its node."""
     arrivals = load.draw_arrivals()
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder, _progress_bar() as progress:
         task = progress.add_task("starting", total=len(arrivals))
@@ -48,7 +48,7 @@
 
 
 async def load_new_node(load: Load, executors: int) -> LoadReport:
-    """Start a node with executors of unlimited capacity, and load it."""
+    """Start a node with executors of unlimited capacity, and put the load on it."""
     specs = unbounded_executor_specs(executors)
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder:
         async with run_single_node(specs, load.job_classes, Path(folder)) as node:
@@ -56,7 +56,7 @@
 
 
 async def load_running_node(load: Load, address: tuple[str, int], pid: int | None) -> LoadReport:
-    """Load the node at this address; measure its CPU and memory if its process id is given."""
+    """Put the load on the node at this address; measure its CPU time and memory if `pid` is given."""
     arrivals = load.draw_arrivals()
     with _progress_bar() as progress:
         task = progress.add_task(f"{load.rate:g} jobs/s", total=len(arrivals))
--- a/burlmoor/cli/main.py
+++ b/burlmoor/cli/main.py
@@ -1,6 +1,6 @@
-"""The `burlmoor` command: a group whose verbs are imported only when used.
+"""The `burlmoor` command: a group whose subcommands are imported only when used.
 
-For the exit statuses see `exit_status.py`.
+`exit_status.py` defines the exit statuses.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 import click
 
-_VERBS = {
+_SUBCOMMANDS = {
     "try": "burlmoor.cli.load:try_",
     "run": "burlmoor.cli.node:run",
     "check": "burlmoor.cli.node:check",
@@ -19,23 +19,23 @@
 }
 
 
-class _Verbs(click.Group):
-    """The group of all verbs, whose modules and functions `_VERBS` names."""
+class _LazyGroup(click.Group):
+    """Imports a subcommand's module when the subcommand is looked up."""
 
     def list_commands(self, _ctx: click.Context) -> list[str]:
-        """Return the verbs in the order of `_VERBS`."""
-        return list(_VERBS)
+        """Return the names of the subcommands in the order of `_SUBCOMMANDS`."""
+        return list(_SUBCOMMANDS)
 
     def get_command(self, _ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a verb and return its command."""
-        if cmd_name not in _VERBS:
+        """Import a subcommand and return it."""
+        if cmd_name not in _SUBCOMMANDS:
             return None
-        module, _, name = _VERBS[cmd_name].partition(":")
+        module, _, name = _SUBCOMMANDS[cmd_name].partition(":")
         command: click.Command = getattr(importlib.import_module(module), name)
         return command
 
 
-@click.group(cls=_Verbs, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="burlmoor", message="%(version)s")
 def main() -> None:
     """Balance jobs over executors, and give each client exactly one final answer."""
--- a/burlmoor/cli/output.py
+++ b/burlmoor/cli/output.py
@@ -1,4 +1,4 @@
-"""The output of the commands: verdicts and status lines on standard error, JSON, exit status."""
+"""Prints verdicts and status lines on standard error, writes JSON, and sets the exit status."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def exit_with_verdict(verdict: Verdict, sink: IO[str] | None) -> NoReturn:
-    """Print a verdict, write it to the sink, if any, and exit with a status that says whether it holds."""
+    """Print a verdict, write it to the sink, if any, and exit; the status is FAILURE if it does not hold."""
     print_verdict(verdict)
     write_json(verdict.to_json_object(), sink)
     sys.exit(ExitStatus.SUCCESS if verdict.holds else ExitStatus.FAILURE)
--- a/burlmoor/clock.py
+++ b/burlmoor/clock.py
@@ -1,4 +1,4 @@
-"""The node's clock: monotonic, in milliseconds."""
+"""The node's monotonic clock, in milliseconds."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Clock:
-    """Owns the relation between this node's clock and Unix time, fixed at its start."""
+    """The node's clock; its offset from Unix time is fixed when it is created."""
 
     def __init__(self) -> None:
         self._monotonic_zero_ms = time.monotonic() * 1000.0 - _ORIGIN_MS
         self._unix_zero_ms = time.time() * 1000.0 - _ORIGIN_MS
 
     def __call__(self) -> float:
-        """Return the time now, in ms."""
+        """Return the current time in ms."""
         return time.monotonic() * 1000.0 - self._monotonic_zero_ms
 
     def from_unix(self, unix_ms: float) -> float:
--- a/burlmoor/counters.py
+++ b/burlmoor/counters.py
@@ -13,7 +13,7 @@
     """A group of counts; the value is its name in the log."""
 
     JOBS = "jobs"  # by answer and reason
-    RETRIES = "retries"  # attempts after the first, by the outcome of the one before
+    RETRIES = "retries"  # attempts after the first, by the outcome of the previous attempt
     CANCELS = "cancels"  # attempts that the node cancelled, by reason
     CLIENT_CLOSES = "client-closes"  # connections of clients and call-backs, by reason
     ENDPOINT_CLOSES = "endpoint-closes"  # connections to endpoints, by reason
@@ -23,7 +23,7 @@
 
 
 class EventCounters:
-    """Owns the counts of one process: the totals, and the changes since they were last taken."""
+    """Counts the events of one process, in total and since the counts were last taken."""
 
     def __init__(self) -> None:
         self._totals: dict[CounterGroup, Counter[str]] = {group: Counter() for group in CounterGroup}
--- a/burlmoor/errors.py
+++ b/burlmoor/errors.py
@@ -4,4 +4,4 @@
 
 
 class BurlmoorError(Exception):
-    """Something that burlmoor has found wrong: input, a peer, or its own state."""
+    """An error that burlmoor detects in its input, in a peer's behaviour or in its own state."""
--- a/burlmoor/invariants.py
+++ b/burlmoor/invariants.py
@@ -21,9 +21,9 @@
 
 
 class Invariant(Enum):
-    """One rule; the value is its name in the log."""
+    """A rule that must always hold; the value is its name in the log."""
 
-    SEND = "send"  # a request is written only to an endpoint that is live, and to its present process
+    SEND = "send"  # a request is written only to the current process of a live endpoint
     WITHDRAW = "withdraw"  # no unaccepted request remains at an endpoint that is no longer live
     REPEAT = "repeat"  # a non-idempotent job that may have run is not sent again
     SIMULTANEOUS = "simultaneous"  # no more attempts of a job are open concurrently than settings allow
--- a/burlmoor/log.py
+++ b/burlmoor/log.py
@@ -27,7 +27,7 @@
 
 
 class EventLog:
-    """Owns the log's stream, and the number of lines of each event in the current window."""
+    """Writes events to the log's stream, and counts the lines of each event in the current window."""
 
     def __init__(
         self, node: str, sink: BinaryIO | None = None, clock: Callable[[], float] = time.time
@@ -65,10 +65,10 @@
             self._sink.write(orjson.dumps(line, default=repr, option=orjson.OPT_APPEND_NEWLINE))
             self._sink.flush()
         except (OSError, ValueError):
-            # Without this, a full or closed log would end the node.
+            # A full or closed log must not end the node.
             return
 
 
 def _max_lines(event_type: type[LogEvent]) -> int:
-    """Return how many lines of an event one window may have."""
+    """Return how many lines of an event may be written in one window."""
     return _MAX_LINES_OF_EVENT.get(event_type, _MAX_LINES_PER_WINDOW)
--- a/burlmoor/log_events.py
+++ b/burlmoor/log_events.py
@@ -32,9 +32,6 @@
         return line
 
 
-# --- the process -------------------------------------------------------------------------------------
-
-
 class Started(LogEvent, tag="started", frozen=True, kw_only=True):
     """The node has started and accepts clients."""
 
@@ -47,17 +44,17 @@
     """The configuration was read again after SIGHUP."""
 
     discovery: str  # `host:port`
-    needs_restart: list[str]  # fields that differ and take effect only at a start
+    needs_restart: list[str]  # changed fields that take effect only at a restart
 
 
 class ReloadFailed(LogEvent, tag="reload-failed", frozen=True, kw_only=True):
-    """The configuration read after SIGHUP is invalid; nothing has changed."""
+    """The configuration read after SIGHUP is invalid; the node keeps the one that it has."""
 
     error: str
 
 
 class ShutdownStarted(LogEvent, tag="shutdown-started", frozen=True, kw_only=True):
-    """A signal has begun the graceful shutdown."""
+    """A signal has started the graceful shutdown."""
 
     open_jobs: int
     stalled_seconds: float  # how long the process was stalled before it received the signal
@@ -86,14 +83,11 @@
 
 
 class LogDropped(LogEvent, tag="log-dropped", frozen=True, kw_only=True):
-    """Lines were dropped in the last window."""
+    """Lines were dropped in the last window, because events exceeded their limits."""
 
     events: dict[str, int]  # how many lines, by event
 
 
-# --- jobs and attempts -------------------------------------------------------------------------------
-
-
 class AttemptTimeline(msgspec.Struct, frozen=True, kw_only=True):
     """The state changes of one attempt in `job-ended`, in ms since the request was received."""
 
@@ -109,7 +103,7 @@
 
 
 class JobEnded(LogEvent, tag="job-ended", frozen=True, kw_only=True):
-    """A job has ended, other than by the result of its only attempt."""
+    """A job has ended in any other way than by the result of its only attempt."""
 
     id: str
     job_class: str
@@ -132,14 +126,14 @@
 
 
 class InvariantViolated(LogEvent, tag="invariant-violated", frozen=True, kw_only=True):
-    """A rule on attempts did not hold."""
+    """An invariant on attempts was violated."""
 
     invariant: str
-    count: int  # of this rule so far
+    count: int  # violations of this invariant so far
     id: str | UnsetType = UNSET
     endpoint: str | UnsetType = UNSET
     attempt: int | UnsetType = UNSET
-    address: str | UnsetType = UNSET  # of the connection, where no attempt is known
+    address: str | UnsetType = UNSET  # of the connection, if no attempt is known
 
 
 class AttemptWithdrawn(LogEvent, tag="attempt-withdrawn", frozen=True, kw_only=True):
@@ -152,14 +146,14 @@
 
 
 class AttemptError(LogEvent, tag="attempt-error", frozen=True, kw_only=True):
-    """An internal error during an attempt, a cancellation or a health check."""
+    """An internal error occurred during an attempt, a cancellation or a health check."""
 
     endpoint: str
     error: str
 
 
 class PolicyWarning(LogEvent, tag="policy-warning", frozen=True, kw_only=True):
-    """A warning of the policy."""
+    """The policy issued a warning."""
 
     text: str
 
@@ -171,15 +165,12 @@
 
 
 class ActionFailed(LogEvent, tag="action-failed", frozen=True, kw_only=True):
-    """An internal error while an action of the policy was carried out."""
+    """An internal error occurred while an action of the policy was carried out."""
 
     action: str
     error: str
 
 
-# --- clients -----------------------------------------------------------------------------------------
-
-
 class RequestRejected(LogEvent, tag="request-rejected", frozen=True, kw_only=True):
     """A request was answered before it became a job."""
 
@@ -189,7 +180,7 @@
 
 
 class ConnectionFailed(LogEvent, tag="connection-failed", frozen=True, kw_only=True):
-    """An internal error on one accepted connection."""
+    """An internal error occurred on an accepted connection."""
 
     error: str
 
@@ -200,9 +191,6 @@
     error: str
 
 
-# --- discovery and the endpoint list -----------------------------------------------------------------
-
-
 class DiscoveryFailed(LogEvent, tag="discovery-failed", frozen=True, kw_only=True):
     """A call to discovery failed."""
 
@@ -255,21 +243,18 @@
 class EndpointListInvalidEntries(LogEvent, tag="endpoint-list-invalid-entries", frozen=True, kw_only=True):
     """Entries of an endpoint list are invalid and were skipped."""
 
-    error: str  # of the first one
+    error: str  # in the first of them
     count: int
 
 
-# --- handover ----------------------------------------------------------------------------------------
-
-
 class HandoverCompleted(LogEvent, tag="handover-completed", frozen=True, kw_only=True):
-    """A new process accepts clients in place of this one."""
+    """The successor accepts clients in place of this process."""
 
     open_jobs: int
 
 
 class HandoverReverted(LogEvent, tag="handover-reverted", frozen=True, kw_only=True):
-    """The process that had taken over has ended; this one accepts clients again."""
+    """The successor has ended; this process accepts clients again."""
 
 
 class HandoverTimedOut(LogEvent, tag="handover-timed-out", frozen=True, kw_only=True):
@@ -288,14 +273,11 @@
     error: str
 
 
-# --- operators and deferred jobs ---------------------------------------------------------------------
-
-
 class OverrideApplied(LogEvent, tag="override-applied", frozen=True, kw_only=True):
     """An administrative call was carried out."""
 
     call: str
-    name: str  # of the executor; empty where the call names none
+    name: str  # of the executor; empty if the call names none
 
 
 class OverrideLoadFailed(LogEvent, tag="override-load-failed", frozen=True, kw_only=True):
@@ -313,7 +295,7 @@
 
 
 class AdminConnectionFailed(LogEvent, tag="admin-connection-failed", frozen=True, kw_only=True):
-    """An internal error in one administrative call."""
+    """An internal error occurred in an administrative call."""
 
     error: str
 
@@ -326,12 +308,12 @@
 
 
 class DeferralsEnded(LogEvent, tag="deferred-ended", frozen=True, kw_only=True):
-    """The node drains or shuts down, so all deferrals were ended."""
+    """All deferrals were ended because the node drains or shuts down."""
 
     jobs: int
 
 
 class DeferredQueueFailed(LogEvent, tag="deferred-failed", frozen=True, kw_only=True):
-    """An internal error in the deferred-job queue; no job is deferred any more."""
+    """An internal error occurred in the deferred-job queue; no more jobs are deferred."""
 
     error: str
--- a/burlmoor/simulation/audit.py
+++ b/burlmoor/simulation/audit.py
@@ -1,7 +1,7 @@
 """Checks the four rules on what clients and executors of a simulated cluster observed.
 
-What nodes report of themselves is no evidence, except that they must log no fault. The rules on what each
-executor receives: `audit_executors.py`.
+Reports of the nodes themselves are not used as evidence, except that a node must not log an internal fault.
+`audit_executors.py` checks what each executor receives.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 
 def audit(cluster: SimulatedCluster) -> list[str]:
-    """Return a line for every violation; empty where all rules hold.
+    """Return one line per violation; an empty list means that all rules hold.
 
-    The cluster has to have run until every job is answered.
+    The cluster must have run until every job was answered.
     """
     attempts_by_job: dict[str, list[ExecutorRecord]] = defaultdict(list)
     for attempt in cluster.executor_records:
@@ -48,7 +48,7 @@
 def _check_answer(
     cluster: SimulatedCluster, client: ClientRecord, attempts: list[ExecutorRecord]
 ) -> Iterator[str]:
-    """Check that a job got one final answer, in time, and a result that an executor made."""
+    """Check that a job got exactly one final answer, in time, and only a result that an executor produced."""
     if client.has_node_crashed or client.disconnected_at < math.inf:
         return
     if len(client.answers) != 1:
@@ -67,7 +67,7 @@
 
 
 def _may_have_run(attempts: list[ExecutorRecord], now: float) -> list[ExecutorRecord]:
-    """Return the attempts of which it was not proved by then that they never ran."""
+    """Return the attempts that, as far as was known at `now`, may have run."""
     return [
         attempt
         for attempt in attempts
@@ -100,7 +100,7 @@
 
 
 def _is_deduplicated(job_class: JobClass, first: ExecutorRecord, repeat: ExecutorRecord) -> bool:
-    """Whether executors recognize a repeat of an attempt by its key."""
+    """Whether executors recognize the second attempt by its key as a repeat of the first."""
     is_within_window = repeat.sent_at <= first.sent_at + job_class.deduplication_window_ms
     return is_within_window and shares_deduplication(job_class, first, repeat)
 
@@ -108,7 +108,7 @@
 def _check_rejection(
     job_class: JobClass, client: ClientRecord, attempts: list[ExecutorRecord]
 ) -> Iterator[str]:
-    """Check that a job was not rejected though it may have run, unless a repeat would do no harm."""
+    """Check that a job that may have run was not rejected, unless any executor can safely repeat it."""
     is_repeatable_anywhere = job_class.idempotency is Idempotency.IDEMPOTENT or (
         job_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         and job_class.deduplication_scope is DeduplicationScope.ALL
--- a/burlmoor/simulation/audit_executors.py
+++ b/burlmoor/simulation/audit_executors.py
@@ -1,4 +1,4 @@
-"""The rules on what executors of a simulated cluster receive: drains, slow start, disconnected clients."""
+"""Checks what executors of a simulated cluster receive: drains, slow start, disconnected clients."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
     from burlmoor.simulation.cluster import SimulatedCluster
 
-DISCONNECT_GRACE_MS = 100.0  # in which an attempt may still be sent once its client has disconnected
-MAX_LATE_SENDS = 2  # attempts in all that may be sent later than that
+DISCONNECT_GRACE_MS = 100.0  # how long attempts may still be sent after their client disconnected
+MAX_LATE_SENDS = 2  # number of attempts in a run that may be sent after the grace period
 
 
 class _ExecutorProcess(NamedTuple):
-    """One process of an executor, by its start."""
+    """One process of an executor, identified by its start time."""
 
     executor: str
     started_at: float
 
 
 class _Overload(NamedTuple):
-    """The work sent to an executor within a window, and its budget there."""
+    """The work sent to an executor within a window, and the executor's budget for that window."""
 
     work_ms: float
     budget_ms: float
@@ -49,7 +49,7 @@
 
 
 def _unavailable_since(notifications: list[EndpointNotification], now: float) -> float:
-    """Return since when a node knew at a moment that an executor is not live; infinite if it was live."""
+    """Return since when a node has known, at `now`, that an executor is not live; infinity if it is live."""
     since = math.inf
     for notification in notifications:
         if notification.at > now:
@@ -71,7 +71,7 @@
 
 
 def _attempts_while_warming(cluster: SimulatedCluster) -> dict[_ExecutorProcess, list[ExecutorRecord]]:
-    """Group by executor process the attempts sent while it warmed up, by nodes that knew of its start."""
+    """Return the attempts sent to warming executors by nodes that knew of their start, by process."""
     first_known_at = {
         (notification.node_index, notification.executor, notification.executor_started_at): notification.at
         for notification in reversed(cluster.notifications)
@@ -90,7 +90,7 @@
 def _first_overload(
     cluster: SimulatedCluster, started_at: float, attempts: list[ExecutorRecord], mean_work_ms: float
 ) -> _Overload | None:
-    """Return the first window with too much work, if there is one."""
+    """Return the first window in which an executor got more work than its budget, if there is one."""
     rules = cluster.spec.settings.rules
     spec = cluster.spec.executor_spec
     for first, attempt in enumerate(attempts):
--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -1,9 +1,9 @@
 """A cluster of nodes, executors, clients and a discovery service, on one event queue with a virtual clock.
 
-Nodes are the `Engine` with its policy; executors are `testbed/executor_model.py`. What the sockets of a real
-node would report is reported here as outcomes, by the protocol's table. One seed determines all random
-numbers: the same seed gives the same run. Times are ms. What clients and executors observed is recorded
-(`records.py`) and judged by `audit.py`.
+Nodes run the `Engine` with its policy; executors use `testbed/executor_model.py`. Events that a real node
+sees on its sockets are reported as outcomes, according to the protocol's table. One seed determines all
+random numbers: the same seed gives the same run. Times are ms. `records.py` defines the records of what
+clients and executors observed, and `audit.py` checks them.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
     from burlmoor.simulation.cluster_spec import ClusterSpec
 
 _START_MS = 1_000_000.0
-_AFFINITY_KEYS = 20
+_AFFINITY_KEY_COUNT = 20
 
 
 class SimulatedCluster:
-    """Owns the clock, all processes and the records."""
+    """Owns the virtual clock, all simulated processes and the records."""
 
     def __init__(self, spec: ClusterSpec, seed: int) -> None:
         self.spec = spec
         self.client_records: dict[str, ClientRecord] = {}  # by request id
         self.executor_records: list[ExecutorRecord] = []
         self.notifications: list[EndpointNotification] = []
-        self.node_faults: list[str] = []  # log events of nodes that must not occur
+        self.node_faults: list[str] = []  # log events that nodes must not write
         self.nodes: list[SimulatedNode | None] = [None] * spec.settings.node_count
         self._seed = seed
         self._rng = random.Random(seed)
@@ -48,29 +48,25 @@
         for index in range(spec.settings.node_count):
             self._start_node(index, 0)
 
-    # --- the clock ------------------------------------------------------------------------------
-
     @property
     def now(self) -> float:
-        """The virtual time."""
+        """The current virtual time."""
         return self._events.now
 
     def schedule(self, when: float, action: Action) -> None:
-        """Schedule an action for a moment, or for the present one if that is past."""
+        """Schedule an action for a time, or for now if that time is past."""
         self._events.schedule(when, action)
 
     def run(self, until: float) -> None:
-        """Run the simulation until a moment."""
+        """Run the simulation until a given time."""
         self._events.run(until)
 
-    # --- clients --------------------------------------------------------------------------------
-
     def submit_job(
         self, node_index: int, job_class: str, work_ms: float, tenant: str = "", hint_error: float = 1.0
     ) -> str | None:
-        """Let a client send a job whose work hint is wrong by the factor `hint_error`.
+        """Send a job from a client; its work hint is wrong by the factor `hint_error`.
 
-        Returns its request id, or None where the node does not run, so that the client cannot connect.
+        Returns the request id, or None if the node is down, so that the client cannot connect.
         """
         deadline_ms = next(each.deadline_ms for each in self.spec.settings.classes if each.name == job_class)
         node = self.nodes[node_index]
@@ -79,7 +75,7 @@
         request_id = f"r{len(self.client_records)}"
         record = ClientRecord(request_id, job_class, tenant, self.now, deadline_ms, work_ms, node_index)
         self.client_records[request_id] = record
-        key = f"k{self._rng.randrange(_AFFINITY_KEYS)}"
+        key = f"k{self._rng.randrange(_AFFINITY_KEY_COUNT)}"
         work_hint_ms = work_ms * hint_error
         node.on_job(
             record, JobRequest(0, job_class, deadline_ms, work_hint_ms, tenant=tenant, affinity_key=key)
@@ -87,15 +83,13 @@
         return request_id
 
     def disconnect_client(self, request_id: str) -> None:
-        """Let a client close its connection, if it still waits for its answer."""
+        """Close a client's connection, if the client still waits for its answer."""
         record = self.client_records[request_id]
         node = self.nodes[record.node_index]
         if node is not None and request_id in node.jobs and not record.answers:
             record.disconnected_at = self.now
             node.on_client_disconnected(request_id)
 
-    # --- nodes ----------------------------------------------------------------------------------
-
     def push_endpoint_list(self) -> None:
         """Send every node the complete endpoint list at once."""
         for node in self.nodes:
@@ -103,7 +97,7 @@
                 node.on_endpoint_list(ListKind.SNAPSHOT, self.executors.listed())
 
     def crash_node(self, index: int, restart_after_ms: float) -> None:
-        """End a node's process; another one starts later, from the endpoint list as it is then."""
+        """Crash a node's process; after `restart_after_ms`, a new one starts from the list as it is then."""
         node = self.nodes[index]
         if node is None:
             return
--- a/burlmoor/simulation/cluster_spec.py
+++ b/burlmoor/simulation/cluster_spec.py
@@ -22,18 +22,18 @@
 
 
 class CancelEffect(Enum):
-    """What a cancelled attempt frees at its executor."""
+    """What cancelling an attempt frees at its executor."""
 
     NOTHING = "nothing"
-    QUEUED = "queued"  # its place in the queue, if it has not started
+    QUEUED = "queued"  # the attempt's place in the queue, if it has not started
 
 
 class WeightSource(Enum):
-    """Which weights the endpoint list gives executors."""
+    """How the endpoint list weights executors."""
 
     EQUAL = "equal"
     NOMINAL = "nominal"  # the number of cores
-    LIVE = "live"  # the number of cores, reduced the more jobs the executor has
+    LIVE = "live"  # the number of cores, reduced by the executor's current load
 
 
 @dataclass(frozen=True)
@@ -45,8 +45,8 @@
     executor_count: int = 6
     executor_spec: ExecutorSpec = DEFAULT_EXECUTOR_SPEC
     network_delay_ms: float = 2.0  # one way
-    list_delay_ms: tuple[float, float] = (50.0, 400.0)  # until a node is notified of a change, drawn for each
+    list_delay_ms: tuple[float, float] = (50.0, 400.0)  # range of a node's random delay of notifications
     cancel_effect: CancelEffect = CancelEffect.NOTHING
     weight_source: WeightSource = WeightSource.NOMINAL
-    lost_response_fraction: float = 0.0  # of attempts that were served; their node is never notified
+    lost_response_fraction: float = 0.0  # of served attempts; the node never gets their result
     reset_fraction: float = 0.0  # of attempts whose connection breaks after the executor accepted them
--- a/burlmoor/simulation/deduplication.py
+++ b/burlmoor/simulation/deduplication.py
@@ -15,7 +15,7 @@
 def is_duplicate(
     record: ExecutorRecord, job_class: JobClass, records: Iterable[ExecutorRecord], now: float
 ) -> bool:
-    """Whether executors that deduplicate together have begun this job before, within the window."""
+    """Whether an executor that shares deduplication has already begun this job within the window."""
     if job_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
         return False
     return any(
--- a/burlmoor/simulation/discovery.py
+++ b/burlmoor/simulation/discovery.py
@@ -21,7 +21,7 @@
 
 
 class SimulatedDiscovery:
-    """Notifies every node of changes to the endpoint list, each node after a delay drawn for it."""
+    """Notifies every node of changes to the endpoint list, each after its own random delay."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._nodes = nodes
 
     def publish(self, entries: list[EndpointEntry]) -> None:
-        """Notify every node that runs now of these entries."""
+        """Notify every running node of these entries."""
         for node in self._nodes:
             if node is not None:
                 arrives_at = self._events.now + self._rng.uniform(*self._delay_ms)
--- a/burlmoor/simulation/event_queue.py
+++ b/burlmoor/simulation/event_queue.py
@@ -9,7 +9,7 @@
 
 
 class EventQueue:
-    """Owns the virtual time. Actions of one moment run in the order in which they were scheduled."""
+    """Owns the virtual time. Actions due at the same time run in the order in which they were scheduled."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -17,12 +17,12 @@
         self._last_number = 0
 
     def schedule(self, when: float, action: Action) -> None:
-        """Schedule an action for a moment, or for the present one if that is past."""
+        """Schedule an action for a time, or for now if that time is past."""
         self._last_number += 1
         heapq.heappush(self._events, (max(when, self.now), self._last_number, action))
 
     def run(self, until: float) -> None:
-        """Run all actions that are due until a moment, and advance the clock to it."""
+        """Run all actions due up to a given time, and advance the clock to that time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
--- a/burlmoor/simulation/executors.py
+++ b/burlmoor/simulation/executors.py
@@ -27,7 +27,7 @@
 
 
 class InFlightAttempt(NamedTuple):
-    """An attempt that an executor has accepted and not ended."""
+    """An attempt that an executor has accepted and not yet ended."""
 
     record: ExecutorRecord
     attempt: Attempt
@@ -35,9 +35,9 @@
 
 @dataclass(slots=True)
 class SimulatedExecutor:
-    """One process of an executor; a restart makes another."""
+    """One process of an executor; a restart creates a new one."""
 
-    entry: EndpointEntry  # as on the endpoint list, but for its weight
+    entry: EndpointEntry  # as on the endpoint list, except for its weight
     model: ExecutorModel
     is_running: bool = True
     next_step_at: float = math.inf
@@ -69,11 +69,9 @@
         for number in range(spec.executor_count):
             self._add(f"x{number}", spec.zones[number % len(spec.zones)], 0.0)
 
-    # --- the endpoint list ----------------------------------------------------------------------
-
     @property
     def names(self) -> list[str]:
-        """The names of all executors, also of those that are gone."""
+        """The names of all executors, including those that are gone."""
         return list(self._executors)
 
     def is_running(self, name: str) -> bool:
@@ -81,12 +79,12 @@
         return self._executors[name].is_running
 
     def entry(self, name: str) -> EndpointEntry:
-        """Return an executor's entry on the endpoint list as it is now."""
+        """Return an executor's current entry on the endpoint list."""
         executor = self._executors[name]
         return executor.entry._replace(weight=self._weight(executor))
 
     def listed(self) -> list[EndpointEntry]:
-        """Return the complete endpoint list; executors that are gone are not on it."""
+        """Return the complete endpoint list, without executors that are gone."""
         entries = [self.entry(name) for name in self._executors]
         return [entry for entry in entries if entry.state is not EndpointState.GONE]
 
@@ -100,10 +98,8 @@
             case WeightSource.LIVE:
                 return cores / (1.0 + executor.model.job_count / cores)
 
-    # --- processes ------------------------------------------------------------------------------
-
     def drain(self, name: str, duration_ms: float) -> None:
-        """Drain an executor: it returns what is queued, finishes what runs, and ends after `duration_ms`."""
+        """Drain an executor: it returns queued jobs, finishes running ones, and ends after `duration_ms`."""
         executor = self._executors[name]
         if not executor.is_running or executor.entry.state is not EndpointState.LIVE:
             return
@@ -144,10 +140,8 @@
         model = ExecutorModel(self._spec.executor_spec, self._events.now, in_slow_start=started_at > 0.0)
         self._executors[name] = SimulatedExecutor(entry, model)
 
-    # --- attempts -------------------------------------------------------------------------------
-
     def accept(self, attempt: Attempt, record: ExecutorRecord) -> None:
-        """Accept an attempt that has arrived, or end it at once."""
+        """Accept an attempt that has arrived, or end it immediately."""
         executor = self._executors[attempt.endpoint]
         client = self._client_records[attempt.job.id]
         if not executor.is_running:
@@ -168,7 +162,7 @@
         self._step(executor)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Drop an attempt that its node has cancelled, if this cluster's executors do so."""
+        """Drop a cancelled attempt if it is queued, unless `CancelEffect` is `NOTHING`."""
         executor = self._executors[attempt.endpoint]
         request_id = attempt.job.id
         if request_id in executor.in_flight and self._spec.cancel_effect is not CancelEffect.NOTHING:
--- a/burlmoor/simulation/gossip.py
+++ b/burlmoor/simulation/gossip.py
@@ -1,4 +1,4 @@
-"""A cluster's membership protocol in virtual time.
+"""Simulates a cluster's membership protocol in virtual time.
 
 Datagrams are delayed, lost, repeated or cut off; nodes crash and are suspended. Times are seconds.
 """
@@ -20,7 +20,7 @@
 
     from burlmoor.membership.dissemination import Datagram
 
-MIN_STEP_SECONDS = 0.05  # between two steps of a node
+MIN_STEP_SECONDS = 0.05  # minimum time between two steps of a node
 _POLL_SECONDS = 0.25  # between two checks whether the views have converged
 _MAX_FIRST_STEP_SECONDS = 0.25  # after the start of a node
 _MIN_DELAY_SECONDS = 0.001  # of a datagram
@@ -29,7 +29,7 @@
 
 
 class DatagramTooLargeError(BurlmoorError, ValueError):
-    """A node wants to send more states than fit into one datagram."""
+    """A message has more member states than fit into one datagram."""
 
     def __init__(self, state_count: int) -> None:
         super().__init__(f"{state_count} states do not fit into {MAX_DATAGRAM_BYTES} bytes")
@@ -40,7 +40,7 @@
     """Owns the nodes, the network between them and the clock.
 
     `loss` is the fraction of datagrams that are lost; a quarter as many are delivered twice. With
-    `known_count`, each node is configured with that many nodes only, otherwise with all.
+    `known_count`, each node is configured with only that many nodes, otherwise with all.
     """
 
     def __init__(
@@ -52,39 +52,35 @@
         self.known_count = known_count
         self.addresses: dict[str, Address] = {f"n{number}": (_host(number), _PORT) for number in range(nodes)}
         self.running: dict[str, Membership] = {}
-        self.suspended: dict[str, list[Action]] = {}  # what waits until each suspended node resumes
+        self.suspended: dict[str, list[Action]] = {}  # actions held until each suspended node resumes
         self.is_cut: Callable[[str, str], bool] = lambda _sender, _recipient: False
         self.sent_bytes = 0
-        self.death_declarations: list[tuple[float, str, str]] = []  # when, by which node, of which
+        self.death_declarations: list[tuple[float, str, str]] = []  # time, declaring node, declared member
         self._names_by_address = {address: name for name, address in self.addresses.items()}
         self._events = EventQueue(0.0)
         for name in self.addresses:
             self.start(name)
 
-    # --- the clock ------------------------------------------------------------------------------
-
     @property
     def now(self) -> float:
-        """The virtual time."""
+        """The current virtual time."""
         return self._events.now
 
     def schedule(self, when: float, action: Action) -> None:
-        """Run an action at a moment."""
+        """Schedule an action for a given time."""
         self._events.schedule(when, action)
 
     def run(self, until: float) -> None:
-        """Run the simulation until a moment."""
+        """Run the simulation until a given time."""
         self._events.run(until)
 
     def run_until_converged(self, limit: float) -> float:
-        """Run until all views converge; return the seconds it took, more than `limit` where they do not."""
+        """Run until all views converge; return the seconds taken, which exceed `limit` if they do not."""
         began = self.now
         while not self.has_converged() and self.now < began + limit + 2.0 * _POLL_SECONDS:
             self.run(self.now + _POLL_SECONDS)
         return self.now - began
 
-    # --- nodes ----------------------------------------------------------------------------------
-
     def start(self, name: str, generation: int = 100) -> None:
         """Start a node, or restart it."""
         configured = self.addresses
@@ -95,7 +91,7 @@
         self.run_node(name, node, self.now + self.rng.uniform(0.0, _MAX_FIRST_STEP_SECONDS))
 
     def run_node(self, name: str, node: Membership, first_step_at: float) -> None:
-        """Run a node from a moment on."""
+        """Run a node, with its first step at the given time."""
         self.running[name] = node
         self.schedule(first_step_at, lambda: self._step(name, node))
 
@@ -105,7 +101,7 @@
             del self.running[name]
 
     def suspend(self, name: str, duration: float) -> None:
-        """Suspend a node's process for a time: what arrives meanwhile waits."""
+        """Suspend a node's process; its steps and incoming datagrams are held until it resumes."""
         self.suspended[name] = []
         self.schedule(self.now + duration, lambda: self._resume(name))
 
@@ -125,8 +121,6 @@
         self.death_declarations += [(self.now, name, member) for member in declared]
         self.schedule(max(self.now + MIN_STEP_SECONDS, node.next_step_at()), lambda: self._step(name, node))
 
-    # --- the network ----------------------------------------------------------------------------
-
     def transmit(self, sender: str, datagrams: list[Datagram]) -> None:
         """Send a node's datagrams over the network.
 
@@ -154,20 +148,18 @@
             return
         self.transmit(recipient, node.on_message(decode(data), self.addresses[sender], self.now))
 
-    # --- views ----------------------------------------------------------------------------------
-
     @staticmethod
     def dead_members(node: Membership) -> set[str]:
-        """Return the members that a node believes dead."""
+        """Return the members that a node believes to be dead."""
         members = node.view(0.0).members
         return {name for name, state in members.items() if state.status is MemberStatus.DEAD}
 
     def believed_members(self) -> set[tuple[str, ...]]:
-        """Return the different lists of members that running nodes believe."""
+        """Return the distinct member lists that running nodes believe in."""
         return {node.view(self.now).member_names for node in self.running.values()}
 
     def has_converged(self) -> bool:
-        """Whether all running nodes believe that exactly the running nodes are members."""
+        """Whether every running node believes that the members are exactly the running nodes."""
         return self.believed_members() == {tuple(sorted(self.running))}
 
 
--- a/burlmoor/simulation/network.py
+++ b/burlmoor/simulation/network.py
@@ -1,4 +1,4 @@
-"""The network from executors back to nodes, in virtual time."""
+"""The network that carries reports from executors to nodes, in virtual time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ResponseNetwork:
-    """Reports to nodes what happens to their attempts, each report after a delay drawn for it."""
+    """Reports to nodes what happens to their attempts, each report after its own random delay."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._report(record, end_attempt)
 
     def _report(self, record: ExecutorRecord, deliver: Callable[[EngineCore], None]) -> None:
-        """Deliver to the process that sent the attempt, if it still runs by then."""
+        """Deliver a report to the process that sent the attempt, if that process still runs on arrival."""
         node = self._nodes[record.node_index]
 
         def arrive() -> None:
--- a/burlmoor/simulation/node.py
+++ b/burlmoor/simulation/node.py
@@ -25,7 +25,7 @@
     from burlmoor.types.events import JobRequest
 
 _FAULT_EVENTS = (PolicyFailed, ActionFailed, AnsweredAtDeadline)
-_HEALTH_CHECK_MS = 4.0  # as reported
+_HEALTH_CHECK_ELAPSED_MS = 4.0  # reported for every health check
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
 
 class SimulatedNode:
-    """One process of a node; a restart makes another, of the next generation."""
+    """One process of a node; a restart creates a new one, of the next generation."""
 
     def __init__(
         self,
@@ -79,11 +79,9 @@
         self.engine = Engine(self.core, self, self)
 
     def start(self) -> None:
-        """Start from the endpoint list as it is now, as from a cached one."""
+        """Start with the current endpoint list, as if it had been cached."""
         self.on_endpoint_list(ListKind.CACHED, self._executors.listed())
 
-    # --- time and logging -----------------------------------------------------------------------
-
     def _on_log_event(self, event: LogEvent) -> None:
         if isinstance(event, _FAULT_EVENTS):
             self._recorder.node_faults.append(repr(event))
@@ -102,8 +100,6 @@
             self._next_step_at = due
             self._events.schedule(due, self._step)
 
-    # --- events ---------------------------------------------------------------------------------
-
     def on_list_changed(self, entries: list[EndpointEntry]) -> None:
         """Apply changes of the endpoint list."""
         self.on_endpoint_list(ListKind.DELTA, entries)
@@ -134,8 +130,6 @@
         """Notify the engine that a job's client has disconnected."""
         self.core.lifecycle.on_client_disconnected(self.jobs[request_id])
 
-    # --- upstream -------------------------------------------------------------------------------
-
     def start_attempt(self, attempt: Attempt) -> None:
         """Send an attempt; it arrives after the network's delay."""
         client = self._client_records[attempt.job.id]
@@ -152,7 +146,7 @@
             self.generation,
         )
         self._recorder.executor_records.append(record)
-        self._after_delays(1, lambda: self._executors.accept(attempt, record))
+        self._after_network_delays(1, lambda: self._executors.accept(attempt, record))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt; the cancellation arrives after the network's delay."""
@@ -160,13 +154,15 @@
         if record.outcome is None:
             record.outcome = attempt.outcome or Outcome.CANCELLED
             record.outcome_known_at = self._events.now
-        self._after_delays(1, lambda: self._executors.cancel(attempt))
-        self._after_delays(2, lambda: self.core.lifecycle.on_cancellation_confirmed(attempt))
+        self._after_network_delays(1, lambda: self._executors.cancel(attempt))
+        self._after_network_delays(2, lambda: self.core.lifecycle.on_cancellation_confirmed(attempt))
 
     def check_health(self, endpoint: str) -> None:
-        """Check whether an executor's process runs; the result arrives after two network delays."""
+        """Check whether an executor's process runs; the result arrives after a network round trip."""
         outcome = Outcome.SERVED if self._executors.is_running(endpoint) else Outcome.UNREACHABLE
-        self._after_delays(2, lambda: self.core.policy.on_health_checked(endpoint, outcome, _HEALTH_CHECK_MS))
+        self._after_network_delays(
+            2, lambda: self.core.policy.on_health_checked(endpoint, outcome, _HEALTH_CHECK_ELAPSED_MS)
+        )
 
     def _find_record(self, attempt: Attempt) -> ExecutorRecord:
         return next(
@@ -175,13 +171,11 @@
             if record.request_id == attempt.job.id and record.executor == attempt.endpoint
         )
 
-    def _after_delays(self, count: int, action: Callable[[], None]) -> None:
+    def _after_network_delays(self, count: int, action: Callable[[], None]) -> None:
         self._events.schedule(self._events.now + count * self._spec.network_delay_ms, action)
 
-    # --- discovery ------------------------------------------------------------------------------
-
     def watch(self) -> None:
-        """Fetch the endpoint list; changes are published to all nodes in any case."""
+        """Fetch the endpoint list once; changes are published to every node without a watch."""
         entries = self._executors.listed()
         arrives_at = self._events.now + self._spec.list_delay_ms[0]
         self._events.schedule(arrives_at, lambda: self.on_endpoint_list(ListKind.SNAPSHOT, entries))
--- a/burlmoor/simulation/records.py
+++ b/burlmoor/simulation/records.py
@@ -1,6 +1,6 @@
-"""What clients and executors of a simulated cluster observed: the evidence that the audit judges.
+"""Records of what clients and executors of a simulated cluster observed, which the audit checks.
 
-Times are ms of the virtual clock; `math.inf` where something has not happened.
+Times are ms of the virtual clock; `math.inf` means that something has not happened.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     from burlmoor.types.outcome import Outcome
 
 DEDUPLICATED_RESULT = b"dropped"  # stands for the result of a repeat that executors recognized by its key
-TOLERANCE_MS = 50.0  # beyond each limit, as on sockets
+TOLERANCE_MS = 50.0  # added to each time limit, as in audits of real sockets
 
 
 class AnswerRecord(NamedTuple):
@@ -37,13 +37,13 @@
     work_ms: float
     node_index: int
     answers: list[AnswerRecord] = field(default_factory=list)
-    has_node_crashed: bool = False  # then no answer is due
+    has_node_crashed: bool = False  # no answer is due then
     disconnected_at: float = math.inf
 
 
 @dataclass(slots=True)
 class ExecutorRecord:
-    """An attempt as its executor observed it. `outcome` is its end as its node knows it, if it does."""
+    """An attempt as its executor observed it. `outcome` is the outcome known to its node, if any."""
 
     request_id: str
     executor: str
--- a/burlmoor/simulator_adapter/__init__.py
+++ b/burlmoor/simulator_adapter/__init__.py
@@ -1,5 +1,5 @@
-"""Runs many dispatchers on the simulator's wire: one JSON line in, one JSON line out, until the end of input.
+"""Connects dispatchers to the simulator: answers each JSON line with one JSON line, until the end of input.
 
-`event_parsing` and `action_encoding` are the codec and `wire` is what they share; `dispatcher_host` owns the
-dispatchers; `__main__` is the command. Nothing is decided here.
+`event_parsing` and `action_encoding` are the codec, and `wire` has the types that they share;
+`dispatcher_host` owns the dispatchers; `__main__` is the command. All decisions are made by the dispatchers.
 """
--- a/burlmoor/simulator_adapter/__main__.py
+++ b/burlmoor/simulator_adapter/__main__.py
@@ -15,9 +15,10 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer each line of `source` on `sink` until the end of input.
+    """Write the reply to each line of `source` to `sink`, until the end of input.
 
-    Raises MalformedLineError.
+    Raises:
+        MalformedLineError: a line can't be parsed.
     """
     host = DispatcherHost()
     for line in source:
--- a/burlmoor/simulator_adapter/action_encoding.py
+++ b/burlmoor/simulator_adapter/action_encoding.py
@@ -36,10 +36,10 @@
 
 
 def encode_action(action: Action) -> Row:
-    """Return the decision for an action."""
+    """Return the decision that represents an action."""
     return _ENCODERS[type(action)](action)
 
 
 def encode_internal_error(error: Exception) -> Row:
-    """Return the decision that stands for an exception of a dispatcher."""
+    """Return the decision that reports an exception raised by a dispatcher."""
     return ["InternalError", repr(error)]
--- a/burlmoor/simulator_adapter/dispatcher_host.py
+++ b/burlmoor/simulator_adapter/dispatcher_host.py
@@ -1,4 +1,4 @@
-"""Hosts the dispatchers of one process, each of which gets only its own events."""
+"""Hosts the dispatchers of one process, and passes each of them its own events."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class InstanceEvents(NamedTuple):
-    """The events of one dispatcher in a batch."""
+    """The events of one dispatcher within a batch."""
 
     instance: int
     rows: Sequence[Row]
 
 
 class Batch(NamedTuple):
-    """One line of input: the events of one moment."""
+    """One line of input: the events of one point in time."""
 
     now: float  # ms
     instances: Sequence[InstanceEvents]
 
 
 class DispatcherHost:
-    """Owns the dispatchers of one process, by the number of their instance."""
+    """Owns the dispatchers of one process, by instance number."""
 
     def __init__(self) -> None:
         self._dispatchers: dict[int, Dispatcher] = {}
@@ -40,7 +40,8 @@
     def reply(self, line: str) -> str:
         """Return the reply line to one batch line.
 
-        Raises MalformedLineError.
+        Raises:
+            MalformedLineError: the line can't be parsed.
         """
         batch = _parse_batch(line)
         replies = []
@@ -51,7 +52,7 @@
         return json.dumps({"parts": replies}, separators=(",", ":"))
 
     def _handle_rows(self, now: float, instance: int, rows: Sequence[Row]) -> list[Row]:
-        """Start and end dispatchers, and return the decisions of the last one started."""
+        """Start and end dispatchers as the rows say, and return the decisions of the last one."""
         events: list[Event] = []
         for row in rows:
             parsed = parse_row(row)
@@ -63,7 +64,7 @@
                     try:
                         self._dispatchers[instance] = Dispatcher(parsed.settings, parsed.seed)
                     except Exception as error:  # noqa: BLE001
-                        # The simulator gets a policy's exception as a decision, and continues without it.
+                        # The simulator gets the exception as a decision and continues without the instance.
                         return [encode_internal_error(error)]
             elif parsed is not None:
                 events.append(parsed)
@@ -76,7 +77,7 @@
         try:
             return [encode_action(action) for action in dispatcher.handle(now, events)]
         except Exception as error:  # noqa: BLE001
-            # As above: one instance's exception must not end the others.
+            # Reported as above, so that an exception in one instance does not end the others.
             return [encode_internal_error(error)]
 
 
--- a/burlmoor/simulator_adapter/event_parsing.py
+++ b/burlmoor/simulator_adapter/event_parsing.py
@@ -1,6 +1,6 @@
-"""Parses the events on the simulator's wire into those of the policy.
+"""Parses events of the simulator's protocol into events of the policy.
 
-An event is a row: its name, then its fields by position, of which the last may be missing or null.
+An event is a row: its name, then its fields by position. The last fields may be missing or null.
 """
 
 from __future__ import annotations
@@ -53,16 +53,16 @@
     "disk": ListKind.CACHED,
     "error": ListKind.FAILED,
 }
-# Bits of a request's marks.
+# Flags in the marks of a job request.
 _WORK_HINT_IS_VALID = 1
 _IS_CLIENT_RETRY = 2
-# Kinds of heartbeat.
+# The kinds of heartbeat.
 _STARTED = 1
 _PROGRESS = 2
 
 
 def _fields(row: Row, count: int) -> Row:
-    """Return the first `count` fields; None stands for those that a shorter row lacks."""
+    """Return the first `count` fields; those missing from a shorter row are None."""
     return (row + [None] * count)[:count]
 
 
@@ -136,7 +136,7 @@
 
 
 def _parse_peer_message(row: Row) -> Event | None:
-    # A message's bytes are opaque: the policy reads none.
+    # The encoding of the message does not matter: the policy never reads its bytes.
     sender = int(row[1] or 0)
     _, _sender, data = _fields(row, 3)
     return PeerMessageReceived(sender, str(data or "").encode())
@@ -156,18 +156,18 @@
 
 
 class Spawn(NamedTuple):
-    """The start of a dispatcher, which replaces any previous one of the instance."""
+    """Starts a dispatcher, which replaces any previous one of the instance."""
 
     seed: int
     settings: Settings
 
 
 class Kill(NamedTuple):
-    """The end of a dispatcher."""
+    """Ends a dispatcher."""
 
 
 def parse_row(row: Row) -> Event | Spawn | Kill | None:
-    """Return the event of a row, or the start or end of a dispatcher; None for an unknown row, to be skipped.
+    """Parse a row into an event, or the start or end of a dispatcher; return None for an unknown row.
 
     Raises:
         MalformedLineError: a field is missing or of the wrong type.
--- a/burlmoor/simulator_adapter/wire.py
+++ b/burlmoor/simulator_adapter/wire.py
@@ -1,4 +1,4 @@
-"""The row type and the parse error that both directions of the simulator's wire share."""
+"""The row type and the parse error of the simulator's protocol."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,12 +6,12 @@
 import pytest
 import trio.testing
 
-# Reproducible: cases are derived from the code alone, and none has a time limit.
-hypothesis.settings.register_profile("steady", derandomize=True, deadline=None, database=None)
-hypothesis.settings.load_profile("steady")
+# Cases are derived from the code alone, so that runs are reproducible, and have no time limit.
+hypothesis.settings.register_profile("reproducible", derandomize=True, deadline=None, database=None)
+hypothesis.settings.load_profile("reproducible")
 
 
 @pytest.fixture
 def autojump_clock() -> trio.testing.MockClock:
-    """A clock that jumps to the next deadline once every task waits."""
+    """Return a clock that jumps to the next deadline when all tasks are blocked."""
     return trio.testing.MockClock(autojump_threshold=0)
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments that the protocol allows, drawn at random and simulated: the four rules hold in each."""
+"""Simulates random deployments that the protocol allows; the four rules must hold in each."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     from burlmoor.types.events import EndpointListUpdate
     from burlmoor.types.reasons import EndReason
 
-RUN_MS = 6000.0  # in which clients send jobs
-SETTLE_MS = 6000.0  # until all are answered
+RUN_MS = 6000.0  # how long clients send jobs
+SETTLE_MS = 6000.0  # time for the last jobs to be answered
 
-# Hypothesis would draw the cases from the test's name and source, so that a rename would draw others.
+# Without a seed, Hypothesis derives the cases from the test's name and source, so a rename changes them.
 CASES_SEED = int(
     "bd0cd11aa3eadd19898cd6b963a7dcf88d5deb2b77fda7913ea2b70650e97e5b9e865d8c4bb9506f89eadc5f82b85f05", 16
 )
@@ -127,7 +127,7 @@
     rng = random.Random(deployment["seed"] + 1)
     began = cluster.now
     mean_work_ms = {"plain": 200.0, "keyed": 250.0, "once": 350.0}
-    jobs_per_ms = deployment["load"] * 6 * 4 / 250.0  # of what six executors of four cores bear
+    jobs_per_ms = deployment["load"] * 6 * 4 / 250.0  # relative to six executors of four cores
 
     def arrive() -> None:
         name = rng.choice(["plain", "plain", "keyed", "keyed", "once"])
@@ -199,7 +199,7 @@
     for node in cluster.nodes:
         assert node is not None
         node.core.dispatcher._safety.may_send = lambda job, endpoint, now: len(job.attempts) < 3  # type: ignore[method-assign]
-        # The engine refuses such attempts too.
+        # The engine's guard must be replaced as well, since it also refuses such attempts.
         node.engine._attempts._guard.may_start = lambda job, attempt, now: not job.is_closed  # type: ignore[method-assign]
 
 
@@ -244,7 +244,7 @@
     [
         (_send_twice, 1, "may have run"),
         (_ignore_list_changes, 1, "had left"),
-        # One node alone never has more attempts open than it sees start.
+        # A single node never has more attempts open than it sees start, so one node causes no violation.
         (_treat_all_as_warm, 40, "in a window"),
         (_omit_some_answers, 2, "0 answers"),
     ],
--- a/tests/simulation/test_disconnects.py
+++ b/tests/simulation/test_disconnects.py
@@ -18,7 +18,7 @@
 
 
 def run_with_disconnects() -> SimulatedCluster:
-    """Run twice the load that the cluster bears; a third of the clients disconnect, many simultaneously."""
+    """Run at twice the cluster's capacity; a third of the clients disconnect, many simultaneously."""
     cluster = SimulatedCluster(cluster_spec(4, 6), 3)
     rng = random.Random(4)
     began = cluster.now
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Simulations of the second deployment under its hardest conditions: the four rules are kept throughout."""
+"""Simulates the second deployment under its hardest conditions; the four rules must hold throughout."""
 
 from __future__ import annotations
 
@@ -76,15 +76,15 @@
     lost_response_fraction=0.01,
     reset_fraction=0.01,
 )
-RUN_MS = 30_000.0  # in which clients send jobs
-SETTLE_MS = 25_000.0  # until all are answered
-USUAL_JOBS_PER_MS = 0.052
+RUN_MS = 30_000.0  # how long clients send jobs
+SETTLE_MS = 25_000.0  # time for the last jobs to be answered
+BASE_JOBS_PER_MS = 0.052
 
 
 def run_simulation(
     schedule_events: Callable[[SimulatedCluster], None],
     spec: ClusterSpec = SPEC,
-    jobs_per_ms: Callable[[float], float] = lambda _: USUAL_JOBS_PER_MS,
+    jobs_per_ms: Callable[[float], float] = lambda _: BASE_JOBS_PER_MS,
     choose_tenant: Callable[[float, random.Random], str] = lambda _, rng: rng.choice(["big", "big", "small"]),
 ) -> SimulatedCluster:
     """Run half a minute of jobs and wait for all answers; rate and tenant depend on the time in the run."""
@@ -107,7 +107,7 @@
 
 
 def served_fraction(cluster: SimulatedCluster, since_ms: float = 0.0) -> float:
-    """Return the fraction served of the jobs sent from `since_ms` into the run on."""
+    """Return the served fraction of the jobs sent `since_ms` or later into the run."""
     records = cluster.client_records.values()
     began = min(record.sent_at for record in records)
     return served_fraction_of([record for record in records if record.sent_at >= began + since_ms])
@@ -127,7 +127,7 @@
 
 
 def drain_most_executors(cluster: SimulatedCluster) -> None:
-    """Drain executors until 40 % are left."""
+    """Drain executors until 40 % remain."""
     for number in range(6, 15):
         at = cluster.now + 5000.0 + 900.0 * number
         cluster.schedule(at, partial(cluster.executors.drain, f"x{number}", 3000.0))
@@ -146,7 +146,7 @@
     drain_most_executors(cluster)
 
 
-def test_the_rules_hold_and_some_jobs_are_served_while_list_changes_arrive_late() -> None:
+def test_jobs_are_served_while_list_changes_arrive_late() -> None:
     late_list = replace(SPEC, list_delay_ms=(11_000.0, 11_001.0))
     cluster = run_simulation(drain_most_executors, late_list)
     assert audit(cluster) == []
@@ -157,7 +157,7 @@
     ("schedule_events", "min_served_fraction"),
     [(replace_all_executors, 0.25), (drain_most_executors, 0.4), (push_list_repeatedly, 0.4)],
 )
-def test_the_rules_hold_while_executors_are_replaced_or_drained_or_the_list_is_pushed_repeatedly(
+def test_the_rules_hold_during_list_changes(
     schedule_events: Callable[[SimulatedCluster], None], min_served_fraction: float
 ) -> None:
     cluster = run_simulation(schedule_events)
@@ -165,9 +165,9 @@
     assert served_fraction(cluster) > min_served_fraction
 
 
-def test_a_tenant_far_over_its_quota_while_executors_drain_does_not_starve_the_other() -> None:
+def test_a_tenant_over_its_quota_does_not_starve_another() -> None:
     def jobs_per_ms(at: float) -> float:
-        return USUAL_JOBS_PER_MS * (0.67 + 0.33 * (5.6 if 5000.0 <= at < 24_000.0 else 1.0))
+        return BASE_JOBS_PER_MS * (0.67 + 0.33 * (5.6 if 5000.0 <= at < 24_000.0 else 1.0))
 
     def choose_tenant(at: float, rng: random.Random) -> str:
         small = 0.33 * (5.6 if 5000.0 <= at < 24_000.0 else 1.0)
--- a/tests/simulation/test_slow_start.py
+++ b/tests/simulation/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what all nodes together send to warming executors, while nodes crash and restart."""
+"""Slow start: the work that all nodes together send to warming executors, while nodes crash and restart."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 MEAN_WORK_MS = 250.0
 CORES = 4.0
 WARM_UP_MS = 12_000.0
-RUN_MS = 7000.0  # in which clients send jobs
-SETTLE_MS = 7000.0  # until all are answered
+RUN_MS = 7000.0  # how long clients send jobs
+SETTLE_MS = 7000.0  # time for the last jobs to be answered
 EXECUTOR_SPEC = ExecutorSpec(
     cores=CORES,
     slots=4,
@@ -30,7 +30,7 @@
 
 
 def cluster_spec(nodes: int, executors: int) -> ClusterSpec:
-    """Describe a cluster whose tenants may send 0.85 of what it bears."""
+    """Return a cluster whose tenants have quotas of 0.85 of its capacity."""
     settings = Settings(
         classes=(
             JobClass("quote", 2.0, 600.0, 2.0, 6000.0, Idempotency.IDEMPOTENT),
@@ -52,7 +52,7 @@
 
 
 def run_replacement(nodes: int, executors: int, load: float = 1.0) -> SimulatedCluster:
-    """Replace half of the executors at this load, while seven in ten nodes crash and restart, twice."""
+    """Restart half of the executors at this load, while 70 % of the nodes crash and restart, twice."""
     cluster = SimulatedCluster(cluster_spec(nodes, executors), 1)
     rng = random.Random(8)
     began = cluster.now
@@ -91,13 +91,13 @@
 
 
 @pytest.mark.parametrize(("nodes", "executors", "load"), CASES)
-def test_all_nodes_together_send_warming_executors_no_more_than_they_bear(
+def test_all_nodes_together_do_not_overload_warming_executors(
     nodes: int, executors: int, load: float
 ) -> None:
     cluster = run_replacement(nodes, executors, load)
     assert audit(cluster) == []
     sent = sum(record.executor_started_at > 0.0 for record in cluster.executor_records)
-    assert sent > executors  # they are not simply avoided
+    assert sent > executors  # nodes do not just avoid warming executors
 
 
 @pytest.mark.parametrize("nodes", [20, 30])
@@ -106,5 +106,5 @@
     assert any("in a window where it bears" in line for line in audit(run_replacement(nodes, 12, load=3.0)))
 
 
-def test_the_allowance_for_chance_is_as_specified() -> None:
+def test_max_jobs_by_chance_is_as_specified() -> None:
     assert [max_jobs_by_chance(budget) for budget in (0.0, 4.0, 25.0, 100.0)] == [2.0, 10.0, 37.0, 122.0]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: few tests, each of which exists."""
+"""KNOWN-RED.txt is short and names only tests that exist."""
 
 from __future__ import annotations
 
--- a/tests/test_layering.py
+++ b/tests/test_layering.py
@@ -1,4 +1,4 @@
-"""Imports go downward only, as `docs/architecture.md` shows the layers."""
+"""Modules import only from the layers below their own, in the order of `docs/architecture.md`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from collections.abc import Iterator, Sequence
 
 ROOT = Path(__file__).parents[1]
-# Each layer may import itself and the layers after it; packages in one row don't import each other.
+# Each layer may import from itself and from later rows; layers in one row must not import each other.
 LAYERS: tuple[tuple[str, ...], ...] = (
     ("__main__", "cli"),
     ("simulation",),
@@ -35,11 +35,11 @@
     ("clock", "log", "early_signals"),
     ("errors", "log_events"),
 )
-RANK = {package: rank for rank, row in enumerate(LAYERS) for package in row}
+RANK = {layer: rank for rank, row in enumerate(LAYERS) for layer in row}
 
 
-def imports(source: Path) -> Iterator[str]:
-    """Yield the packages of this project that a module imports, also those imported within functions."""
+def imported_layers(source: Path) -> Iterator[str]:
+    """Yield the layers that a module imports from, including imports within functions."""
     for node in ast.walk(ast.parse(source.read_text())):
         names: list[str] = []
         if isinstance(node, ast.ImportFrom) and node.module is not None:
@@ -53,19 +53,19 @@
 
 
 def layer_of(parts: Sequence[str]) -> str:
-    """Return the layer of a module by its path below `burlmoor`: the subpackage where that is a layer."""
+    """Return the layer of a module by its path below `burlmoor`: its subpackage if that is a layer."""
     subpackage = ".".join(parts[:2])
     return subpackage if subpackage in RANK else parts[0]
 
 
-def package_of(source: Path) -> str:
+def layer_of_source(source: Path) -> str:
     return layer_of(source.relative_to(ROOT / "burlmoor").with_suffix("").parts)
 
 
-def upward(source: Path) -> list[str]:
-    """Return the imports of a module from other packages of its own layer or from higher layers."""
-    package = package_of(source)
-    return [name for name in imports(source) if name != package and RANK[name] <= RANK[package]]
+def upward_imports(source: Path) -> list[str]:
+    """Return the layers in the module's own row or above it from which it imports."""
+    own = layer_of_source(source)
+    return [layer for layer in imported_layers(source) if layer != own and RANK[layer] <= RANK[own]]
 
 
 SOURCES = [
@@ -77,11 +77,11 @@
 
 @pytest.mark.parametrize("source", SOURCES, ids=lambda source: str(source.relative_to(ROOT)))
 def test_a_module_imports_only_layers_below_its_own(source: Path) -> None:
-    assert upward(source) == []
+    assert upward_imports(source) == []
 
 
-def test_an_upward_import_is_noticed(tmp_path: Path) -> None:
+def test_an_upward_import_is_detected(tmp_path: Path) -> None:
     module = tmp_path / "module.py"
     module.write_text("def late():\n    from burlmoor.engine.engine import Engine\n")
-    assert list(imports(module)) == ["engine"]
+    assert list(imported_layers(module)) == ["engine"]
     assert RANK["engine"] < RANK["policy"] < RANK["types"]
--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -13,7 +13,7 @@
 PAGE = (Path(__file__).parents[1] / "docs" / "on-call.md").read_text()
 EVENT_TABLE = PAGE[PAGE.index("## Log events") : PAGE.index("Warnings of the policy")]
 EVENT_TYPES = LogEvent.__subclasses__()
-# Fields that need no explanation beside the event's own.
+# Fields that need no explanation beyond that of the event.
 SELF_EXPLANATORY_FIELDS = {
     "address", "after_ms", "attempt", "attempts", "count", "error", "events", "failures", "id", "job_class",
     "path", "status", "version",
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages for readers of the code name only tests, modules, classes and members that exist."""
+"""Checks that the pages for developers name only tests, modules, classes and members that exist."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def members_by_class() -> dict[str, set[str]]:
-    """The names that each class of the program defines or assigns to itself."""
+    """Return the names that each class of the package defines or assigns."""
     found: dict[str, set[str]] = {}
     for source in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(source.read_text())):
@@ -48,18 +48,18 @@
     return sorted(set(re.findall(r"`([^`\n]+)`", (ROOT / "docs" / page).read_text())))
 
 
-def names_on_the_page_of_races() -> list[str]:
-    """The tests in the last column of the page's tables."""
+def names_on_races_page() -> list[str]:
+    """Return the tests named in the last column of the page's tables."""
     rows = [row for row in RACES_PAGE.read_text().splitlines() if row.startswith("| ")]
     return sorted({name for row in rows for name in re.findall(r"`(\w+)`", row.split("|")[4])})
 
 
-def test_the_page_of_races_names_tests() -> None:
-    assert len(names_on_the_page_of_races()) > 30
+def test_the_races_page_names_tests() -> None:
+    assert len(names_on_races_page()) > 30
 
 
-@pytest.mark.parametrize("name", names_on_the_page_of_races())
-def test_a_test_on_the_page_of_races_exists(name: str) -> None:
+@pytest.mark.parametrize("name", names_on_races_page())
+def test_tests_on_the_races_page_exist(name: str) -> None:
     assert name in TEST_NAMES
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -32,7 +32,7 @@
 
 
 def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """Run an adapter on these lines to the end of input."""
+    """Run an adapter on these lines until the end of input."""
     return subprocess.run(
         [sys.executable, "-m", "burlmoor.simulator_adapter"],
         input="".join(line + "\n" for line in lines),
@@ -46,7 +46,7 @@
 
 
 def make_batch(now: float, *instances: tuple[int, list[list[Any]]]) -> str:
-    """Return a line with these events, by the number of their instance."""
+    """Return a batch line with the events of each instance."""
     return json.dumps(
         {"Moment": now, "parts": [{"I": instance, "events": events} for instance, events in instances]}
     )
@@ -70,7 +70,7 @@
 
 
 def test_every_line_gets_one_reply_and_the_end_of_input_ends_the_adapter() -> None:
-    done = run_adapter(
+    completed = run_adapter(
         [
             make_batch(0.0),
             make_batch(1.0, (1, spawn_events())),
@@ -78,9 +78,9 @@
             make_batch(60.0, (1, [["Fired", 0]])),
         ]
     )
-    assert done.returncode == 0
-    assert done.stderr == ""
-    replies = [json.loads(line) for line in done.stdout.splitlines()]
+    assert completed.returncode == 0
+    assert completed.stderr == ""
+    replies = [json.loads(line) for line in completed.stdout.splitlines()]
     assert len(replies) == 4
     assert replies[0] == {"parts": []}
     (part,) = replies[3]["parts"]
@@ -107,9 +107,9 @@
         ["Mail", 1, "aGk="],
         ["Brand new event", 1, 2, 3],
     ]
-    done = run_adapter([make_batch(0.0, (1, spawn_events())), make_batch(5.0, (1, events))])
-    assert done.returncode == 0, done.stderr
-    assert "InternalError" not in done.stdout
+    completed = run_adapter([make_batch(0.0, (1, spawn_events())), make_batch(5.0, (1, events))])
+    assert completed.returncode == 0, completed.stderr
+    assert "InternalError" not in completed.stdout
 
 
 def test_an_instance_killed_and_spawned_in_one_batch_starts_empty() -> None:
@@ -118,37 +118,37 @@
         make_batch(1.0, (1, [job_request(7)])),
         make_batch(2.0, (1, [["Killed"], *spawn_events(2)])),
     ]
-    done = run_adapter([*lines, make_batch(100.0, (1, [["Fired", 0]]))])
-    assert done.returncode == 0
-    assert "Issue" not in done.stdout
+    completed = run_adapter([*lines, make_batch(100.0, (1, [["Fired", 0]]))])
+    assert completed.returncode == 0
+    assert "Issue" not in completed.stdout
 
 
 def test_a_killed_instance_decides_nothing() -> None:
-    done = run_adapter(
+    completed = run_adapter(
         [
             make_batch(0.0, (1, spawn_events())),
             make_batch(1.0, (1, [["Killed"]])),
             make_batch(9.0, (1, [["Fired", 0]])),
         ]
     )
-    assert json.loads(done.stdout.splitlines()[2]) == {"parts": []}
+    assert json.loads(completed.stdout.splitlines()[2]) == {"parts": []}
 
 
 def test_invalid_settings_become_an_internal_error() -> None:
-    done = run_adapter([make_batch(0.0, (1, [["Spawn", 1, {**SETTINGS_OBJECT, "RequestClasses": []}]]))])
-    assert done.returncode == 0
-    (decision,) = json.loads(done.stdout)["parts"][0]["decisions"]
+    completed = run_adapter([make_batch(0.0, (1, [["Spawn", 1, {**SETTINGS_OBJECT, "RequestClasses": []}]]))])
+    assert completed.returncode == 0
+    (decision,) = json.loads(completed.stdout)["parts"][0]["decisions"]
     assert decision[0] == "InternalError"
     assert "classes" in decision[1]
 
 
 def test_a_malformed_line_ends_the_adapter_with_a_message() -> None:
     for line in ["not json", "[]", '{"parts":[]}', '{"Moment":1,"parts":[{"I":1,"events":[["Knock"]]}]}']:
-        done = run_adapter([line])
-        assert done.returncode != 0
-        assert "burlmoor:" in done.stderr
-        assert "Traceback" not in done.stderr
-        assert done.stdout == ""
+        completed = run_adapter([line])
+        assert completed.returncode != 0
+        assert "burlmoor:" in completed.stderr
+        assert "Traceback" not in completed.stderr
+        assert completed.stdout == ""
 
 
 def test_the_same_events_give_the_same_actions_under_any_hash_seed() -> None:
