--- a/burlmoor/log_events.py
+++ b/burlmoor/log_events.py
@@ -103,7 +103,7 @@
 
 
 class JobEnded(LogEvent, tag="job-ended", frozen=True, kw_only=True):
-    """A job has ended in any other way than by the result of its only attempt."""
+    """A job has ended in another way than by the result of its only attempt."""
 
     id: str
     job_class: str
@@ -142,7 +142,7 @@
     id: str
     endpoint: str
     attempt: int
-    written: bool  # whether the request was complete
+    written: bool  # whether the request had been written completely
 
 
 class AttemptError(LogEvent, tag="attempt-error", frozen=True, kw_only=True):
@@ -214,7 +214,7 @@
 
 
 class EndpointListStale(LogEvent, tag="endpoint-list-stale", frozen=True, kw_only=True):
-    """The notification deadline of changes that may have been missed has passed."""
+    """Changes may have been missed, and no call was answered before their notification deadline."""
 
     age_seconds: float
 
--- a/burlmoor/simulation/cluster_spec.py
+++ b/burlmoor/simulation/cluster_spec.py
@@ -45,7 +45,7 @@
     executor_count: int = 6
     executor_spec: ExecutorSpec = DEFAULT_EXECUTOR_SPEC
     network_delay_ms: float = 2.0  # one way
-    list_delay_ms: tuple[float, float] = (50.0, 400.0)  # range of a node's random delay of notifications
+    list_delay_ms: tuple[float, float] = (50.0, 400.0)  # range of the random delay until a node is notified
     cancel_effect: CancelEffect = CancelEffect.NOTHING
     weight_source: WeightSource = WeightSource.NOMINAL
     lost_response_fraction: float = 0.0  # of served attempts; the node never gets their result
--- a/burlmoor/simulation/records.py
+++ b/burlmoor/simulation/records.py
@@ -15,7 +15,7 @@
     from burlmoor.types.outcome import Outcome
 
 DEDUPLICATED_RESULT = b"dropped"  # stands for the result of a repeat that executors recognized by its key
-TOLERANCE_MS = 50.0  # added to each time limit, as in audits of real sockets
+TOLERANCE_MS = 50.0  # added to each time limit, as for runs on sockets
 
 
 class AnswerRecord(NamedTuple):
