--- a/burlmoor/testbed/deferred_schedule.py
+++ b/burlmoor/testbed/deferred_schedule.py
@@ -1,7 +1,7 @@
-"""The jobs of the drill of deferred jobs: plain jobs, and families of jobs with run conditions.
+"""The schedule of the deferred-job drill: plain jobs, and families of jobs with run conditions.
 
-Everything is drawn from one seed ahead of time. The order of the draws is part of the schedule: another order
-would give other jobs for the same seed.
+All jobs are drawn ahead of time from one seed. Changing the order of the draws changes the jobs that a seed
+gives.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.job_classes import JOB_CLASSES, JobClass
 
-EXECUTORS = 6
-CORES = 2.0  # of each executor
-PLAIN_PREFIX = "p-"  # of the ids of jobs without run conditions
-_NODES = 2
-_CONFIRM = JOB_CLASSES[2]
-_PLAIN_WORK_MS = 200.0  # on average
-_WORK_SIGMA = 0.5  # of the logarithm of a plain job's work
+EXECUTOR_COUNT = 6
+CORES_PER_EXECUTOR = 2.0
+PLAIN_ID_PREFIX = "p-"  # of the IDs of jobs without run conditions
+_NODE_COUNT = 2
+_CONFIRM_CLASS = JOB_CLASSES[2]
+_MEAN_PLAIN_WORK_MS = 200.0
+_WORK_SIGMA = 0.5  # standard deviation of the logarithm of a plain job's work
 _PLAIN_CLASS_FRACTIONS = (0.7, 0.2, 0.1)
 _FAMILY_CLASS_FRACTIONS = (0.5, 0.3, 0.2)
-_LOADS = (0.8, 1.3)  # of the executors' capacity, by halves of the drill
+_LOAD_FACTORS = (0.8, 1.3)  # relative to the executors' capacity, in each half of the drill
 _MAX_TIMEOUT_SECONDS = 40.0
-_MIN_START_SECONDS = 0.5  # of the first job of a family
-_LAST_START_SECONDS = 2.0  # before the end of the drill
-_INTERVAL_JITTER = (0.7, 1.3)  # factors of the mean interval between two families of a kind
-_MAX_CHAIN_DELAY_SECONDS = 0.3  # of each job of a chain
+_FIRST_START_SECONDS = 0.5  # earliest start of a family
+_LAST_START_SECONDS = 2.0  # latest start of a family, before the end of the drill
+_INTERVAL_JITTER = (0.7, 1.3)  # range of factors on the mean interval between families of a kind
+_MAX_CHAIN_DELAY_SECONDS = 0.3  # between the start of a chain and the sending of each job
 _CHAIN_LENGTHS = (20, 60, 200)
 _FAN_CHILDREN = 10
 _DIAMOND_SIDES = 4
 _BURST_JOBS = 60
 _FAILING_GENERATIONS = 10
 _ABANDONED_CHILDREN = 5
-_TAIL_SECONDS = 20.0  # that deferred jobs may take after the last arrival
+_MAX_OVERRUN_SECONDS = 20.0  # of the timeouts of deferred jobs beyond the end of the drill
 
 
 @dataclass(slots=True)
 class ScheduledJob:
-    """One job to send; seconds count from the begin of the drill."""
+    """One job to send; times are in seconds from the start of the drill."""
 
     at_seconds: float
     id: str
@@ -48,7 +48,7 @@
     work_ms: float
     run_after: tuple[str, ...] = ()
     not_before_seconds: float = 0.0
-    timeout_ms: float = 0.0  # 0: that of its class
+    timeout_ms: float = 0.0  # 0: the timeout of its class
     is_failing: bool = False  # whether its executor reports it as failed
     disconnect_after_seconds: float = 0.0  # 0: its client waits for the answer
     node: int = 0
@@ -56,11 +56,11 @@
 
 def draw_schedule(seconds: float, seed: int) -> list[ScheduledJob]:
     """Draw all jobs of a drill of `seconds`, in the order in which they are sent."""
-    return _ScheduleDrawing(seconds, seed).draw()
+    return _ScheduleGenerator(seconds, seed).draw()
 
 
-class _ScheduleDrawing:
-    """The random generator and the jobs drawn so far."""
+class _ScheduleGenerator:
+    """Draws the jobs of one schedule from one random generator."""
 
     def __init__(self, seconds: float, seed: int) -> None:
         self._seconds = seconds
@@ -70,7 +70,7 @@
         self._jobs: list[ScheduledJob] = []
 
     def draw(self) -> list[ScheduledJob]:
-        """Draw all jobs; may be called once."""
+        """Draw all jobs; may be called only once."""
         self._draw_plain_jobs()
         for mean_interval_seconds, draw_family in (
             (6.0, self._draw_chain),
@@ -81,27 +81,27 @@
             (4.0, self._draw_abandoned_parent),
             (5.0, self._draw_late_parent),
         ):
-            at_seconds = float(self._rng.uniform(_MIN_START_SECONDS, mean_interval_seconds))
+            at_seconds = float(self._rng.uniform(_FIRST_START_SECONDS, mean_interval_seconds))
             while at_seconds < self._seconds - _LAST_START_SECONDS:
-                draw_family(at_seconds, int(self._rng.integers(_NODES)))
+                draw_family(at_seconds, int(self._rng.integers(_NODE_COUNT)))
                 at_seconds += float(self._rng.uniform(*_INTERVAL_JITTER) * mean_interval_seconds)
         self._jobs.sort(key=lambda job: job.at_seconds)
         return self._jobs
 
     def _draw_plain_jobs(self) -> None:
-        capacity = sum(ExecutorSpec(cores=CORES).capacity for _ in range(EXECUTORS))
-        jobs_per_second = capacity * 1000.0 / _PLAIN_WORK_MS
+        capacity = sum(ExecutorSpec(cores=CORES_PER_EXECUTOR).capacity for _ in range(EXECUTOR_COUNT))
+        jobs_per_second = capacity * 1000.0 / _MEAN_PLAIN_WORK_MS
         half_seconds = self._seconds / 2.0
-        for half, load in enumerate(_LOADS):
+        for half, load in enumerate(_LOAD_FACTORS):
             count = self._rng.poisson(load * jobs_per_second * half_seconds)
-            begin, end = half * half_seconds, (half + 1) * half_seconds
-            for at_seconds in self._rng.uniform(begin, end, count):
+            start, end = half * half_seconds, (half + 1) * half_seconds
+            for at_seconds in self._rng.uniform(start, end, count):
                 job_class = JOB_CLASSES[int(self._rng.choice(len(JOB_CLASSES), p=_PLAIN_CLASS_FRACTIONS))]
                 work_ms = float(
-                    self._rng.lognormal(math.log(_PLAIN_WORK_MS) - 0.5 * _WORK_SIGMA**2, _WORK_SIGMA)
+                    self._rng.lognormal(math.log(_MEAN_PLAIN_WORK_MS) - 0.5 * _WORK_SIGMA**2, _WORK_SIGMA)
                 )
                 job = ScheduledJob(float(at_seconds), self._next_id("p"), job_class, work_ms)
-                job.node = int(self._rng.integers(_NODES))
+                job.node = int(self._rng.integers(_NODE_COUNT))
                 self._jobs.append(job)
 
     def _next_id(self, family: str) -> str:
@@ -120,9 +120,9 @@
         is_failing: bool = False,
         disconnect_after_seconds: float = 0.0,
     ) -> ScheduledJob:
-        """Add a deferred job or a parent of one, of a drawn class unless it is given."""
+        """Add a deferred job or a parent of one, of a random class unless `job_class` is given."""
         drawn_class = JOB_CLASSES[int(self._rng.choice(len(JOB_CLASSES), p=_FAMILY_CLASS_FRACTIONS))]
-        timeout_seconds = min(_MAX_TIMEOUT_SECONDS, self._seconds - at_seconds + _TAIL_SECONDS)
+        timeout_seconds = min(_MAX_TIMEOUT_SECONDS, self._seconds - at_seconds + _MAX_OVERRUN_SECONDS)
         job = ScheduledJob(
             at_seconds,
             self._next_id(family),
@@ -140,11 +140,11 @@
 
     def _draw_chain(self, at_seconds: float, node: int) -> None:
         length = int(self._rng.choice(_CHAIN_LENGTHS))
-        last = self._add(at_seconds, node, "chain", work_ms=15.0)
+        previous = self._add(at_seconds, node, "chain", work_ms=15.0)
         for _ in range(length - 1):
-            # Some jobs are sent before the one that they are to run after.
+            # With random delays, some jobs are sent before the job that they depend on.
             delay_seconds = float(self._rng.uniform(0.0, _MAX_CHAIN_DELAY_SECONDS))
-            last = self._add(at_seconds + delay_seconds, node, "chain", last.id, work_ms=15.0)
+            previous = self._add(at_seconds + delay_seconds, node, "chain", previous.id, work_ms=15.0)
 
     def _draw_fan(self, at_seconds: float, node: int) -> None:
         parent = self._add(at_seconds, node, "fan", work_ms=100.0)
@@ -159,22 +159,24 @@
         self._add(at_seconds, node, "diamond", *sides, work_ms=80.0)
 
     def _draw_burst(self, at_seconds: float, node: int) -> None:
-        """Draw many jobs with the same earliest time: a thundering herd on release."""
+        """Draw many jobs with the same earliest start time: a thundering herd on release."""
         for _ in range(_BURST_JOBS):
             self._add(at_seconds, node, "burst", work_ms=60.0, not_before_seconds=at_seconds + 3.0)
 
     def _draw_failing_parent(self, at_seconds: float, node: int) -> None:
-        parent = self._add(at_seconds, node, "failing", work_ms=150.0, is_failing=True, job_class=_CONFIRM)
-        last = parent
+        parent = self._add(
+            at_seconds, node, "failing", work_ms=150.0, is_failing=True, job_class=_CONFIRM_CLASS
+        )
+        previous = parent
         for _ in range(_FAILING_GENERATIONS):
-            last = self._add(at_seconds, node, "failing", last.id, work_ms=20.0)
+            previous = self._add(at_seconds, node, "failing", previous.id, work_ms=20.0)
             self._add(at_seconds, node, "failing", parent.id, work_ms=20.0)
 
     def _draw_abandoned_parent(self, at_seconds: float, node: int) -> None:
-        """Draw a parent, and one of its children, whose clients disconnect."""
+        """Draw a parent with children; the clients of the parent and of one child disconnect."""
         family = "abandoned"
         parent = self._add(
-            at_seconds, node, family, work_ms=2500.0, disconnect_after_seconds=0.5, job_class=_CONFIRM
+            at_seconds, node, family, work_ms=2500.0, disconnect_after_seconds=0.5, job_class=_CONFIRM_CLASS
         )
         for _ in range(_ABANDONED_CHILDREN):
             self._add(at_seconds, node, family, parent.id, work_ms=20.0)
--- a/burlmoor/testbed/deferred_verdict.py
+++ b/burlmoor/testbed/deferred_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of the drill of deferred jobs, from what clients and executors observed."""
+"""The verdict of the deferred-job drill, based on what clients and executors observed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from burlmoor.testbed.deferred_schedule import PLAIN_PREFIX
+from burlmoor.testbed.deferred_schedule import PLAIN_ID_PREFIX
 from burlmoor.testbed.drill import Claim, Verdict
 from burlmoor.testbed.event_record import AttemptOutcome
 from burlmoor.testbed.job_classes import JOB_CLASSES
@@ -20,17 +20,17 @@
     from burlmoor.testbed.event_record import EventRecord, RequestRecord
 
 _LATE_TOLERANCE_MS = 50.0
-_CLOCK_TOLERANCE_MS = 1.0  # by which a job may seem to start before its time
-_END_LAG_BOUND_MS = 50.0
-_MIN_SERVED_RATIO = 0.9
-_WINDOW_MS = 10_000.0  # released and plain jobs of one class are compared by such windows
-_MIN_JOBS = 12  # of either kind, below which a window does not count
-_NON_IDEMPOTENT = {job_class.name for job_class in JOB_CLASSES if job_class.is_non_idempotent}
+_CLOCK_TOLERANCE_MS = 1.0  # by which a job may appear to be received before its earliest start time
+_MAX_END_LAG_P99_MS = 50.0
+_MIN_SERVED_RATIO = 0.9  # of the worst-served released jobs, relative to plain jobs
+_WINDOW_MS = 10_000.0  # released and plain jobs of one class are compared within each window
+_MIN_JOBS_PER_WINDOW = 12  # of each kind, released and plain; windows with fewer are not compared
+_NON_IDEMPOTENT_CLASSES = {job_class.name for job_class in JOB_CLASSES if job_class.is_non_idempotent}
 
 
 @dataclass(frozen=True, slots=True)
-class _Times:
-    """When each job was first received, completed by an executor, and over for its client; in ms."""
+class _JobTimes:
+    """Times by job ID, in ms: first receipt and completion by an executor, and the end for its client."""
 
     received: dict[str, float]
     completed: dict[str, float]
@@ -38,22 +38,22 @@
 
 
 class _ClassWindow(NamedTuple):
-    """A class of jobs in one window of the run."""
+    """A job class in one window of the run."""
 
     job_class: str
     number: int
 
 
 class _ServedGroup(NamedTuple):
-    """Released jobs of one class and window, beside the plain ones."""
+    """The released jobs of one class and window, compared with its plain jobs."""
 
     relative_ratio: float  # the released jobs' served ratio over the plain jobs'
     plain_ratio: float
     released: list[RequestRecord]
 
 
-def judge(record: EventRecord, seed: int, seconds: float, statuses: Sequence[int]) -> Verdict:
-    """Return the verdict on a run; `statuses` are the exit statuses of restarted nodes."""
+def judge(record: EventRecord, seed: int, seconds: float, exit_statuses: Sequence[int]) -> Verdict:
+    """Return the verdict on a run; `exit_statuses` are those of restarted nodes."""
     times = _collect_times(record)
     lags_ms = _parent_end_lags_ms(record, times)
     released = [
@@ -62,16 +62,16 @@
     claims = {
         **_answer_claims(record),
         **_order_claims(record, times),
-        "parent's end to child's end, p99 ms": Claim(_percentile(lags_ms, 99.0), _END_LAG_BOUND_MS),
+        "parent's end to child's end, p99 ms": Claim(_percentile(lags_ms, 99.0), _MAX_END_LAG_P99_MS),
         "worst-served tenth against plain": Claim(
             _worst_tenth_ratio(released, record), _MIN_SERVED_RATIO, is_lower_bound=True
         ),
-        "bad exits": Claim(sum(status != 0 for status in statuses) + (not statuses), 0),
+        "bad exits": Claim(sum(status != 0 for status in exit_statuses) + (not exit_statuses), 0),
     }
     return Verdict("waiting", seed, seconds, claims, _figures(record, released, lags_ms))
 
 
-def _collect_times(record: EventRecord) -> _Times:
+def _collect_times(record: EventRecord) -> _JobTimes:
     received: dict[str, float] = {}
     completed: dict[str, float] = {}
     for attempt in record.attempts:
@@ -83,26 +83,26 @@
         ended_ms = request.answered_ms if request.answered_ms is not None else request.disconnected_ms
         if ended_ms is not None:
             ended[request_id] = ended_ms
-    return _Times(received, completed, ended)
+    return _JobTimes(received, completed, ended)
 
 
 def _answer_claims(record: EventRecord) -> dict[str, Claim]:
-    """Return the claims that hold for plain and deferred jobs alike."""
+    """Return the claims that apply to plain and deferred jobs alike."""
     answered_twice = sum(request.answer_count > 1 for request in record.requests.values())
     return {
         "unanswered": Claim(len(record.find_unanswered()), 0),
         "late": Claim(len(record.find_late(_LATE_TOLERANCE_MS)), 0),
         "answered twice": Claim(answered_twice + len(record.find_misdelivered()), 0),
-        "ran twice": Claim(len(record.find_repeated(_NON_IDEMPOTENT)), 0),
+        "ran twice": Claim(len(record.find_repeated(_NON_IDEMPOTENT_CLASSES)), 0),
         "invented": Claim(len(record.find_fabricated()), 0),
     }
 
 
-def _order_claims(record: EventRecord, times: _Times) -> dict[str, Claim]:
-    """Return the claims on run conditions."""
+def _order_claims(record: EventRecord, times: _JobTimes) -> dict[str, Claim]:
+    """Return the claims about run conditions."""
     before_parent = 0
     after_failed_parent = 0
-    before_time = 0
+    before_earliest_start = 0
     for request in record.requests.values():
         received_ms = times.received.get(request.id)
         if received_ms is None:
@@ -112,16 +112,19 @@
             after_failed_parent += parent_id not in times.completed
         if request.not_before_unix_ms:
             received_unix_ms = received_ms + record.unix_offset_ms
-            before_time += received_unix_ms < request.not_before_unix_ms - _CLOCK_TOLERANCE_MS
+            before_earliest_start += received_unix_ms < request.not_before_unix_ms - _CLOCK_TOLERANCE_MS
     return {
         "ran before what it names": Claim(before_parent, 0),
         "ran though its parent was not done": Claim(after_failed_parent, 0),
-        "ran before its time": Claim(before_time, 0),
+        "ran before its time": Claim(before_earliest_start, 0),
     }
 
 
-def _parent_end_lags_ms(record: EventRecord, times: _Times) -> list[float]:
-    """Return the time from the end of each parent that was not served to the answer of its child."""
+def _parent_end_lags_ms(record: EventRecord, times: _JobTimes) -> list[float]:
+    """Return the times from the end of each parent that was not served to the answers of its children.
+
+    For a child that was sent after its parent ended, the time counts from the sending.
+    """
     lags_ms = []
     for request in record.requests.values():
         for parent_id in request.run_after:
@@ -137,7 +140,7 @@
     record: EventRecord, released: Sequence[RequestRecord], lags_ms: Sequence[float]
 ) -> dict[str, float]:
     requests = record.requests.values()
-    plain = [request for request in requests if request.id.startswith(PLAIN_PREFIX)]
+    plain = [request for request in requests if request.id.startswith(PLAIN_ID_PREFIX)]
     return {
         "jobs": len(requests),
         "waited": sum(_has_run_conditions(request) for request in requests),
@@ -164,9 +167,10 @@
 
 
 def _release_time_ms(request: RequestRecord, record: EventRecord) -> float | None:
-    """Return when a deferred job was free to run.
+    """Return when the run conditions of a deferred job were met.
 
-    None where it never was, and where its client had disconnected or its node had ended by then.
+    Returns None if they never were, if the job was answered before or rejected by a node that was stopping,
+    and if its client disconnected without an answer.
     """
     if not _has_run_conditions(request) or record.is_rejected_by_stopping_node(request):
         return None
@@ -187,30 +191,31 @@
 
 
 def _worst_tenth_ratio(released: Sequence[RequestRecord], record: EventRecord) -> float:
-    """Return the served ratio of the worst-served tenth of released jobs over that of plain jobs.
+    """Return the served ratio of the worst-served tenth of released jobs, relative to that of plain jobs.
 
-    Plain jobs count by the class and window of the released ones. NaN where no window has enough jobs.
+    Released jobs are compared with the plain jobs of their class and window. Returns NaN if no window has
+    enough jobs.
     """
     groups = _served_groups(released, record)
     groups.sort(key=lambda group: group.relative_ratio)
     tenth = sum(len(group.released) for group in groups) / 10.0
-    jobs = 0
+    job_count = 0
     served = 0.0
-    expected = 0.0
+    expected_served = 0.0
     for group in groups:
-        if jobs >= tenth:
+        if job_count >= tenth:
             break
-        jobs += len(group.released)
+        job_count += len(group.released)
         served += sum(request.is_served for request in group.released)
-        expected += group.plain_ratio * len(group.released)
-    return served / expected if expected else math.nan
+        expected_served += group.plain_ratio * len(group.released)
+    return served / expected_served if expected_served else math.nan
 
 
 def _served_groups(released: Sequence[RequestRecord], record: EventRecord) -> list[_ServedGroup]:
-    begin_ms = min((request.sent_ms for request in record.requests.values()), default=0.0)
+    start_ms = min((request.sent_ms for request in record.requests.values()), default=0.0)
 
     def find_window(request: RequestRecord, at_ms: float) -> _ClassWindow:
-        return _ClassWindow(request.job_class, int((at_ms - begin_ms) // _WINDOW_MS))
+        return _ClassWindow(request.job_class, int((at_ms - start_ms) // _WINDOW_MS))
 
     released_by_window: dict[_ClassWindow, list[RequestRecord]] = defaultdict(list)
     plain_by_window: dict[_ClassWindow, list[RequestRecord]] = defaultdict(list)
@@ -219,12 +224,12 @@
         assert release_ms is not None
         released_by_window[find_window(request, release_ms)].append(request)
     for request in record.requests.values():
-        if request.id.startswith(PLAIN_PREFIX):
+        if request.id.startswith(PLAIN_ID_PREFIX):
             plain_by_window[find_window(request, request.sent_ms)].append(request)
     groups = []
     for window, members in released_by_window.items():
         plain = plain_by_window[window]
         plain_ratio = _served_ratio(plain)
-        if len(members) >= _MIN_JOBS and len(plain) >= _MIN_JOBS and plain_ratio > 0.0:
+        if len(members) >= _MIN_JOBS_PER_WINDOW and len(plain) >= _MIN_JOBS_PER_WINDOW and plain_ratio > 0.0:
             groups.append(_ServedGroup(_served_ratio(members) / plain_ratio, plain_ratio, members))
     return groups
--- a/burlmoor/testbed/drill.py
+++ b/burlmoor/testbed/drill.py
@@ -1,4 +1,4 @@
-"""Common parts of all drills: claims with values and bounds, the verdict, and the description of a drill."""
+"""Types that all drills share: claims with values and bounds, verdicts, and descriptions of drills."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def print_violations(violations: Sequence[str]) -> None:
-    """Print the first violations of rules, a line each, on standard error."""
+    """Print the first rule violations on standard error, one per line."""
     for violation in violations[:_MAX_PRINTED_VIOLATIONS]:
         print(f"burlmoor: {violation}", file=sys.stderr)
 
 
 class Claim(msgspec.Struct):
-    """A measured value and the bound that it must keep: an upper one unless `is_lower_bound`."""
+    """A measured value and its bound: an upper bound unless `is_lower_bound`."""
 
     value: float
     bound: float
@@ -31,12 +31,12 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the value keeps the bound; a NaN does not."""
+        """Whether the value is within the bound; NaN never is."""
         return self.value >= self.bound if self.is_lower_bound else self.value <= self.bound
 
 
 class Verdict(msgspec.Struct):
-    """The result of a drill: claims that must hold, and further figures."""
+    """The result of a drill: claims that must hold, and figures for information."""
 
     drill: str
     seed: int
@@ -50,7 +50,7 @@
         return all(claim.holds for claim in self.claims.values())
 
     def to_json_object(self) -> dict[str, Any]:
-        """Return the verdict as an object to be written as JSON."""
+        """Return the verdict as a JSON object."""
         return {
             "drill": self.drill,
             "seed": self.seed,
@@ -70,7 +70,7 @@
     seconds: float
     seed: int
     mutation: str | None = None  # a mutation of the node with which the drill must fail
-    nodes: int = 0  # 0: the drill's own number
+    nodes: int = 0  # 0: the drill's default
 
 
 class Drill(NamedTuple):
--- a/burlmoor/testbed/drill_deferred.py
+++ b/burlmoor/testbed/drill_deferred.py
@@ -1,8 +1,8 @@
-"""The drill of deferred jobs: chains, fans, diamonds and bursts, under overload and failures.
+"""The deferred-job drill: chains, fans, diamonds and bursts, under overload and failures.
 
-Two nodes, six executors. Plain jobs demand 0.8 of the executors' capacity in the first half, then 1.3.
-One executor is killed, one drains, one node gets a planned restart. Every claim rests on what clients and
-executors observed.
+Plain jobs demand 0.8 of the capacity of six executors in the first half, and 1.3 in the second. One executor
+is killed, one drains, and one of the two nodes gets a planned restart. Every claim is based on what clients
+and executors observed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import trio
 
 from burlmoor.testbed.clock import now_ms, unix_now_ms
-from burlmoor.testbed.deferred_schedule import CORES, EXECUTORS, ScheduledJob, draw_schedule
+from burlmoor.testbed.deferred_schedule import CORES_PER_EXECUTOR, EXECUTOR_COUNT, ScheduledJob, draw_schedule
 from burlmoor.testbed.deferred_verdict import judge
 from burlmoor.testbed.drill import Drill, DrillParameters, Verdict
 from burlmoor.testbed.event_record import RequestRecord, ShutdownPeriod
@@ -28,34 +28,34 @@
     from pathlib import Path
 
 _OPTIONS = "[waiting]\nplaces = 60 %\n"
-_KILL_AT_FRACTION = 0.2  # of the drill
+_KILL_AT_FRACTION = 0.2  # of the drill's duration
 _DRAIN_AT_FRACTION = 0.45
 _RESTART_AT_FRACTION = 0.6
 _RESTARTED_NODE = 1
-_REJECTING_AFTER_SECONDS = 1.9  # after SIGTERM: before the documented 2 s
-_CLIENTS_MOVE_AFTER_SECONDS = 0.3  # after SIGTERM
-_EXIT_WITHIN_SECONDS = 8.0
+_REJECTING_AFTER_SECONDS = 1.9  # after SIGTERM; slightly before the documented 2 s
+_CLIENTS_SWITCH_AFTER_SECONDS = 0.3  # after SIGTERM
+_EXIT_TIMEOUT_SECONDS = 8.0
 _MIN_SLEEP_SECONDS = 0.001
 
 
 class _DrillRun:
-    """One drill on a cluster that has started; it begins when this object is made."""
+    """One run on a cluster that has started; the run starts when this object is created."""
 
     def __init__(self, cluster: LocalCluster, schedule: Sequence[ScheduledJob], seconds: float) -> None:
         self.exit_statuses: list[int] = []
         self._cluster = cluster
         self._schedule = schedule
         self._seconds = seconds
-        self._avoided_nodes: set[int] = set()  # nodes to which clients send nothing
-        self._begin_ms = now_ms()
-        self._begin_unix_ms = unix_now_ms()
+        self._avoided_nodes: set[int] = set()  # clients send no jobs to these
+        self._start_ms = now_ms()
+        self._start_unix_ms = unix_now_ms()
 
     async def run(self) -> None:
-        """Send every job at its time, cause the failures, and wait until all jobs are answered."""
+        """Send every job at its scheduled time, cause the failures, and wait until no job is open."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._cause_failures)
             for job in self._schedule:
-                wait_seconds = job.at_seconds - (now_ms() - self._begin_ms) / 1000.0
+                wait_seconds = job.at_seconds - (now_ms() - self._start_ms) / 1000.0
                 if wait_seconds > _MIN_SLEEP_SECONDS:
                     await trio.sleep(wait_seconds)
                 nursery.start_soon(self._send, job)
@@ -68,7 +68,7 @@
             job.id, job.job_class.name, now_ms(), timeout_ms, job.work_ms, job.run_after, node=node
         )
         if job.not_before_seconds:
-            request.not_before_unix_ms = self._begin_unix_ms + 1000.0 * job.not_before_seconds
+            request.not_before_unix_ms = self._start_unix_ms + 1000.0 * job.not_before_seconds
         if job.disconnect_after_seconds:
             request.disconnected_ms = request.sent_ms + 1000.0 * job.disconnect_after_seconds
         await self._cluster.clients[node].send(request, is_failing=job.is_failing)
@@ -94,13 +94,13 @@
     async def _restart_node(self) -> None:
         node = self._cluster.nodes[_RESTARTED_NODE]
         node.send_signal(signal.SIGTERM)
-        # A stopping node rejects its deferred jobs from 2 s on, as documented: these rejections must not
+        # A stopping node rejects its deferred jobs from 2 s after SIGTERM on, as documented. These must not
         # count as released jobs that were not served.
         rejecting_ms = now_ms() + 1000.0 * _REJECTING_AFTER_SECONDS
-        await trio.sleep(_CLIENTS_MOVE_AFTER_SECONDS)
+        await trio.sleep(_CLIENTS_SWITCH_AFTER_SECONDS)
         self._avoided_nodes.add(_RESTARTED_NODE)
         assert node.process is not None
-        with trio.move_on_after(_EXIT_WITHIN_SECONDS):
+        with trio.move_on_after(_EXIT_TIMEOUT_SECONDS):
             self.exit_statuses.append(await node.process.wait())
         period = ShutdownPeriod(_RESTARTED_NODE, rejecting_ms, now_ms())
         self._cluster.event_record.shutdown_periods.append(period)
@@ -115,7 +115,8 @@
 
 async def _run(parameters: DrillParameters, folder: Path) -> Verdict:
     specs = {
-        f"s-{number}": ExecutorSpec(cores=CORES, slots=3, queue_capacity=12) for number in range(EXECUTORS)
+        f"s-{number}": ExecutorSpec(cores=CORES_PER_EXECUTOR, slots=3, queue_capacity=12)
+        for number in range(EXECUTOR_COUNT)
     }
     schedule = draw_schedule(parameters.seconds, parameters.seed)
     command = NODE_COMMAND if parameters.mutation is None else mutated_node_command(parameters.mutation)
--- a/burlmoor/testbed/drill_soak.py
+++ b/burlmoor/testbed/drill_soak.py
@@ -1,10 +1,10 @@
 """The randomized fault soak: 10 to 40 node processes, and many faults that overlap in time.
 
-The number of nodes, the faults, their times and whom they affect are drawn from the seed, and whether
-settings allow two attempts of a job at once. Clients use their connections for as long as these stay open;
-nodes that are restarted get SIGKILL at the platform's earliest. The oracle are the rules, checked against
-what clients and executors observed (`fleet/audit.py`), and the violations that the nodes themselves have
-counted (`burlmoor/invariants.py`).
+The seed determines the number of nodes, the faults with their times and targets, and whether the settings
+allow two concurrent attempts of a job. Clients use their connections for as long as these stay open. Nodes
+that are restarted get SIGKILL as early as the platform may send it. The oracle consists of the rules, checked
+against what clients and executors observed (`fleet/audit.py`), and of the invariant violations that the nodes
+themselves count (`burlmoor/invariants.py`).
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
     from burlmoor.testbed.fleet.faults import FaultSchedule
 
 _MIN_NODES, _MAX_NODES = 10, 40
-_RATE_PER_NODE = 4.0  # jobs a second
+_RATE_PER_NODE = 4.0  # jobs per second
 _UTILIZATION = 0.4  # of all executors, many of which fail at once
-_HEDGING_FRACTION = 0.4  # of the runs: in the others two attempts of a job may not be open at once
-_SOCKET_LIMIT = 256  # descriptors of a node, fewer than a flood has connections
+_HEDGING_FRACTION = 0.4  # of the runs; the others allow no concurrent attempts of a job
+_SOCKET_LIMIT = 256  # descriptors per node; fewer than the connections of a flood
 
 
 _VIOLATION_EVENT = f'"{InvariantViolated.event_name()}"'.encode()
 
 
 def count_node_violations(folder: Path) -> Counter[str]:
-    """Return the violations that the nodes have logged, by invariant, from the folder of a run."""
+    """Count the violations that the nodes logged in the folder of a run, by invariant."""
     counts: Counter[str] = Counter()
     for log in folder.glob("n*/log"):
         for line in log.read_bytes().splitlines():
@@ -51,7 +51,7 @@
 
 
 def max_concurrent_faults(schedule: FaultSchedule) -> int:
-    """Return the largest number of faults that are in effect at one moment."""
+    """Return the largest number of faults that are in effect at the same time."""
     return max(
         (
             sum(other.start <= fault.start <= other.end for other in schedule.faults)
@@ -62,7 +62,7 @@
 
 
 def judge(record: RunRecord, node_violations: Counter[str], parameters: DrillParameters) -> Verdict:
-    """Return the verdict on a run, and print violations."""
+    """Return the verdict on a run, and print rule violations."""
     audited = audit(record)
     print_violations(audited.violations)
     served = sum(request.is_served for request in record.requests)
--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -1,8 +1,8 @@
-"""The drill of spread: many node processes that each see little of the load, and faults one after another.
+"""The load-spread drill: many node processes that each see little of the load, and a sequence of faults.
 
-All nodes start at once with the same list. Executors are killed, nodes are paused, most nodes are killed at
-once and start again with the old list, executors fail every job at once. The claims are about what clients
-and executors observed, beside baselines that spread the same jobs on the same executors.
+All nodes start at once with the same endpoint list. Executors are killed, nodes are paused, most nodes are
+killed at once and restart with the old list, and executors fail every job at once. The claims compare what
+clients and executors observed with baselines that spread the same jobs over the same executors.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
     from pathlib import Path
 
 DEFAULT_NODES = 12
-_RATE_PER_NODE = 3.0  # jobs a second
+_RATE_PER_NODE = 3.0  # jobs per second
 _MIN_RATE = 40.0
 _MAX_RATE = 150.0  # what one machine can serve
 _UTILIZATION = 0.65
 _MAX_PAUSE_SECONDS = 3.0
 _KILLED_FRACTION = 0.7  # of the nodes
-_STARTS_PER_SECOND = 8.0  # nodes that 5 cores start beside those that run
+_STARTS_PER_SECOND = 8.0  # nodes that 5 cores can start while the other nodes run
 
 
 def make_schedule(seconds: float, seed: int, nodes: int) -> FaultSchedule:
-    """Return the same faults at every size, spread over the run."""
+    """Return faults spread over the run, of the same kinds and fractions for any number of nodes."""
 
     def at(fraction: float) -> float:
-        """Return a fraction of the run in seconds."""
+        """Return the time after a fraction of the run, in seconds."""
         return round(fraction * seconds, 2)
 
     executor_kill = Fault(
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -1,9 +1,10 @@
-"""The drill of the watch on discovery: the nodes' watches break, and executors drain then.
+"""The discovery-watch drill: executors drain while the nodes' watches are broken.
 
-All watches stall at once, and a quarter of the executors is announced as leaving right after, and stays up.
-Later discovery is down while another quarter is announced, and then all watches are reset while a third one
-is. The claims are about what clients and executors observed: which jobs executors got, against what discovery
-had written to each node, or what counts as notified because the notification deadline had passed.
+All watches stall at once, and right after that a quarter of the executors is announced as leaving but stays
+up. Later, another quarter is announced while discovery is down, and a third one after all watches were reset.
+The claims are based on what clients and executors observed: the jobs that executors received are checked
+against the changes that each node was notified of. A node counts as notified of a change once discovery has
+written it to the node or the notification deadline has passed.
 """
 
 from __future__ import annotations
@@ -27,22 +28,22 @@
     from pathlib import Path
 
 DEFAULT_NODES = 6
-_RATE_PER_NODE = 3.0  # jobs a second
+_RATE_PER_NODE = 3.0  # jobs per second
 _MIN_RATE = 60.0
 _MAX_RATE = 150.0
-_UTILIZATION = 0.4  # of all executors: a quarter and more of them drain
+_UTILIZATION = 0.4  # of all executors, of which a quarter or more drain
 _MIN_SERVED = 0.9
 _DRAINED_GROUPS = 3
-_GROUPS = 4  # of executors
+_EXECUTOR_GROUPS = 4
 _MIN_DRAIN_SECONDS = 1.0
 _STALL_AT_SECONDS = 1.0
-_DRAIN_DELAY_SECONDS = 0.3  # from when watches break until a drain is announced
-_MAX_STALL_DRAIN_SECONDS = 15.0  # until the first drain ends, from the start of the run
-_RECOVERY_SECONDS = 2.0  # without a drain, at the end of the run
+_DRAIN_DELAY_SECONDS = 0.3  # from the break of watches to the announcement of a drain
+_MAX_STALL_DRAIN_END_SECONDS = 15.0  # from the start of the run
+_RECOVERY_SECONDS = 2.0  # at the end of the run, without a drain
 
 
 class DrainingExecutors(NamedTuple):
-    """The names of the executors that drain each time that watches break."""
+    """Names of the executors that drain, by the way in which the watches break."""
 
     at_stall: Sequence[str]
     at_reset: Sequence[str]
@@ -50,12 +51,12 @@
 
 
 def make_schedule(seconds: float, seed: int, draining: DrainingExecutors) -> FaultSchedule:
-    """Return faults that break watches, with another group of the executors draining each time."""
+    """Return faults that break the watches, each with the drain of another group of executors."""
     outage_at = 0.4 * seconds
     reset_at = 0.85 * seconds
 
     def drain(start: float, names: Sequence[str], until: float) -> Fault:
-        """Return the drain of a group, which ends before the run does."""
+        """Return the drain of the named executors until a time, or until shortly before the run ends."""
         duration = max(_MIN_DRAIN_SECONDS, min(until, seconds - _RECOVERY_SECONDS) - start)
         return Fault(kind=FaultKind.EXECUTOR_DRAIN, start=start, duration=duration, executors=",".join(names))
 
@@ -66,9 +67,9 @@
             drain(
                 _STALL_AT_SECONDS + _DRAIN_DELAY_SECONDS,
                 draining.at_stall,
-                min(outage_at, _MAX_STALL_DRAIN_SECONDS),
+                min(outage_at, _MAX_STALL_DRAIN_END_SECONDS),
             ),
-            # What is announced while discovery is down counts as notified some seconds after its return.
+            # The nodes count as notified of this drain some seconds after discovery is up again.
             Fault(
                 kind=FaultKind.DISCOVERY_OUTAGE, start=outage_at, duration=0.1 * seconds, nodes=node_name(0)
             ),
@@ -80,14 +81,16 @@
 
 
 def judge(record: RunRecord, parameters: DrillParameters) -> Verdict:
-    """Return the verdict on a run, and print violations."""
+    """Return the verdict on a run, and print rule violations."""
     audited = audit(record)
     print_violations(audited.violations)
     lost_ids = set(audited.lost_job_ids)
     requests = [request for request in record.requests if request.id not in lost_ids]
     served = sum(request.is_served for request in requests) / max(1, len(requests))
     notified = {
-        (each.node, each.endpoint) for each in record.notifications if each.health is EndpointHealth.DRAINING
+        (notification.node, notification.endpoint)
+        for notification in record.notifications
+        if notification.health is EndpointHealth.DRAINING
     }
     claims = {
         RULES_CLAIM: audited.violations_claim(),
@@ -104,7 +107,7 @@
     nodes = parameters.nodes or DEFAULT_NODES
     executors = count_executors(nodes)
     names = list(executor_specs(executors))
-    draining = DrainingExecutors(*(names[group::_GROUPS] for group in range(_DRAINED_GROUPS)))
+    draining = DrainingExecutors(*(names[group::_EXECUTOR_GROUPS] for group in range(_DRAINED_GROUPS)))
     return RunPlan(
         nodes=nodes,
         executors=executors,
@@ -122,7 +125,7 @@
 
 
 WATCH = Drill(
-    "The watch on discovery falls silent, is reset, is down, while executors are announced as leaving.",
+    "Discovery watches stall, are reset, or lose their server while executors are announced as leaving.",
     _run,
     WATCH_MUTATIONS,
     is_sizable=True,
--- a/burlmoor/testbed/mutations/__init__.py
+++ b/burlmoor/testbed/mutations/__init__.py
@@ -1,8 +1,9 @@
-"""Nodes built to violate a rule, with which drills must fail: `python -m burlmoor.testbed.mutations NAME`.
+"""Mutations: nodes that violate a rule, so that drills must fail with them.
 
-The node itself has no switch for any of this: a mutation replaces functions and constants of the node's
-modules in its own process before the node starts. The modules that a mutation changes are imported only where
-it is applied, since some belong to subsystems that a plain node does not import.
+`python -m burlmoor.testbed.mutations NAME` runs such a node. The node itself has no switch for this: a
+mutation replaces functions and constants of the node's modules in the node's process before the node starts.
+It imports these modules only when it is applied, because some belong to subsystems that a plain node does not
+import.
 """
 
 from __future__ import annotations
--- a/burlmoor/testbed/mutations/__main__.py
+++ b/burlmoor/testbed/mutations/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m burlmoor.testbed.mutations NAME`: a node with a mutation."""
+"""`python -m burlmoor.testbed.mutations NAME` runs a node with a mutation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def main() -> int:
     """Apply the mutation that the first argument names, run the node, and return its exit status."""
     MUTATIONS[sys.argv[1]].apply()
-    from burlmoor.lifecycle.process import main as run_node  # noqa: PLC0415 - it is changed before
+    from burlmoor.lifecycle.process import main as run_node  # noqa: PLC0415 - the mutation comes first
 
     return run_node()
 
--- a/burlmoor/testbed/mutations/attempts.py
+++ b/burlmoor/testbed/mutations/attempts.py
@@ -1,4 +1,4 @@
-"""Mutations of the cancellation of attempts, and all those of the soak."""
+"""Mutations of the cancellation of attempts, and the set of mutations for the soak drill."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from burlmoor.upstream.attempts import AttemptRunner
 
 
-def _deliver_after_close() -> None:
+def _deliver_cancelled_attempts() -> None:
     from burlmoor.transport.stream import SocketStream  # noqa: PLC0415
 
     replace_attributes(SocketStream, set_reset_on_close=lambda _self, **_is_on: True)
@@ -27,13 +27,17 @@
 
     def cancel_and_end(self: AttemptRunner, attempt: Attempt) -> None:
         cancel_attempt(self, attempt)
-        self._lifecycle._end_cancelled(attempt)  # noqa: SLF001 - the transition that the mutation makes early
+        self._lifecycle._end_cancelled(attempt)  # noqa: SLF001 - a transition that the mutation makes early
 
     replace_attributes(AttemptRunner, cancel_attempt=cancel_and_end)
 
 
 SOAK_MUTATIONS: Mapping[str, Mutation] = mutations_by_name(
-    Mutation("keep-sent", "The kernel still delivers attempts that are cancelled.", _deliver_after_close),
+    Mutation(
+        "keep-sent",
+        "The kernel still delivers the requests of cancelled attempts.",
+        _deliver_cancelled_attempts,
+    ),
     OLD_LIST,
     UNDRAINED,
     Mutation(
--- a/burlmoor/testbed/mutations/deferred.py
+++ b/burlmoor/testbed/mutations/deferred.py
@@ -1,4 +1,4 @@
-"""Mutations of the deferral of jobs."""
+"""Mutations of the handling of deferred jobs."""
 
 from __future__ import annotations
 
@@ -80,5 +80,5 @@
     Mutation("early", "Jobs run before their earliest time.", _ignore_earliest_time),
     Mutation("failed-is-served", "A dependency that failed counts as served.", _treat_failed_as_served),
     Mutation("no-cascade", "Dependents of a job that failed stay deferred.", _keep_dependents_of_failed),
-    Mutation("starve", "Jobs that are free to run are never released.", _release_nothing),
+    Mutation("starve", "Jobs whose run conditions are met are never released.", _release_nothing),
 )
--- a/burlmoor/testbed/mutations/endpoint_list.py
+++ b/burlmoor/testbed/mutations/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Mutations of what a node makes of the endpoint list and of the watch on it."""
+"""Mutations of how a node watches and uses the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _remove_list_lease() -> None:
-    """Let the endpoint list be used for ever: its lease would hide what a watch does wrong."""
+    """Make the endpoint list valid forever; otherwise the end of its lease would hide faults of the watch."""
     from burlmoor.discovery.list_lease import ListLease  # noqa: PLC0415
 
     replace_attributes(ListLease, is_valid=lambda _self, _now: True, expires_at=lambda _self: math.inf)
@@ -64,21 +64,21 @@
     replace_attributes(ListLease, __init__=init_confirmed)
 
 
-UNDRAINED = Mutation("undrained", "An endpoint that drains gets jobs as before.", _ignore_drains)
+UNDRAINED = Mutation("undrained", "A draining endpoint still gets jobs.", _ignore_drains)
 OLD_LIST = Mutation(
     "old-list",
-    "A node sends on an endpoint list that is too old, or not confirmed since its start.",
+    "A node sends jobs by an endpoint list that is too old or not confirmed since the node started.",
     _use_unconfirmed_list,
 )
 WATCH_MUTATIONS: Mapping[str, Mutation] = mutations_by_name(
     Mutation(
         "late-watch",
-        "A silent watch times out some seconds after the notification deadline of what it missed.",
+        "A silent watch times out some seconds after the notification deadline of changes that it missed.",
         _time_out_watches_late,
     ),
     Mutation(
         "slow-again",
-        "A failed call is retried some seconds after the notification deadline of what it missed.",
+        "A failed call is retried some seconds after the notification deadline of changes that it missed.",
         _retry_calls_late,
     ),
     UNDRAINED,
--- a/burlmoor/testbed/mutations/mutation.py
+++ b/burlmoor/testbed/mutations/mutation.py
@@ -1,4 +1,4 @@
-"""A mutation of the node: how it is named, and how it replaces parts of the node's modules."""
+"""The type of mutations, and a helper that replaces parts of the node's modules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Mutation(NamedTuple):
-    """A way in which a node violates a rule; `apply` makes the node of this process do so."""
+    """A way in which a node violates a rule; `apply` changes the node of this process accordingly."""
 
     name: str
     description: str
@@ -17,14 +17,15 @@
 
 
 def mutations_by_name(*mutations: Mutation) -> dict[str, Mutation]:
-    """Return mutations by the names that the command line accepts."""
+    """Return a mapping of mutations by name, as the command line accepts it."""
     return {mutation.name: mutation for mutation in mutations}
 
 
 def replace_attributes(owner: object, **replacements: object) -> None:
     """Replace attributes of a class or a module.
 
-    Raises AttributeError for one that does not exist, so that no mutation outlives a rename as a sound node.
+    Raises AttributeError if one does not exist: otherwise a mutation would silently lose its effect once the
+    attribute is renamed in the node.
     """
     for name, replacement in replacements.items():
         getattr(owner, name)
--- a/burlmoor/testbed/mutations/spread.py
+++ b/burlmoor/testbed/mutations/spread.py
@@ -1,4 +1,4 @@
-"""Mutations of the policy by which many nodes choose the same endpoints at the same moments."""
+"""Mutations of the policy that let many nodes choose the same endpoints at the same time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from burlmoor.types.settings import Settings
 
 _COMMON_SEED = 1
-_COMMON_ROUND_MS = 250.0  # between two rounds that all nodes have at the same moments
+_COMMON_ROUND_INTERVAL_MS = 250.0  # of the rounds that all nodes run at the same times
 _ENDLESS_HALF_LIFE_MS = 1e15
 
 
@@ -36,26 +36,26 @@
     replace_attributes(Dispatcher, __init__=init_with_common_seed)
 
 
-def _dispatch_at_common_moments() -> None:
+def _dispatch_at_common_times() -> None:
     from burlmoor.policy.dispatch_rounds import DispatchRounds  # noqa: PLC0415
 
     run = DispatchRounds.run
 
-    def next_common_moment(now: float) -> float:
-        # By the machine's clock, which all nodes share: each process's `now` has another origin.
-        return now + _COMMON_ROUND_MS - time.monotonic() * 1000.0 % _COMMON_ROUND_MS
+    def next_common_time(now: float) -> float:
+        # All processes share the machine's monotonic clock, while the origin of `now` differs between them.
+        return now + _COMMON_ROUND_INTERVAL_MS - time.monotonic() * 1000.0 % _COMMON_ROUND_INTERVAL_MS
 
     def enqueue(self: DispatchRounds, job: ScheduledJob, now: float, _ticks: float = 0.0) -> None:
         job.is_queued = True
         self.queue[job.id] = job
-        self.next_round_at = min(self.next_round_at, next_common_moment(now))
+        self.next_round_at = min(self.next_round_at, next_common_time(now))
 
-    def run_at_common_moments(self: DispatchRounds, now: float) -> None:
+    def run_at_common_times(self: DispatchRounds, now: float) -> None:
         run(self, now)
         if self.queue:
-            self.next_round_at = next_common_moment(now)
+            self.next_round_at = next_common_time(now)
 
-    replace_attributes(DispatchRounds, enqueue=enqueue, run=run_at_common_moments)
+    replace_attributes(DispatchRounds, enqueue=enqueue, run=run_at_common_times)
 
 
 def _use_common_order() -> None:
@@ -76,7 +76,7 @@
     replace_attributes(AffinityOrders, order_of=common_order_of)
 
 
-def _keep_old_statistics() -> None:
+def _disable_decay() -> None:
     from burlmoor.policy.model.decayed_mean import DecayedMean  # noqa: PLC0415
 
     add, read = DecayedMean.add, DecayedMean.read
@@ -94,11 +94,11 @@
 
 SPREAD_MUTATIONS: Mapping[str, Mutation] = mutations_by_name(
     Mutation("same-seed", "All nodes draw the same random numbers.", _use_common_seed),
-    Mutation("in-step", "All nodes dispatch at the same moments.", _dispatch_at_common_moments),
+    Mutation("in-step", "All nodes dispatch at the same times.", _dispatch_at_common_times),
     Mutation(
         "one-order",
         "All nodes consider endpoints in the same order and take the first with capacity.",
         _use_common_order,
     ),
-    Mutation("no-ageing", "Statistics never decay.", _keep_old_statistics),
+    Mutation("no-ageing", "Statistics never decay.", _disable_decay),
 )
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -1,4 +1,4 @@
-"""The drill of deferred jobs: each claim holds on a sound record and fails on one that violates it."""
+"""The deferred-job drill: each claim holds on a sound record and fails on one that violates it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from burlmoor.testbed.mutations import DEFERRED_MUTATIONS
 
-Fault = Callable[[EventRecord], None]
+RecordChange = Callable[[EventRecord], None]
 RATIO_CLAIM = "worst-served tenth against plain"
 
 
@@ -48,7 +48,10 @@
 
 
 def make_sound_record() -> EventRecord:
-    """A parent and its child, a timed job, a failed parent, and enough plain jobs beside released ones."""
+    """Return a record with a parent and its child, a timed job, a failed parent, and plain and released jobs.
+
+    There are enough plain and released jobs for their comparison.
+    """
     record = EventRecord(unix_offset_ms=1e6)
     add = partial(add_job, record)
     add("a", 5.0, 20.0)
@@ -63,12 +66,12 @@
 
 
 def judge_claims(record: EventRecord) -> dict[str, bool]:
-    """Whether each claim holds."""
+    """Return whether each claim holds, by name."""
     verdict = judge(record, 1, 60.0, [0])
     return {name: claim.holds for name, claim in verdict.claims.items()}
 
 
-def change_request(request_id: str, **values: object) -> Fault:
+def change_request(request_id: str, **values: object) -> RecordChange:
     def change(record: EventRecord) -> None:
         for name, value in values.items():
             setattr(record.requests[request_id], name, value)
@@ -76,16 +79,16 @@
     return change
 
 
-def change_attempt(request_id: str, **values: object) -> Fault:
+def change_attempt(request_id: str, **values: object) -> RecordChange:
     def change(record: EventRecord) -> None:
-        attempt = next(each for each in record.attempts if each.id == request_id)
+        attempt = next(attempt for attempt in record.attempts if attempt.id == request_id)
         for name, value in values.items():
             setattr(attempt, name, value)
 
     return change
 
 
-def add_attempt(*values: object) -> Fault:
+def add_attempt(*values: object) -> RecordChange:
     return lambda record: record.attempts.append(AttemptRecord(*values))  # type: ignore[arg-type]
 
 
@@ -100,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "claim"),
+    ("violate", "claim"),
     [
         (change_request("b", answered_ms=None, answer_count=0, status=0), "unanswered"),
         (change_request("p-3", answered_ms=5061.0), "late"),
@@ -118,9 +121,9 @@
         (reject_most_released_jobs, RATIO_CLAIM),
     ],
 )
-def test_each_claim_fails_on_a_record_that_violates_it(fault: Fault, claim: str | None) -> None:
+def test_each_claim_fails_on_a_record_that_violates_it(violate: RecordChange, claim: str | None) -> None:
     record = make_sound_record()
-    fault(record)
+    violate(record)
     claims = judge_claims(record)
     if claim is None:
         assert claims["ran twice"]
@@ -130,12 +133,12 @@
         assert not claims[claim]
 
 
-def test_a_restart_with_a_bad_exit_status_or_without_one_violates_a_claim() -> None:
+def test_a_bad_or_missing_exit_status_violates_a_claim() -> None:
     for statuses in ([1], [-9], []):
         assert not judge(make_sound_record(), 1, 60.0, statuses).claims["bad exits"].holds
 
 
-def test_a_schedule_depends_on_its_seed_alone_and_has_every_family() -> None:
+def test_a_schedule_depends_only_on_its_seed_and_has_every_family() -> None:
     first = draw_schedule(30.0, 5)
     assert first == draw_schedule(30.0, 5)
     assert first != draw_schedule(30.0, 6)
@@ -146,7 +149,7 @@
     assert any(job.disconnect_after_seconds for job in first)
 
 
-def test_a_verdict_holds_only_where_every_claim_does() -> None:
+def test_a_verdict_holds_only_if_every_claim_holds() -> None:
     verdict = Verdict("x", 1, 10.0, {"a": Claim(0, 0), "b": Claim(0.95, 0.9, is_lower_bound=True)})
     assert verdict.to_json_object()["held"] is True
     verdict.claims["b"] = Claim(float("nan"), 0.9, is_lower_bound=True)
--- a/tests/testbed/test_mutations.py
+++ b/tests/testbed/test_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the node: the attributes that they replace exist, and a node with each starts and answers."""
+"""Each mutation replaces attributes that exist, and a node with it starts and answers jobs."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 FAULT_EVENTS = {"policy-failed", "action-failed", "unreadable"}
 
 
-class Replaced:
+class Replaceable:
     value = 1
 
 
-def test_an_attribute_that_does_not_exist_is_not_replaced() -> None:
-    replace_attributes(Replaced, value=2)
-    assert Replaced.value == 2
+def test_replacing_an_unknown_attribute_raises_an_error() -> None:
+    replace_attributes(Replaceable, value=2)
+    assert Replaceable.value == 2
     with pytest.raises(AttributeError, match="missing"):
-        replace_attributes(Replaced, missing=2)
+        replace_attributes(Replaceable, missing=2)
 
 
 @pytest.mark.parametrize("name", MUTATIONS)
