--- a/burlmoor/testbed/deferred_verdict.py
+++ b/burlmoor/testbed/deferred_verdict.py
@@ -45,7 +45,7 @@
 
 
 class _ServedGroup(NamedTuple):
-    """The released jobs of one class and window, compared with its plain jobs."""
+    """The released jobs of one class and window, and how they were served relative to plain jobs."""
 
     relative_ratio: float  # the released jobs' served ratio over the plain jobs'
     plain_ratio: float
--- a/burlmoor/testbed/mutations/__init__.py
+++ b/burlmoor/testbed/mutations/__init__.py
@@ -1,4 +1,4 @@
-"""Mutations: nodes that violate a rule, so that drills must fail with them.
+"""Mutations that make a node violate a rule, each of which must make a drill fail.
 
 `python -m burlmoor.testbed.mutations NAME` runs such a node. The node itself has no switch for this: a
 mutation replaces functions and constants of the node's modules in the node's process before the node starts.
--- a/burlmoor/testbed/mutations/__main__.py
+++ b/burlmoor/testbed/mutations/__main__.py
@@ -10,7 +10,7 @@
 def main() -> int:
     """Apply the mutation that the first argument names, run the node, and return its exit status."""
     MUTATIONS[sys.argv[1]].apply()
-    from burlmoor.lifecycle.process import main as run_node  # noqa: PLC0415 - the mutation comes first
+    from burlmoor.lifecycle.process import main as run_node  # noqa: PLC0415 - after the mutation is applied
 
     return run_node()
 
--- a/burlmoor/testbed/mutations/endpoint_list.py
+++ b/burlmoor/testbed/mutations/endpoint_list.py
@@ -67,7 +67,7 @@
 UNDRAINED = Mutation("undrained", "A draining endpoint still gets jobs.", _ignore_drains)
 OLD_LIST = Mutation(
     "old-list",
-    "A node sends jobs by an endpoint list that is too old or not confirmed since the node started.",
+    "A node uses an endpoint list that is too old or not confirmed since the node started.",
     _use_unconfirmed_list,
 )
 WATCH_MUTATIONS: Mapping[str, Mutation] = mutations_by_name(
--- a/burlmoor/testbed/mutations/mutation.py
+++ b/burlmoor/testbed/mutations/mutation.py
@@ -17,7 +17,7 @@
 
 
 def mutations_by_name(*mutations: Mutation) -> dict[str, Mutation]:
-    """Return a mapping of mutations by name, as the command line accepts it."""
+    """Return the mutations by the names that the command line accepts."""
     return {mutation.name: mutation for mutation in mutations}
 
 
--- a/tests/testbed/test_drill.py
+++ b/tests/testbed/test_drill.py
@@ -126,6 +126,7 @@
     violate(record)
     claims = judge_claims(record)
     if claim is None:
+        # One started attempt does not violate the claim; a second one does.
         assert claims["ran twice"]
         add_attempt("c", "confirm-booking", "t", 1.0, 2.0)(record)
         assert not judge_claims(record)["ran twice"]
@@ -162,7 +163,7 @@
     assert all(name in result.output for name in DEFERRED_MUTATIONS)
 
 
-def test_rejections_by_a_closing_node_do_not_count_as_released_jobs() -> None:
+def test_rejections_by_a_stopping_node_do_not_count_as_released_jobs() -> None:
     record = make_sound_record()
     reject_most_released_jobs(record)
     record.shutdown_periods = [ShutdownPeriod(0, 80.0, 100.0)]
