--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -1,7 +1,8 @@
-"""The same seeds yield the same events as at 69d0f80, whose code recorded the digests.
+"""The same seeds yield the same events as in commit 69d0f80, whose code recorded the digests.
 
-Deployments 1 and 3 are newer: an attempt at an endpoint that has never reported anything is not cancelled
-before the last moment at which another endpoint can still serve the job.
+The deployment digests of seeds 1 and 3 are newer, because of a change to the policy: an attempt at an
+endpoint that has never reported anything is not cancelled before the last moment at which another endpoint
+can still serve the job.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 SEEDS = (1, 2, 3)
 
 
-def described(answer: FinalAnswer) -> str:
-    """A final answer in words that no renaming changes."""
+def describe(answer: FinalAnswer) -> str:
+    """Describe a final answer in text that does not depend on the names of classes."""
     match answer:
         case Served(body):
             return f"served {body.decode()}"
@@ -39,41 +40,41 @@
 def test_simulated_clusters_run_as_before(seed: int) -> None:
     world = run_deployment({**BASE_DEPLOYMENT, "seed": seed, "nodes": 3, "zones": 2, "tenants": True})
     digest = hashlib.sha256()
-    for each in world.executor_records:
-        known = each.outcome.value if each.outcome else None
+    for record in world.executor_records:
+        outcome = record.outcome.value if record.outcome else None
         row = (
-            each.request_id, each.executor, each.zone, each.cell, each.node_index, each.sent_at, each.work_ms,
-            each.executor_started_at, each.began_at, known, each.outcome_known_at,
+            record.request_id, record.executor, record.zone, record.cell, record.node_index, record.sent_at,
+            record.work_ms, record.executor_started_at, record.began_at, outcome, record.outcome_known_at,
         )  # fmt: skip
         digest.update(repr(row).encode())
-    for asked in world.client_records.values():
-        answers = [(at, described(answer)) for at, answer in asked.answers]
-        asked_row = (
-            asked.request_id, asked.job_class, asked.tenant, asked.sent_at, asked.deadline_ms, asked.work_ms,
-            asked.node_index, answers, asked.has_node_crashed, asked.disconnected_at,
+    for request in world.client_records.values():
+        answers = [(at, describe(answer)) for at, answer in request.answers]
+        request_row = (
+            request.request_id, request.job_class, request.tenant, request.sent_at, request.deadline_ms,
+            request.work_ms, request.node_index, answers, request.has_node_crashed, request.disconnected_at,
         )  # fmt: skip
-        digest.update(repr(asked_row).encode())
+        digest.update(repr(request_row).encode())
     assert digest.hexdigest() == DIGESTS["deployment"][str(seed)]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_simulated_memberships_run_as_before(seed: int) -> None:
-    town = GossipSimulation(12, seed, loss=0.1)
-    town.run(3.0)
-    town.crash(["n1", "n2"])
-    town.suspend("n5", 2.0)
-    town.run(9.0)
-    town.start("n1", 300)
-    town.run(16.0)
+    cluster = GossipSimulation(12, seed, loss=0.1)
+    cluster.run(3.0)
+    cluster.crash(["n1", "n2"])
+    cluster.suspend("n5", 2.0)
+    cluster.run(9.0)
+    cluster.start("n1", 300)
+    cluster.run(16.0)
     digest = hashlib.sha256()
-    for name, node in sorted(town.running.items()):
-        view = node.view(town.now)
+    for name, node in sorted(cluster.running.items()):
+        view = node.view(cluster.now)
         members = sorted(
             (key, fact.address, fact.generation, fact.nonce, fact.incarnation, int(fact.status))
             for key, fact in view.members.items()
         )
         digest.update(repr((name, view.version, view.configured_count, view.is_current, members)).encode())
-    digest.update(repr((town.sent_bytes, town.death_declarations)).encode())
+    digest.update(repr((cluster.sent_bytes, cluster.death_declarations)).encode())
     assert digest.hexdigest() == DIGESTS["membership"][str(seed)]
 
 
--- a/tests/golden/test_encodings.py
+++ b/tests/golden/test_encodings.py
@@ -1,6 +1,6 @@
-"""Data that earlier releases have written is read by this one, and written again byte for byte.
+"""Data that earlier releases wrote is decoded by this one, and encoded again byte for byte.
 
-The files under `data/` were recorded by the code of 69d0f80 itself. They change only with a format, never
+The files under `data/` were recorded by the code of commit 69d0f80. They change only with a format, never
 with a name in the code.
 """
 
@@ -22,7 +22,7 @@
 from burlmoor.membership.member import MemberState, MemberStatus
 from burlmoor.policy.statistics.snapshot import StatisticsSnapshot
 from burlmoor.simulator_adapter.dispatcher_host import DispatcherHost
-from burlmoor.testbed.deferred_verdict import judge as judge_waiting
+from burlmoor.testbed.deferred_verdict import judge as judge_deferred
 from burlmoor.testbed.drill import DrillParameters, Verdict
 from burlmoor.testbed.drill_watch import judge as judge_watch
 from burlmoor.testbed.event_record import EventRecord
@@ -33,7 +33,7 @@
 DATA = Path(__file__).parent / "data"
 STATISTICS = (DATA / "statistics.msgpack").read_bytes()
 OVERRIDES = Overrides(EndpointOverrides({"e1": 1700000000000.0}, {"e2": 1700000000500.5}), True)
-LISTED = DiscoveredList(
+ENDPOINT_LIST = DiscoveredList(
     7,
     True,
     [
@@ -42,11 +42,11 @@
         DiscoveredEndpoint("e2"),
     ],
 )
-HANDOVER: dict[str, handover_messages.Message] = {
+HANDOVER_MESSAGES: dict[str, handover_messages.Message] = {
     "hello": handover_messages.Hello(),
     "snapshot": handover_messages.Snapshot(
         OVERRIDES,
-        LISTED,
+        ENDPOINT_LIST,
         msgspec.msgpack.decode(STATISTICS, type=StatisticsSnapshot),
         ["a1", "a2"],
         5,
@@ -63,11 +63,11 @@
 }
 
 
-@pytest.mark.parametrize("name", HANDOVER)
+@pytest.mark.parametrize("name", HANDOVER_MESSAGES)
 def test_handover_messages_keep_their_encoding(name: str) -> None:
     recorded = (DATA / "handover" / f"{name}.msgpack").read_bytes()
-    assert msgspec.msgpack.decode(recorded, type=handover_messages.Message) == HANDOVER[name]
-    assert msgspec.msgpack.encode(HANDOVER[name]) == recorded
+    assert msgspec.msgpack.decode(recorded, type=handover_messages.Message) == HANDOVER_MESSAGES[name]
+    assert msgspec.msgpack.encode(HANDOVER_MESSAGES[name]) == recorded
 
 
 def test_the_statistics_snapshot_keeps_its_encoding() -> None:
@@ -75,7 +75,7 @@
     assert msgspec.msgpack.encode(decoded) == STATISTICS
 
 
-def test_the_same_conversation_gives_the_same_statistics_snapshot() -> None:
+def test_the_same_events_give_the_same_statistics_snapshot() -> None:
     driver = driver_with_statistics()
     assert msgspec.msgpack.encode(take(driver)) == STATISTICS
 
@@ -88,8 +88,8 @@
 
 def test_the_endpoint_list_keeps_its_encoding() -> None:
     recorded = (DATA / "endpoint-list.json").read_bytes()
-    assert msgspec.json.decode(recorded, type=DiscoveredList) == LISTED
-    assert msgspec.json.encode(LISTED) == recorded
+    assert msgspec.json.decode(recorded, type=DiscoveredList) == ENDPOINT_LIST
+    assert msgspec.json.encode(ENDPOINT_LIST) == recorded
 
 
 def test_options_files_are_read_as_before() -> None:
@@ -100,8 +100,8 @@
 def test_membership_datagrams_keep_their_encoding() -> None:
     for row in json.loads((DATA / "datagrams.json").read_text()):
         facts = tuple(
-            MemberState(name, (address[0], address[1]), life, nonce, incarnation, MemberStatus(state))
-            for name, address, life, nonce, incarnation, state in row["facts"]
+            MemberState(name, (address[0], address[1]), generation, nonce, incarnation, MemberStatus(state))
+            for name, address, generation, nonce, incarnation, state in row["facts"]
         )
         message = Message(MessageKind(row["kind"]), row["number"], row["digest"], facts, row["target"])
         data, count = encode(message)
@@ -127,21 +127,21 @@
 def test_verdicts_on_recorded_rows_are_the_same() -> None:
     recorded = json.loads((DATA / "verdicts.json").read_text())
     run = records.read_record(DATA / "run")
-    judged = assess_run(run)
-    fleet = Verdict("fleet", run.plan.seed, run.plan.seconds, judged.claims(), judged.figures())
+    assessment = assess_run(run)
+    fleet = Verdict("fleet", run.plan.seed, run.plan.seconds, assessment.claims(), assessment.figures())
     assert json.dumps(fleet.to_json_object()) == json.dumps(recorded["fleet"])
     assert json.dumps(judge_watch(run, DrillParameters(12.0, 4)).to_json_object()) == json.dumps(
         recorded["watch"]
     )
-    ledger = EventRecord()
-    ledger.unix_offset_ms, ledger.attempts = 1.0, list(run.attempts)
-    ledger.requests = {job.id: job for job in run.requests}
-    ids = list(ledger.requests)
-    for number, job in enumerate(ledger.requests.values()):
+    event_record = EventRecord()
+    event_record.unix_offset_ms, event_record.attempts = 1.0, list(run.attempts)
+    event_record.requests = {job.id: job for job in run.requests}
+    ids = list(event_record.requests)
+    for number, job in enumerate(event_record.requests.values()):
         if number % 5 == 4:
             job.run_after = (ids[number - 1], ids[number - 2])
         if number % 7 == 6:
             job.not_before_unix_ms = 1.0 + job.sent_ms
-    assert json.dumps(judge_waiting(ledger, 4, 12.0, [0, 1]).to_json_object()) == json.dumps(
+    assert json.dumps(judge_deferred(event_record, 4, 12.0, [0, 1]).to_json_object()) == json.dumps(
         recorded["waiting"]
     )
--- a/tests/golden/test_files_of_the_release_before.py
+++ b/tests/golden/test_files_of_the_release_before.py
@@ -1,7 +1,6 @@
-"""Files and messages that the code of 890869d has written are read by this code, and written identically.
+"""Files and messages that commit 890869d wrote are decoded, and encoded again byte for byte.
 
-`n1.by-hand` is an overrides file; `snapshot.msgpack` is the message that that code sends to a
-process that takes over.
+`n1.by-hand` is an overrides file; `snapshot.msgpack` is the message that a process sends to its successor.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 from burlmoor.admin.overrides import OverridesFile
 from burlmoor.lifecycle.handover_messages import Snapshot
-from tests.golden.test_encodings import LISTED, OVERRIDES
+from tests.golden.test_encodings import ENDPOINT_LIST, OVERRIDES
 from tests.policy.statistics.test_snapshot import restore
 from tests.support.dispatcher_driver import DispatcherDriver, entries
 
@@ -25,7 +24,7 @@
 SNAPSHOT = (DATA / "snapshot.msgpack").read_bytes()
 
 
-def test_the_overrides_file_is_loaded_and_saved_alike(tmp_path: Path) -> None:
+def test_the_overrides_file_is_loaded_and_saved_unchanged(tmp_path: Path) -> None:
     path = tmp_path / "n1.by-hand"
     shutil.copy(DATA / path.name, path)
     logged: list[LogEvent] = []
@@ -37,9 +36,13 @@
     assert logged == []
 
 
-def test_the_snapshot_of_a_handover_is_decoded_and_encoded_alike() -> None:
+def test_the_snapshot_of_a_handover_is_decoded_and_encoded_unchanged() -> None:
     snapshot = msgspec.msgpack.decode(SNAPSHOT, type=Snapshot)
-    assert (snapshot.overrides, snapshot.endpoints, snapshot.job_ids) == (OVERRIDES, LISTED, ["a1", "a2"])
+    assert (snapshot.overrides, snapshot.endpoints, snapshot.job_ids) == (
+        OVERRIDES,
+        ENDPOINT_LIST,
+        ["a1", "a2"],
+    )
     assert (snapshot.downstream_connections, snapshot.upstream_connections) == (5, 6)
     assert msgspec.msgpack.encode(snapshot) == SNAPSHOT
 
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -14,12 +14,12 @@
 
 
 def is_last_job(harness: NodeHarness, request_id: str) -> bool:
-    """Whether the last job that executors have received is this one."""
+    """Return whether this job is the last one that the executors have received."""
     return bool(harness.jobs) and harness.jobs[-1][1].headers["request-id"] == request_id
 
 
 @pytest.mark.parametrize(
-    ("name", "act", "status", "attempts"),
+    ("job_class", "action", "status", "attempts"),
     [
         ("once", "take", 200, 1),
         ("once", "early", 200, 1),
@@ -34,18 +34,18 @@
     ],
 )
 async def test_the_response_of_an_executor_decides_whether_its_job_is_retried(
-    name: str, act: str, status: int, attempts: int
+    job_class: str, action: str, status: int, attempts: int
 ) -> None:
-    async with open_node_harness(act) as harness:
-        client = await harness.submit_job(name)
+    async with open_node_harness(action) as harness:
+        client = await harness.submit_job(job_class)
         await harness.wait_until(lambda: len(harness.jobs) == attempts)
-        if status == 200 and act != "early":
+        if status == 200 and action != "early":
             assert await harness.send_callback("done", "result") in (200, 204)
         answer = await harness.read_response(client)
         assert len(harness.jobs) == attempts
     assert answer.status == status
     if status == 200:
-        assert answer.body == (b"early" if act == "early" else b"result")
+        assert answer.body == (b"early" if action == "early" else b"result")
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
     async with open_node_harness() as harness:
         client = await harness.submit_job("once")
         await harness.wait_until(lambda: len(harness.jobs) == 1)
-        for _ in range(2):  # each may arrive twice
+        for _ in range(2):  # executors may repeat call-backs
             assert await harness.send_callback("started", job=0) == 204
             assert await harness.send_callback(state, job=0) == 204
         if attempts == 2:
@@ -73,7 +73,7 @@
             await harness.wait_until(partial(is_last_job, harness, request_id))
             await harness.send_callback("done", request_id)
             assert (await harness.read_response(client)).body == request_id.encode()
-            await trio.sleep(2.0 * REUSE_DELAY_SECONDS)  # a connection is not used again before
+            await trio.sleep(2.0 * REUSE_DELAY_SECONDS)  # the pool reuses no connection earlier
         _, job = harness.jobs[0]
         assert (job.start_line, job.body) == ("POST /lookup/0f HTTP/1.1", b"work")
         assert 0 < int(job.headers["request-timeout-ms"]) <= 3000
@@ -129,29 +129,29 @@
         await harness.wait_until(lambda: harness.unanswered_connection_count)
 
 
-@pytest.mark.parametrize("act", ["take", "hang"])
-async def test_the_attempt_of_a_client_that_disconnects_is_cancelled(act: str) -> None:
-    async with open_node_harness(act) as harness:
+@pytest.mark.parametrize("action", ["take", "hang"])
+async def test_the_attempt_of_a_client_that_disconnects_is_cancelled(action: str) -> None:
+    async with open_node_harness(action) as harness:
         client = await harness.submit_job()
         await harness.wait_until(lambda: harness.jobs)
-        if act == "take":
+        if action == "take":
             await harness.wait_until(lambda: not harness.components.attempts.in_flight)
         await client.socket_stream.aclose()
         await harness.wait_until(
-            lambda: harness.cancelled_attempts if act == "take" else harness.unanswered_connection_count
+            lambda: harness.cancelled_attempts if action == "take" else harness.unanswered_connection_count
         )
-        if act == "take":
+        if action == "take":
             assert harness.cancelled_attempts == [(harness.jobs[0][0], "/jobs/a1")]
 
 
 @pytest.mark.parametrize(
     ("fault", "is_cancelled"), [("none", True), ("refused", False), ("timed out", False), ("broken", False)]
 )
-async def test_an_attempt_is_cancelled_once_its_endpoint_has_confirmed_that(
+async def test_an_attempt_ends_only_when_its_endpoint_confirms_the_cancellation(
     monkeypatch: pytest.MonkeyPatch, fault: str, *, is_cancelled: bool
 ) -> None:
-    # Until then, a retry elsewhere would be a hedged request, even where the settings bar those. An executor
-    # whose connections are all in use refuses further ones, too.
+    # Until then the attempt may run, so a retry elsewhere would be a hedged request, which the settings may
+    # forbid. A refused connection confirms nothing: an executor refuses it, too, if all others are in use.
     async with open_node_harness() as harness:
         harness.open_clients.append(await harness.submit_job())
         await harness.wait_until(lambda: harness.jobs)
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -20,7 +20,7 @@
 
 
 class DelayedConnections:
-    """Holds back each connection that is acquired from the pool until the test sets `released`."""
+    """Delays each connection that is acquired from the pool until the test sets `released`."""
 
     def __init__(self, harness: NodeHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting_count = 0
@@ -93,13 +93,12 @@
     async with open_node_harness() as harness:
         client = await harness.submit_job(timeout_ms=5000)
         await harness.wait_until(lambda: harness.jobs)
-        await harness.send_callback(
-            "started"
-        )  # a job that has not started would be retried at another executor
+        # A job that has not started would be retried at another executor.
+        await harness.send_callback("started")
         writing_client = WritingClient(harness, client)
         harness.nursery.start_soon(writing_client.write)
         await harness.wait_until(lambda: writing_client.written_chunk_count > 100)
-        other = await harness.submit_job(request_id="b1")  # must be answered all the same
+        other = await harness.submit_job(request_id="b1")  # must be answered meanwhile
         for request_id, waiting_client in (("b1", other), ("a1", client)):
             await harness.wait_until(lambda request_id=request_id: harness.find_attempts(request_id))  # type: ignore[misc]
             await harness.send_callback("done", "fine", job=harness.find_attempts(request_id)[-1])
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -95,7 +95,7 @@
 
 
 async def test_a_slow_client_among_stalled_ones_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Clients may take up to 2 s to write a request; a slow one must not be taken for a stalled one.
+    # Clients may take up to 2 s to write a request; a slow client must not be treated as a stalled one.
     monkeypatch.setattr("burlmoor.downstream.eviction._STALLED_EVICTION_SECONDS", 0.2)
 
     async with open_node_harness(sockets=128) as harness:
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -1,8 +1,8 @@
-"""Deployments over sockets: each pair of values of any two settings is tested in at least one scenario.
+"""Pairwise tests of the settings over sockets: each pair of values of any two settings occurs in a scenario.
 
-One node and two scripted executors. The first response is the scenario's; to all later attempts executors
-answer with 202, and with a call-back that the job is done. Observed at clients and executors: how often each
-job was sent, and which answer its client received.
+A scenario has one node and two scripted executors. Its action decides the response to the first attempt; the
+executors accept all later attempts with 202 and report them as done. Each test checks how often its job was
+sent, and which answer its client received.
 """
 
 from __future__ import annotations
@@ -22,20 +22,23 @@
 
 SETTINGS: dict[str, list[Any]] = {
     "kind": ["lookup", "once", "keyed"],
-    "act": ["take", "full", "late", "503", "504", "500", "reset", "hang"],
+    "action": ["take", "full", "late", "503", "504", "500", "reset", "hang"],
     "scope": ["all", "zone", "cell"],
     "cap": [1, 2, 5],
     "cancel": [True, False],
     "copies": [True, False],
     "tells": [True, False],
     "mode": ["ask", "push"],
-    "told": [True, False],  # whether executors send call-backs of starts, whatever the settings say
+    "told": [True, False],  # whether executors report starts by call-back, whatever `tells` says
 }
-_CANDIDATES = 40  # for each row
+_CANDIDATES_PER_ROW = 40
 
 
 def pairwise(table: dict[str, list[Any]], seed: int = 1) -> list[dict[str, Any]]:
-    """Choose rows that hold each pair of values of any two columns, each the best of some random ones."""
+    """Return rows that together contain each pair of values of any two columns.
+
+    Each row is the one of several random candidates that adds the most new pairs.
+    """
     rng = random.Random(seed)
     rows: list[dict[str, Any]] = []
     columns = list(combinations(sorted(table), 2))
@@ -57,7 +60,7 @@
                 first: first_value,
                 second: second_value,
             }
-            for _ in range(_CANDIDATES)
+            for _ in range(_CANDIDATES_PER_ROW)
         ]
         rows.append(max(candidates, key=lambda row: len(new_pairs(row))))
         missing -= new_pairs(rows[-1])
@@ -83,26 +86,26 @@
 
 
 async def finish_jobs(harness: NodeHarness, row: dict[str, Any], finished: list[int]) -> None:
-    """Send the call-backs of all attempts; of the first one only if the executor has accepted it."""
+    """Send the call-backs of all attempts; those of the first one only if the executor has accepted it."""
     while True:
         await harness.wait_until(lambda: len(harness.jobs) > len(finished))
         number = len(finished)
         finished.append(number)
-        if number == 0 and row["act"] != "take":
+        if number == 0 and row["action"] != "take":
             continue
         if row["told"]:
             await harness.send_callback("started", job=number)
         await harness.send_callback("done", f"by {number}", job=number)
 
 
-class Outcome(NamedTuple):
-    """What the client and the executors have observed of one job."""
+class JobObservation(NamedTuple):
+    """The answer that a job's client received, and how many attempts the executors received."""
 
     answer: HttpMessage
     attempt_count: int
 
 
-async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> Outcome:
+async def submit_and_finish(row: dict[str, Any], harness: NodeHarness) -> JobObservation:
     """Submit one job, and wait for its answer and its call-backs."""
     client = await harness.submit_job(row["kind"], "a1", timeout_ms=1500)
     finished: list[int] = []
@@ -110,24 +113,24 @@
     answer = await harness.read_response(client)
     await harness.wait_until(lambda: len(harness.jobs) <= len(finished))
     attempts = Counter(message.headers["request-id"] for _, message in harness.jobs)
-    return Outcome(answer, attempts["a1"])
+    return JobObservation(answer, attempts["a1"])
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: "-".join(str(value) for value in row.values()))
 async def test_each_job_gets_one_answer_and_only_the_attempts_that_its_class_allows(
     row: dict[str, Any],
 ) -> None:
-    async with open_node_harness(row["act"], given_settings=settings_object(row)) as harness:
+    async with open_node_harness(row["action"], given_settings=settings_object(row)) as harness:
         answer, attempt_count = await submit_and_finish(row, harness)
-    is_unstarted = row["act"] in ("full", "late")  # proved: a retry is allowed whatever the job's class
-    must_be_served = row["act"] == "take" or (is_unstarted and row["cap"] > 1)
+    is_unstarted = row["action"] in ("full", "late")  # reported by the executor, so any class may be retried
+    must_be_served = row["action"] == "take" or (is_unstarted and row["cap"] > 1)
     assert 1 <= attempt_count <= row["cap"]
     assert answer.status in ({200} if must_be_served else {200, 429, 502, 503, 504})
-    if row["kind"] == "once" and row["act"] not in ("take", "full", "late"):
+    if row["kind"] == "once" and row["action"] not in ("take", "full", "late"):
         assert attempt_count == 1
         assert answer.status in (502, 504)
     if answer.status == 200:
-        assert answer.body == f"by {1 if row['act'] != 'take' else 0}".encode()
+        assert answer.body == f"by {1 if row['action'] != 'take' else 0}".encode()
 
 
 def test_each_pair_of_values_is_in_a_row() -> None:
--- a/tests/integration/test_downstream_connections.py
+++ b/tests/integration/test_downstream_connections.py
@@ -1,4 +1,4 @@
-"""Invalid input and internal errors close only the connection on which they occur."""
+"""Tests that invalid input and internal errors close only the connection on which they occur."""
 
 from __future__ import annotations
 
--- a/tests/integration/test_endpoint_changes.py
+++ b/tests/integration/test_endpoint_changes.py
@@ -45,12 +45,12 @@
 ) -> None:
     async with open_node_harness() as harness:
         acquire = harness.components.pool.acquire
-        drained: list[str] = []  # addresses
+        drained_addresses: list[str] = []
 
         async def drain_while_connecting(address: str) -> PooledConnection:
             connection = await acquire(address)
-            if address in harness.addresses.values() and not drained:
-                drained.append(address)
+            if address in harness.addresses.values() and not drained_addresses:
+                drained_addresses.append(address)
                 name = next(name for name, listed in harness.addresses.items() if listed == address)
                 calls = len(harness.discovery_paths)
                 await harness.publish(2, is_complete=False, **{name: "leaving"})
@@ -60,7 +60,7 @@
         monkeypatch.setattr(harness.components.pool, "acquire", drain_while_connecting)
         client = await harness.submit_job("once")
         await harness.wait_until(lambda: harness.jobs)
-        assert harness.addresses[harness.jobs[0][0]] != drained[0]
+        assert harness.addresses[harness.jobs[0][0]] != drained_addresses[0]
         await harness.send_callback("done")
         assert (await harness.read_response(client)).status == 200
 
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -59,13 +59,13 @@
 
 @pytest.mark.parametrize("response", INVALID_RESPONSES, ids=range(len(INVALID_RESPONSES)))
 @pytest.mark.parametrize(
-    ("name", "status", "attempt_count"), [("once", 502, 1), ("lookup", 200, 2), ("keyed", 200, 2)]
+    ("job_class", "status", "attempt_count"), [("once", 502, 1), ("lookup", 200, 2), ("keyed", 200, 2)]
 )
 async def test_an_invalid_response_ends_its_attempt_as_possibly_executed(
-    name: str, status: int, attempt_count: int, response: str
+    job_class: str, status: int, attempt_count: int, response: str
 ) -> None:
     async with open_node_harness(f"bytes:{response}") as harness:
-        client = await harness.submit_job(name)
+        client = await harness.submit_job(job_class)
         await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
         if attempt_count == 2:
             await harness.send_callback("done", "second")
@@ -75,13 +75,13 @@
         assert not harness.components.attempts.in_flight
 
 
-@pytest.mark.parametrize(("name", "attempt_count"), [("lookup", 2), ("keyed", 2), ("once", 1)])
+@pytest.mark.parametrize(("job_class", "attempt_count"), [("lookup", 2), ("keyed", 2), ("once", 1)])
 @pytest.mark.parametrize("response", [PARTIAL_STATUS_LINE, ""])
 async def test_a_response_that_never_ends_delays_only_non_idempotent_jobs(
-    name: str, attempt_count: int, response: str
+    job_class: str, attempt_count: int, response: str
 ) -> None:
     async with open_node_harness(f"bytes:{response}|") as harness:
-        client = await harness.submit_job(name, timeout_ms=1500)
+        client = await harness.submit_job(job_class, timeout_ms=1500)
         await harness.wait_until(lambda: len(harness.jobs) == attempt_count)
         if attempt_count == 2:
             await harness.send_callback("done", "second")
@@ -90,17 +90,17 @@
         await harness.wait_until(lambda: harness.unanswered_connection_count)  # the connection is closed
 
 
-@pytest.mark.parametrize("name", ["lookup", "keyed", "once"])
-async def test_late_result_of_a_cancelled_attempt_is_accepted_without_effect(name: str) -> None:
+@pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
+async def test_late_result_of_a_cancelled_attempt_is_accepted_without_effect(job_class: str) -> None:
     async with open_node_harness() as harness:
-        client = await harness.submit_job(name, timeout_ms=400)
+        client = await harness.submit_job(job_class, timeout_ms=400)
         await harness.wait_until(lambda: harness.jobs)
         answer = await harness.read_response(client)  # at its deadline, when the attempt is cancelled
         assert answer.status in (502, 503)
         await harness.wait_until(lambda: harness.cancelled_attempts)
         assert await harness.send_callback("done", "late", job=0) == 204
         assert await harness.send_callback("done", "late", job=0) == 204  # executors repeat their call-backs
-        other = await harness.submit_job(name, "b1")  # on another connection, with its own response
+        other = await harness.submit_job(job_class, "b1")  # on another connection, with its own response
         await harness.wait_until(lambda: harness.find_attempts("b1"))
         await harness.send_callback("done", "fine", job=harness.find_attempts("b1")[0])
         assert (await harness.read_response(other)).body == b"fine"
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Tests that idle connections and nodes close safely while requests arrive: rows of `docs/races.md`."""
+"""Tests that idle connections and nodes close safely while requests arrive; see `docs/races.md`."""
 
 from __future__ import annotations
 
@@ -129,7 +129,7 @@
             async with trio.open_nursery() as nursery:
                 for client in clients:
                     nursery.start_soon(client.submit_until, killed_after_seconds)
-        # A client that still waits submitted its job within 0.7 s of SIGTERM, or has not submitted any.
+        # A client that still waits submitted its job within 0.7 s of SIGTERM, or has submitted none.
         assert not harness.components.core.jobs.count_open()
         assert not harness.components.server.connections.has_unsent_output
     assert all(at < killed_after_seconds for client in clients for at in client.late_answers)
--- a/tests/integration/test_list_lease.py
+++ b/tests/integration/test_list_lease.py
@@ -1,4 +1,4 @@
-"""The lease on the endpoint list, with real processes: how long a node uses its list without discovery.
+"""Tests with real processes how long a node uses its endpoint list without discovery: the list's lease.
 
 In most tests, discovery lists two of three executors as left while the node can't be notified. The node
 counts as notified 6 s later, so from then on no attempt may reach these executors.
@@ -139,7 +139,7 @@
 
 
 async def test_the_list_stays_valid_while_discovery_is_down(tmp_path: Path) -> None:
-    """Nothing counts as notified while discovery is down; without a list, the node would serve no job."""
+    """No change counts as notified while discovery is down; without a list, the node would serve no job."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         cluster.discovery.is_down = True
@@ -151,7 +151,7 @@
 async def test_a_process_that_starts_without_discovery_sends_nothing(
     tmp_path: Path,
 ) -> None:
-    """Changes from before the outage count as notified, and the cached list may be older than they are."""
+    """Changes before the outage count as notified, but the cached list may be older than these changes."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         old_list = await kill_before_departures(cluster)
--- a/tests/integration/test_machine_limits.py
+++ b/tests/integration/test_machine_limits.py
@@ -1,4 +1,4 @@
-"""Real processes at the machine's limits: descriptors that run out, and many that start simultaneously."""
+"""Tests real processes at the machine's limits: exhausted descriptors, and many simultaneous starts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class IdleClients:
-    """Clients that connect, perhaps begin a request, and then write nothing more."""
+    """Clients that connect, may write the start of a request, and then write nothing more."""
 
     def __init__(self, harness: NodeHarness) -> None:
         self._harness = harness
@@ -61,7 +61,7 @@
 
 
 async def assert_served_by(harness: NodeHarness, endpoint_name: str, request_id: str) -> None:
-    """A job is sent to this endpoint, and answered."""
+    """Check that a job is sent to this endpoint, and answered."""
     job_count = len(harness.jobs)
     client = await harness.submit_job("once", request_id, 4000)
     await harness.wait_until(lambda: len(harness.jobs) > job_count)
@@ -83,7 +83,7 @@
 
 
 async def assert_drain_noticed(harness: NodeHarness, discovery: DiscoveryService) -> None:
-    """Once discovery recovers, the node is notified in time of an endpoint that drains."""
+    """Check that the node is notified in time of an endpoint that drains once discovery recovers."""
     discovery.set_entry("e0", health="leaving")
     discovery.is_down = False
     recovered_at = trio.current_time()
@@ -127,7 +127,8 @@
 
 @pytest.mark.parametrize("descriptors", [64, 80, 128, 200, 1024])
 async def test_the_connection_limits_fit_into_the_descriptors(descriptors: int) -> None:
-    # Admin calls; standard streams, the event loop's own, two listening sockets, one being accepted.
+    # 12 for admin calls; 12 for the standard streams, the event loop, two listening sockets, and a connection
+    # that is being accepted.
     other_descriptors = 12 + 12
     async with open_node_harness(sockets=descriptors) as harness:
         node = harness.components
@@ -158,10 +159,10 @@
 
 
 async def assert_served_or_rejected(harness: NodeHarness, mode: str) -> None:
-    """A new process's first job is served where the list that it was started with may be used."""
+    """Check that a new process serves its first job if its settings let it use its cached list."""
     client = await harness.submit_job("once")
     if mode == "ask":
-        # The list that the process was started with may be of any age, so no job is sent by it.
+        # The cached list may be of any age, so the node sends no job before it has a newer one.
         assert (await harness.read_response(client)).status == 503
         assert not harness.jobs
     else:
@@ -188,7 +189,7 @@
             await node.kill()
 
 
-async def start_timed(
+async def measure_start(
     node: NodeProcess, harness: NodeHarness, discovery: DiscoveryService, settings: dict[str, Any]
 ) -> float:
     """Start a node; return after how many seconds it is ready."""
@@ -206,14 +207,14 @@
         discovery = DiscoveryService(harness.nursery)
         nodes = [NodeProcess(f"n{number}", tmp_path / f"n{number}") for number in range(30)]
         for number, node in enumerate(nodes):
-            # Each on its own host: of 60 ports of one host, other processes may take some before the start.
+            # Each has its own address: of 60 ports of one address, other processes may take some meanwhile.
             host = f"127.0.9.{number + 1}"
             node.address, node.admin_address = (host, node.address[1]), (host, node.admin_address[1])
         discovery.set_entry("e0")
         seconds_to_ready: list[float] = []
 
         async def start(node: NodeProcess) -> None:
-            seconds_to_ready.append(await start_timed(node, harness, discovery, settings))
+            seconds_to_ready.append(await measure_start(node, harness, discovery, settings))
 
         try:
             async with trio.open_nursery() as starting:
--- a/tests/integration/test_partitions.py
+++ b/tests/integration/test_partitions.py
@@ -1,4 +1,4 @@
-"""Partitions over processes: requests written to a partitioned executor, once the link heals."""
+"""Tests with real processes that requests written to a partitioned executor do not reach it after a drain."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def test_a_request_delayed_by_a_partition_does_not_reach_an_executor_that_drains_meanwhile(
     tmp_path: Path, health: str, cut_seconds: float, drained_seconds: float
 ) -> None:
-    """The attempts were cancelled before the drain, or still wait for their 202 when it is announced."""
+    """When the drain is announced, the attempts have been cancelled, or still wait for their 202."""
 
     async with open_linked_cluster(tmp_path) as cluster:
         # Some connections to each executor are idle now: requests are written only to those during the cut.
--- a/tests/integration/test_shutdown_over_sockets.py
+++ b/tests/integration/test_shutdown_over_sockets.py
@@ -38,7 +38,7 @@
         late = await harness.submit_job(request_id="a3")
         assert (await harness.read_response(late)).status == 503
         for job, client in ((0, first), (1, idle)):
-            # The node must not close a connection whose call-back is slow to send its first byte either.
+            # The node must not close the connection of a call-back whose first byte arrives late.
             await harness.send_callback("done", "fine", job=job, pause=0.1)
             answer = await harness.read_response(client)
             assert (answer.status, answer.headers["connection"]) == (200, "close")
--- a/tests/integration/test_simultaneous_attempts.py
+++ b/tests/integration/test_simultaneous_attempts.py
@@ -1,4 +1,4 @@
-"""At most one attempt of a job at a time, where the deployment does not allow hedging.
+"""Tests that a job has at most one attempt at a time where the deployment does not allow hedging.
 
 Before its 202, an attempt that the node has cancelled may still run: the 202 may be in transit when the node
 closes the connection. So a cancelled attempt ends only once its executor has confirmed the cancellation, and
@@ -28,9 +28,9 @@
 
 ONE_WAY_SECONDS = 0.03  # between zones
 HANDSHAKE_SECONDS = 0.06  # of a new connection between zones
-WORK_MS = 1500.0  # long enough to run still when the next attempt arrives
+WORK_MS = 1500.0  # long enough that the job still runs when the next attempt arrives
 JOBS = 6
-SILENT_SECONDS = 3.2  # without a report, after which an executor may have failed
+SILENT_SECONDS = 3.2  # after so long without a report, an executor may have failed
 
 
 def limits(*, may_hedge: bool) -> dict[str, Any]:
@@ -126,7 +126,7 @@
 
 
 async def test_the_first_attempts_of_a_new_process_are_not_overdue(tmp_path: Path) -> None:
-    """It has had contact with no executor yet, which is no sign that one is silent."""
+    """A new process has had contact with no executor, which is no sign that one is silent."""
     async with open_linked_cluster(tmp_path, Limits=limits(may_hedge=False)) as cluster:
         delay_as_between_zones(cluster)
         await send_long_jobs(cluster)
--- a/tests/integration/test_stalls.py
+++ b/tests/integration/test_stalls.py
@@ -32,7 +32,7 @@
 
 
 async def stop_process(node: NodeProcess) -> None:
-    """Stop the process and wait until it has stopped, as the signal takes effect with a delay."""
+    """Stop the process and wait until it has stopped, because the signal takes effect with a delay."""
     node.send_signal(signal.SIGSTOP)
 
     async def is_stopped() -> bool:
--- a/tests/support/admin_client.py
+++ b/tests/support/admin_client.py
@@ -1,4 +1,4 @@
-"""Requests to a node's admin server and readiness path, and a job that is served from start to end."""
+"""Calls a node's admin server and readiness path, and serves single jobs."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     connection = HttpStream(await trio.open_tcp_stream(*harness.components.admin_server.address))
     body = json.dumps({"name": name}).encode() if name else b""
     await connection.write(f"{method} {path} HTTP/1.1", body, Host="node")
-    answer = await harness.read_response(connection)
+    response = await harness.read_response(connection)
     assert await connection.read() is None
-    return answer.status, json.loads(answer.body)
+    return response.status, json.loads(response.body)
 
 
 async def serve_job(harness: NodeHarness, request_id: str, job_class: str = "once") -> str:
-    """Submit one job and serve it; return the name of its executor."""
+    """Submit one job, report it as done, and check the answer; return the executor's name."""
     job_count = len(harness.jobs)
     connection = await harness.submit_job(job_class, request_id)
     await harness.wait_until(lambda: len(harness.jobs) > job_count)
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -1,4 +1,4 @@
-"""A valid settings object and a node's configuration file that holds it."""
+"""Valid settings, and a node's configuration file that contains them."""
 
 from __future__ import annotations
 
--- a/tests/support/deferral_harness.py
+++ b/tests/support/deferral_harness.py
@@ -41,6 +41,7 @@
         job_class: str = "lookup",
         size_bytes: int = 10,
     ) -> RecordingResponder:
+        """Submit a job that runs after the jobs `after` and not before this time; return its responder."""
         client = RecordingResponder()
         request = JobRequest(0, job_class, timeout_ms, work_ms)
         conditions = RunConditions(after, not_before_unix_ms, size_bytes)
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -21,7 +21,7 @@
 
 @asynccontextmanager
 async def open_deferral_harness(sockets: int = 1024, **deferred_options: Any) -> AsyncIterator[NodeHarness]:
-    """Open a harness of a node that defers jobs."""
+    """Open a harness whose node defers jobs."""
     options = Options(waiting=DeferredOptions(**{"unknown_timeout_ms": 300.0, **deferred_options}))
     async with open_node_harness(options=options, sockets=sockets) as harness:
         yield harness
@@ -34,7 +34,7 @@
     connection: HttpStream | None = None,
     **header_fields: str,
 ) -> HttpStream:
-    """Submit a job, which runs after the jobs in `after`; return its connection."""
+    """Submit a job that runs after the jobs in `after`; return its connection."""
     connection = connection or await harness.connect_client()
     harness.open_clients.append(connection)
     fields = {
@@ -51,7 +51,7 @@
 
 
 async def wait_until_sent(harness: NodeHarness, *request_ids: str) -> None:
-    """Wait until executors have received exactly these jobs."""
+    """Wait until executors have received exactly these jobs, in this order."""
     await harness.wait_until(lambda: len(harness.jobs) >= len(request_ids))
     assert [message.headers["request-id"] for _, message in harness.jobs] == list(request_ids)
 
@@ -66,7 +66,7 @@
 
 
 async def wait_until_status(harness: NodeHarness, is_reached: Callable[[dict[str, Any]], bool]) -> None:
-    """Wait up to 10 s until the status fulfils the condition."""
+    """Poll the status until `is_reached` is true for it, 10 s at most."""
     with trio.fail_after(10.0):
         while not is_reached(await fetch_status(harness)):  # noqa: ASYNC110 - the status has no event
             await trio.sleep(0.02)
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -1,4 +1,4 @@
-"""Scripted event sequences for one dispatcher."""
+"""Drives one dispatcher with a scripted sequence of events."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 ActionT = TypeVar("ActionT")
 
-MAX_TIMERS = 100_000  # in one call of `run`: more means that the dispatcher sets timers without end
+MAX_TIMERS_PER_RUN = 100_000  # exceeded only by a dispatcher that sets timers endlessly
 
 LOOKUP = JobClass(
     "lookup", priority_weight=1.0, latency_objective_ms=400.0, objective_stretch=2.0, deadline_ms=5000.0
@@ -54,7 +54,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    """Return settings with these fields changed."""
+    """Return the default test settings with these fields changed."""
     fields: dict[str, Any] = {
         "classes": (LOOKUP, KEYED, ONCE),
         "limits": LIMITS,
@@ -76,16 +76,16 @@
 
 
 class DispatcherDriver:
-    """Drives a dispatcher event by event and records all actions that it returns. Times are ms."""
+    """Passes events to a dispatcher and records all actions that it returns. Times are in ms."""
 
     def __init__(
         self,
-        given: Settings | None = None,
+        custom_settings: Settings | None = None,
         listed: Iterable[EndpointEntry] | None = None,
         now: float = 1000.0,
         seed: int = 1,
     ) -> None:
-        self.settings = given or settings()
+        self.settings = custom_settings or settings()
         self.dispatcher = Dispatcher(self.settings, seed)
         self.now = now
         self.timers_at: list[float] = []
@@ -93,7 +93,7 @@
         self.handle(EndpointListUpdate(ListKind.CACHED, list(entries(4) if listed is None else listed)))
 
     def handle(self, *events: Event) -> list[Action]:
-        """Hand events of the present moment to the dispatcher; return its actions."""
+        """Pass events to the dispatcher at the current time; return its actions."""
         actions = self.dispatcher.handle(self.now, list(events))
         self.timers_at += [self.now + action.delay_ms for action in actions if isinstance(action, SetTimer)]
         self.actions += actions
@@ -103,7 +103,7 @@
         """Let time pass, firing the timers as they become due; return the actions."""
         end = self.now + duration
         actions: list[Action] = []
-        for _ in range(MAX_TIMERS):
+        for _ in range(MAX_TIMERS_PER_RUN):
             due = min((at for at in self.timers_at if at <= end), default=None)
             if due is None:
                 self.now = end
@@ -111,7 +111,7 @@
             self.timers_at.remove(due)
             self.now = max(self.now, due)
             actions += self.handle(TimerFired(0))
-        pytest.fail("the dispatcher sets timers without end")
+        pytest.fail(f"the dispatcher set more than {MAX_TIMERS_PER_RUN} timers in one run")
 
     def request(self, job_id: int, job_class: str = "lookup", **changes: object) -> list[Action]:
         """Request a job with these fields changed; return the actions."""
@@ -119,15 +119,15 @@
         return self.handle(JobRequest(job_id, job_class, **fields))
 
     def request_and_place(self, job_id: int, job_class: str = "lookup", **changes: object) -> StartAttempt:
-        """Request a job, let a round pass, and return its latest attempt."""
+        """Request a job, let a dispatch round run, and return the job's latest attempt."""
         self.request(job_id, job_class, **changes)
         self.run(60.0)
         return self.actions_of(StartAttempt, job_id)[-1]
 
-    def end_attempt(self, send: StartAttempt, outcome: Outcome, attempt: int = 0) -> list[Action]:
-        """End an attempt 10 ms after its send; one that was served closes the job."""
+    def end_attempt(self, start: StartAttempt, outcome: Outcome, number: int = 0) -> list[Action]:
+        """End an attempt 10 ms after its start; the outcome `SERVED` closes the job."""
         is_closed = outcome is Outcome.SERVED
-        return self.handle(AttemptEnded(send.id, attempt, send.endpoint, outcome, 10.0, is_closed))
+        return self.handle(AttemptEnded(start.id, number, start.endpoint, outcome, 10.0, is_closed))
 
     def actions_of(self, kind: type[ActionT], job_id: int | None = None) -> list[ActionT]:
         """Return all actions of a type so far, of all jobs or of one."""
--- a/tests/support/dispatcher_fleet.py
+++ b/tests/support/dispatcher_fleet.py
@@ -1,4 +1,4 @@
-"""Many dispatchers that share simulated endpoints, in virtual time: their loads add up."""
+"""Simulates, in virtual time, many dispatchers that send jobs to the same endpoints."""
 
 from __future__ import annotations
 
@@ -48,17 +48,17 @@
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint: as many jobs as it has slots run concurrently, the others are queued in order."""
+    """An endpoint that runs as many jobs concurrently as it has slots, and queues the others in order."""
 
     entry: EndpointEntry
     free_slots: int = 4
-    is_silent: bool = False  # it has vanished and reports nothing
+    is_silent: bool = False  # it has disappeared and reports nothing
     is_faulty: bool = False  # it ends each job with an error at once
     queue: deque[AttemptKey] = field(default_factory=deque)
 
 
 class Fleet:
-    """Nodes, endpoints and a clock; jobs are sent by `request` and `generate_load`. Times are ms."""
+    """Nodes, endpoints and a clock; `request` and `generate_load` send jobs. Times are in ms."""
 
     def __init__(
         self,
@@ -77,28 +77,28 @@
             for index in range(settings.node_count)
         ]
         self.endpoints: dict[str, SimulatedEndpoint] = {}
-        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []  # when, in which order, what
+        self.scheduled: list[tuple[float, int, Callable[[], None]]] = []  # time, sequence number, action
         self.schedule_count = 0
         self.last_job_id = 0
         self.jobs: dict[int, FleetJob] = {}
         self.attempt_counts: Counter[tuple[int, int]] = Counter()  # by node and job
         self.pending_attempts: set[AttemptKey] = set()
         self.final_answers: dict[int, str] = {}
-        # When, to which endpoint, the job's work: plain tuples, since a golden digest is over their text.
+        # Time, endpoint and work of each attempt; plain tuples, because a golden digest covers their repr.
         self.sends: list[tuple[float, str, float]] = []
         self.send_list(range(len(self.nodes)), ListKind.CACHED, self.listed)
 
     def schedule(self, when: float, action: Callable[[], None]) -> None:
-        """Schedule an action for a moment."""
+        """Schedule an action for the time `when`."""
         self.schedule_count += 1
         heapq.heappush(self.scheduled, (when, self.schedule_count, action))
 
     def send_list(self, nodes: Iterable[int], kind: ListKind, entries: Sequence[EndpointEntry]) -> None:
-        """Send a list to some nodes; endpoints that are new in it are ready at once."""
-        for each in entries:
-            known = self.endpoints.get(each.endpoint)
-            if known is None or known.entry.started_at != each.started_at:
-                self.endpoints[each.endpoint] = SimulatedEndpoint(each, self.slots)
+        """Send a list to some nodes; endpoints that are new or have restarted are ready at once."""
+        for entry in entries:
+            known = self.endpoints.get(entry.endpoint)
+            if known is None or known.entry.started_at != entry.started_at:
+                self.endpoints[entry.endpoint] = SimulatedEndpoint(entry, self.slots)
         for node in nodes:
             self.handle(node, EndpointListUpdate(kind, list(entries)))
 
@@ -122,7 +122,7 @@
         until: float,
         make_job: Callable[[random.Random], tuple[str, float, str]],
     ) -> None:
-        """Send jobs at this mean rate until then; `make_job` draws class, work and key."""
+        """Send jobs at this mean rate up to the time `until`; `make_job` draws class, work and key."""
 
         def send_one() -> None:
             self.request(*make_job(self.rng))
@@ -132,14 +132,14 @@
         self.schedule(self.now, send_one)
 
     def run(self, until: float) -> None:
-        """Run the scheduled actions up to a moment."""
+        """Run the scheduled actions up to the time `until`."""
         while self.scheduled and self.scheduled[0][0] <= until:
             self.now, _, action = heapq.heappop(self.scheduled)
             action()
         self.now = until
 
     def handle(self, node: int, event: Event) -> None:
-        """Hand an event to one node, and carry out the actions it returns."""
+        """Pass an event to one node, and execute the actions that it returns."""
         for action in self.nodes[node].handle(self.now, [event]):
             match action:
                 case StartAttempt():
@@ -151,7 +151,7 @@
                 case CancelAttempt():
                     self._end_attempt(AttemptKey(node, action.id, action.attempt), Outcome.CANCELLED)
                 case RejectJob() | FailJob():
-                    self.final_answers.setdefault(action.id, "refused")  # the word in the golden digest
+                    self.final_answers.setdefault(action.id, "refused")  # golden digests cover this text
 
     def _start_attempt(self, node: int, action: StartAttempt) -> None:
         endpoint = self.endpoints[action.endpoint]
@@ -194,6 +194,6 @@
         self.schedule(self.now + NETWORK_DELAY_MS, lambda: self.handle(node, event))
 
     def fraction_answered(self, answer: str, key: str | None = None) -> float:
-        """Return the fraction of all jobs, or of a key's, that got this answer."""
+        """Return which fraction of all jobs, or of the jobs with this key, got this answer."""
         jobs = [job_id for job_id, job in self.jobs.items() if key in (None, job.key)]
         return sum(self.final_answers.get(job) == answer for job in jobs) / len(jobs)
--- a/tests/support/engine_harness.py
+++ b/tests/support/engine_harness.py
@@ -1,4 +1,4 @@
-"""An engine with a fake clock, whose calls to upstream and discovery are recorded."""
+"""An engine with a fake clock that records its calls to upstream and discovery."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class EngineHarness:
-    """An engine that knows four endpoints, its clock, and its calls to upstream and discovery."""
+    """An engine with four endpoints and a fake clock; stands in for upstream and discovery."""
 
     def __init__(self, **settings_changes: Any) -> None:
         self.now = 1000.0
@@ -62,7 +62,7 @@
         self.cancelled_attempts.append(attempt)
 
     def cancel(self, attempt: Attempt, outcome: Outcome, reason: CancelReason) -> None:
-        """Cancel an attempt as upstream does where it can't continue it."""
+        """Cancel an attempt as upstream does when it can't continue it."""
         if self.core.lifecycle.begin_cancellation(attempt, outcome, reason):
             self.cancel_attempt(attempt)
 
@@ -74,7 +74,7 @@
     def fetch(self) -> None: ...
 
     def advance(self, duration_ms: float) -> None:
-        """Let time pass, with a step of the engine whenever one is due."""
+        """Let time pass; run a step of the engine whenever one is due."""
         end = self.now + duration_ms
         while self.engine.next_due() <= end:
             self.now = max(self.now, self.engine.next_due())
@@ -107,9 +107,9 @@
         return job
 
     def started_ids(self) -> list[str]:
-        """The request ids of the attempts that were started, in their order."""
+        """Return the request ids of the attempts that were started, in order."""
         return [attempt.job.id for attempt in self.started_attempts]
 
     def open_attempts(self) -> list[Attempt]:
-        """The attempts that were started and have not ended."""
+        """Return the attempts that were started and have not ended."""
         return [attempt for attempt in self.started_attempts if not attempt.has_ended]
--- a/tests/support/handover_harness.py
+++ b/tests/support/handover_harness.py
@@ -1,4 +1,4 @@
-"""Peers around one node whose processes hand over to each other."""
+"""Scripted peers of one node whose processes hand over to each other."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     from collections.abc import AsyncIterator
     from pathlib import Path
 
-# A process takes up to some seconds to start, which jobs here have to outlast: with the usual objectives the
-# node would rightly shed them on a slow machine.
-_PATIENT_SETTINGS = {
+# A process can take several seconds to start on a slow machine. With the usual latency objectives, the node
+# would reject the jobs that wait meanwhile.
+_LONG_DEADLINE_SETTINGS = {
     **SETTINGS_OBJECT,
     "RequestClasses": [
         {**job_class, "Target": 20_000.0, "HardLimit": 30_000.0}
@@ -30,7 +30,7 @@
 
 
 class HandoverHarness(NodeHarness):
-    """Peers around one node whose processes share the socket to which clients connect."""
+    """Scripted peers of one node whose processes share the socket to which clients connect."""
 
     def __init__(self, nursery: trio.Nursery, shared_listener: socket.socket, folder: Path) -> None:
         super().__init__([], nursery)
@@ -66,7 +66,7 @@
 
 @asynccontextmanager
 async def open_handover_harness(folder: Path) -> AsyncIterator[HandoverHarness]:
-    """A node's peers; its processes, which the test starts, are killed at the end."""
+    """Open the peers of a node; the node's processes, which the test starts, are killed at the end."""
     shared_folder = folder / "shared"
     shared_folder.mkdir()
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -80,7 +80,7 @@
                 listen=f"{host}:{port}",
                 discovery=await harness.start_discovery(),
                 known=harness.endpoint_list(3, e0="active", e1="active"),
-                settings=_PATIENT_SETTINGS,
+                settings=_LONG_DEADLINE_SETTINGS,
             )
             try:
                 yield harness
--- a/tests/support/linked_cluster.py
+++ b/tests/support/linked_cluster.py
@@ -15,12 +15,15 @@
     from pathlib import Path
 
 SEARCH, _, CONFIRM = JOB_CLASSES
-LEAVING = ("s-000", "s-001")  # those of the three executors that leave the list in a test
+LEAVING = (
+    "s-000",
+    "s-001",
+)  # two of the three executors: a test removes these from the list, or only delays them
 
 
 @asynccontextmanager
 async def open_linked_cluster(folder: Path, **settings: Any) -> AsyncIterator[LocalCluster]:
-    """A real node process with three executors behind links; a test may use it for 60 s at most."""
+    """Run a real node process with three executors behind links; fails after 60 s."""
     with trio.fail_after(60.0):
         async with local_cluster(folder, executor_specs(3), has_links=True, **settings) as cluster:
             yield cluster
@@ -38,13 +41,13 @@
 
 
 def announce_departures(cluster: LocalCluster) -> None:
-    """Have discovery list the executors in `LEAVING` as left; they continue to answer."""
+    """Have discovery list the executors in `LEAVING` as left; they still accept jobs."""
     for name in LEAVING:
         cluster.discovery.set_entry(name, health="left")
 
 
 def late_attempts(cluster: LocalCluster, since_ms: float) -> list[str]:
-    """Return the ids of the attempts that reached executors that have left."""
+    """Return the ids of the attempts that reached the executors in `LEAVING` after `since_ms`."""
     attempts = cluster.event_record.attempts
     return [each.id for each in attempts if each.executor in LEAVING and each.received_ms > since_ms]
 
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets: executors, discovery and a client, around one in-process node."""
+"""Scripted peers of one in-process node on loopback sockets: executors, discovery and clients."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     from burlmoor.lifecycle.components import NodeComponents
 
 _LISTEN_POLL_SECONDS = 0.01
-_MAX_TEST_SECONDS = 20.0  # that the whole use of one harness may take
+_MAX_TEST_SECONDS = 20.0  # for the whole use of one harness
 
 
 class NodeHarness:
-    """Owns the scripted peers of one node. Its executors share one script, an act for each job."""
+    """Owns the scripted peers of one node. Its executors share one script, an action for each job."""
 
     def __init__(self, script: list[str], nursery: trio.Nursery) -> None:
         self.executor_script = script
         self.nursery = nursery
         self.node: Node
         self.address: tuple[str, int]  # to which clients connect
-        self.has_node_ended = False  # by itself
-        # Clients, whose connections a test keeps open without reading from them.
+        self.has_node_ended = False  # on its own, before the harness closes
+        # Client connections that a test keeps open without reading from them.
         self.open_clients: list[HttpStream] = []
-        # Executors: by name their addresses, and what they have received.
+        # Executors: their addresses by name, and what they have received, each with the executor's name.
         self.addresses: dict[str, str] = {}
         self.jobs: list[tuple[str, HttpMessage]] = []
         self.cancelled_attempts: list[tuple[str, str]] = []
@@ -47,7 +47,7 @@
         self.executor_connection_count = 0
         self.unanswered_connection_count = 0  # connections that the node closed without a response
         self.connection_for_second_response: HttpStream | None = None
-        # Discovery: the paths of its calls, and the connection of each.
+        # Discovery: the path and the connection of each call, in order.
         self.discovery_paths: list[str] = []
         self.discovery_connections: list[HttpStream] = []
         self.closed_discovery_connections: list[HttpStream] = []  # closed by the node
@@ -95,7 +95,7 @@
         self.addresses[name] = await self.listen(ScriptedExecutor(self, name).serve)
 
     async def start_discovery(self) -> str:
-        """Start a discovery service whose watches the test answers; return its address."""
+        """Start a discovery service whose watches the test answers with `publish`; return its address."""
 
         async def serve(connection: HttpStream) -> None:
             while (message := await connection.read()) is not None:
@@ -112,8 +112,11 @@
 
         return await self.listen(serve)
 
-    async def _answer_expired_watch(self, connection: HttpStream, number: int, path: str) -> None:
-        """Answer a watch when its wait is over, unless the test has answered it."""
+    async def _answer_expired_watch(self, connection: HttpStream, call_count: int, path: str) -> None:
+        """Answer a watch when its wait is over, unless the test has answered it.
+
+        `call_count` is the number of calls up to this one: a later call on the connection replaces the watch.
+        """
         _, _, wait = path.partition("&wait_ms=")
         if not wait:
             return
@@ -122,7 +125,7 @@
         if (
             connection in self.open_watches
             and not self.is_discovery_silent
-            and connection not in self.discovery_connections[number:]
+            and connection not in self.discovery_connections[call_count:]
         ):
             self.open_watches.remove(connection)
             body = json.dumps({"seq": int(after), "whole": False, "hosts": []}).encode()
@@ -174,6 +177,7 @@
         request_id: str = "a1",
         timeout_ms: int = 3000,
     ) -> None:
+        """Submit a job on an open connection."""
         head: dict[str, Any] = {
             "Host": "svc",
             "Request_Id": request_id,
@@ -184,17 +188,21 @@
         await connection.write(f"POST /{job_class}/0f HTTP/1.1", b"work", **head)
 
     def find_attempts(self, request_id: str) -> list[int]:
-        """Find which of the received jobs, by their order, are attempts of this one."""
-        return [
-            number for number, (_, job) in enumerate(self.jobs) if job.headers["request-id"] == request_id
-        ]
+        """Return the indices in `jobs` of the attempts of this job."""
+        return [index for index, (_, job) in enumerate(self.jobs) if job.headers["request-id"] == request_id]
 
     async def send_callback(
-        self, state: str, result: str = "", job: int = -1, pause: float = 0.0, **more: Any
+        self, state: str, result: str = "", job: int = -1, pause: float = 0.0, **fields: Any
     ) -> int:
-        """Send a call-back for one of the jobs received so far; return the status of the response."""
+        """Send a call-back for a received job, by default the last; return the response's status."""
         name, message = self.jobs[job]
-        event = {"id": message.headers["request-id"], "from": name, "state": state, "result": result, **more}
+        event = {
+            "id": message.headers["request-id"],
+            "from": name,
+            "state": state,
+            "result": result,
+            **fields,
+        }
         return await self.send_callback_body(json.dumps(event).encode(), pause)
 
     async def send_callback_body(self, body: bytes, pause: float = 0.0) -> int:
@@ -231,9 +239,12 @@
     sockets: int = 1024,
     lines: list[str] | None = None,
     given_settings: dict[str, Any] = SETTINGS_OBJECT,
-    **more: Any,
+    **config_fields: Any,
 ) -> AsyncIterator[NodeHarness]:
-    """A node that knows two live executors, e0 and e1, which answer according to `script`; 20 s at most."""
+    """Run a node with two live executors, e0 and e1, that answer according to `script`; fails after 20 s.
+
+    `lines` receives the lines of the node's log, and `config_fields` are further fields of its `NodeConfig`.
+    """
     with trio.fail_after(_MAX_TEST_SECONDS):
         async with trio.open_nursery() as nursery:
             harness = NodeHarness(list(script), nursery)
@@ -241,12 +252,14 @@
                 await harness.start_executor(name)
             discovery = await harness.start_discovery()
             known = msgspec.convert(harness.endpoint_list(1, e0="active", e1="active"), DiscoveredList)
-            more = {"admin": ("127.0.0.1", 0), **more}
+            config_fields = {"admin": ("127.0.0.1", 0), **config_fields}
             settings = parse_settings(given_settings)
-            config = NodeConfig("n0", ("127.0.0.1", 0), discovery, 7, sockets, known, settings, **more)
+            config = NodeConfig(
+                "n0", ("127.0.0.1", 0), discovery, 7, sockets, known, settings, **config_fields
+            )
 
             async def run(task_status: trio.TaskStatus[None]) -> None:
-                # A nursery of its own: a node that ends cancels its nursery, and must not end the test.
+                # The node has its own nursery, which it cancels when it ends: that must not end the test.
                 async with trio.open_nursery() as inner:
                     harness.node = Node(config, inner, EventLog("n0", _LogRecorder(lines)))  # type: ignore[arg-type]
                     harness.address = harness.components.server.address
--- a/tests/support/polling.py
+++ b/tests/support/polling.py
@@ -16,7 +16,7 @@
 async def poll_until(
     condition: Callable[[], Awaitable[bool]], interval_seconds: float = POLL_SECONDS
 ) -> None:
-    """Poll until the condition holds; `trio.TooSlowError` after 30 s."""
+    """Poll until the condition holds; raise `trio.TooSlowError` after 30 s."""
     with trio.fail_after(TIMEOUT_SECONDS):
         while True:
             if await condition():
--- a/tests/support/scripted_executor.py
+++ b/tests/support/scripted_executor.py
@@ -24,9 +24,9 @@
 class ScriptedExecutor:
     """Serves the connections of one executor; all executors of a harness share its script.
 
-    The script has an act for each job: a key of `RESPONSES`, `hang` (no response), `reset` (close), `early`
-    (the result is sent before the 202), `stray` (a second response once the next job has arrived) or
-    `bytes:DATA`, with `|end` to close after them.
+    The script has an action for each job: a key of `RESPONSES`, `hang` (no response), `reset` (close),
+    `early` (the result is sent before the 202), `stray` (a second response once the next job has arrived) or
+    `bytes:DATA` (these bytes are sent; `|end` at the end of `DATA` closes the connection after them).
     """
 
     def __init__(self, harness: NodeHarness, name: str) -> None:
@@ -53,36 +53,36 @@
     async def _on_job(self, connection: HttpStream, message: HttpMessage) -> bool:
         """Answer a job according to the script; return False if that closed the connection."""
         harness = self._harness
-        act = harness.executor_script.pop(0) if harness.executor_script else "take"
+        action = harness.executor_script.pop(0) if harness.executor_script else "take"
         harness.jobs.append((self._name, message))
         harness.notify()
         await self._send_second_response()
-        if act.startswith("bytes:"):
-            return await self._send_bytes(connection, act.removeprefix("bytes:"))
-        if act == "reset":
+        if action.startswith("bytes:"):
+            return await self._send_bytes(connection, action.removeprefix("bytes:"))
+        if action == "reset":
             await connection.socket_stream.aclose()
             return False
-        if act == "stray":
+        if action == "stray":
             harness.connection_for_second_response = connection
-            act = "take"
-        if act == "early":
+            action = "take"
+        if action == "early":
             await harness.send_callback("done", "early")
-            act = "take"
-        if act != "hang":
-            start, headers = RESPONSES[act]
+            action = "take"
+        if action != "hang":
+            start, headers = RESPONSES[action]
             await connection.write(start, **headers)
         return True
 
     async def _send_second_response(self) -> None:
-        """Answer the job before a second time, now that the next one has been written."""
+        """Answer the previous job a second time, now that the next one has arrived."""
         connection = self._harness.connection_for_second_response
         if connection is not None:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await connection.write("HTTP/1.1 503 No", Not_Started="1")
             self._harness.connection_for_second_response = None
 
-    async def _send_bytes(self, connection: HttpStream, act: str) -> bool:
-        data, _, then = act.partition("|")
+    async def _send_bytes(self, connection: HttpStream, action: str) -> bool:
+        data, _, then = action.partition("|")
         await connection.socket_stream.send_all(data.encode("latin-1"))
         if then == "end":
             await connection.socket_stream.aclose()
--- a/tests/support/service_process.py
+++ b/tests/support/service_process.py
@@ -16,7 +16,7 @@
 
 
 def find_free_address() -> str:
-    """An address of this host at which nothing listens, as `host:port`."""
+    """Return an address of this host at which nothing listens, as `host:port`."""
     return f"127.0.0.1:{reserve_free_port()}"
 
 
@@ -63,7 +63,7 @@
         await poll_until(is_ready)
 
     async def stop(self) -> None:
-        """Stop it as the platform does; it has to exit with status 0."""
+        """Stop it with SIGTERM, as the platform does, and check that it exits with status 0."""
         self.process.send_signal(signal.SIGTERM)
         with trio.fail_after(TIMEOUT_SECONDS):
             assert await self.process.wait() == 0
