--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -122,13 +122,13 @@
 )
 def report(run: Path, out: Path | None) -> None:
     """Plot the record kept in the directory RUN, and print its verdict."""
-    from burlmoor.testbed.fleet.report import draw_report  # noqa: PLC0415
+    from burlmoor.testbed.fleet.report import plot_report  # noqa: PLC0415
 
     try:
         record = records.read_record(run)
     except ValueError as error:
         exit_with_errors([str(error)])
     path = out or run / "report.png"
-    draw_report(record, path)
+    plot_report(record, path)
     print_verdict(_assess(record))
     print(path)
--- a/burlmoor/testbed/drill_soak.py
+++ b/burlmoor/testbed/drill_soak.py
@@ -19,7 +19,7 @@
 from burlmoor.testbed.drill import Claim, Drill, DrillParameters, Verdict, print_violations
 from burlmoor.testbed.fleet.audit import audit
 from burlmoor.testbed.fleet.audit_result import RULES_CLAIM
-from burlmoor.testbed.fleet.drill_fleet import count_executors, run_fleet
+from burlmoor.testbed.fleet.drill_fleet import executor_count, run_fleet
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 from burlmoor.testbed.fleet.random_schedule import draw_soak_schedule
 from burlmoor.testbed.fleet.record import RunPlan, RunRecord
@@ -92,7 +92,7 @@
     nodes = parameters.nodes or random.Random(parameters.seed).randint(_MIN_NODES, _MAX_NODES)
     plan = RunPlan(
         nodes=nodes,
-        executors=count_executors(nodes),
+        executors=executor_count(nodes),
         seconds=parameters.seconds,
         seed=parameters.seed,
         rate=_RATE_PER_NODE * nodes,
--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from burlmoor.testbed.drill import Drill, DrillParameters, Verdict, print_violations
-from burlmoor.testbed.fleet.drill_fleet import count_executors, run_fleet
+from burlmoor.testbed.fleet.drill_fleet import executor_count, run_fleet
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
 from burlmoor.testbed.fleet.record import RunPlan
@@ -62,7 +62,7 @@
     nodes = parameters.nodes or DEFAULT_NODES
     return RunPlan(
         nodes=nodes,
-        executors=count_executors(nodes),
+        executors=executor_count(nodes),
         seconds=parameters.seconds,
         seed=parameters.seed,
         rate=min(_MAX_RATE, max(_MIN_RATE, _RATE_PER_NODE * nodes)),
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -15,7 +15,7 @@
 from burlmoor.testbed.fleet.addresses import node_name
 from burlmoor.testbed.fleet.audit import audit
 from burlmoor.testbed.fleet.audit_result import RULES_CLAIM
-from burlmoor.testbed.fleet.drill_fleet import count_executors, run_fleet
+from burlmoor.testbed.fleet.drill_fleet import executor_count, run_fleet
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule
 from burlmoor.testbed.fleet.record import RunPlan, RunRecord
@@ -105,7 +105,7 @@
 
 def _make_plan(parameters: DrillParameters) -> RunPlan:
     nodes = parameters.nodes or DEFAULT_NODES
-    executors = count_executors(nodes)
+    executors = executor_count(nodes)
     names = list(executor_specs(executors))
     draining = DrainingExecutors(*(names[group::_EXECUTOR_GROUPS] for group in range(_DRAINED_GROUPS)))
     return RunPlan(
--- a/burlmoor/testbed/fleet/addresses.py
+++ b/burlmoor/testbed/fleet/addresses.py
@@ -1,9 +1,9 @@
-"""The address allocation of a fleet: nodes, executors and the links between them have their own in 127/8.
+"""Allocates the addresses of a fleet in 127.0.0.0/8: one for each node, executor and link between two.
 
 A node connects to an executor at the address of their link, on which a relay listens. The relay connects to
 the executor from that same address, so that the executor knows which node sent a job, and sends its
-call-backs to that address on another port. Links between two nodes carry datagrams in the same way. No table
-of pairs is kept: the pair is computed from the link's address.
+call-backs to that address on another port. Links between two nodes carry datagrams in the same way. The two
+ends of a link are computed from its address, so no table of links is needed.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 from burlmoor.errors import BurlmoorError
 
-MAX_PER_KIND = 2048  # nodes, and executors: 11 bits of a link's address each
-_NODES = 0x7F010000
-_EXECUTORS = 0x7F020000
-_LINKS = 0x7F400000
+MAX_PER_KIND = 2048  # of nodes and of executors: a link's address holds 11 bits for each end
+_FIRST_NODE_ADDRESS = 0x7F010000  # 127.1.0.0
+_FIRST_EXECUTOR_ADDRESS = 0x7F020000  # 127.2.0.0
+_FIRST_LINK_ADDRESS = 0x7F400000  # 127.64.0.0
 _PORT_RANGE = (20_000, 30_000)
 
 
 class LinkAddressError(BurlmoorError, ValueError):
-    """An address that is not in the range of link addresses."""
+    """The address is outside the range of link addresses."""
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"invalid link address {address}: it is in no link's range")
+        super().__init__(f"invalid link address {address}: outside the range of link addresses")
         self.address = address
 
 
@@ -47,7 +47,7 @@
 
 
 def node_name(number: int) -> str:
-    """Return the name of a node."""
+    """Return the name of the node that has this number."""
     return f"n{number:03d}"
 
 
@@ -62,33 +62,33 @@
 
 def node_address(number: int) -> str:
     """Return the address that a node listens on."""
-    return _format_address(_NODES + number + 1)
+    return _format_address(_FIRST_NODE_ADDRESS + number + 1)
 
 
 def executor_address(number: int) -> str:
     """Return the address that an executor listens on."""
-    return _format_address(_EXECUTORS + number + 1)
+    return _format_address(_FIRST_EXECUTOR_ADDRESS + number + 1)
 
 
 def link_address(node: int, peer: int) -> str:
-    """Return the address of the link between a node and an executor, or another node."""
-    return _format_address(_LINKS + node * MAX_PER_KIND + peer)
+    """Return the address of the link from a node to an executor or to another node."""
+    return _format_address(_FIRST_LINK_ADDRESS + node * MAX_PER_KIND + peer)
 
 
 def parse_link_address(address: str) -> Link:
     """Return the ends of the link that has this address.
 
     Raises:
-        LinkAddressError: the address is no link's.
+        LinkAddressError: the address is outside the range of link addresses.
     """
-    number = int(ipaddress.IPv4Address(address)) - _LINKS
+    number = int(ipaddress.IPv4Address(address)) - _FIRST_LINK_ADDRESS
     if not 0 <= number < MAX_PER_KIND * MAX_PER_KIND:
         raise LinkAddressError(address)
     return Link(*divmod(number, MAX_PER_KIND))
 
 
 class Ports(NamedTuple):
-    """The consecutive ports of one fleet, the same at all addresses."""
+    """The consecutive ports of one fleet; every address uses the same ones."""
 
     node_http: int  # where nodes take jobs and call-backs
     node_admin: int  # the nodes' admin servers
@@ -100,20 +100,20 @@
 
 
 def bind_to_loopback(sock: socket.socket) -> None:
-    """Bind a socket that listens on every address to the loopback device: nothing else can reach it."""
+    """Restrict a socket that listens on all addresses to loopback, so that no other host reaches it."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_BINDTODEVICE, b"lo")
 
 
 def find_free_ports() -> Ports:
-    """Return consecutive ports on which no process listens on loopback now.
+    """Return consecutive ports that are free on loopback at the moment.
 
     Raises:
-        NoFreePortsError: there are none.
+        NoFreePortsError: no run of free ports is long enough.
     """
-    # Each process begins its search elsewhere, so that fleets that start together seldom collide.
-    rows = range(*_PORT_RANGE, len(Ports._fields))
-    begin = os.getpid() % len(rows)
-    for first in (*rows[begin:], *rows[:begin]):
+    # Each process starts its search at another port, so that fleets that start together seldom collide.
+    first_ports = range(*_PORT_RANGE, len(Ports._fields))
+    offset = os.getpid() % len(first_ports)
+    for first in (*first_ports[offset:], *first_ports[:offset]):
         ports = Ports(*range(first, first + len(Ports._fields)))
         if _are_free(ports):
             return ports
@@ -121,7 +121,7 @@
 
 
 def _are_free(ports: Ports) -> bool:
-    """Whether each port can be bound now, for TCP and UDP, all at once."""
+    """Whether all ports can be bound at the same time, for TCP and UDP."""
     with ExitStack() as sockets:
         try:
             for port in ports:
--- a/burlmoor/testbed/fleet/child_process.py
+++ b/burlmoor/testbed/fleet/child_process.py
@@ -1,7 +1,7 @@
-"""Processes that end together with the one that started them, whatever that one ends with.
+"""Child processes that the kernel kills when their parent ends, however it ends.
 
-The kernel is asked for it before the program starts (Linux, prctl(2), PR_SET_PDEATHSIG). Without this,
-SIGKILL of the parent would leave its children running.
+Each child sets PR_SET_PDEATHSIG (Linux, prctl(2)) before its program starts. Without it, SIGKILL of the
+parent would leave its children running.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     from collections.abc import Iterator, Mapping, Sequence
     from pathlib import Path
 
-# Runs before the program, in its process. The parent may have died before prctl took effect, hence the check.
+# Runs in the child before its program. The parent may have died before prctl took effect, hence the check.
 _BOOTSTRAP = (
     "import ctypes, os, sys\n"
     "ctypes.CDLL(None).prctl(1, 9, 0, 0, 0)\n"
@@ -31,11 +31,11 @@
     "os.execv(sys.argv[3], sys.argv[3:])\n"
 )
 _CHUNK_BYTES = 4096
-_KILL_SECONDS = 5.0  # until a process that got SIGKILL must be over
+_KILL_SECONDS = 5.0  # within which a process must end after SIGKILL
 
 
 class ProcessError(BurlmoorError, RuntimeError):
-    """A process of a run that did not do its part, with the end of what it logged."""
+    """A process of a run failed; carries the end of its log."""
 
     def __init__(self, process: str, reason: str, log: str = "") -> None:
         super().__init__(f"{process} {reason}\n{log}".rstrip())
@@ -46,9 +46,10 @@
 
 @contextmanager
 def _ignored_by_children(number: signal.Signals) -> Iterator[None]:
-    """Let processes that are started in the meantime ignore a signal, from their first moment on.
+    """Ignore a signal in processes that are started in this context, from their start.
 
-    So the deploy file has it for SIGHUP. The kernel passes on to a child that a signal is ignored.
+    This process ignores the signal meanwhile, and its children inherit that. The deployment file does the
+    same for SIGHUP.
     """
     before = signal.signal(number, signal.SIG_IGN)
     try:
@@ -58,11 +59,12 @@
 
 
 class ChildProcess:
-    """Owns one Python process, which starts at once.
+    """Owns a Python process, which the constructor starts.
 
-    Starting and signalling do not block. Only the main thread may start one: the kernel ends the child with
-    the thread that started it. `cores` are those that it may run on; empty: all. With `has_pipes` lines of
-    JSON go to its standard input and come from its standard output; otherwise its output goes to the log.
+    Starting and signalling do not block. Only the main thread may start one, because the kernel kills the
+    child when the thread that started it ends. `cores` are those that the process may use; empty means all.
+    With `has_pipes`, its standard input and output are pipes that carry lines of JSON; otherwise its standard
+    output goes to the log, as its standard error always does.
     """
 
     def __init__(
@@ -88,14 +90,14 @@
         self.pid = self._process.pid
 
     def send_line(self, message: object) -> None:
-        """Write one line of JSON to its input; nothing happens where the process has ended."""
+        """Write a message to its standard input as a line of JSON; does nothing if the process has ended."""
         assert self._process.stdin is not None
         with suppress(OSError):
             self._process.stdin.write(msgspec.json.encode(message) + b"\n")
             self._process.stdin.flush()
 
     async def wait_for_line(self, timeout_seconds: float) -> bool:
-        """Wait for its next line of output; whether it came in time."""
+        """Wait for its next line of output; return whether it arrived in time."""
         assert self._process.stdout is not None
         descriptor = self._process.stdout.fileno()
         line = b""
@@ -110,22 +112,22 @@
         return False
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send it a signal, if it still runs."""
+        """Send it a signal if it is running."""
         if self.is_running:
             self._process.send_signal(number)
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process is running."""
         return self._process.poll() is None
 
     @property
     def exit_status(self) -> int | None:
-        """Its exit status; below zero the signal that ended it; None while it runs."""
+        """Its exit status, or the negated number of the signal that ended it; None while it is running."""
         return self._process.poll()
 
     async def wait_until_ended(self, timeout_seconds: float) -> bool:
-        """Wait for its end; whether it came in time."""
+        """Wait for the process to end; return whether it did in time."""
         if self.is_running:
             descriptor = os.pidfd_open(self.pid)  # readable when the process ends
             try:
@@ -136,7 +138,7 @@
         return not self.is_running
 
     async def kill(self) -> None:
-        """Kill it if it still runs, wait for its end and close its pipes; not interrupted by cancellation."""
+        """Kill it if it is running, wait for its end and close its pipes; shielded from cancellation."""
         self.send_signal(signal.SIGKILL)
         with trio.CancelScope(shield=True):
             await self.wait_until_ended(_KILL_SECONDS)
--- a/burlmoor/testbed/fleet/clients.py
+++ b/burlmoor/testbed/fleet/clients.py
@@ -1,9 +1,9 @@
-"""The clients of a part of the nodes, in a process of their own: `python -m burlmoor.testbed.fleet.clients`.
+"""Process that runs the clients of some of the nodes: `python -m burlmoor.testbed.fleet.clients`.
 
-Each job is sent at its time, whatever happens to others, to the node that it was drawn for. Where that node
-accepts no connection, the job goes to another one, as a proxy in front of the nodes would send it, a limited
-number of times; a job that a node may have received is never sent again. The process ends with its input, or
-when all jobs are answered and what was observed is written.
+The load is open-loop: each job is sent at its scheduled time, whatever happens to other jobs, to the node
+that was drawn for it. If that node accepts no connection, the job goes to another node, as a proxy in front
+of the nodes would send it, a limited number of times; a job that a node may have received is never sent
+again. The process ends when its input ends, or when all jobs are answered and its output is written.
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
 
 
 class ClientsConfig(msgspec.Struct):
-    """The load, and which part of it this process sends."""
+    """The load, and the partition of it that this process sends."""
 
     ports: Ports
     load: Load
-    partition: int  # the jobs of nodes whose number leaves this remainder
+    partition: int  # the jobs of nodes whose number modulo partition_count is this
     partition_count: int
-    start_ms: float  # of the load, on the machine's clock
+    start_ms: float  # start of the load on the machine's clock
     output_path: str
     max_node_changes: int = 3
 
 
 class ClientsOutput(msgspec.Struct):
-    """What the process writes in the end."""
+    """What the process writes to its output file at the end."""
 
     requests: list[RequestRecord]
-    max_send_delay_ms: float  # the most by which a job was sent late
+    max_send_delay_ms: float  # the longest delay of a job behind its scheduled time
 
 
 class ClientGroup:
-    """Owns the connections to all nodes that its jobs are sent to."""
+    """Sends the jobs of a partition, and owns the connections to the nodes that they are sent to."""
 
     def __init__(self, config: ClientsConfig) -> None:
         self.event_record = EventRecord()
         self.max_send_delay_ms = 0.0
         self._config = config
         self._rng = random.Random(config.load.seed * 1000 + config.partition)
-        self._clients: dict[int, ClientPool] = {}
+        self._client_pools: dict[int, ClientPool] = {}
 
     async def run(self) -> None:
         """Send every job of the partition and wait for all answers."""
@@ -68,7 +68,7 @@
                 nursery.start_soon(self._send, job, due_ms)
 
     async def _send(self, job: Job, due_ms: float) -> None:
-        """Send a job to its node, or to random others while none accepts the connection."""
+        """Send a job to its node; as long as that accepts no connection, to another one at random."""
         request = RequestRecord(
             f"j{job.number}",
             job.job_class.name,
@@ -80,22 +80,22 @@
         request.node = job.node
         for node_changes in range(self._config.max_node_changes + 1):
             request.node_changes = node_changes
-            await self._clients_of(request.node).send(request, slots=job.slots, key=job.key)
+            await self._client_pool(request.node).send(request, slots=job.slots, key=job.key)
             if not request.is_unsent or now_ms() > due_ms + job.job_class.timeout_ms:
                 return
             request.node = self._rng.randrange(self._config.load.nodes)
             request.is_unsent = False
         request.is_unsent = True
 
-    def _clients_of(self, node: int) -> ClientPool:
-        if node not in self._clients:
+    def _client_pool(self, node: int) -> ClientPool:
+        if node not in self._client_pools:
             address = (node_address(node), self._config.ports.node_http)
-            self._clients[node] = ClientPool(address, self.event_record, may_resend=False)
-        return self._clients[node]
+            self._client_pools[node] = ClientPool(address, self.event_record, may_resend=False)
+        return self._client_pools[node]
 
 
 async def serve(config: ClientsConfig) -> None:
-    """Send all jobs and write what was observed, unless the input ends first."""
+    """Send all jobs and write the output, unless the input ends first."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_at_end_of_input, nursery.cancel_scope)
         clients = ClientGroup(config)
@@ -112,7 +112,7 @@
 
 
 def _write_output(config: ClientsConfig, clients: ClientGroup) -> None:
-    """Write what was observed. This blocks, but nothing else runs any more that it could delay."""
+    """Write the output. This blocks the event loop, but no other task is left that it could delay."""
     output = ClientsOutput(list(clients.event_record.requests.values()), clients.max_send_delay_ms)
     Path(config.output_path).write_bytes(msgspec.json.encode(output))
 
--- a/burlmoor/testbed/fleet/drill_fleet.py
+++ b/burlmoor/testbed/fleet/drill_fleet.py
@@ -1,4 +1,4 @@
-"""What the drills of a fleet share: how many executors they have, and how their run is started."""
+"""Number of executors and start of the run, as all drills of a fleet use them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 _MIN_EXECUTORS = 10
 
 
-def count_executors(nodes: int) -> int:
-    """Return how many executors a drill of so many nodes has."""
+def executor_count(nodes: int) -> int:
+    """Return the number of executors of a drill with this number of nodes."""
     return max(_MIN_EXECUTORS, round(_EXECUTORS_PER_NODE * nodes))
 
 
 async def run_fleet(plan: RunPlan, folder: Path) -> RunRecord:
-    """Run the plan of a drill, with lines of progress on standard error, and return the record.
+    """Run the plan of a drill, print its progress on standard error, and return the record.
 
-    Raises ProcessError where a process fails, trio.TooSlowError where nodes are not ready in time.
+    Raises:
+        ProcessError: a process failed.
+        trio.TooSlowError: the nodes were not ready in time.
     """
     fleet = Fleet(plan, folder, _print_progress)
     return await fleet.run(ProcessCounts.for_nodes(plan.nodes))
--- a/burlmoor/testbed/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -1,7 +1,7 @@
-"""A part of the stand-in executors, in a process of its own: `python -m burlmoor.testbed.fleet.executors`.
+"""Process that runs some of the stand-in executors: `python -m burlmoor.testbed.fleet.executors`.
 
-Its configuration is the first line of its input, each further line a command for one executor. The process
-ends with its input, or when it gets `FINISH`, after it has written what the executors observed.
+The first line of its input is its configuration, each further line a command. The process ends when its input
+ends, or on the command `FINISH`, after it has written what the executors observed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ExecutorAction(StrEnum):
-    """What an executor, or the process of several, is to do."""
+    """The actions that a command asks of an executor, or of a process of executors."""
 
     KILL = "kill"
     RESTART = "restart"
@@ -30,24 +30,24 @@
     HANG = "hang"
     SLOW_DOWN = "slow_down"
     FAIL_JOBS = "fail_jobs"
-    FINISH = "finish"  # for all executors of the process: write what they observed, and end
+    FINISH = "finish"  # for the whole process: write what its executors observed, and end
 
 
 class ExecutorsConfig(msgspec.Struct):
-    """The executors of this process, by name."""
+    """The executors of this process: their specifications and numbers, by name."""
 
     ports: Ports
     specs: dict[str, ExecutorSpec]
     numbers: dict[str, int]
-    output_path: str  # where the attempts are written in the end
+    output_path: str  # the file that the attempts are written to at the end
 
 
 class ExecutorCommand(msgspec.Struct):
-    """A command for one executor; `FINISH` is for all and has no name."""
+    """A command for one executor; `FINISH` applies to all of them and has no name."""
 
     action: ExecutorAction
     name: str = ""
-    magnitude: float = 0.0  # SLOW_DOWN: how many times slower; HANG, FAIL_JOBS: above 0 for on, 0 for off
+    magnitude: float = 0.0  # SLOW_DOWN: the slowdown factor; HANG, FAIL_JOBS: above 0 is on, 0 is off
 
 
 async def execute_command(command: ExecutorCommand, executor: Executor) -> None:
@@ -68,7 +68,7 @@
 
 
 async def serve(config: ExecutorsConfig) -> None:
-    """Run the executors until the input ends, or `FINISH` comes."""
+    """Run the executors until the input ends or `FINISH` arrives."""
     identify_node = partial(_identify_node, callback_port=config.ports.relay_to_nodes)
     async with trio.open_nursery() as nursery:
         event_record = EventRecord(requests=AnyRequestId())
@@ -88,12 +88,12 @@
 
 
 def _identify_node(source: str, callback_port: int) -> CallingNode:
-    """Return the node that a connection comes from, by the address of the link."""
+    """Return the node that a connection comes from, given its source address, which is that of the link."""
     return CallingNode(str(parse_link_address(source).node), (source, callback_port))
 
 
 def _write_output(config: ExecutorsConfig, event_record: EventRecord) -> None:
-    """Write the attempts. This blocks, but what the executors still do counts no more."""
+    """Write the attempts. This blocks the event loop, but later events are not recorded anyway."""
     Path(config.output_path).write_bytes(msgspec.json.encode(event_record.attempts))
 
 
--- a/burlmoor/testbed/fleet/helper_processes.py
+++ b/burlmoor/testbed/fleet/helper_processes.py
@@ -1,4 +1,4 @@
-"""The processes around the nodes of a run: relays, the datagram switch, executors and clients."""
+"""The helper processes of a run, all but the nodes: relays, the datagram switch, executors and clients."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     from burlmoor.testbed.fleet.process_allocation import ProcessCounts
     from burlmoor.testbed.fleet.record import RunRecord
 
-_START_SECONDS = 20.0  # until a process must be ready, or have written its output
+_REPLY_SECONDS = 20.0  # within which a process must be ready, or must have written its output
 _LOG_TAIL_CHARACTERS = 2000
 
 
 class HelperKind(StrEnum):
-    """The kinds of processes around the nodes; the values are the names of their modules and logs."""
+    """The kinds of helper processes; each value is the name of the module and the prefix of the log files."""
 
     TCP_RELAY = "tcp_relay"
     DATAGRAM_SWITCH = "datagram_switch"
@@ -37,7 +37,7 @@
 
 
 class HelperProcesses:
-    """Owns the processes around the nodes; as a context manager it kills them at its end."""
+    """Owns the helper processes; kills them when its context is left."""
 
     def __init__(self, record: RunRecord, ports: Ports, folder: Path, cores: frozenset[int]) -> None:
         self._record = record
@@ -57,10 +57,12 @@
             for process in processes:
                 await process.kill()
 
-    # --- starting -------------------------------------------------------------------------------
-
     async def start(self, counts: ProcessCounts) -> None:
-        """Start all but the clients, and wait until they are ready; raises ProcessError."""
+        """Start all processes but the clients, and wait until they are ready.
+
+        Raises:
+            ProcessError: a process ended, or was not ready in time.
+        """
         plan = self._record.plan
         for number in range(counts.relays):
             self._start(HelperKind.TCP_RELAY, LinkProcessConfig(self._ports, plan.seed * 10 + number))
@@ -68,7 +70,7 @@
             self._start(HelperKind.DATAGRAM_SWITCH, LinkProcessConfig(self._ports, plan.seed))
         self._start_executors(max(1, min(counts.executors, plan.executors)))
         for kind in (HelperKind.TCP_RELAY, HelperKind.DATAGRAM_SWITCH, HelperKind.EXECUTORS):
-            await self._wait_for_line(kind, _START_SECONDS, "did not start")
+            await self._wait_for_line(kind, _REPLY_SECONDS, "did not start")
 
     def _start_executors(self, count: int) -> None:
         names = self._record.executor_names()
@@ -78,7 +80,7 @@
             self._start(HelperKind.EXECUTORS, config)
 
     def start_clients(self, count: int) -> None:
-        """Start the clients, which wait for the start of the load."""
+        """Start the clients, which send no job before the start of the load."""
         record = self._record
         for number in range(count):
             path = str(self._requests_path(number))
@@ -86,7 +88,7 @@
             self._start(HelperKind.CLIENTS, config)
 
     def _start(self, kind: HelperKind, config: msgspec.Struct) -> None:
-        """Start one more process of a kind."""
+        """Start another process of this kind."""
         processes = self._processes[kind]
         process = ChildProcess(
             ["-m", f"burlmoor.testbed.fleet.{kind}"],
@@ -97,62 +99,66 @@
         process.send_line(config)
         processes.append(process)
 
-    # --- messages -------------------------------------------------------------------------------
-
     def apply_link_faults(self, executor_links: list[LinkFault], node_links: list[LinkFault]) -> None:
-        """Replace the link faults that are in effect."""
+        """Replace the link faults that are in effect, on links to executors and on links between nodes."""
         for process in self._processes[HelperKind.TCP_RELAY]:
             process.send_line(executor_links)
         for process in self._processes[HelperKind.DATAGRAM_SWITCH]:
             process.send_line(node_links)
 
     def command_executor(self, name: str, action: ExecutorAction, magnitude: float = 0.0) -> None:
-        """Send a command for one executor to the process that runs it."""
+        """Send a command to the process that runs this executor."""
         processes = self._processes[HelperKind.EXECUTORS]
         process = processes[self._numbers[name] % len(processes)]
         process.send_line(ExecutorCommand(action, name, magnitude))
 
     async def _wait_for_line(self, kind: HelperKind, timeout_seconds: float, failure: str) -> None:
-        """Wait for the next line of each process of a kind; raises ProcessError."""
+        """Wait for the next line of each process of this kind; raises ProcessError."""
         for process in self._processes[kind]:
             if not await process.wait_for_line(timeout_seconds):
-                raise self._error(kind, failure)
+                raise self._process_error(kind, failure)
 
-    def _error(self, kind: HelperKind, reason: str) -> ProcessError:
-        """Return an error with the logs of that kind: the folder may be gone later."""
+    def _process_error(self, kind: HelperKind, reason: str) -> ProcessError:
+        """Return an error with the ends of the logs, as their folder may be deleted before it is reported."""
         paths = sorted(self._folder.glob(f"{kind}-*.log"))
         log = "".join(path.read_text()[-_LOG_TAIL_CHARACTERS:] for path in paths)
         return ProcessError(f"a process of {kind}", reason, log)
 
-    # --- the end of a run -----------------------------------------------------------------------
-
     async def wait_for_clients(self, timeout_seconds: float) -> None:
-        """Wait until the clients have all answers; raises ProcessError."""
+        """Wait until the clients have all answers.
+
+        Raises:
+            ProcessError: a process ended, or did not finish in time.
+        """
         for process in self._processes[HelperKind.CLIENTS]:
             if not await process.wait_for_line(timeout_seconds):
-                raise self._error(HelperKind.CLIENTS, f"did not finish ({process.exit_status})")
+                raise self._process_error(
+                    HelperKind.CLIENTS, f"did not finish (exit status {process.exit_status})"
+                )
 
     async def finish_executors(self) -> None:
-        """Finish the executors, and wait until they have written their attempts; raises ProcessError.
+        """Stop the executors, and wait until they have written their attempts.
 
-        Also raised where a relay has ended by itself: from then on the run has tested nothing.
+        Raises:
+            ProcessError: a process of executors ended or was too slow, or a relay or the switch ended before
+                the run was over, after which the run has tested nothing.
         """
         relays = (*self._processes[HelperKind.TCP_RELAY], *self._processes[HelperKind.DATAGRAM_SWITCH])
         if not all(process.is_running for process in relays):
-            raise self._error(HelperKind.TCP_RELAY, "ended before the run was over")
+            raise self._process_error(HelperKind.TCP_RELAY, "ended before the run was over")
         for process in self._processes[HelperKind.EXECUTORS]:
             process.send_line(ExecutorCommand(ExecutorAction.FINISH))
-        await self._wait_for_line(HelperKind.EXECUTORS, _START_SECONDS, "did not write their attempts")
+        await self._wait_for_line(HelperKind.EXECUTORS, _REPLY_SECONDS, "did not write their attempts")
 
     def take_client_outputs(self) -> Iterator[ClientsOutput]:
-        """Yield what each process of clients has written, and remove the files."""
+        """Yield the output of each process of clients, and remove the files."""
         for number in range(len(self._processes[HelperKind.CLIENTS])):
-            yield msgspec.json.decode(_take_file(self._requests_path(number)), type=ClientsOutput)
+            yield msgspec.json.decode(_read_and_remove(self._requests_path(number)), type=ClientsOutput)
 
     def take_attempts(self) -> Iterator[list[AttemptRecord]]:
-        """Yield what each process of executors has written, and remove the files."""
+        """Yield the attempts that each process of executors has written, and remove the files."""
         for number in range(len(self._processes[HelperKind.EXECUTORS])):
-            yield msgspec.json.decode(_take_file(self._attempts_path(number)), type=list[AttemptRecord])
+            yield msgspec.json.decode(_read_and_remove(self._attempts_path(number)), type=list[AttemptRecord])
 
     def _attempts_path(self, number: int) -> Path:
         return self._folder / f"attempts-{number}.json"
@@ -161,7 +167,7 @@
         return self._folder / f"requests-{number}.json"
 
 
-def _take_file(path: Path) -> bytes:
+def _read_and_remove(path: Path) -> bytes:
     """Return the contents of a file and remove it."""
     data = path.read_bytes()
     path.unlink()
--- a/burlmoor/testbed/fleet/line_protocol.py
+++ b/burlmoor/testbed/fleet/line_protocol.py
@@ -1,7 +1,7 @@
-"""How a run communicates with its helper processes: lines of JSON.
+"""The protocol between a run and its helper processes: lines of JSON on standard input and output.
 
-A process reads its configuration from the first line of standard input, further messages from the lines after
-it, and ends with its input. It writes one line when it is ready, and one when it has finished.
+A process reads its configuration from the first line of its input and a message from each further line, and
+ends when its input ends. It writes one line when it is ready, and one when it has finished.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 
 def send_acknowledgement() -> None:
-    """Write the line that says that this process is ready, or has finished."""
+    """Write the line that tells the run that this process is ready, or has finished."""
     print("{}", flush=True)
 
 
 async def read_lines() -> AsyncIterator[bytes]:
-    """Yield each non-empty line until the input ends.
+    """Yield each non-empty line of standard input until it ends.
 
-    Nothing else may read standard input, and the first line must be read with `read_first_line`: a buffered
-    reader would keep bytes of the lines after it.
+    Nothing else may read standard input, except `read_first_line` for the first line: a buffered reader would
+    hold back bytes of the lines after it.
     """
     stream = trio.lowlevel.FdStream(sys.stdin.fileno())
     buffer = b""
@@ -48,7 +48,7 @@
 
 
 def read_first_line() -> bytes:
-    """Return the first line, read byte by byte so that none of the second is consumed."""
+    """Return the first line of standard input, read byte by byte so that none of the second is consumed."""
     line = b""
     while not line.endswith(b"\n"):
         byte = os.read(sys.stdin.fileno(), 1)
--- a/burlmoor/testbed/fleet/load_grid.py
+++ b/burlmoor/testbed/fleet/load_grid.py
@@ -1,4 +1,4 @@
-"""The load of each executor over time, in slices of equal length; a slice has the state at its beginning."""
+"""The load of each executor over time, in slices of equal length; each slice holds the state at its start."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 SLICE_MS = 100.0
 SLICES_PER_SECOND = int(1000.0 / SLICE_MS)
-SETTLING_SECONDS = 5.0  # after the start, while the nodes have learned nothing yet
+SETTLING_SECONDS = 5.0  # after the start, before the nodes have learned anything about the executors
 SETTLING_SLICES = int(SETTLING_SECONDS * 1000.0 / SLICE_MS)
-# While an executor has one of these faults, nodes are not expected to give it work.
-_UNAVAILABILITY = (
+# While an executor has one of these faults, nodes are not expected to send it work.
+_UNAVAILABILITY_FAULTS = (
     FaultKind.EXECUTOR_KILL,
     FaultKind.EXECUTOR_DRAIN,
     FaultKind.EXECUTOR_HANG,
@@ -31,14 +31,14 @@
 
 
 class Evenness(NamedTuple):
-    """How evenly outstanding work over capacity is spread over the executors, by slice."""
+    """How evenly the relative load (outstanding work / capacity) is spread over the executors, by slice."""
 
     variation: np.ndarray  # coefficient of variation
     max_over_mean: np.ndarray
 
 
 class LoadGrid:
-    """Owns the slices of a run and each executor's capacity and availability in them."""
+    """Divides a run into slices, and holds each executor's capacity and its availability in each slice."""
 
     def __init__(
         self,
@@ -50,14 +50,14 @@
     ) -> None:
         self.start_ms = start_ms
         self.slice_count = int(seconds * 1000.0 / SLICE_MS)
-        self.numbers = {name: number for number, name in enumerate(names)}
+        self.executor_numbers = {name: number for number, name in enumerate(names)}
         self.capacities = np.array([spec.capacity for spec in specs])
         self.is_available = np.ones((self.slice_count, len(specs)), dtype=bool)
         for interval in fault_intervals:
-            if interval.kind in _UNAVAILABILITY and interval.subject in self.numbers:
+            if interval.kind in _UNAVAILABILITY_FAULTS and interval.subject in self.executor_numbers:
                 first = self.slice_at(interval.start)
                 last = self.slice_at(interval.end)
-                self.is_available[first : last + 1, self.numbers[interval.subject]] = False
+                self.is_available[first : last + 1, self.executor_numbers[interval.subject]] = False
 
     @classmethod
     def from_record(cls, record: RunRecord) -> LoadGrid:
@@ -71,7 +71,7 @@
         )
 
     def slice_at(self, at_ms: float) -> int:
-        """Return the slice of a moment; what lies outside of the run counts as its beginning or end."""
+        """Return the slice that contains this time; times outside the run are clamped to its start or end."""
         if at_ms == math.inf:
             return self.slice_count
         return int(min(max(0.0, (at_ms - self.start_ms) // SLICE_MS), self.slice_count))
@@ -90,19 +90,19 @@
         for attempt, size in zip(attempts, sizes, strict=True):
             if attempt.outcome is AttemptOutcome.REJECTED:
                 continue
-            executor = self.numbers[attempt.executor]
+            executor = self.executor_numbers[attempt.executor]
             ended_ms = attempt.ended_ms if attempt.ended_ms is not None else math.inf
             changes[self.slice_at(attempt.received_ms), executor] += size
             changes[self.slice_at(ended_ms), executor] -= size
         return np.cumsum(changes, axis=0)[:-1]
 
     def relative_load(self, attempts: Sequence[AttemptRecord]) -> np.ndarray:
-        """Return outstanding work over capacity, by slice and executor; nan where it is unavailable."""
+        """Return outstanding work / capacity, by slice and executor; nan where one is unavailable."""
         return np.where(self.is_available, self.outstanding_work(attempts) / self.capacities, np.nan)
 
 
 def measure_evenness(grid: LoadGrid, attempts: Sequence[AttemptRecord]) -> Evenness:
-    """Return the evenness of the load over the available executors; 0 for slices without load."""
+    """Return the evenness of the relative load over the available executors; 0 in slices without load."""
     load = grid.relative_load(attempts)
     with np.errstate(all="ignore"):
         mean = np.nanmean(load, axis=1)
@@ -112,5 +112,5 @@
 
 
 def smooth_over_a_second(values: np.ndarray, mode: Literal["same", "valid"]) -> np.ndarray:
-    """Return the moving average over a second; `mode` is that of numpy's convolve."""
+    """Return the moving average over one second; `mode` is passed to `numpy.convolve`."""
     return np.asarray(np.convolve(values, np.ones(SLICES_PER_SECOND) / SLICES_PER_SECOND, mode=mode))
--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -78,7 +78,7 @@
     """Compare the job counts per executor and window with those of the same jobs assigned round robin."""
     if not attempts:
         return ThunderingHerd(0.0, 0.0)
-    received = sorted((attempt.received_ms, grid.numbers[attempt.executor]) for attempt in attempts)
+    received = sorted((attempt.received_ms, grid.executor_numbers[attempt.executor]) for attempt in attempts)
     windows = [int((at_ms - grid.start_ms) // HERD_WINDOW_MS) for at_ms, _ in received]
     observed = _count_per_window(grid, windows, [executor for _, executor in received])
     round_robin = _count_per_window(grid, windows, _assign_round_robin(grid, len(received)))
--- a/burlmoor/testbed/fleet/node_configuration.py
+++ b/burlmoor/testbed/fleet/node_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration files of a run's nodes, and what discovery gives each of them."""
+"""The configuration files of a run's nodes, and the endpoint lists that discovery gives to them."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class NodeConfigurations:
-    """Writes nodes' configuration files, by the number of the node.
+    """Writes the nodes' configuration files.
 
-    `discovery_addresses` are those at which nodes reach discovery. `initial_lists` are the endpoint lists as
-    they were when the run began: a node that starts again has that one.
+    `discovery_addresses` and `initial_lists` are indexed by the number of the node: the address at which the
+    node reaches discovery, and its endpoint list at the start of the run, which it also gets on a restart.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
 async def announce_executors(
     record: RunRecord, ports: Ports, discovery: DiscoveryService
 ) -> NodeConfigurations:
-    """Announce all executors by the addresses of links, at an address of discovery for each node."""
+    """Announce all executors to each node by its link addresses, on a discovery address for each node."""
     node_names = record.node_names()
     discovery_addresses = []
     for number, name in enumerate(node_names):
@@ -68,7 +68,7 @@
         }
         discovery_addresses.append(await discovery.listen_for_node(name, addresses))
     for executor, zone in zip(record.executor_names(), record.executor_zones, strict=True):
-        # With its capacity, since the baselines know that, too.
+        # The weight is the executor's capacity, which the baselines know as well.
         discovery.set_entry(executor, zone=zone, weight=record.specs[executor].capacity)
     initial_lists = [discovery.full_list(name) for name in node_names]
     return NodeConfigurations(record, ports, discovery_addresses, initial_lists)
--- a/burlmoor/testbed/fleet/node_processes.py
+++ b/burlmoor/testbed/fleet/node_processes.py
@@ -1,4 +1,4 @@
-"""The node processes of a run: started, awaited, signalled and stopped."""
+"""Starts, signals and stops the node processes of a run."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     from burlmoor.testbed.discovery import DiscoveryService
     from burlmoor.testbed.fleet.node_configuration import NodeConfigurations
 
-READY_SECONDS = 90.0  # until nodes that start must be ready
-STOP_SECONDS = 15.0  # until a node that got SIGTERM must have ended
-_KILL_SECONDS = 5.0  # until a node that got SIGKILL must have ended
+READY_SECONDS = 90.0  # within which started nodes must be ready
+STOP_SECONDS = 15.0  # within which a node must end after SIGTERM
+_KILL_SECONDS = 5.0  # within which a node must end after SIGKILL
 _READY_POLL_SECONDS = 0.2
 
 
 class DelayedSignal(NamedTuple):
-    """A signal for a node that shuts down."""
+    """A signal that is sent to a node during its shutdown."""
 
     after_seconds: float  # after the first SIGTERM
     signal_number: signal.Signals
 
 
 class NodeProcesses:
-    """Owns the node processes; as a context manager it kills them at its end."""
+    """Owns the node processes; kills them when its context is left."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._configurations = configurations
         self._processes: dict[int, ChildProcess] = {}
         self._ended_by_fault: set[int] = set()
-        self._starting: set[int] = set()  # not ready yet
+        self._starting: set[int] = set()  # started, but not ready yet
 
     async def __aenter__(self) -> NodeProcesses:
         return self
@@ -71,7 +71,12 @@
             await process.kill()
 
     async def start_all(self) -> None:
-        """Start all nodes at once, and wait until each is ready; raises ProcessError or trio.TooSlowError."""
+        """Start all nodes at once, and wait until each is ready.
+
+        Raises:
+            ProcessError: a node ended by itself.
+            trio.TooSlowError: a node was not ready in time.
+        """
         for number in range(len(self.names)):
             self.start(number)
         with trio.fail_after(READY_SECONDS):
@@ -80,7 +85,7 @@
                     nursery.start_soon(self.wait_until_ready, number)
 
     def start(self, number: int) -> None:
-        """Start one node, or start it again."""
+        """Start or restart a node."""
         name = self.names[number]
         folder = self._folder / name
         folder.mkdir(exist_ok=True)
@@ -100,7 +105,7 @@
         """Wait until a node accepts jobs.
 
         Raises:
-            ProcessError: it has ended by itself.
+            ProcessError: the node ended by itself.
         """
         address = (node_address(number), self._ports.node_http)
         while True:
@@ -111,7 +116,7 @@
             process = self._processes[number]
             if not process.is_running and number not in self._ended_by_fault:
                 name = self.names[number]
-                reason = f"ended with {process.exit_status}; its log is in {self._folder / name}"
+                reason = f"ended with exit status {process.exit_status}; its log is in {self._folder / name}"
                 raise ProcessError(name, reason)
             await trio.sleep(_READY_POLL_SECONDS)
 
@@ -126,19 +131,20 @@
         process.send_signal(signal.SIGCONT)
 
     def is_ended_by_fault(self, number: int) -> bool:
-        """Whether a fault has ended the node, and it has not been started again."""
+        """Whether a fault has ended the node, and it has not been restarted since."""
         return number in self._ended_by_fault
 
     def send_signal(self, number: int, signal_number: signal.Signals) -> None:
-        """Send a node a signal, if it runs."""
+        """Send a signal to a node if it is running."""
         self._processes[number].send_signal(signal_number)
 
     async def terminate(
         self, number: int, kill_after_seconds: float, further_signals: Sequence[DelayedSignal]
     ) -> None:
-        """Send SIGTERM, further signals at their times, and SIGKILL in the end.
+        """Send SIGTERM, then the further signals at their times, and SIGKILL after `kill_after_seconds`.
 
-        A kill is recorded as a fault of its own, and so is an end by itself with another status than 0.
+        A kill is recorded as a fault of its own. A node that ends by itself with a status other than 0 is
+        recorded as an unexpected exit.
         """
         process = self._processes[number]
         self._ended_by_fault.add(number)
@@ -159,16 +165,21 @@
             self._record.unexpected_exits[f"{name} on restart"] = status
 
     def _failure_status(self, number: int) -> int:
-        """Return the exit status of a node that got SIGTERM; 0 for a graceful end, or while it runs.
+        """Return the exit status of a node after SIGTERM; 0 for a graceful end, or while it is running.
 
-        SIGTERM may end one that starts, before its program handles signals: it has no job then.
+        SIGTERM may end a node that is still starting, before it handles signals. That is no failure, since it
+        has no job yet.
         """
         status = self._processes[number].exit_status or 0
         has_no_job = number in self._starting and status == -signal.SIGTERM
         return 0 if has_no_job else status
 
     async def end_by_fault(self, number: int, kind: FaultKind) -> None:
-        """Kill or terminate a node; a status other than 0 on SIGTERM, or no end in time, is recorded."""
+        """Kill or terminate a node.
+
+        It is recorded as an unexpected exit if it does not end in time, or exits on SIGTERM with a status
+        other than 0.
+        """
         process = self._processes[number]
         name = self.names[number]
         self._ended_by_fault.add(number)
@@ -181,7 +192,7 @@
             self._record.unexpected_exits[f"{name} on {kind}"] = status
 
     def record_resource_usage(self) -> None:
-        """Record what each node has used, and which have ended by themselves."""
+        """Record the CPU time and memory of each running node, and the exit status of each that has ended."""
         for number, process in self._processes.items():
             name = self.names[number]
             if not process.is_running:
@@ -194,7 +205,7 @@
                 self._record.resource_usage[name] = usage
 
     async def stop_all(self) -> None:
-        """Terminate all nodes and record those that do not end in time, or end with a status other than 0."""
+        """Terminate all nodes; record those that do not end in time, or exit with another status than 0."""
         for process in self._processes.values():
             process.send_signal(signal.SIGTERM)
         async with trio.open_nursery() as nursery:
--- a/burlmoor/testbed/fleet/process_allocation.py
+++ b/burlmoor/testbed/fleet/process_allocation.py
@@ -1,4 +1,4 @@
-"""How many processes there are around the nodes of a run, and on which cores they and the nodes run."""
+"""The numbers of helper processes of a run, and the cores that they and the nodes run on."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 import msgspec
 
-_SMALL_FLEET_NODES = 40  # up to which one process of each kind is enough
-_HELPER_CORES = 3  # for the processes around the nodes, where there are at least twice as many
+_SMALL_FLEET_NODES = 40  # the largest fleet that needs only one process of each kind
+_HELPER_CORES = 3  # reserved for helper processes if the machine has at least twice as many
 
 
 class ProcessCounts(msgspec.Struct):
-    """How many processes of each kind there are around the nodes."""
+    """The number of helper processes of each kind."""
 
     relays: int = 2
     executors: int = 3
@@ -20,22 +20,22 @@
 
     @classmethod
     def for_nodes(cls, nodes: int) -> ProcessCounts:
-        """Return what a drill of so many nodes needs: a small one leaves most of the machine to its nodes."""
+        """Return the numbers for a drill; a small fleet leaves most of the machine to its nodes."""
         return cls() if nodes > _SMALL_FLEET_NODES else cls(relays=1, executors=1, clients=1)
 
 
 class CoreAllocation(NamedTuple):
-    """The cores for nodes, and for the processes around them; empty: all."""
+    """The cores of the nodes and of the helper processes; empty means all cores."""
 
     nodes: frozenset[int]
     helpers: frozenset[int]
 
 
 def allocate_cores() -> CoreAllocation:
-    """Return separate cores for nodes and helpers, where there are enough.
+    """Return separate cores for nodes and helper processes, if there are enough.
 
-    Without this, hundreds of nodes that start at once would delay the clients and executors, whose
-    observations count. Nice levels don't help where the kernel schedules each session as a group.
+    On shared cores, hundreds of nodes that start at once would delay the clients and executors and distort
+    what these observe. Nice levels don't help where the kernel schedules each session as a group.
     """
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 2 * _HELPER_CORES:
--- a/burlmoor/testbed/fleet/random_schedule.py
+++ b/burlmoor/testbed/fleet/random_schedule.py
@@ -1,7 +1,7 @@
-"""Fault schedules drawn at random.
+"""Random fault schedules.
 
-The order of the draws is part of what a seed means. A fault that is added draws from a generator of its own,
-so that the other faults of a seed stay as they were.
+A seed determines a schedule only as long as the order of the draws stays the same. New kinds of faults draw
+from a generator of their own, so that the other faults of each seed stay as they are.
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule, LinkDirection
 
 _DIRECTIONS = (LinkDirection.BOTH, LinkDirection.FORWARD, LinkDirection.BACK)
-_ONE_NODE = node_name(0)  # the selector of faults that affect all nodes once they are injected at one
+_ONE_NODE = node_name(0)  # for faults that affect all nodes, so they are injected at a single one
 
-_RECOVERY_SECONDS = 4.0  # without faults, at the end of a run
+_RECOVERY_SECONDS = 4.0  # at the end of a run, without faults
 _MIN_FAULTED_SECONDS = 2.0
 _MIN_FAULTS = 8
 _FIRST_START_SECONDS = 0.5
-_LAST_START_FRACTION = 0.9  # of the time with faults
+_LAST_START_FRACTION = 0.9  # of the time in which faults occur
 _MIN_DURATION_SECONDS = 0.3
-_MAX_PAUSE_SECONDS = 3.0  # of nodes, where faults come one after another
+_MAX_PAUSE_SECONDS = 3.0  # of a node, in sequential schedules
 _DISCOVERY_DELAY_MS = 2000.0
 _LINK_DELAY_MS = 40.0
 _RESET_FRACTION = 0.05  # of the messages
 
 _MIN_SOAK_NODES = 10
 _MAX_FURTHER_SIGNALS = 4  # after the SIGTERM of a restart
-_RESTART_CYCLE_SECONDS = 7.0  # of a node that is restarted repeatedly: its end, a pause and its start
-_MAX_RELOADS = 4  # in a row
+_RESTART_CYCLE_SECONDS = 7.0  # of a node that is restarted repeatedly: shutdown, pause and start
+_MAX_RELOADS = 4  # in succession
 _SLOW_LINK_FRACTION = 0.5  # of the runs
 _FLOOD_FRACTION = 0.35  # of the runs
 _FLOOD_CONNECTIONS = 300.0
 
 
 class _Parameters(TypedDict, total=False):
-    """The parameters of a fault besides its kind and its times."""
+    """The parameters of a fault other than its kind, start and duration."""
 
     nodes: str
     executors: str
@@ -51,7 +51,7 @@
     stagger: float
 
 
-# The faults that come one after another, with the parameters that are not drawn.
+# The kinds of faults in sequential schedules, with those parameters that are not drawn.
 _SEQUENTIAL_FAULTS: dict[FaultKind, _Parameters] = {
     FaultKind.NODE_KILL: {},
     FaultKind.NODE_PAUSE: {"nodes": "10%"},
@@ -66,7 +66,7 @@
 
 
 def draw_schedule(seed: int, seconds: float, count: int) -> FaultSchedule:
-    """Return faults of different kinds, one after another with time to recover between, drawn from a seed."""
+    """Draw sequential faults, each of another kind, with time to recover between them."""
     rng = random.Random(seed)
     kinds = rng.sample(list(_SEQUENTIAL_FAULTS), min(count, len(_SEQUENTIAL_FAULTS)))
     step = seconds / (count + 1)
@@ -91,41 +91,41 @@
 
 
 def draw_overlapping_schedule(seed: int, seconds: float) -> FaultSchedule:
-    """Return many faults that overlap in time, drawn from a seed, with some time to recover at the end."""
+    """Draw many faults that overlap in time, with some time to recover at the end."""
     rng = random.Random(seed)
-    drawer = _FaultDrawer(rng, _faulted_seconds(seconds))
+    generator = _FaultGenerator(rng, _faulted_seconds(seconds))
     faults = [
-        drawer.draw_isolation(),
-        *drawer.draw_executor_faults(),
-        *drawer.draw_link_faults(),
-        *drawer.draw_discovery_faults(),
-        *drawer.draw_node_faults(),
+        generator.draw_isolation(),
+        *generator.draw_executor_faults(),
+        *generator.draw_link_faults(),
+        *generator.draw_discovery_faults(),
+        *generator.draw_node_faults(),
     ]
     return FaultSchedule(seed, tuple(rng.sample(faults, rng.randint(_MIN_FAULTS, len(faults)))))
 
 
 def draw_soak_schedule(seed: int, seconds: float) -> FaultSchedule:
-    """Return overlapping faults, restarts in series, reloads and, in some runs, connection floods."""
+    """Draw overlapping faults, restarts, reloads and, in some runs, slow links and connection floods."""
     schedule = draw_overlapping_schedule(seed, seconds)
-    drawer = _SeriesDrawer(random.Random(f"{seed}:series"), _faulted_seconds(seconds))
-    series = (*drawer.draw_restarts(), drawer.draw_reloads(), *drawer.draw_slow_links())
-    return FaultSchedule(seed, (*schedule.faults, *series, *drawer.draw_connection_floods()))
+    generator = _FaultSeriesGenerator(random.Random(f"{seed}:series"), _faulted_seconds(seconds))
+    series = (*generator.draw_restarts(), generator.draw_reloads(), *generator.draw_slow_links())
+    return FaultSchedule(seed, (*schedule.faults, *series, *generator.draw_connection_floods()))
 
 
 def _faulted_seconds(seconds: float) -> float:
-    """Return for how long a run of so many seconds has faults."""
+    """Return the time, from the start of a run of this length, in which faults occur."""
     return max(_MIN_FAULTED_SECONDS, seconds - _RECOVERY_SECONDS)
 
 
-class _SeriesDrawer:
-    """Draws faults that come in series within the first `end` seconds."""
+class _FaultSeriesGenerator:
+    """Draws repeated and long-lasting faults within the first `end` seconds."""
 
     def __init__(self, rng: random.Random, end: float) -> None:
         self._rng = rng
         self._end = end
 
     def draw_restarts(self) -> list[Fault]:
-        """Draw one node after another, and one node repeatedly."""
+        """Draw a rolling restart of some nodes, and repeated restarts of a single node."""
         nodes = f"{self._rng.choice([20, 40])}%"
         start = self._rng.uniform(_FIRST_START_SECONDS, 0.4 * self._end)
         rolling = self._draw_restart(start, nodes=nodes, stagger=round(0.4 * self._end, 2))
@@ -143,14 +143,14 @@
         return _round_times(Fault(kind=FaultKind.NODE_RESTART, start=start, duration=pause, **parameters))
 
     def draw_reloads(self) -> Fault:
-        """Draw configurations that are read again several times in a row."""
+        """Draw one or several configuration reloads in succession."""
         count = float(self._rng.randint(1, _MAX_RELOADS))
         start = self._rng.uniform(_FIRST_START_SECONDS, self._end)
         reloads = Fault(kind=FaultKind.NODE_RELOAD, start=start, duration=0.0, nodes="40%", magnitude=count)
         return _round_times(reloads)
 
     def draw_slow_links(self) -> list[Fault]:
-        """Draw, in some runs, links that are all the time as slow as between zones."""
+        """Draw, in some runs, links that are as slow as those between zones for the whole time."""
         if self._rng.random() >= _SLOW_LINK_FRACTION:
             return []
         delay_ms = round(self._rng.uniform(10.0, 45.0), 1)
@@ -166,7 +166,7 @@
         return [delay]
 
     def draw_connection_floods(self) -> list[Fault]:
-        """Draw, in some runs, idle clients that open more connections than a node has descriptors."""
+        """Draw, in some runs, a flood of idle connections, more than a node has descriptors for."""
         if self._rng.random() >= _FLOOD_FRACTION:
             return []
         start = self._rng.uniform(_FIRST_START_SECONDS, 0.5 * self._end)
@@ -181,7 +181,7 @@
         return [_round_times(flood)]
 
 
-class _FaultDrawer:
+class _FaultGenerator:
     """Draws faults that begin and end within the first `end` seconds."""
 
     def __init__(self, rng: random.Random, end: float) -> None:
@@ -196,33 +196,33 @@
     def _draw_percentage(self, *percentages: int) -> str:
         return f"{self._rng.choice(percentages)}%"
 
-    def _draw_announced(self, kind: FaultKind) -> Fault:
-        """Draw a fault of executors that discovery announces after some time."""
+    def _draw_announced_fault(self, kind: FaultKind) -> Fault:
+        """Draw a fault of executors that discovery announces after a delay."""
         delay = round(self._rng.uniform(0.1, 2.5), 2)
         executors = self._draw_percentage(10, 20, 30)
         return self._draw(kind, max_seconds=6.0, executors=executors, notification_delay=delay)
 
     def draw_isolation(self) -> Fault:
-        """Draw an isolation, long enough for changes that are announced meanwhile to count as notified."""
+        """Draw an isolation of nodes, so long that changes announced during it count as notified to them."""
         duration = self._rng.uniform(0.6, 0.8) * self._end
         nodes = self._draw_percentage(20, 30)
         start = 0.1 * self._end
         return _round_times(Fault(kind=FaultKind.NODE_ISOLATION, start=start, duration=duration, nodes=nodes))
 
     def draw_executor_faults(self) -> list[Fault]:
-        """Draw executors that are cut off, are killed, drain or hang."""
+        """Draw partitions, kills, drains and hangs of executors."""
         stagger = round(self._rng.uniform(0.0, 2.0), 2)
         draw, percent = self._draw, self._draw_percentage
         return [
-            self._draw_announced(FaultKind.EXECUTOR_PARTITION),
-            self._draw_announced(FaultKind.EXECUTOR_PARTITION),
-            self._draw_announced(FaultKind.EXECUTOR_KILL),
+            self._draw_announced_fault(FaultKind.EXECUTOR_PARTITION),
+            self._draw_announced_fault(FaultKind.EXECUTOR_PARTITION),
+            self._draw_announced_fault(FaultKind.EXECUTOR_KILL),
             draw(FaultKind.EXECUTOR_DRAIN, max_seconds=6.0, executors=percent(10, 20), stagger=stagger),
             draw(FaultKind.EXECUTOR_HANG, max_seconds=4.0, executors=percent(10, 20)),
         ]
 
     def draw_link_faults(self) -> list[Fault]:
-        """Draw links that are cut, reset connections or delay bytes."""
+        """Draw link partitions, connection resets and delays."""
         direction = self._rng.choice(_DIRECTIONS)
         draw, percent = partial(self._draw, max_seconds=4.0), self._draw_percentage
         return [
@@ -237,7 +237,7 @@
         ]
 
     def draw_discovery_faults(self) -> list[Fault]:
-        """Draw watches that break and lists that come late, and a discovery that is down or overloaded."""
+        """Draw stalls and resets of watches, late endpoint lists, and outages and overload of discovery."""
         draw, percent = self._draw, self._draw_percentage
         delay_ms = _DISCOVERY_DELAY_MS
         return [
@@ -249,7 +249,7 @@
         ]
 
     def draw_node_faults(self) -> list[Fault]:
-        """Draw nodes that end or pause, some for so long that their list is too old afterwards."""
+        """Draw kills, terminations and pauses of nodes, some so long that their list becomes outdated."""
         draw, percent = self._draw, self._draw_percentage
         return [
             draw(FaultKind.NODE_KILL, max_seconds=1.5, nodes=percent(10, 20)),
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -1,6 +1,6 @@
-"""What is kept of a run: one folder with its plan, its faults, and what clients and executors observed.
+"""The record of a run: its plan, its faults, and what clients and executors observed, stored in one folder.
 
-Fields keep the names that they have in stored records through `msgspec.field(name=...)`.
+`msgspec.field(name=...)` gives the name of a field in stored records where it differs from the attribute.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-LINKS_SUBJECT = "links"  # of the intervals of link faults
+LINKS_SUBJECT = "links"  # the subject of every link fault's interval
 _DEFAULT_SOCKET_LIMIT = 1024
 _SCHEDULE_FILE = "schedule.ini"
 _RECORD_FILE = "record.json.gz"
 
 
 class RecordError(BurlmoorError, ValueError):
-    """A folder that holds no readable record of a run."""
+    """A folder holds no readable record of a run."""
 
     def __init__(self, folder: Path, reason: Exception) -> None:
         super().__init__(f"{folder} holds no record of a run: {reason}")
@@ -47,8 +47,8 @@
     executors: int
     seconds: float
     seed: int
-    rate: float  # jobs a second
-    utilization: float = msgspec.field(default=0.7, name="load")  # share of the warm executors' capacity
+    rate: float  # jobs per second
+    utilization: float = msgspec.field(default=0.7, name="load")  # fraction of the warm executors' capacity
     zones: int = 1
     skew: float = 0.5  # sigma of the logarithm of a node's share of the jobs
     first_node_factor: float = msgspec.field(default=1.0, name="loud")
@@ -56,7 +56,7 @@
     key_count: int = msgspec.field(default=0, name="keys")
     mutation: str | None = msgspec.field(default=None, name="sabotage")
     schedule: FaultSchedule = FaultSchedule(0)
-    # Not in records of plans that have the defaults: these are older.
+    # Omitted from the record if unset, as in records that were stored before these fields existed.
     hedging: bool | UnsetType = msgspec.field(default=UNSET, name="second_copies")
     sockets: int | UnsetType = UNSET
 
@@ -67,12 +67,12 @@
 
     @property
     def socket_limit(self) -> int:
-        """The descriptors that each node may have."""
+        """The number of file descriptors that each node may have open."""
         return _DEFAULT_SOCKET_LIMIT if self.sockets is UNSET else self.sockets
 
 
 class FaultInterval(msgspec.Struct):
-    """A fault as it took place at one node or executor; times are ms on the machine's clock."""
+    """The time of a fault at one node or executor, in ms on the machine's clock."""
 
     kind: FaultKind = msgspec.field(name="what")
     subject: str = msgspec.field(name="who")  # the name of the node or executor, or LINKS_SUBJECT
@@ -81,14 +81,14 @@
 
 
 class ResourceUsage(msgspec.Struct):
-    """What one node's process used."""
+    """The CPU time and memory that a node process used."""
 
     cpu_seconds: float = msgspec.field(name="cpu")
     memory_bytes: int = msgspec.field(name="memory")  # resident at the end
 
 
 class RunRecord(msgspec.Struct):
-    """All that verdicts and reports are computed from."""
+    """Everything that verdicts and reports are computed from."""
 
     plan: RunPlan
     load: Load
@@ -100,10 +100,10 @@
     fault_intervals: list[FaultInterval] = msgspec.field(default_factory=list, name="spans")
     notifications: list[Notification] = msgspec.field(default_factory=list, name="heard")
     resource_usage: dict[str, ResourceUsage] = msgspec.field(default_factory=dict, name="used")
-    # Exit status of nodes that ended without being stopped, or with a status other than 0.
+    # By node: the exit status if it ended without being stopped, or with a status other than 0.
     unexpected_exits: dict[str, int] = msgspec.field(default_factory=dict, name="ended")
-    max_send_delay_ms: float = msgspec.field(default=0.0, name="behind")  # of a client that fell behind
-    cores_used: float = msgspec.field(default=0.0, name="cpus")  # by the whole machine, on average
+    max_send_delay_ms: float = msgspec.field(default=0.0, name="behind")  # of a job, past its due time
+    cores_used: float = msgspec.field(default=0.0, name="cpus")  # mean of the whole machine during the load
     requests: list[RequestRecord] = msgspec.field(default_factory=list, name="asked")
     attempts: list[AttemptRecord] = msgspec.field(default_factory=list, name="ran")
 
@@ -120,25 +120,25 @@
         return list(self.specs.values())
 
     def node_population(self) -> Population:
-        """Return the nodes as fault selectors see them."""
+        """Return the nodes as a population that fault selectors select from."""
         return Population(self.node_names(), self.node_zones)
 
     def executor_population(self) -> Population:
-        """Return the executors as fault selectors see them."""
+        """Return the executors as a population that fault selectors select from."""
         return Population(self.executor_names(), self.executor_zones)
 
     def write(self, folder: Path) -> None:
-        """Write the record and its schedule to a folder, which is created where needed."""
+        """Write the record and its schedule to a folder, which is created if it does not exist."""
         folder.mkdir(parents=True, exist_ok=True)
         (folder / _SCHEDULE_FILE).write_text(format_schedule(self.plan.schedule))
         (folder / _RECORD_FILE).write_bytes(gzip.compress(msgspec.json.encode(self), 1))
 
 
 def read_record(folder: Path) -> RunRecord:
-    """Return the record that a folder contains.
+    """Return the record that is stored in a folder.
 
     Raises:
-        RecordError: it contains none.
+        RecordError: the folder holds no readable record.
     """
     try:
         return msgspec.json.decode(gzip.decompress((folder / _RECORD_FILE).read_bytes()), type=RunRecord)
--- a/burlmoor/testbed/fleet/report.py
+++ b/burlmoor/testbed/fleet/report.py
@@ -1,4 +1,4 @@
-"""Draws a run: load over time, the evenness beside the baselines', and the least even second."""
+"""Plots a run: the load over time, its evenness compared with the baselines, and the least even second."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
     from burlmoor.testbed.fleet.record import RunRecord
 
 _BASELINE_COLORS = {"shortest": "tab:green", "least of two": "tab:orange", "random": "tab:red"}
-_NAMED_EXECUTORS = 8  # with the most work, named below the least even second
+_NAMED_EXECUTORS = 8  # those with the most work, named below the plot of the least even second
 
 
-def draw_report(record: RunRecord, path: Path) -> None:
-    """Write the picture of a run to `path`, in the format of its suffix."""
+def plot_report(record: RunRecord, path: Path) -> None:
+    """Write the plots of a run to an image file, whose format is given by the suffix of `path`."""
     grid = LoadGrid.from_record(record)
     load_seconds = grid.relative_load(record.attempts) / 1000.0
     variation = measure_evenness(grid, record.attempts).variation
     figure, (load_axes, variation_axes, worst_axes) = plt.subplots(
         3, 1, figsize=(11, 12), layout="constrained"
     )
-    _draw_load(figure, load_axes, record, load_seconds)
-    _draw_variation(variation_axes, record, grid, variation)
+    _plot_load(figure, load_axes, record, load_seconds)
+    _plot_variation(variation_axes, record, grid, variation)
     for fault in record.plan.schedule.faults:
         for axes in (load_axes, variation_axes):
             axes.axvspan(fault.start, fault.end, color="red", alpha=0.08)
         variation_axes.text(fault.start, 0.02, fault.kind, rotation=90, fontsize=7, color="darkred")
-    _draw_least_even_second(worst_axes, record, load_seconds, variation)
+    _plot_least_even_second(worst_axes, record, load_seconds, variation)
     figure.savefig(path)
     plt.close(figure)
 
 
-def _draw_load(figure: Figure, axes: Axes, record: RunRecord, load_seconds: np.ndarray) -> None:
-    """Draw each executor's load over time, as a heat map."""
+def _plot_load(figure: Figure, axes: Axes, record: RunRecord, load_seconds: np.ndarray) -> None:
+    """Plot each executor's load over time as a heat map."""
     image = axes.imshow(
         load_seconds.T,
         aspect="auto",
@@ -68,8 +68,8 @@
     )
 
 
-def _draw_variation(axes: Axes, record: RunRecord, grid: LoadGrid, variation: np.ndarray) -> None:
-    """Draw the coefficient of variation over time, beside that of the baselines."""
+def _plot_variation(axes: Axes, record: RunRecord, grid: LoadGrid, variation: np.ndarray) -> None:
+    """Plot the coefficient of variation over time, together with that of the baselines."""
     seconds = np.arange(grid.slice_count) * SLICE_MS / 1000.0
     axes.plot(seconds, variation, label="burlmoor", color="black", linewidth=1.2)
     for name, color in _BASELINE_COLORS.items():
@@ -79,10 +79,10 @@
     axes.legend(loc="upper right")
 
 
-def _draw_least_even_second(
+def _plot_least_even_second(
     axes: Axes, record: RunRecord, load_seconds: np.ndarray, variation: np.ndarray
 ) -> None:
-    """Draw each executor's load in the second after the settling time in which it was least even."""
+    """Plot each executor's load in the least even second after the settling time."""
     smooth = smooth_over_a_second(variation, "valid")
     begin = 0
     if len(smooth) > SETTLING_SLICES:
--- a/burlmoor/testbed/fleet/run.py
+++ b/burlmoor/testbed/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run of a fleet: processes started, load sent, faults injected, observations gathered."""
+"""Runs a fleet: starts the processes, sends the load, injects the faults and collects the observations."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     from collections.abc import Callable
     from pathlib import Path
 
-_LEAD_SECONDS = 1.0  # from when all nodes are ready until the load starts
-_CLIENT_ALLOWANCE_SECONDS = 12.0  # beyond the longest timeout, until clients must be done
-_PROGRESS_SECONDS = 10  # between lines of progress
-_ZONES = "abcdefgh"
+_LOAD_START_DELAY_SECONDS = 1.0  # after all nodes are ready
+_CLIENT_FINISH_SECONDS = 12.0  # within which clients must finish after the longest timeout
+_PROGRESS_INTERVAL_SECONDS = 10
+_ZONE_NAMES = "abcdefgh"
 
 
 def make_record(plan: RunPlan) -> RunRecord:
-    """Return the record of a run that has not begun."""
+    """Return the record of a run that has not started."""
     specs = executor_specs(plan.executors)
     scale = plan.utilization * total_capacity(specs) * 1000.0 / (plan.rate * mean_job_work_ms())
     load = Load(
@@ -51,14 +51,14 @@
         plan,
         load,
         specs,
-        node_zones=[_ZONES[number % plan.zones] for number in range(plan.nodes)],
-        executor_zones=[_ZONES[number % plan.zones] for number in range(plan.executors)],
+        node_zones=[_ZONE_NAMES[number % plan.zones] for number in range(plan.nodes)],
+        executor_zones=[_ZONE_NAMES[number % plan.zones] for number in range(plan.executors)],
         start_ms=0.0,
     )
 
 
 class Fleet:
-    """Owns one run; lines of progress are passed to `report_progress`."""
+    """Runs a plan; passes each progress message to `report_progress`."""
 
     def __init__(
         self, plan: RunPlan, folder: Path, report_progress: Callable[[str], None] = lambda _: None
@@ -71,7 +71,9 @@
     async def run(self, counts: ProcessCounts | None = None) -> RunRecord:
         """Run the plan and return the record; all processes have ended when it returns or raises.
 
-        Raises ProcessError where a process fails, trio.TooSlowError where nodes are not ready in time.
+        Raises:
+            ProcessError: a process failed.
+            trio.TooSlowError: the nodes were not ready in time.
         """
         counts = counts or ProcessCounts()
         self._folder.mkdir(parents=True, exist_ok=True)
@@ -90,7 +92,7 @@
                 await self._start_nodes(nodes)
                 injector = FaultInjector(self.record, nodes, helpers, discovery, ports)
                 await self._run_load(injector, helpers, counts)
-                await self._gather(nodes, helpers, discovery)
+                await self._collect_observations(nodes, helpers, discovery)
             nursery.cancel_scope.cancel()
         return self.record
 
@@ -103,26 +105,26 @@
     async def _run_load(
         self, injector: FaultInjector, helpers: HelperProcesses, counts: ProcessCounts
     ) -> None:
-        """Send the load and inject the faults; returns when both are over and clients have all answers."""
+        """Send the load and inject the faults; return when both are over and the clients have all answers."""
         record = self.record
-        record.start_ms = now_ms() + _LEAD_SECONDS * 1000.0
+        record.start_ms = now_ms() + _LOAD_START_DELAY_SECONDS * 1000.0
         helpers.start_clients(counts.clients)
-        await trio.sleep(_LEAD_SECONDS)
+        await trio.sleep(_LOAD_START_DELAY_SECONDS)
         psutil.cpu_percent()  # the next call returns the usage since this one
         async with trio.open_nursery() as nursery:
             nursery.start_soon(injector.run)
             for second in range(1, int(self.plan.seconds) + 1):
                 await sleep_until(record, float(second))
-                if second % _PROGRESS_SECONDS == 0:
+                if second % _PROGRESS_INTERVAL_SECONDS == 0:
                     self._report_progress(f"{second} of {self.plan.seconds:.0f} s")
         record.cores_used = psutil.cpu_percent() / 100.0 * (psutil.cpu_count() or 1)
         longest_timeout = max(job_class.timeout_ms for job_class in JOB_CLASSES) / 1000.0
-        await helpers.wait_for_clients(longest_timeout + _CLIENT_ALLOWANCE_SECONDS)
+        await helpers.wait_for_clients(longest_timeout + _CLIENT_FINISH_SECONDS)
 
-    async def _gather(
+    async def _collect_observations(
         self, nodes: NodeProcesses, helpers: HelperProcesses, discovery: DiscoveryService
     ) -> None:
-        """Stop executors and nodes, and fill the record with what was observed."""
+        """Stop the executors and nodes, and add what was observed to the record."""
         record = self.record
         nodes.record_resource_usage()
         await helpers.finish_executors()
--- a/burlmoor/testbed/fleet/schedule_file.py
+++ b/burlmoor/testbed/fleet/schedule_file.py
@@ -1,4 +1,4 @@
-"""Fault schedules as INI files: `[schedule]` with the seed, then a `[trouble N]` for each fault."""
+"""Reads and writes fault schedules as INI files: `[schedule]` has the seed, each `[trouble N]` a fault."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ScheduleError(BurlmoorError, ValueError):
-    """An invalid schedule: which section, and what is wrong with which key, in one line."""
+    """A schedule is invalid; the message names the section, the key and the problem on one line."""
 
     def __init__(self, section: str, reason: str) -> None:
         super().__init__(f"{section}: {reason}" if section else reason)
@@ -27,7 +27,7 @@
 
 
 def format_schedule(schedule: FaultSchedule) -> str:
-    """Return the schedule as an INI file that `parse_schedule` reads back as the same."""
+    """Return the text of an INI file from which `parse_schedule` returns an equal schedule."""
     defaults = msgspec.to_builtins(Fault(kind=FaultKind.LINK_PARTITION, start=0.0, duration=0.0))
     lines = [f"[{_SCHEDULE_SECTION}]", f"seed = {schedule.seed}", ""]
     for number, fault in enumerate(schedule.faults):
@@ -40,10 +40,10 @@
 
 
 def parse_schedule(text: str) -> FaultSchedule:
-    """Return the schedule that an INI file contains.
+    """Return the schedule in the text of an INI file.
 
     Raises:
-        ScheduleError: the file is no valid schedule.
+        ScheduleError: the text is not a valid schedule.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -89,10 +89,10 @@
 
 
 def _check_kind(section: str, values: dict[str, str]) -> None:
-    """Check the kind of a fault; a missing one is found later.
+    """Check the kind of a fault if it is given; decoding detects a missing one.
 
     Raises:
-        ScheduleError: the kind is none of a schedule's.
+        ScheduleError: no fault of this kind can be scheduled.
     """
     kind = values.get("what")
     if kind is not None and kind not in SCHEDULED_FAULTS:
@@ -100,12 +100,12 @@
 
 
 def _check_fault(section: str, fault: Fault) -> None:
-    """Check values that are of the right types.
+    """Check the ranges of the values, whose types are valid.
 
     Raises:
-        ScheduleError: a value is out of range.
+        ScheduleError: a value is out of range, or the selector of the fault is missing.
     """
-    # Also false for nan.
+    # Written so that nan is rejected as well.
     if not (0.0 <= fault.start < _MAX_SECONDS and 0.0 <= fault.duration < _MAX_SECONDS):
         raise ScheduleError(section, f"invalid at or lasts, must be seconds from 0 to {_MAX_SECONDS:.0f}")
     if min(fault.magnitude, fault.stagger, fault.notification_delay, fault.restart_stagger) < 0.0:
--- a/tests/testbed/fleet/test_addresses.py
+++ b/tests/testbed/fleet/test_addresses.py
@@ -16,7 +16,7 @@
 
 
 @given(st.integers(0, MAX_PER_KIND - 1), st.integers(0, MAX_PER_KIND - 1))
-def test_the_ends_of_a_link_are_parsed_from_its_address(node: int, peer: int) -> None:
+def test_only_a_link_address_is_parsed_and_gives_the_ends_of_the_link(node: int, peer: int) -> None:
     assert parse_link_address(link_address(node, peer)) == (node, peer)
     assert len({node_address(node), executor_address(node), link_address(node, node)}) == 3
     for address in (node_address(node), executor_address(peer)):
--- a/tests/testbed/fleet/test_drills.py
+++ b/tests/testbed/fleet/test_drills.py
@@ -1,4 +1,4 @@
-"""The drills of many nodes hold for a sound node, and fail for mutations of it."""
+"""The fleet drills pass with unmodified nodes, and fail with nodes that have a mutation."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     from pathlib import Path
 
 
-class JudgedClaim(msgspec.Struct):
-    """A claim as a drill writes it."""
+class ClaimResult(msgspec.Struct):
+    """The result of a claim, as a drill writes it."""
 
     value: float
     held: bool
 
 
-class WrittenVerdict(msgspec.Struct):
-    """The claims of the verdict that a drill writes."""
+class StoredVerdict(msgspec.Struct):
+    """The claims of a verdict, as a drill writes it."""
 
-    claims: dict[str, JudgedClaim]
+    claims: dict[str, ClaimResult]
 
 
-def run_drills(folder: Path, arguments: list[str], *mutations: str) -> dict[str, dict[str, JudgedClaim]]:
-    """Return the claims of a drill of a sound node, and of one with each mutation, run side by side."""
+def run_drills(folder: Path, arguments: list[str], *mutations: str) -> dict[str, dict[str, ClaimResult]]:
+    """Run a drill with unmodified nodes and once with each mutation, all at once, and return their claims."""
     code = "from burlmoor.cli.main import main; main()"
-    options = {"sound": [], **{mutation: ["--sabotage", mutation] for mutation in mutations}}
+    options = {"unmodified": [], **{mutation: ["--sabotage", mutation] for mutation in mutations}}
     runs = {
         name: subprocess.Popen(
             [sys.executable, "-c", code, "drill", *arguments, "--json", str(folder / name), *more],
@@ -40,44 +40,44 @@
     for name, run in runs.items():
         run.wait(timeout=120.0)
         assert (folder / name).exists(), (folder / f"{name}.log").read_text()
-        claims[name] = msgspec.json.decode((folder / name).read_bytes(), type=WrittenVerdict).claims
+        claims[name] = msgspec.json.decode((folder / name).read_bytes(), type=StoredVerdict).claims
     return claims
 
 
-def test_the_drill_of_spread_fails_for_nodes_that_select_in_the_same_order(tmp_path: Path) -> None:
+def test_the_spread_drill_fails_for_nodes_that_select_in_the_same_order(tmp_path: Path) -> None:
     arguments = ["spread", "--nodes", "12", "--seconds", "16", "--seed", "4"]
     claims = run_drills(tmp_path, arguments, "one-order")
-    # Claims that a slow machine does not change: the others are for the operators' own runs.
+    # Only claims that do not depend on the machine's speed; operators check the others in their own runs.
     for claim in ("rules broken", "herd at p99.9"):
-        assert claims["sound"][claim].held
+        assert claims["unmodified"][claim].held
     ratio = "served in time, over round robin's"
-    assert claims["sound"][ratio].value > 2.0 * claims["one-order"][ratio].value
+    assert claims["unmodified"][ratio].value > 2.0 * claims["one-order"][ratio].value
     assert not claims["one-order"][ratio].held
     assert not claims["one-order"]["idleness"].held
 
 
-def test_the_drill_of_the_watch_fails_for_nodes_that_notice_drains_late(tmp_path: Path) -> None:
-    # The first drain lasts for two fifths of the run: nodes miss it however fast they start.
+def test_the_watch_drill_fails_for_nodes_that_notice_drains_late(tmp_path: Path) -> None:
+    # The first drain lasts for two fifths of the run, so mutated nodes miss it however fast they start.
     arguments = ["watch", "--nodes", "4", "--seconds", "30", "--seed", "4"]
     claims = run_drills(tmp_path, arguments, "late-watch", "slow-again")
-    assert all(claim.held for claim in claims["sound"].values())
+    assert all(claim.held for claim in claims["unmodified"].values())
     assert not claims["late-watch"]["rules broken"].held
     assert not claims["slow-again"]["rules broken"].held
 
 
-def test_the_soak_fails_for_nodes_that_use_an_outdated_list(tmp_path: Path) -> None:
-    """One node is isolated, killed, and restarted with an old list as discovery fails: it is late by 10 s."""
+def test_the_soak_drill_fails_for_nodes_that_use_an_outdated_endpoint_list(tmp_path: Path) -> None:
+    """A node is isolated, killed, and restarted with an old list as discovery fails, so it is 10 s late."""
     arguments = ["soak", "--nodes", "12", "--seconds", "30", "--seed", "32"]
     claims = run_drills(tmp_path, arguments, "old-list")
-    assert all(claim.held for claim in claims["sound"].values())
+    assert all(claim.held for claim in claims["unmodified"].values())
     assert not claims["old-list"]["rules broken"].held
 
 
-def test_the_soak_fails_for_nodes_that_do_not_await_the_confirmation_of_a_cancellation(
+def test_the_soak_drill_fails_for_nodes_that_do_not_await_the_confirmation_of_a_cancellation(
     tmp_path: Path,
 ) -> None:
-    """Concurrent attempts are not allowed; links are slow, executors hang, floods use up descriptors."""
+    """Hedging is not allowed; links are slow, executors hang, and connection floods use up descriptors."""
     arguments = ["soak", "--seconds", "20", "--seed", "8"]
     claims = run_drills(tmp_path, arguments, "unconfirmed-cancel")
-    assert all(claim.held for claim in claims["sound"].values())
+    assert all(claim.held for claim in claims["unmodified"].values())
     assert not claims["unconfirmed-cancel"]["rules broken"].held
--- a/tests/testbed/fleet/test_runs.py
+++ b/tests/testbed/fleet/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs of real processes: a fleet under faults, and the processes of a run."""
+"""Runs of real processes: fleets under faults, and the child processes of a run."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-SLEEP = ["-c", "import time; time.sleep(60)"]  # the arguments of a Python process that waits
+SLEEP = ["-c", "import time; time.sleep(60)"]  # arguments of a Python process that sleeps
 
 
 async def run_fleet(folder: Path, *faults: Fault) -> RunRecord:
@@ -33,7 +33,7 @@
         return await Fleet(plan, folder).run(ProcessCounts(1, 1, 1))
 
 
-async def test_a_fleet_under_faults_keeps_the_rules_and_its_record_can_be_read_and_drawn(
+async def test_a_fleet_under_faults_has_no_violations_and_its_record_can_be_read_and_plotted(
     tmp_path: Path,
 ) -> None:
     record = await run_fleet(
@@ -61,13 +61,13 @@
     read_again = read_record(tmp_path / "kept")
     assert read_again == record
     assert parse_schedule((tmp_path / "kept" / "schedule.ini").read_text()) == record.plan.schedule
-    from burlmoor.testbed.fleet.report import draw_report  # noqa: PLC0415
+    from burlmoor.testbed.fleet.report import plot_report  # noqa: PLC0415
 
-    draw_report(read_again, tmp_path / "report.png")
+    plot_report(read_again, tmp_path / "report.png")
     assert (tmp_path / "report.png").stat().st_size > 10_000
 
 
-async def test_a_partitioned_link_carries_nothing_and_others_do(tmp_path: Path) -> None:
+async def test_only_executors_behind_links_that_are_not_partitioned_start_attempts(tmp_path: Path) -> None:
     record = await run_fleet(
         tmp_path,
         Fault(kind=FaultKind.LINK_PARTITION, start=0.0, duration=6.0, nodes="*", executors="s-000,s-001"),
@@ -80,7 +80,7 @@
     assert audit(record).violations == []
 
 
-def test_no_process_outlives_a_run_that_is_killed() -> None:
+def test_the_child_processes_of_a_killed_run_end() -> None:
     arguments = ["fleet", "run", "--nodes", "3", "--executors", "4"]
     code = "from burlmoor.cli.main import main; main()"
     run = subprocess.Popen([sys.executable, "-c", code, *arguments], stderr=subprocess.DEVNULL)
@@ -98,7 +98,7 @@
     assert alive == []
 
 
-async def test_a_child_process_ignores_sighup_from_its_first_moment(tmp_path: Path) -> None:
+async def test_a_child_process_ignores_sighup_from_its_start(tmp_path: Path) -> None:
     handler = signal.getsignal(signal.SIGHUP)
     process = ChildProcess(SLEEP, tmp_path / "log")
     for _ in range(200):
@@ -109,7 +109,7 @@
     assert signal.getsignal(signal.SIGHUP) is handler
 
 
-async def test_a_child_process_has_the_exit_status_of_the_signal_that_ended_it(tmp_path: Path) -> None:
+async def test_the_exit_status_of_a_child_process_tells_the_signal_that_ended_it(tmp_path: Path) -> None:
     process = ChildProcess(SLEEP, tmp_path / "log")
     process.send_signal(signal.SIGTERM)
     assert await process.wait_until_ended(20.0)
