--- a/burlmoor/admin/http.py
+++ b/burlmoor/admin/http.py
@@ -34,7 +34,7 @@
             self._http.receive_data(data)
             return self._parse_events()
         except h11.RemoteProtocolError as error:
-            return reject(HTTPStatus(error.error_status_hint), "not a call")
+            return reject(HTTPStatus(error.error_status_hint), f"invalid HTTP request: {error}")
 
     def _parse_events(self) -> AdminRequest | AdminResponse | None:
         while True:
@@ -44,7 +44,9 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > MAX_BODY_BYTES:
-                    return reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long")
+                    return reject(
+                        HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body larger than {MAX_BODY_BYTES} bytes"
+                    )
             elif isinstance(event, h11.EndOfMessage):
                 assert self._head is not None
                 return self._parse_request(self._head)
@@ -55,7 +57,7 @@
         try:
             path = AdminPath(head.target.split(b"?", 1)[0].decode("ascii", "replace"))
         except ValueError:
-            return reject(HTTPStatus.NOT_FOUND, "no such call")
+            return reject(HTTPStatus.NOT_FOUND, f"unknown path; allowed: {', '.join(AdminPath)}")
         if head.method != path.method:
             return reject(HTTPStatus.METHOD_NOT_ALLOWED, f"{path.method.decode()} only")
         if not path.names_executor:
@@ -63,7 +65,7 @@
         try:
             return AdminRequest(path, _EXECUTOR_DECODER.decode(self._body).name)
         except (msgspec.MsgspecError, UnicodeDecodeError):
-            return reject(HTTPStatus.BAD_REQUEST, 'the body is not {"name": "ID"}')
+            return reject(HTTPStatus.BAD_REQUEST, 'invalid body; expected {"name": EXECUTOR}')
 
     def encode_response(self, response: AdminResponse) -> bytes:
         """Encode a response, with headers that announce the close of the connection."""
--- a/burlmoor/admin/overrides.py
+++ b/burlmoor/admin/overrides.py
@@ -21,7 +21,7 @@
     """All administrative overrides."""
 
     endpoints: EndpointOverrides = msgspec.field(name="executors", default_factory=EndpointOverrides)
-    is_drained: bool = msgspec.field(name="drained", default=False)
+    is_drain_requested: bool = msgspec.field(name="drained", default=False)
 
 
 class OverridesFile:
--- a/burlmoor/admin/requests.py
+++ b/burlmoor/admin/requests.py
@@ -49,7 +49,7 @@
 
     is_ready: bool = msgspec.field(name="ready")
     state: str
-    is_drained: bool = msgspec.field(name="drained")
+    is_drain_requested: bool = msgspec.field(name="drained")
     disabled: list[str] = msgspec.field(name="out")
 
 
--- a/burlmoor/admin/server.py
+++ b/burlmoor/admin/server.py
@@ -90,7 +90,9 @@
                     return
                 received = connection.receive(stream.inbound.read_all())
         if received is None:
-            received = reject(HTTPStatus.REQUEST_TIMEOUT, "the call did not come in time")
+            received = reject(
+                HTTPStatus.REQUEST_TIMEOUT, f"request not complete after {_REQUEST_TIMEOUT_SECONDS:g} s"
+            )
         elif isinstance(received, AdminRequest):
             received = await self._handler.handle(received)
         stream.send(connection.encode_response(received))
--- a/burlmoor/admin/service.py
+++ b/burlmoor/admin/service.py
@@ -79,7 +79,7 @@
         if request.path.is_query:
             return await self._get_subsystem_status(request.path)
         if request.path.names_executor and not self._directory.is_known(request.name):
-            return reject(HTTPStatus.NOT_FOUND, "no executor has this name")
+            return reject(HTTPStatus.NOT_FOUND, f"unknown executor {request.name!r}")
         self.apply_override(request)
         self._file.save(self.overrides)
         self._log(OverrideApplied(call=request.path, name=request.name))
@@ -102,7 +102,7 @@
     async def _get_subsystem_status(self, path: AdminPath) -> AdminResponse:
         provider = self._status_providers.get(path)
         if provider is None:
-            return reject(HTTPStatus.NOT_FOUND, "this is off here")
+            return reject(HTTPStatus.NOT_FOUND, f"the subsystem of {path} is not enabled on this node")
         return AdminResponse(HTTPStatus.OK, await provider())
 
     def _status(self, *, is_ready: bool) -> NodeStatus:
@@ -110,7 +110,10 @@
         return NodeStatus(is_ready, _STATE_NAMES[self._drain.state], self._drain.is_drain_requested, disabled)
 
     def apply_override(self, request: AdminRequest) -> None:
-        """Set an override, even if the executor is not in the endpoint list; queries change nothing."""
+        """Apply the override that a request sets, even for an executor that is not in the endpoint list.
+
+        A request that only reads state has no effect.
+        """
         match request.path:
             case AdminPath.DISABLE_EXECUTOR:
                 self._endpoint_updater.disable(request.name)
@@ -124,7 +127,7 @@
                 self._drain.end_drain()
 
     def apply_forwarded_override(self, path: str, name: str) -> None:
-        """Set an override that the node's other process has forwarded; an unknown path changes nothing."""
+        """Apply an override that the node's other process has forwarded; an unknown path changes nothing."""
         try:
             known_path = AdminPath(path)
         except ValueError:
@@ -140,8 +143,8 @@
     def replace_overrides(self, overrides: Overrides) -> None:
         """Replace all overrides; a drain among them counts as inherited."""
         self._endpoint_updater.set_overrides(overrides.endpoints)
-        self._has_inherited_drain = overrides.is_drained
-        if overrides.is_drained:
+        self._has_inherited_drain = overrides.is_drain_requested
+        if overrides.is_drain_requested:
             self._drain.begin_drain()
         else:
             self._drain.end_drain()
--- a/burlmoor/config/errors.py
+++ b/burlmoor/config/errors.py
@@ -16,7 +16,11 @@
 
 @dataclass(frozen=True)
 class ConfigFault:
-    """One fault in the configuration; `value` and `allowed` are empty unless a value is invalid."""
+    """One fault in the configuration.
+
+    `value` is what was rejected: a value, a key, a section or a path. `allowed` is what would be accepted.
+    Either is empty if it does not apply.
+    """
 
     field: str  # a dotted path, `[section] key`, or an environment variable
     problem: str
--- a/burlmoor/config/node_config.py
+++ b/burlmoor/config/node_config.py
@@ -103,7 +103,7 @@
 ) -> NodeConfig:
     settings = _parse_settings(file.settings)
     seed = _parse_seed(file.seed)
-    _parse_address("discovery", discovery)
+    _parse_address("discovery", discovery)  # only to check it
     control = environment.get("RELAY_CONTROL") or file.control
     state_folder = environment.get("TMPDIR")
     return NodeConfig(
--- a/burlmoor/config/options/parser.py
+++ b/burlmoor/config/options/parser.py
@@ -32,10 +32,10 @@
     return types
 
 
-def unit_kind(field_type: object) -> str | None:
+def quantity_kind(field_type: object) -> str | None:
     """Return the kind of quantity that a key holds, one of `UNITS`; None for a plain number."""
     info = type_info(field_type)
-    return (info.extra or {}).get("unit") if isinstance(info, Metadata) else None
+    return (info.extra or {}).get("quantity") if isinstance(info, Metadata) else None
 
 
 def read_options(path: Path) -> Options:
@@ -108,7 +108,11 @@
         location = f"[{section.name}] {key}"
         field = fields.get(key)
         if field is None:
-            faults.append(ConfigFault(location, "unknown key", file, key, ", ".join(fields)))
+            faults.append(
+                ConfigFault(
+                    location, f"unknown key; allowed: {', '.join(fields)}", file, key, ", ".join(fields)
+                )
+            )
             continue
         try:
             values[field.name] = _parse_value(text, field.type)
@@ -120,7 +124,7 @@
 
 
 def _parse_value(text: str, field_type: type) -> object:
-    kind = unit_kind(field_type)
+    kind = quantity_kind(field_type)
     value = parse_quantity(text, kind) if kind else text
     return msgspec.convert(value, field_type, strict=False)
 
@@ -129,7 +133,7 @@
     error: ValueError, location: str, text: str, field_type: type, file: str
 ) -> ConfigFault:
     """Return the fault of a value out of bounds; the bounds are given in the units that operators write."""
-    kind = unit_kind(field_type)
+    kind = quantity_kind(field_type)
     info = type_info(field_type)
     if kind is None or not isinstance(info, Metadata):
         return ConfigFault(location, f"invalid value {text!r}: {error}", file, text, str(error))
--- a/burlmoor/config/options/units.py
+++ b/burlmoor/config/options/units.py
@@ -49,7 +49,7 @@
 
 def _bounds(kind: str, minimum: str, maximum: str) -> msgspec.Meta:
     return msgspec.Meta(
-        ge=parse_quantity(minimum, kind), le=parse_quantity(maximum, kind), extra={"unit": kind}
+        ge=parse_quantity(minimum, kind), le=parse_quantity(maximum, kind), extra={"quantity": kind}
     )
 
 
--- a/burlmoor/config/settings_object.py
+++ b/burlmoor/config/settings_object.py
@@ -10,11 +10,11 @@
 from msgspec import field
 
 
-class SettingsTable(msgspec.Struct):
+class EncodedObject(msgspec.Struct):
     """Base class of the settings object and of its parts."""
 
 
-class JobClassTable(SettingsTable):
+class EncodedJobClass(EncodedObject):
     """An entry of `RequestClasses`; times are in ms."""
 
     name: str = field(name="Name")
@@ -28,7 +28,7 @@
     late_fraction: float | None = field(name="LateWorth", default=None)
 
 
-class TenantTable(SettingsTable):
+class EncodedTenant(EncodedObject):
     """An entry of `Orgs`."""
 
     name: str = field(name="Name")
@@ -36,7 +36,7 @@
     quota_per_second: float | None = field(name="QuotaRps", default=None)
 
 
-class LimitsTable(SettingsTable):
+class EncodedLimits(EncodedObject):
     """`Limits`; times are in ms."""
 
     max_attempts: float | None = field(name="SendCap", default=None)
@@ -49,19 +49,19 @@
     keepalive: float | None = field(name="Keepalive", default=None)
 
 
-class RulesTable(SettingsTable):
+class EncodedRules(EncodedObject):
     """`Rules`; times are in ms."""
 
     response_slack: float | None = field(name="AnswerSlack", default=None)
     drain_grace: float | None = field(name="StopSendingWithin", default=None)
-    initial_capacity: float | None = field(name="StartCapacity", default=None)
+    initial_capacity_fraction: float | None = field(name="StartCapacity", default=None)
     slow_start: float | None = field(name="Cold", default=None)
     overload_multiple: float | None = field(name="FallMultiple", default=None)
     overload_window: float | None = field(name="OverloadFor", default=None)
     poll_interval: float | None = field(name="MustAskIn", default=None)
 
 
-class PricesTable(SettingsTable):
+class EncodedPenalties(EncodedObject):
     """`Prices`: penalties as fractions of the total priority weight."""
 
     cross_zone: float | None = field(name="CrossZone", default=None)
@@ -70,14 +70,14 @@
     late_failure: float | None = field(name="LateFail", default=None)
 
 
-class ObjectiveTable(SettingsTable):
+class EncodedObjective(EncodedObject):
     """`Blend`: the weights of the objective's parts."""
 
     overall: float | None = field(name="Whole", default=None)
     worst_class: float | None = field(name="WorstClass", default=None)
 
 
-class SpecificsTable(SettingsTable):
+class EncodedSpecifics(EncodedObject):
     """`Specifics`; each list has one item per class, in the order of `RequestClasses`."""
 
     class_kind: list[int | None] | None = field(name="ClassKind", default=None)  # indexes into `Kinds`
@@ -87,16 +87,16 @@
     reports_start: bool | None = field(name="TellsStart", default=None)
 
 
-class SettingsObject(SettingsTable):
+class EncodedSettings(EncodedObject):
     """The whole settings object."""
 
-    classes: list[JobClassTable] | None = field(name="RequestClasses", default=None)
-    tenants: list[TenantTable] | None = field(name="Orgs", default=None)
-    limits: LimitsTable | None = field(name="Limits", default=None)
-    rules: RulesTable | None = field(name="Rules", default=None)
-    prices: PricesTable | None = field(name="Prices", default=None)
-    objective: ObjectiveTable | None = field(name="Blend", default=None)
-    specifics: SpecificsTable | None = field(name="Specifics", default=None)
+    classes: list[EncodedJobClass] | None = field(name="RequestClasses", default=None)
+    tenants: list[EncodedTenant] | None = field(name="Orgs", default=None)
+    limits: EncodedLimits | None = field(name="Limits", default=None)
+    rules: EncodedRules | None = field(name="Rules", default=None)
+    penalties: EncodedPenalties | None = field(name="Prices", default=None)
+    objective: EncodedObjective | None = field(name="Blend", default=None)
+    specifics: EncodedSpecifics | None = field(name="Specifics", default=None)
     kinds: list[str] | None = field(name="Kinds", default=None)
     zone: str | None = field(name="Zone", default=None)
     node_index: int | None = field(name="Me", default=None)
--- a/burlmoor/engine/job_lifecycle.py
+++ b/burlmoor/engine/job_lifecycle.py
@@ -34,7 +34,7 @@
     AttemptEnded,
     AttemptProgressed,
     AttemptStarted,
-    ClientDisconnected,
+    JobClosed,
 )
 from burlmoor.types.outcome import Outcome
 from burlmoor.types.reasons import EndReason
@@ -95,7 +95,7 @@
         """Notify the policy of a job that was closed without it, unless the job was still deferred."""
         if job.deferred_request is None:
             # Also posted if the engine has answered: in both cases, the policy owes the job no answer.
-            self._policy.post(ClientDisconnected(job.number))
+            self._policy.post(JobClosed(job.number))
         self._jobs.remove_if_done(job)
 
     def on_attempt_started(self, attempt: Attempt) -> None:
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -95,7 +95,7 @@
 
     def _first_contact_timeout(self) -> float:
         """Return the seconds to wait for discovery before accepting clients."""
-        if not self._config.settings.policy.must_poll:
+        if not self._config.settings.policy.pulls_endpoint_list:
             return _FIRST_AGENT_LIST_TIMEOUT_SECONDS
         is_listening = self._config.listener_fd is not None
         if is_listening and not self.handover.has_predecessor:
--- a/burlmoor/lifecycle/node_builder.py
+++ b/burlmoor/lifecycle/node_builder.py
@@ -57,7 +57,7 @@
     core = EngineCore(policy_settings, config.seed, clock, log, engine_loop.wake)
     sockets = divide_descriptors(config.max_sockets)
     pool = _build_pool(config, core, sockets.upstream)
-    lease = ListLease(has_agent=not policy_settings.must_poll)
+    lease = ListLease(has_agent=not policy_settings.pulls_endpoint_list)
     directory = EndpointDirectory(clock.from_unix, lambda: lease.is_valid(trio.current_time()))
     attempts = _build_attempt_runner(core, directory, pool, nursery)
     withdrawal = AttemptWithdrawal(attempts, directory, core.invariants, nursery, log)
@@ -142,7 +142,7 @@
         policy_settings.node_count,
         policy_settings.rules.poll_interval_ms / 1000.0,
         random.Random(config.seed + _DISCOVERY_SEED_OFFSET),
-        has_agent=not policy_settings.must_poll,
+        has_agent=not policy_settings.pulls_endpoint_list,
     )
 
 
--- a/burlmoor/membership/codec.py
+++ b/burlmoor/membership/codec.py
@@ -30,7 +30,7 @@
 _STATE = struct.Struct("!4sHIHHB")
 _CHECKSUM = struct.Struct("!I")
 _MIN_DATAGRAM_BYTES = _HEADER.size + 1 + _CHECKSUM.size
-_MIN_STATES_PER_MESSAGE = 2  # of a split: the sender's own state and one more
+_MIN_STATES_PER_SPLIT_MESSAGE = 2  # the sender's own state and one more
 
 
 class InvalidNodeNameError(BurlmoorError, ValueError):
@@ -70,7 +70,7 @@
     ACK = 2  # the response, with the ping's sequence number
     PING_REQUEST = 3  # asks the recipient to ping `node_to_ping` and to relay the ACK
     SYNC = 4  # part of the sender's full state; requests the recipient's full state
-    GOSSIP = 5  # only carries states
+    GOSSIP = 5  # carries states; with a number, also confirms the arrival of that PING_REQUEST
 
 
 class Message(NamedTuple):
@@ -79,13 +79,13 @@
     kind: MessageKind
     sequence_number: int
     digest: int  # checksum of the sender's member table
-    members: tuple[MemberState, ...]
+    states: tuple[MemberState, ...]
     node_to_ping: str = ""  # empty unless `kind` is PING_REQUEST
 
     @property
     def sender(self) -> MemberState:
         """The sender's own state."""
-        return self.members[0]
+        return self.states[0]
 
 
 def _encode_name(name: str) -> bytes:
@@ -123,7 +123,7 @@
     data = _HEADER.pack(_MAGIC, _VERSION, message.kind, message.sequence_number, message.digest)
     data += _encode_name(message.node_to_ping) if message.node_to_ping else b"\0"
     count = 0
-    for state in message.members:
+    for state in message.states:
         encoded = _encode_state(state)
         if len(data) + len(encoded) + _CHECKSUM.size > MAX_DATAGRAM_BYTES:
             break
@@ -135,14 +135,17 @@
 def split_into_messages(
     kind: MessageKind, sequence_number: int, digest: int, sender: MemberState, states: Sequence[MemberState]
 ) -> list[Message]:
-    """Split states into as few messages as possible, each with the sender's own state first."""
+    """Split states into as few messages as possible, each with the sender's own state first.
+
+    If a message has no room for any further state, the remaining states are dropped.
+    """
     messages: list[Message] = []
     remaining = list(states)
     while remaining or not messages:
         message = Message(kind, sequence_number, digest, (sender, *remaining))
         count = encode(message).state_count
-        messages.append(message._replace(members=message.members[:count]))
-        if count < _MIN_STATES_PER_MESSAGE:
+        messages.append(message._replace(states=message.states[:count]))
+        if count < _MIN_STATES_PER_SPLIT_MESSAGE:
             break
         remaining = remaining[count - 1 :]
     return messages
--- a/burlmoor/membership/dissemination.py
+++ b/burlmoor/membership/dissemination.py
@@ -51,7 +51,11 @@
     def compose(
         self, name: str, kind: MessageKind, sequence_number: int = 0, node_to_ping: str = ""
     ) -> Datagram:
-        """Compose a message to a node; unless it is believed `ALIVE`, include its state to be refuted."""
+        """Compose a message to a node.
+
+        If this node believes the recipient suspect, dead or left, include that state, so that the recipient
+        can refute it.
+        """
         state = self._table.remote.get(name)
         state_to_refute = state if state is not None and state.status is not MemberStatus.ALIVE else None
         return self._compose(
@@ -82,12 +86,13 @@
         message = Message(kind, sequence_number, self._table.digest(), tuple(states), node_to_ping)
         _, fitting_count = encode(message)
         sent = tuple(states[:fitting_count])
-        self._gossip_queue.count_transmissions(state.name for state in sent)
+        self._gossip_queue.record_transmissions(state.name for state in sent)
         self._gossip_queue.discard_finished(self._max_transmissions(), self._table.is_known)
-        return Datagram(destination, message._replace(members=sent))
+        return Datagram(destination, message._replace(states=sent))
 
     def _select_gossip(self, excluding: MemberState | None) -> list[MemberState]:
         remote = self._table.remote
+        # Two more, since this node's own state and the excluded one may be among them.
         names = self._gossip_queue.select_most_urgent(_STATES_PER_DATAGRAM + 2, self._table.state_of)
         return [remote[name] for name in names if name in remote and remote[name] is not excluding]
 
--- a/burlmoor/membership/failure_detector.py
+++ b/burlmoor/membership/failure_detector.py
@@ -74,7 +74,7 @@
     def on_suspension(self, now: float) -> None:
         """Discard all probes after a suspension of this process, and make the next probe due immediately.
 
-        Without this, the node would suspect members whose acknowledgements arrived during the suspension.
+        Their timeouts prove nothing: acknowledgements may have arrived during the suspension.
         """
         self._probes.clear()
         self._relayed_pings.clear()
--- a/burlmoor/membership/gossip_queue.py
+++ b/burlmoor/membership/gossip_queue.py
@@ -10,8 +10,8 @@
     from collections.abc import Callable, Iterable
 
 
-class _Urgency(NamedTuple):
-    """The sort key of a queued state; the lowest key is the most urgent."""
+class _SendOrder(NamedTuple):
+    """The sort key of a queued state; the most urgent one is sent first and has the lowest key."""
 
     is_routine: bool
     transmissions: int
@@ -37,13 +37,13 @@
         Suspicions, refutations, deaths and departures come before routine states; within each group, states
         with the fewest transmissions come first.
         """
-        return sorted(self._transmissions, key=lambda name: self._urgency(state_of(name), name))[:count]
+        return sorted(self._transmissions, key=lambda name: self._send_order(state_of(name), name))[:count]
 
-    def _urgency(self, state: MemberState, name: str) -> _Urgency:
+    def _send_order(self, state: MemberState, name: str) -> _SendOrder:
         is_routine = state.status is MemberStatus.ALIVE and state.incarnation == 0
-        return _Urgency(is_routine, self._transmissions[name])
+        return _SendOrder(is_routine, self._transmissions[name])
 
-    def count_transmissions(self, names: Iterable[str]) -> None:
+    def record_transmissions(self, names: Iterable[str]) -> None:
         """Record one more transmission of the states of these members."""
         for name in names:
             if name in self._transmissions:
--- a/burlmoor/membership/local_member.py
+++ b/burlmoor/membership/local_member.py
@@ -33,7 +33,7 @@
         """
         if remote.precedence <= self.state.precedence or self.state.status is MemberStatus.LEFT:
             return False
-        if remote.process_precedence == self.state.process_precedence:
+        if remote.process_id == self.state.process_id:
             # Lifeguard: a suspicion by others is a sign that this node is slow.
             self._health.degrade()
             if remote.incarnation + 1 < MAX_INCARNATION:
--- a/burlmoor/membership/member.py
+++ b/burlmoor/membership/member.py
@@ -34,8 +34,8 @@
     status: MemberStatus
 
 
-class ProcessPrecedence(NamedTuple):
-    """The part of the precedence that identifies a member's process."""
+class ProcessId(NamedTuple):
+    """Identifies a member's process; that with the higher id takes precedence."""
 
     generation: int
     nonce: int
@@ -65,10 +65,10 @@
         return Precedence(self.generation, self.nonce, self.incarnation, self.status)
 
     @property
-    def process_precedence(self) -> ProcessPrecedence:
-        """The part of the precedence that identifies the process."""
+    def process_id(self) -> ProcessId:
+        """The id of the process that the state is about."""
         generation, nonce, _, _ = self.precedence
-        return ProcessPrecedence(generation, nonce)
+        return ProcessId(generation, nonce)
 
     @property
     def is_member(self) -> bool:
--- a/burlmoor/membership/parameters.py
+++ b/burlmoor/membership/parameters.py
@@ -10,7 +10,9 @@
 
     With the defaults, a crashed member is probed within one protocol period by one of its predecessors in the
     hash ring, suspected 0.9 s later and declared dead when the suspicion times out; all nodes learn of it
-    within a few gossip rounds. That takes 1 + 0.9 + 3.2 + 0.8 s, so less than 6 s. A process that was
+    within a few gossip rounds. That takes at most 1 s to the probe, 0.9 s to its failure,
+    3.2 s (`min_suspicion_timeout` times `max_suspicion_multiplier`) to the end of the suspicion and 0.8 s of
+    gossip, so less than 6 s. A process that was
     suspended for 3 s is not declared dead, since that takes at least 0.9 + 2.7 s.
     """
 
@@ -20,7 +22,9 @@
     probe_timeout: float = 0.9  # from a ping until the probe has failed
     ping_request_fanout: int = 3  # members that receive a ping request
     min_suspicion_timeout: float = 2.7
-    max_suspicion_multiplier: float = 1.2  # of `min_suspicion_timeout`, for a suspicion without confirmations
+    max_suspicion_multiplier: float = (
+        1.2  # of `min_suspicion_timeout`; an upper bound, for no suspecting node
+    )
     gossip_interval: float = 0.25
     gossip_fanout: int = 2  # recipients in one round
     max_gossip_burst: int = 4  # datagrams to each recipient in one round
--- a/burlmoor/membership/suspicion.py
+++ b/burlmoor/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Tracks the suspicions of unresponsive members: their confirmations and timeouts."""
+"""Tracks the suspicions of unresponsive members: the nodes that suspect them, and timeouts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,9 @@
     """The suspicion of one member."""
 
     started_at: float
-    confirmed_by: set[str] = field(default_factory=set)  # all nodes known to suspect the member
+    suspected_by: set[str] = field(
+        default_factory=set
+    )  # all nodes known to suspect the member, the first included
 
 
 class SuspicionTimers:
@@ -31,7 +33,7 @@
 
     def confirm(self, name: str, suspected_by: str) -> None:
         """Record that another node also suspects a suspected member."""
-        self._suspicions[name].confirmed_by.add(suspected_by)
+        self._suspicions[name].suspected_by.add(suspected_by)
 
     def cancel(self, name: str) -> None:
         """End a member's suspicion, if there is one."""
@@ -47,14 +49,14 @@
         return [
             name
             for name, suspicion in self._suspicions.items()
-            if now >= suspicion.started_at + self._timeout(len(suspicion.confirmed_by))
+            if now >= suspicion.started_at + self._timeout(len(suspicion.suspected_by))
         ]
 
-    def _timeout(self, confirmations: int) -> float:
-        """Return the timeout of a suspicion in seconds; more confirmations shorten it (Lifeguard)."""
+    def _timeout(self, suspecting_count: int) -> float:
+        """Return the timeout of a suspicion in seconds; each suspecting node shortens it (Lifeguard)."""
         parameters = self._parameters
         fanout = parameters.ping_request_fanout
-        confirmed_fraction = math.log(min(confirmations, fanout) + 1.0) / math.log(fanout + 1.0)
+        confirmed_fraction = math.log(min(suspecting_count, fanout) + 1.0) / math.log(fanout + 1.0)
         return parameters.min_suspicion_timeout * (
             1.0 + (1.0 - confirmed_fraction) * (parameters.max_suspicion_multiplier - 1.0)
         )
--- a/burlmoor/membership/swim.py
+++ b/burlmoor/membership/swim.py
@@ -38,7 +38,7 @@
 
 
 class Membership:
-    """The membership protocol of one node. It discovers nodes that are not `configured` by gossip."""
+    """The membership protocol of one node. By gossip, it also discovers nodes not in `configured`."""
 
     def __init__(
         self,
@@ -102,9 +102,9 @@
         """Merge the states in a received message, and respond to it."""
         self._check_suspension(now)
         sender = message.sender
-        if sender.name == self.local.name and sender.process_precedence == self.local.process_precedence:
+        if sender.name == self.local.name and sender.process_id == self.local.process_id:
             return []  # sent by this process itself
-        for state in message.members:
+        for state in message.states:
             self._table.merge(state, sender.name, now)
         datagrams = self._respond(message, source, now)
         self._dissemination.on_digest(message.digest, source)
@@ -134,8 +134,8 @@
     def _check_suspension(self, now: float) -> None:
         """Treat a long pause between two calls as a suspension of this process.
 
-        Without this, the node would suspect members whose messages it missed, and rely on an outdated view:
-        the node may have been declared dead meanwhile.
+        Probes are discarded and suspicions start anew, since the node has missed messages of members that are
+        alive. Its view counts as outdated, since the node may have been declared dead meanwhile.
         """
         previous_call_at = self._last_called_at
         self._last_called_at = now
--- a/burlmoor/membership/view.py
+++ b/burlmoor/membership/view.py
@@ -15,14 +15,14 @@
 
     version: int  # increases with every change
     local: MemberState
-    members: Mapping[str, MemberState]  # all known nodes, of any status, including this one
+    states: Mapping[str, MemberState]  # all known nodes, of any status, including this one
     configured_count: int  # configured nodes, including this one
     is_current: bool  # whether this node has received an acknowledgement recently
 
     @property
     def member_names(self) -> tuple[str, ...]:
         """The names of the members, in the same (sorted) order on every node."""
-        return tuple(sorted(name for name, state in self.members.items() if state.is_member))
+        return tuple(sorted(name for name, state in self.states.items() if state.is_member))
 
     @property
     def has_majority(self) -> bool:
--- a/burlmoor/policy/dispatcher.py
+++ b/burlmoor/policy/dispatcher.py
@@ -36,7 +36,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
         components = PolicyComponents(settings, seed)
-        self._must_poll = settings.must_poll
+        self._must_poll = settings.pulls_endpoint_list
         self._actions = components.actions
         self._statistics = components.statistics
         self._endpoints = components.endpoints
@@ -60,7 +60,7 @@
             ev.ResponseStarted: components.attempt_events.on_response_started,
             ev.AttemptCancelling: components.attempt_events.on_cancelling,
             ev.AttemptEnded: components.attempt_events.on_ended,
-            ev.ClientDisconnected: self._on_client_disconnected,
+            ev.JobClosed: self._on_job_closed,
             ev.HandoverChanged: self._on_handover_changed,
         }
 
@@ -129,7 +129,7 @@
         self._checks.schedule_first(job)
         self._rounds.enqueue(job, now)
 
-    def _on_client_disconnected(self, event: ev.ClientDisconnected, _now: float) -> None:
+    def _on_job_closed(self, event: ev.JobClosed, _now: float) -> None:
         job = self._jobs.by_id.get(event.id)
         if job is not None:
             self._safety.close(job)
--- a/burlmoor/policy/endpoint_scoring.py
+++ b/burlmoor/policy/endpoint_scoring.py
@@ -81,7 +81,7 @@
         self._min_probability = self._compute_min_probability()
         # The price of crossing zones counts less for a job of high weight.
         mean_weight = statistics.demand.mean_weight.read(now, EVIDENCE_HALF_LIFE_MS, job.effective_weight)
-        self._cross_zone_loss = settings.prices.cross_zone * (mean_weight / job.effective_weight)
+        self._cross_zone_loss = settings.penalties.cross_zone * (mean_weight / job.effective_weight)
         # Urgent jobs prefer fast endpoints and other jobs slow ones, which keeps fast endpoints available for
         # urgent jobs. Among otherwise equal endpoints, an urgent job takes the one with the least free
         # capacity; other jobs, and all jobs of a round that is mostly urgent, take the one with the most.
--- a/burlmoor/policy/endpoints/slow_start.py
+++ b/burlmoor/policy/endpoints/slow_start.py
@@ -86,7 +86,7 @@
         age = now - started_at
         if started_at <= 0.0 or age >= self._rules.slow_start_ms:
             return 1.0
-        initial = self._rules.initial_capacity
+        initial = self._rules.initial_capacity_fraction
         return initial + (1.0 - initial) * max(0.0, age) / self._rules.slow_start_ms
 
     @staticmethod
--- a/burlmoor/simulation/executors.py
+++ b/burlmoor/simulation/executors.py
@@ -186,12 +186,12 @@
             self._step(executor)
 
     def _report_progress(self, executor: SimulatedExecutor, progress: JobProgress) -> None:
-        in_flight = executor.in_flight.get(progress.job)
+        in_flight = executor.in_flight.get(progress.job_id)
         if in_flight is None:
             return
         settings = self._spec.settings
         if progress.state is JobState.DONE:
-            self._end(executor, progress.job, Outcome.SERVED)
+            self._end(executor, progress.job_id, Outcome.SERVED)
         elif progress.state is JobState.STARTED:
             in_flight.record.began_at = self._events.now
             if settings.reports_start:
--- a/burlmoor/simulation/gossip.py
+++ b/burlmoor/simulation/gossip.py
@@ -129,8 +129,8 @@
         """
         for destination, message in datagrams:
             data, count = encode(message)
-            if count < len(message.members) or len(data) > MAX_DATAGRAM_BYTES:
-                raise DatagramTooLargeError(len(message.members))
+            if count < len(message.states) or len(data) > MAX_DATAGRAM_BYTES:
+                raise DatagramTooLargeError(len(message.states))
             self.sent_bytes += len(data)
             recipient = self._names_by_address[destination]
             if self.is_cut(sender, recipient) or self.rng.random() < self.loss:
@@ -151,7 +151,7 @@
     @staticmethod
     def dead_members(node: Membership) -> set[str]:
         """Return the members that a node believes to be dead."""
-        members = node.view(0.0).members
+        members = node.view(0.0).states
         return {name for name, state in members.items() if state.status is MemberStatus.DEAD}
 
     def believed_members(self) -> set[tuple[str, ...]]:
--- a/burlmoor/testbed/clients.py
+++ b/burlmoor/testbed/clients.py
@@ -55,16 +55,16 @@
         *,
         slots: int = 1,
         key: str = "k",
-        is_failing: bool = False,
+        reports_failure: bool = False,
         tenant: str = "",
     ) -> RequestRecord:
         """Send one request, wait for its answer, and return its completed record.
 
-        With `is_failing` the job's executor reports it as failed.
+        With `reports_failure` the job's executor reports it as failed.
         """
         self._event_record.requests[request.id] = request
         headers = _make_headers(request, slots, tenant)
-        body = msgspec.json.encode(JobParameters(request.work_ms, slots, is_failing))
+        body = msgspec.json.encode(JobParameters(request.work_ms, slots, reports_failure))
         outgoing = _OutgoingRequest(f"POST /{request.job_class}/{key} HTTP/1.1", headers, body)
         timeout_at_ms = request.sent_ms + request.timeout_ms
         remaining_seconds = (timeout_at_ms - now_ms()) / 1000.0 + _EXTRA_WAIT_SECONDS
@@ -133,9 +133,9 @@
         """
         try:
             await stream.write(outgoing.start_line, outgoing.body, **outgoing.headers)
-            if request.disconnected_ms is None:
+            if request.disconnect_at_ms is None:
                 return await stream.read()
-            with trio.move_on_after(max(0.0, (request.disconnected_ms - now_ms()) / 1000.0)):
+            with trio.move_on_after(max(0.0, (request.disconnect_at_ms - now_ms()) / 1000.0)):
                 return await stream.read()
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             return None
--- a/burlmoor/testbed/deferred_verdict.py
+++ b/burlmoor/testbed/deferred_verdict.py
@@ -80,7 +80,7 @@
             completed[attempt.id] = attempt.ended_ms
     ended: dict[str, float] = {}
     for request_id, request in record.requests.items():
-        ended_ms = request.answered_ms if request.answered_ms is not None else request.disconnected_ms
+        ended_ms = request.answered_ms if request.answered_ms is not None else request.disconnect_at_ms
         if ended_ms is not None:
             ended[request_id] = ended_ms
     return _JobTimes(received, completed, ended)
@@ -174,7 +174,7 @@
     """
     if not _has_run_conditions(request) or record.is_rejected_by_stopping_node(request):
         return None
-    if request.disconnected_ms is not None and not request.answer_count:
+    if request.disconnect_at_ms is not None and not request.answer_count:
         return None
     times_ms = [request.sent_ms]
     for parent_id in request.run_after:
--- a/burlmoor/testbed/drill_deferred.py
+++ b/burlmoor/testbed/drill_deferred.py
@@ -70,22 +70,22 @@
         if job.not_before_seconds:
             request.not_before_unix_ms = self._start_unix_ms + 1000.0 * job.not_before_seconds
         if job.disconnect_after_seconds:
-            request.disconnected_ms = request.sent_ms + 1000.0 * job.disconnect_after_seconds
-        await self._cluster.clients[node].send(request, is_failing=job.is_failing)
+            request.disconnect_at_ms = request.sent_ms + 1000.0 * job.disconnect_after_seconds
+        await self._cluster.clients[node].send(request, reports_failure=job.is_failing)
         was_answered_first = (
-            request.disconnected_ms is not None
+            request.disconnect_at_ms is not None
             and request.answer_count
             and request.answered_ms is not None
-            and request.answered_ms < request.disconnected_ms
+            and request.answered_ms < request.disconnect_at_ms
         )
         if was_answered_first:
-            request.disconnected_ms = None
+            request.disconnect_at_ms = None
 
     async def _cause_failures(self) -> None:
         seconds = self._seconds
         killed, drained, *_ = self._cluster.executors
-        kill = partial(self._cluster.kill_executor, announced_after=1.0, restarted_after=3.0)
-        drain = partial(self._cluster.drain_executor, for_seconds=1.0)
+        kill = partial(self._cluster.kill_executor, announced_after_seconds=1.0, restarted_after_seconds=3.0)
+        drain = partial(self._cluster.drain_executor, restarted_after_seconds=1.0)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_call_after, _KILL_AT_FRACTION * seconds, partial(kill, killed))
             nursery.start_soon(_call_after, _DRAIN_AT_FRACTION * seconds, partial(drain, drained))
--- a/burlmoor/testbed/event_record.py
+++ b/burlmoor/testbed/event_record.py
@@ -23,7 +23,7 @@
 
     id: str
     job_class: str
-    sent_ms: float = msgspec.field(name="sent")
+    sent_ms: float = msgspec.field(name="sent")  # intended time; a client that lags sends later
     timeout_ms: float = msgspec.field(name="patience")
     work_ms: float = msgspec.field(name="work", default=0.0)
     run_after: tuple[str, ...] = msgspec.field(name="after", default=())
@@ -34,7 +34,7 @@
     answer_count: int = msgspec.field(name="answers", default=0)
     body: bytes = b""
     # Time at which the client closes the connection without waiting for an answer; None: it waits.
-    disconnected_ms: float | None = msgspec.field(name="left", default=None)
+    disconnect_at_ms: float | None = msgspec.field(name="left", default=None)
     node: int = 0  # the node it was sent to
     slots: int = 1
     is_unsent: bool = msgspec.field(name="unsent", default=False)  # never sent: no node has the request
@@ -131,7 +131,7 @@
             if len(attempts) > 1 and attempts[0].job_class in non_idempotent_classes
         ]
 
-    def find_simultaneous(self, max_open: int) -> list[str]:
+    def find_ids_with_simultaneous_attempts(self, max_open: int) -> list[str]:
         """Return the request id of each attempt that exceeded `max_open` open attempts of its request."""
         return [excess.attempt.id for excess in find_simultaneous(self.attempts, max_open)]
 
@@ -140,7 +140,7 @@
         return [
             request
             for request in self.requests.values()
-            if request.answered_ms is None and request.disconnected_ms is None
+            if request.answered_ms is None and request.disconnect_at_ms is None
         ]
 
     def find_late(self, tolerance_ms: float) -> list[RequestRecord]:
@@ -154,7 +154,7 @@
     def find_misdelivered(self) -> list[str]:
         """Return the ids of requests that were answered with the result of another job.
 
-        If a node answers a request twice, its client takes the second answer for that to its next request.
+        If a node answers a request twice, its client reads the second answer as that to its next request.
         """
         return [
             request.id
--- a/burlmoor/testbed/executor.py
+++ b/burlmoor/testbed/executor.py
@@ -52,7 +52,7 @@
         self.name = name
         self.jobs = JobRunner(name, spec, nursery)
         self.planned_faults: list[PlannedFault] = []
-        self.is_failing = False  # whether every job request is answered with status 500
+        self.answers_with_error = False  # whether every job request is answered with status 500
         self.is_alive = True
         self.started_unix_ms = 0.0  # 0: long ago
         self._event_record = event_record
@@ -97,7 +97,7 @@
 
     async def restart(self) -> None:
         """Start a new process, in slow start, at the same addresses."""
-        self.jobs.restart()
+        self.jobs.reset_model()
         self.started_unix_ms = unix_now_ms()
         self.is_alive = True
         for server in self._servers:
@@ -106,7 +106,7 @@
     def _next_fault(self) -> PlannedFault | None:
         if self.planned_faults:
             return self.planned_faults.pop(0)
-        return PlannedFault.ERROR if self.is_failing else None
+        return PlannedFault.ERROR if self.answers_with_error else None
 
     async def _serve(self, node: str, stream: HttpStream) -> None:
         while (request := await stream.read()) is not None:
@@ -141,7 +141,7 @@
             record_cancellation(attempt)
             return False
         fault = self._next_fault()
-        if fault is None and self.jobs.admit(attempt, node, is_failing=parameters.is_failing):
+        if fault is None and self.jobs.admit(attempt, node, reports_failure=parameters.reports_failure):
             await stream.write_response(HTTPStatus.ACCEPTED)
             return True
         if fault is None or fault is PlannedFault.FULL:
--- a/burlmoor/testbed/executor_callbacks.py
+++ b/burlmoor/testbed/executor_callbacks.py
@@ -16,13 +16,13 @@
 
     from burlmoor.testbed.messages import JobEvent
 
-_MAX_ATTEMPTS = 10
+_MAX_TRIES = 10
 _RETRY_DELAY_SECONDS = 0.2
-_ATTEMPT_TIMEOUT_SECONDS = 1.0
+_TRY_TIMEOUT_SECONDS = 1.0
 
 
 class CallbackSender:
-    """Sends call-backs in the background, and retries each until its node acknowledges it.
+    """Sends call-backs in the background, each until its node acknowledges it or `_MAX_TRIES` fail.
 
     `wait_until_resumed` blocks while the executor is stalled.
     """
@@ -37,14 +37,14 @@
         self._addresses[node] = address
 
     def send(self, node: str, event: JobEvent) -> None:
-        """Send an event to a node, with up to ten attempts."""
+        """Send an event to a node; failed tries are repeated."""
         self._nursery.start_soon(self._send, node, msgspec.json.encode(event))
 
     async def _send(self, node: str, body: bytes) -> None:
-        for _ in range(_MAX_ATTEMPTS):
+        for _ in range(_MAX_TRIES):
             await self._wait_until_resumed()
             with suppress(OSError, trio.TooSlowError, trio.BrokenResourceError):
-                with trio.fail_after(_ATTEMPT_TIMEOUT_SECONDS):
+                with trio.fail_after(_TRY_TIMEOUT_SECONDS):
                     status = await self._post(node, body)
                 if status in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
                     return
--- a/burlmoor/testbed/executor_jobs.py
+++ b/burlmoor/testbed/executor_jobs.py
@@ -41,43 +41,46 @@
         """Set the address at which a node takes call-backs."""
         self._callbacks.set_address(node, address)
 
-    def admit(self, attempt: AttemptRecord, node: str, *, is_failing: bool) -> bool:
-        """Queue a job; return false if it is rejected. With `is_failing` it is reported as failed."""
+    def admit(self, attempt: AttemptRecord, node: str, *, reports_failure: bool) -> bool:
+        """Queue a job; return false if it is rejected.
+
+        With `reports_failure`, it is reported as failed once it has run.
+        """
         if not self.model.admit(now_ms(), attempt.id, attempt.work_ms, attempt.slots):
             return False
         self._assigned_jobs[attempt.id] = _AssignedJob(attempt, node)
         self._model_changed.set()
-        if is_failing:
+        if reports_failure:
             attempt.outcome = AttemptOutcome.FAILING
         return True
 
-    def cancel(self, job: str) -> None:
+    def cancel(self, job_id: str) -> None:
         """Record that a node cancels a job; a queued job is dropped, a running one continues to its end."""
-        assigned = self._assigned_jobs.get(job)
+        assigned = self._assigned_jobs.get(job_id)
         if assigned is None:
             return
         record_cancellation(assigned.attempt)
-        if self.model.drop_queued(now_ms(), job):
-            del self._assigned_jobs[job]
+        if self.model.drop_queued(now_ms(), job_id):
+            del self._assigned_jobs[job_id]
             assigned.attempt.outcome = AttemptOutcome.CANCELLED
             assigned.attempt.ended_ms = now_ms()
 
     def return_queued(self) -> None:
         """Return the queued jobs to their nodes, as a draining executor may."""
-        for job in self.model.take_queued(now_ms()):
-            self._end_job(job, AttemptOutcome.RETURNED, JobState.RETURNED)
+        for job_id in self.model.take_queued(now_ms()):
+            self._end_job(job_id, AttemptOutcome.RETURNED, JobState.RETURNED)
 
     def lose_all(self) -> None:
-        """Discard all jobs without call-backs, as a killed process does."""
+        """Discard all jobs, and send no call-backs, as a killed process does."""
         for assigned in self._assigned_jobs.values():
             if assigned.attempt.outcome is AttemptOutcome.PENDING:
                 assigned.attempt.outcome = AttemptOutcome.LOST
             assigned.attempt.ended_ms = now_ms()
         self._assigned_jobs.clear()
-        self.restart()
+        self.reset_model()
 
-    def restart(self) -> None:
-        """Start anew without jobs, in slow start."""
+    def reset_model(self) -> None:
+        """Replace the model by one without jobs, in slow start."""
         self.model = ExecutorModel(self._spec, now_ms(), in_slow_start=True)
 
     def set_stalled(self, *, is_stalled: bool) -> None:
@@ -108,27 +111,29 @@
                 await self._model_changed.wait()
 
     def _on_progress(self, progress: JobProgress) -> None:
-        assigned = self._assigned_jobs.get(progress.job)
+        assigned = self._assigned_jobs.get(progress.job_id)
         if assigned is None:
             return
         if progress.state is JobState.DONE:
             if assigned.attempt.outcome is AttemptOutcome.FAILING:
-                self._end_job(progress.job, AttemptOutcome.FAILED, JobState.FAILED)
+                self._end_job(progress.job_id, AttemptOutcome.FAILED, JobState.FAILED)
             else:
-                self._end_job(progress.job, AttemptOutcome.DONE, JobState.DONE)
+                self._end_job(progress.job_id, AttemptOutcome.DONE, JobState.DONE)
             return
         if progress.state is JobState.STARTED:
             assigned.attempt.started_ms = now_ms()
-        event = JobEvent(progress.job, self._executor, progress.state, done_fraction=progress.done_fraction)
+        event = JobEvent(
+            progress.job_id, self._executor, progress.state, done_fraction=progress.done_fraction
+        )
         self._callbacks.send(assigned.node, event)
 
-    def _end_job(self, job: str, outcome: AttemptOutcome, state: JobState) -> None:
-        assigned = self._assigned_jobs.pop(job)
+    def _end_job(self, job_id: str, outcome: AttemptOutcome, state: JobState) -> None:
+        assigned = self._assigned_jobs.pop(job_id)
         assigned.attempt.outcome = outcome
         assigned.attempt.ended_ms = now_ms()
-        event = JobEvent(job, self._executor, state)
+        event = JobEvent(job_id, self._executor, state)
         if state is JobState.DONE:
-            event.result = f"{job}@{self._executor}"
+            event.result = f"{job_id}@{self._executor}"
         self._callbacks.send(assigned.node, event)
 
 
--- a/burlmoor/testbed/executor_model.py
+++ b/burlmoor/testbed/executor_model.py
@@ -64,7 +64,7 @@
 class JobProgress(NamedTuple):
     """A change of a job's state: started, running with the fraction done so far, or done."""
 
-    job: str
+    job_id: str
     state: JobState
     done_fraction: float = 0.0
 
@@ -75,7 +75,7 @@
 
     work_ms: float
     slots: int
-    remaining_ms: float
+    remaining_work_ms: float
     next_progress_ms: float = math.inf
 
 
@@ -96,9 +96,9 @@
         """The number of running and queued jobs."""
         return len(self._running) + len(self._queue)
 
-    def has_job(self, job: str) -> bool:
+    def has_job(self, job_id: str) -> bool:
         """Whether the job is running or queued."""
-        return job in self._running or job in self._queue
+        return job_id in self._running or job_id in self._queue
 
     def slow_start_factor(self, now_ms: float) -> float:
         """Return the fraction of its capacity that the executor has at `now_ms`."""
@@ -120,21 +120,21 @@
         """
         done_work_ms = (now_ms - self._now_ms) * self._speed_per_slot()
         for job in self._running.values():
-            job.remaining_ms -= done_work_ms
+            job.remaining_work_ms -= done_work_ms
         self._now_ms = now_ms
 
-    def admit(self, now_ms: float, job: str, work_ms: float, slots: int = 1) -> bool:
+    def admit(self, now_ms: float, job_id: str, work_ms: float, slots: int = 1) -> bool:
         """Queue a job; return false if it can never fit, the queue is full or it is here already."""
         self._advance(now_ms)
-        if slots > self.spec.slots or len(self._queue) >= self.spec.queue_capacity or self.has_job(job):
+        if slots > self.spec.slots or len(self._queue) >= self.spec.queue_capacity or self.has_job(job_id):
             return False
-        self._queue[job] = _Job(work_ms, slots, work_ms)
+        self._queue[job_id] = _Job(work_ms, slots, work_ms)
         return True
 
-    def drop_queued(self, now_ms: float, job: str) -> bool:
+    def drop_queued(self, now_ms: float, job_id: str) -> bool:
         """Remove a job from the queue; return false if it is not queued."""
         self._advance(now_ms)
-        return self._queue.pop(job, None) is not None
+        return self._queue.pop(job_id, None) is not None
 
     def take_queued(self, now_ms: float) -> list[str]:
         """Remove all jobs from the queue and return them in order."""
@@ -161,12 +161,12 @@
     def _report_running(self, now_ms: float) -> list[JobProgress]:
         events = []
         for name, job in list(self._running.items()):
-            if job.remaining_ms <= _NEGLIGIBLE_WORK_MS:
+            if job.remaining_work_ms <= _NEGLIGIBLE_WORK_MS:
                 del self._running[name]
                 events.append(JobProgress(name, JobState.DONE))
             elif now_ms >= job.next_progress_ms and not self._is_stalled:
                 job.next_progress_ms = now_ms + self.spec.progress_interval_ms
-                events.append(JobProgress(name, JobState.RUNNING, 1.0 - job.remaining_ms / job.work_ms))
+                events.append(JobProgress(name, JobState.RUNNING, 1.0 - job.remaining_work_ms / job.work_ms))
         return events
 
     def _start_queued(self, now_ms: float) -> list[JobProgress]:
@@ -190,7 +190,7 @@
         if speed <= 0.0:
             return math.inf
         jobs = self._running.values()
-        run_ms = min((job.remaining_ms / speed for job in jobs), default=math.inf)
+        run_ms = min((job.remaining_work_ms / speed for job in jobs), default=math.inf)
         progress_due_ms = min((job.next_progress_ms for job in jobs), default=math.inf)
         is_in_slow_start = self.slow_start_factor(self._now_ms) < 1.0
         recompute_due_ms = (
--- a/burlmoor/testbed/fleet/audit.py
+++ b/burlmoor/testbed/fleet/audit.py
@@ -12,8 +12,8 @@
 from burlmoor.testbed.fleet.audit_answers import AnswerAudit
 from burlmoor.testbed.fleet.audit_attempts import (
     check_drains,
-    check_runs,
     check_simultaneous_attempts,
+    check_started_jobs,
 )
 from burlmoor.testbed.fleet.audit_result import AuditResult
 from burlmoor.testbed.fleet.audit_slow_start import check_slow_starts
@@ -27,7 +27,7 @@
     result = AuditResult()
     result.violations += [f"{name} ended with {status}" for name, status in record.unexpected_exits.items()]
     AnswerAudit(record, result).check()
-    check_runs(record, result)
+    check_started_jobs(record, result)
     check_simultaneous_attempts(record, result)
     check_drains(record, result)
     check_slow_starts(record, result)
--- a/burlmoor/testbed/fleet/audit_answers.py
+++ b/burlmoor/testbed/fleet/audit_answers.py
@@ -15,11 +15,11 @@
     from burlmoor.testbed.event_record import RequestRecord
     from burlmoor.testbed.fleet.record import RunRecord
 
-UNREAD_MS = 250.0  # how long a node on a loaded machine may take to read a request
+READ_ALLOWANCE_MS = 250.0  # how long a node on a loaded machine may take to read a request
 LATE_ANSWER_ALLOWANCE_MS = 500.0  # how late after the timeout an answer may arrive on a loaded machine
 RESUME_ALLOWANCE_MS = 1000.0  # how long a resumed node may take to read its pending input
 # A request that is sent later than this after SIGTERM must be answered before SIGKILL.
-_UNANSWERED_AFTER_TERM_MS = 700.0
+_MAY_BE_LOST_AFTER_TERM_MS = 700.0
 
 
 class AnswerAudit:
@@ -93,17 +93,17 @@
     def _excuse_of_kill_in_restart(self, request: RequestRecord) -> Excuse | None:
         """Return the excuse for a job that was open at SIGKILL and was sent before or soon after SIGTERM."""
         node, sent_ms = request.node, request.sent_ms
-        kill = self._killed_in_restart.first_within(node, sent_ms, sent_ms + request.timeout_ms)
+        kill = self._killed_in_restart.first_overlapping(node, sent_ms, sent_ms + request.timeout_ms)
         if kill is None:
             return None
-        restart = self._restarted.first_within(node, kill.start, kill.start)
-        must_be_answered = restart is None or sent_ms > restart.start + _UNANSWERED_AFTER_TERM_MS
+        restart = self._restarted.first_overlapping(node, kill.start_ms, kill.start_ms)
+        must_be_answered = restart is None or sent_ms > restart.start_ms + _MAY_BE_LOST_AFTER_TERM_MS
         return None if must_be_answered else Excuse.NODE_KILLED_IN_RESTART
 
 
 def _may_be_unread(request: RequestRecord) -> bool:
     """Whether the connection ended so soon that the node may have closed it before it read the request."""
-    return request.closed_ms is UNSET or request.closed_ms < request.sent_ms + UNREAD_MS
+    return request.closed_ms is UNSET or request.closed_ms < request.sent_ms + READ_ALLOWANCE_MS
 
 
 def _result_owner(request: RequestRecord) -> str:
--- a/burlmoor/testbed/fleet/audit_attempts.py
+++ b/burlmoor/testbed/fleet/audit_attempts.py
@@ -23,20 +23,20 @@
     from burlmoor.testbed.fleet.record import RunRecord
     from burlmoor.testbed.notification_log import Notification
 
-NOTIFICATION_DEADLINE_MS = 250.0  # how long a node may send new jobs after it was notified of a drain
+DRAIN_GRACE_MS = 250.0  # how long a node may send new jobs after it was notified of a drain
 TRANSIT_ALLOWANCE_MS = 150.0  # how long an attempt may take to reach its executor on a loaded machine
 LINK_RECOVERY_SECONDS = 1.0  # how long bytes may still be delayed after a link fault ends
 # Subtracted from a fault's end to get a moment within the fault, whose interval is half-open.
 _JUST_BEFORE_SECONDS = 1e-3
 
 
-def check_runs(record: RunRecord, result: AuditResult) -> None:
+def check_started_jobs(record: RunRecord, result: AuditResult) -> None:
     """Check which jobs the executors started, and how often."""
     started_attempts = [attempt for attempt in record.attempts if attempt.started_ms is not None]
     started = attempts_by_id(started_attempts)
     non_idempotent = {job_class.name for job_class in JOB_CLASSES if job_class.is_non_idempotent}
     _check_non_idempotent_jobs(started, non_idempotent, result)
-    _check_requests_of_runs(record, started, non_idempotent, result)
+    _check_clients_of_started_jobs(record, started, non_idempotent, result)
 
 
 def _check_non_idempotent_jobs(
@@ -50,7 +50,7 @@
     ]
 
 
-def _check_requests_of_runs(
+def _check_clients_of_started_jobs(
     record: RunRecord,
     started: Mapping[str, Sequence[AttemptRecord]],
     non_idempotent: Set[str],
@@ -133,7 +133,7 @@
         if not earlier_count or link_notifications[earlier_count - 1].health is EndpointHealth.ACTIVE:
             continue
         late_ms = received_ms - link_notifications[earlier_count - 1].at_ms
-        if late_ms <= NOTIFICATION_DEADLINE_MS + TRANSIT_ALLOWANCE_MS:
+        if late_ms <= DRAIN_GRACE_MS + TRANSIT_ALLOWANCE_MS:
             continue
         if paused.overlaps(node, received_ms, received_ms, RESUME_ALLOWANCE_MS):
             result.excuse(Excuse.NODE_PAUSED)
--- a/burlmoor/testbed/fleet/audit_result.py
+++ b/burlmoor/testbed/fleet/audit_result.py
@@ -66,15 +66,15 @@
 
     def overlaps(self, node: int, start_ms: float, end_ms: float, allowance_ms: float = 0.0) -> bool:
         """Return whether the fault, prolonged by `allowance_ms`, overlaps the period on this node."""
-        return self.first_within(node, start_ms, end_ms, allowance_ms) is not None
+        return self.first_overlapping(node, start_ms, end_ms, allowance_ms) is not None
 
-    def first_within(
+    def first_overlapping(
         self, node: int, start_ms: float, end_ms: float, allowance_ms: float = 0.0
     ) -> FaultInterval | None:
         """Return the earliest interval of the node that overlaps the period, if any."""
         overlapping = [
             interval
             for interval in self._intervals[node]
-            if interval.start <= end_ms and start_ms <= interval.end + allowance_ms
+            if interval.start_ms <= end_ms and start_ms <= interval.end_ms + allowance_ms
         ]
-        return min(overlapping, key=lambda interval: interval.start, default=None)
+        return min(overlapping, key=lambda interval: interval.start_ms, default=None)
--- a/burlmoor/testbed/fleet/audit_slow_start.py
+++ b/burlmoor/testbed/fleet/audit_slow_start.py
@@ -22,7 +22,7 @@
     started: dict[str, list[float]] = defaultdict(list)
     for interval in record.fault_intervals:
         if interval.kind in (FaultKind.EXECUTOR_KILL, FaultKind.EXECUTOR_DRAIN):
-            started[interval.subject].append(interval.end)
+            started[interval.subject].append(interval.end_ms)
     attempts: dict[str, list[AttemptRecord]] = defaultdict(list)
     for attempt in record.attempts:
         attempts[attempt.executor].append(attempt)
--- a/burlmoor/testbed/fleet/baseline_replay.py
+++ b/burlmoor/testbed/fleet/baseline_replay.py
@@ -144,9 +144,9 @@
         model = self.executors[executor]
         for progress in model.step(self.now_ms):
             if progress.state is JobState.STARTED:
-                self._in_flight[progress.job].attempt.started_ms = self.now_ms
+                self._in_flight[progress.job_id].attempt.started_ms = self.now_ms
             elif progress.state is JobState.DONE:
-                self._on_done(self._in_flight[progress.job])
+                self._on_done(self._in_flight[progress.job_id])
         due_ms = model.next_due_ms()
         scheduled_ms = self._next_steps_ms[executor]
         if due_ms < scheduled_ms or scheduled_ms <= self.now_ms:
@@ -180,27 +180,29 @@
                 self._schedule_fault(interval, executor)
 
     def _schedule_fault(self, interval: FaultInterval, executor: int) -> None:
+        # An interval doesn't name its fault. If the schedule has several faults of a kind, the notification
+        # delay of the last kill and the factor of the largest slowdown apply to all of them.
         faults = self.record.plan.schedule.faults
         if interval.kind is FaultKind.EXECUTOR_DRAIN:
-            self._schedule(interval.start, partial(self._listed.discard, executor))
-            self._schedule(interval.end, partial(self._kill, executor))
-            self._schedule(interval.end, partial(self._restart, executor))
+            self._schedule(interval.start_ms, partial(self._listed.discard, executor))
+            self._schedule(interval.end_ms, partial(self._kill, executor))
+            self._schedule(interval.end_ms, partial(self._restart, executor))
         elif interval.kind is FaultKind.EXECUTOR_KILL:
             delays_ms = [
                 fault.notification_delay * 1000.0 for fault in faults if fault.kind is FaultKind.EXECUTOR_KILL
             ]
-            self._schedule(interval.start, partial(self._kill, executor))
-            self._schedule(interval.start + delays_ms[-1], partial(self._listed.discard, executor))
-            self._schedule(interval.end, partial(self._restart, executor))
+            self._schedule(interval.start_ms, partial(self._kill, executor))
+            self._schedule(interval.start_ms + delays_ms[-1], partial(self._listed.discard, executor))
+            self._schedule(interval.end_ms, partial(self._restart, executor))
         elif interval.kind is FaultKind.EXECUTOR_SLOWDOWN:
             slowdowns = [fault.magnitude for fault in faults if fault.kind is FaultKind.EXECUTOR_SLOWDOWN]
             factor = max(slowdowns, default=1.0)
-            self._schedule(interval.start, partial(self._set_slowdown, executor, max(1.0, factor)))
-            self._schedule(interval.end, partial(self._set_slowdown, executor, 1.0))
+            self._schedule(interval.start_ms, partial(self._set_slowdown, executor, max(1.0, factor)))
+            self._schedule(interval.end_ms, partial(self._set_slowdown, executor, 1.0))
         elif interval.kind in (FaultKind.EXECUTOR_HANG, FaultKind.EXECUTOR_ERRORS):
             # An executor that fails every job is modelled as stalled: either way it serves no client.
-            self._schedule(interval.start, partial(self._set_stalled, executor, is_stalled=True))
-            self._schedule(interval.end, partial(self._set_stalled, executor, is_stalled=False))
+            self._schedule(interval.start_ms, partial(self._set_stalled, executor, is_stalled=True))
+            self._schedule(interval.end_ms, partial(self._set_stalled, executor, is_stalled=False))
 
     def _kill(self, executor: int) -> None:
         self._running.discard(executor)
--- a/burlmoor/testbed/fleet/datagram_faults.py
+++ b/burlmoor/testbed/fleet/datagram_faults.py
@@ -44,7 +44,8 @@
         return copies
 
     def _apply_fault(self, fault: LinkFault, copies: list[DatagramCopy]) -> list[DatagramCopy]:
-        # Drawn even for kinds that do not need it, so that later draws do not depend on the kinds.
+        # Drawn for a fault of any kind, but used only where the magnitude is a probability: for loss,
+        # duplication and corruption.
         is_affected = self._rng.random() < fault.magnitude
         if fault.kind in BLOCKING_FAULTS or (fault.kind is FaultKind.LINK_LOSS and is_affected):
             return []
--- a/burlmoor/testbed/fleet/datagram_switch.py
+++ b/burlmoor/testbed/fleet/datagram_switch.py
@@ -28,7 +28,7 @@
 from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_acknowledgement
 from burlmoor.testbed.fleet.link_faults import LinkFault, LinkProcessConfig
 
-MAX_QUEUED = 100_000  # datagrams; any more are lost, as in a real switch
+MAX_QUEUED_DATAGRAMS = 100_000  # any more are lost, as in a real switch
 _MAX_BATCH = 256  # datagrams received in a row before due ones are delivered
 _MAX_DATAGRAM_BYTES = 2048
 _RECEIVE_BUFFER_BYTES = 4 << 20
@@ -41,7 +41,7 @@
 
 class _QueuedDatagram(NamedTuple):
     due_seconds: float  # on the monotonic clock
-    order: int  # arrival order, in which datagrams due at the same time are delivered
+    order: int  # order of queueing, in which datagrams due at the same time are delivered
     source: int
     destination: int
     payload: bytes
@@ -55,7 +55,7 @@
         self.lost_count = 0
         self._ports = config.ports
         self._queue: list[_QueuedDatagram] = []
-        self._received_count = 0
+        self._queued_count = 0
         self._queue_changed = trio.Event()
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
@@ -83,12 +83,12 @@
     def _enqueue(self, payload: bytes, address: str) -> None:
         link = parse_link_address(address)
         for copy in self.faults.apply(payload, link.node, link.peer):
-            if len(self._queue) >= MAX_QUEUED:
+            if len(self._queue) >= MAX_QUEUED_DATAGRAMS:
                 self.lost_count += 1
                 return
-            self._received_count += 1
+            self._queued_count += 1
             due_seconds = time.monotonic() + copy.delay_seconds
-            queued = _QueuedDatagram(due_seconds, self._received_count, link.node, link.peer, copy.payload)
+            queued = _QueuedDatagram(due_seconds, self._queued_count, link.node, link.peer, copy.payload)
             heapq.heappush(self._queue, queued)
 
     async def deliver(self) -> None:
--- a/burlmoor/testbed/fleet/discovery_faults.py
+++ b/burlmoor/testbed/fleet/discovery_faults.py
@@ -16,7 +16,7 @@
 
 
 class DiscoveryFaultInjector:
-    """Injects faults of discovery, each for one node."""
+    """Injects faults of discovery, each for one node; an overload or an outage affects all nodes."""
 
     def __init__(self, record: RunRecord, node_names: Sequence[str], discovery: DiscoveryService) -> None:
         self._record = record
@@ -26,6 +26,8 @@
     async def inject(self, fault: Fault, number: int) -> None:
         """Wait until the fault starts, inject it for a node, and revert it at its end.
 
+        An overload or an outage of the service ends with the first fault of its kind that ends.
+
         Raises:
             UnsupportedFaultError: the fault is not a discovery fault.
         """
--- a/burlmoor/testbed/fleet/executor_faults.py
+++ b/burlmoor/testbed/fleet/executor_faults.py
@@ -19,9 +19,8 @@
     from burlmoor.testbed.fleet.helper_processes import HelperProcesses
     from burlmoor.testbed.fleet.record import FaultInterval, RunRecord
 
-_HAND_BACK_DELAY_SECONDS = (
-    0.1  # between the announcement of a drain and the moment the executor hands its queue back
-)
+# From the announcement of a drain until the executor returns its queued jobs.
+_RETURN_DELAY_SECONDS = 0.1
 _DEGRADATIONS = {
     FaultKind.EXECUTOR_HANG: ExecutorAction.HANG,
     FaultKind.EXECUTOR_SLOWDOWN: ExecutorAction.SLOW_DOWN,
@@ -64,16 +63,16 @@
         self._discovery.set_entry(name, health=EndpointHealth.GONE)
         await sleep_until(self._record, fault.end)
         self._restart(name)
-        interval.end = now_ms()
+        interval.end_ms = now_ms()
 
     async def _drain(self, fault: Fault, name: str, interval: FaultInterval) -> None:
         self._discovery.set_entry(name, health=EndpointHealth.DRAINING)
-        await trio.sleep(_HAND_BACK_DELAY_SECONDS)
-        self._helpers.command_executor(name, ExecutorAction.HAND_BACK)
+        await trio.sleep(_RETURN_DELAY_SECONDS)
+        self._helpers.command_executor(name, ExecutorAction.RETURN_QUEUED)
         await sleep_until(self._record, fault.end)
         self._helpers.command_executor(name, ExecutorAction.KILL)
         self._restart(name)
-        interval.end = now_ms()
+        interval.end_ms = now_ms()
 
     async def _announce_partition(self, fault: Fault, name: str, interval: FaultInterval) -> None:
         """Announce a partitioned executor as gone, and as active afterwards; its process keeps running."""
@@ -81,7 +80,7 @@
             await trio.sleep(fault.notification_delay)
             self._discovery.set_entry(name, health=EndpointHealth.GONE)
         await sleep_until(self._record, fault.end)
-        interval.end = now_ms()
+        interval.end_ms = now_ms()
         await trio.sleep(fault.notification_delay)
         self._discovery.set_entry(name, health=EndpointHealth.ACTIVE)
 
@@ -90,8 +89,8 @@
         action = _DEGRADATIONS[fault.kind]
         self._helpers.command_executor(name, action, max(1.0, fault.magnitude))
         await sleep_until(self._record, fault.end)
-        self._helpers.command_executor(name, action, 0.0)
-        interval.end = now_ms()
+        self._helpers.command_executor(name, action, 0.0)  # a magnitude of 0 ends the degradation
+        interval.end_ms = now_ms()
 
     def _restart(self, name: str) -> None:
         self._helpers.command_executor(name, ExecutorAction.RESTART)
--- a/burlmoor/testbed/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -26,7 +26,7 @@
 
     KILL = "kill"
     RESTART = "restart"
-    HAND_BACK = "hand_back"  # return the jobs that have not started
+    RETURN_QUEUED = "hand_back"  # return the jobs that have not started
     HANG = "hang"
     SLOW_DOWN = "slow_down"
     FAIL_JOBS = "fail_jobs"
@@ -57,14 +57,14 @@
             executor.kill()
         case ExecutorAction.RESTART if not executor.is_alive:
             await executor.restart()
-        case ExecutorAction.HAND_BACK:
+        case ExecutorAction.RETURN_QUEUED:
             executor.jobs.return_queued()
         case ExecutorAction.HANG:
             executor.jobs.set_stalled(is_stalled=command.magnitude > 0.0)
         case ExecutorAction.SLOW_DOWN:
             executor.jobs.set_slowdown(max(1.0, command.magnitude))
         case ExecutorAction.FAIL_JOBS:
-            executor.is_failing = command.magnitude > 0.0
+            executor.answers_with_error = command.magnitude > 0.0
 
 
 async def serve(config: ExecutorsConfig) -> None:
--- a/burlmoor/testbed/fleet/faults.py
+++ b/burlmoor/testbed/fleet/faults.py
@@ -31,7 +31,7 @@
     `magnitude` depends on the kind:
 
     - link delay, discovery delay, reordering: a delay in ms;
-    - loss, reset, corruption, duplication: the share of messages affected;
+    - loss, reset, corruption, duplication: the share of datagrams, or of chunks read from a connection;
     - throttling: bytes per second;
     - executor slowdown: the factor by which the executor is slower;
     - restart and reload: a number of signals;
--- a/burlmoor/testbed/fleet/load_grid.py
+++ b/burlmoor/testbed/fleet/load_grid.py
@@ -55,8 +55,8 @@
         self.is_available = np.ones((self.slice_count, len(specs)), dtype=bool)
         for interval in fault_intervals:
             if interval.kind in _UNAVAILABILITY and interval.subject in self.numbers:
-                first = self.slice_at(interval.start)
-                last = self.slice_at(interval.end)
+                first = self.slice_at(interval.start_ms)
+                last = self.slice_at(interval.end_ms)
                 self.is_available[first : last + 1, self.numbers[interval.subject]] = False
 
     @classmethod
--- a/burlmoor/testbed/fleet/metrics.py
+++ b/burlmoor/testbed/fleet/metrics.py
@@ -37,7 +37,7 @@
 HERD_WINDOW_MS = 50.0
 RECOVERED_FACTOR = 1.25  # multiple of the usual variation up to which a run counts as recovered
 RECOVERED_SECONDS = 2.0  # how long the variation must stay within that limit
-_TRANSIT_ALLOWANCE_MS = 100.0  # how long a job may be in transit without counting as waiting
+_START_ALLOWANCE_MS = 100.0  # how long a job may be in transit without counting as waiting
 _HERD_QUANTILE = 0.999
 _MEDIAN = 0.5
 _TAIL = 0.99
@@ -47,7 +47,7 @@
 class SpreadMetrics(msgspec.Struct):
     """The metrics of one way to spread the jobs of a run."""
 
-    thundering_herd: float  # at p99.9, relative to round robin
+    thundering_herd_p999: float = msgspec.field(name="thundering_herd")  # at p99.9, relative to round robin
     thundering_herd_max: float
     max_over_mean: float  # median over the slices
     variation: float  # median over the slices
@@ -121,8 +121,8 @@
         if request.answered_ms is not None:
             ended_ms = request.answered_ms
         waited_until_ms = min(started_ms.get(request.id, math.inf), ended_ms)
-        if waited_until_ms > request.sent_ms + _TRANSIT_ALLOWANCE_MS:
-            changes[grid.slice_at(request.sent_ms + _TRANSIT_ALLOWANCE_MS)] += 1.0
+        if waited_until_ms > request.sent_ms + _START_ALLOWANCE_MS:
+            changes[grid.slice_at(request.sent_ms + _START_ALLOWANCE_MS)] += 1.0
             changes[grid.slice_at(waited_until_ms)] -= 1.0
         if request.is_rejected:
             rejected = grid.slice_at(ended_ms)
@@ -198,7 +198,7 @@
     served = [request for request in requests if request.is_served]
     latencies_ms = [request.latency_ms for request in served]
     return SpreadMetrics(
-        thundering_herd=herd.p999,
+        thundering_herd_p999=herd.p999,
         thundering_herd_max=herd.maximum,
         max_over_mean=float(np.median(evenness.max_over_mean[SETTLING_SLICES:])),
         variation=float(np.median(evenness.variation[SETTLING_SLICES:])),
--- a/burlmoor/testbed/fleet/node_faults.py
+++ b/burlmoor/testbed/fleet/node_faults.py
@@ -71,7 +71,7 @@
         process = self._nodes.pause(number)
         await sleep_until(self._record, fault.end)
         self._nodes.resume(process)
-        interval.end = now_ms()
+        interval.end_ms = now_ms()
 
     async def _end(self, fault: Fault, number: int) -> None:
         """Kill or terminate a node, and start it again when the fault ends."""
@@ -106,7 +106,7 @@
         self._nodes.start(number)
         with trio.move_on_after(READY_SECONDS):
             await self._nodes.wait_until_ready(number)
-        interval.end = now_ms()
+        interval.end_ms = now_ms()
 
     async def _reload(self, fault: Fault, number: int) -> None:
         """Make a node reload its configuration, several times in a row."""
@@ -121,4 +121,4 @@
         interval = self._begin(fault, number)
         flood = ConnectionFlood((node_address(number), self._ports.node_http), int(fault.magnitude))
         await flood.run(fault.duration)
-        interval.end = now_ms()
+        interval.end_ms = now_ms()
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -76,8 +76,8 @@
 
     kind: FaultKind = msgspec.field(name="what")
     subject: str = msgspec.field(name="who")  # the name of the node or executor, or LINKS_SUBJECT
-    start: float = msgspec.field(name="since")
-    end: float = msgspec.field(name="until")
+    start_ms: float = msgspec.field(name="since")
+    end_ms: float = msgspec.field(name="until")
 
 
 class ResourceUsage(msgspec.Struct):
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -97,8 +97,10 @@
     async def _relay(self, accepted: trio.SocketStream, direction: LinkDirection) -> None:
         """Connect to the other end, and relay both directions until they end or either connection fails.
 
+        If the link is reset or either connection fails, both connections are reset.
+
         Raises:
-            LinkResetError: the link is reset.
+            LinkResetError: the link is reset; handled here like a failed connection.
         """
         connected: trio.SocketStream | None = None
         try:
--- a/burlmoor/testbed/fleet/verdict.py
+++ b/burlmoor/testbed/fleet/verdict.py
@@ -20,17 +20,17 @@
 MAX_THUNDERING_HERD = 3.0
 MAX_IDLENESS = 0.02
 MAX_RECOVERY_SECONDS = 5.0  # or the recovery time of the bound, if that is longer
-_BOUND = "shortest"  # the baseline that knows the true state, which no node can
+_BOUND = "shortest"  # the baseline that knows the true state; the reference for the nodes, which do not
 
 
 class RunAssessment(msgspec.Struct):
     """The metrics, the audit and the resource usage of one run."""
 
-    node: SpreadMetrics
+    node_metrics: SpreadMetrics = msgspec.field(name="node")
     baselines: dict[str, SpreadMetrics]
     audit: AuditResult
-    cpu_ms: float  # of all node processes, per job sent
-    memory_mib: float  # of the node that uses the most
+    node_cpu_ms_per_job: float = msgspec.field(name="cpu_ms")  # of all nodes together, per job sent
+    max_node_memory_mib: float = msgspec.field(name="memory_mib")
 
     def claims(self) -> dict[str, Claim]:
         """Return the claims that must hold, by name."""
@@ -38,28 +38,28 @@
 
     def _spread_claims(self) -> dict[str, Claim]:
         bound = self.baselines[_BOUND]
-        variation_ratio = _ratio(self.node.variation, bound.variation)
-        max_over_mean_ratio = _ratio(self.node.max_over_mean, bound.max_over_mean)
+        variation_ratio = _ratio(self.node_metrics.variation, bound.variation)
+        max_over_mean_ratio = _ratio(self.node_metrics.max_over_mean, bound.max_over_mean)
         return {
             RULES_CLAIM: self.audit.violations_claim(),
             "variation over the bound's": Claim(variation_ratio, MAX_RATIO_TO_BOUND),
             "worst over mean, over the bound's": Claim(max_over_mean_ratio, MAX_RATIO_TO_BOUND),
-            "herd at p99.9": Claim(self.node.thundering_herd, MAX_THUNDERING_HERD),
-            "idleness": Claim(self.node.idleness, MAX_IDLENESS),
+            "herd at p99.9": Claim(self.node_metrics.thundering_herd_p999, MAX_THUNDERING_HERD),
+            "idleness": Claim(self.node_metrics.idleness, MAX_IDLENESS),
         }
 
     def _baseline_claims(self) -> dict[str, Claim]:
         claims = {}
         for name, baseline in self.baselines.items():
             if name != _BOUND:
-                ratio = _ratio(self.node.served_in_time, baseline.served_in_time)
+                ratio = _ratio(self.node_metrics.served_in_time, baseline.served_in_time)
                 claims[f"served in time, over {name}'s"] = Claim(ratio, 1.0, is_lower_bound=True)
         return claims
 
     def _recovery_claims(self) -> dict[str, Claim]:
         bound = self.baselines[_BOUND]
         claims = {}
-        for name, seconds in self.node.recovery_seconds.items():
+        for name, seconds in self.node_metrics.recovery_seconds.items():
             # An infinite time means that the run was too short for the bound to recover.
             if math.isfinite(bound.recovery_seconds[name]):
                 limit_seconds = max(MAX_RECOVERY_SECONDS, bound.recovery_seconds[name])
@@ -69,20 +69,20 @@
     def figures(self) -> dict[str, float]:
         """Return the finite figures to show beside the claims."""
         figures = {
-            "served": self.node.served,
-            "served in time": self.node.served_in_time,
-            "p50 ms": self.node.latency_p50_ms,
-            "p99 ms": self.node.latency_p99_ms,
-            "variation": self.node.variation,
-            "herd at most": self.node.thundering_herd_max,
-            "node CPU ms a job": self.cpu_ms,
-            "node MiB": self.memory_mib,
+            "served": self.node_metrics.served,
+            "served in time": self.node_metrics.served_in_time,
+            "p50 ms": self.node_metrics.latency_p50_ms,
+            "p99 ms": self.node_metrics.latency_p99_ms,
+            "variation": self.node_metrics.variation,
+            "herd at most": self.node_metrics.thundering_herd_max,
+            "node CPU ms a job": self.node_cpu_ms_per_job,
+            "node MiB": self.max_node_memory_mib,
         }
         for name, baseline in self.baselines.items():
             figures[f"{name}: served in time"] = baseline.served_in_time
             figures[f"{name}: variation"] = baseline.variation
             figures[f"{name}: idleness"] = baseline.idleness
-            figures[f"{name}: herd at p99.9"] = baseline.thundering_herd
+            figures[f"{name}: herd at p99.9"] = baseline.thundering_herd_p999
         figures |= self.audit.excuse_figures()
         return {name: value for name, value in figures.items() if math.isfinite(value)}
 
@@ -107,9 +107,11 @@
     requests = [request for request in record.requests if request.id not in lost_ids]
     usages = record.resource_usage.values()
     return RunAssessment(
-        node=measure_spread(record, requests, record.attempts),
+        node_metrics=measure_spread(record, requests, record.attempts),
         baselines=baselines,
         audit=audited,
-        cpu_ms=1000.0 * sum(usage.cpu_seconds for usage in usages) / max(1, len(record.requests)),
-        memory_mib=max((usage.memory_bytes for usage in usages), default=0) / 2**20,
+        node_cpu_ms_per_job=1000.0
+        * sum(usage.cpu_seconds for usage in usages)
+        / max(1, len(record.requests)),
+        max_node_memory_mib=max((usage.memory_bytes for usage in usages), default=0) / 2**20,
     )
--- a/burlmoor/testbed/load.py
+++ b/burlmoor/testbed/load.py
@@ -27,7 +27,7 @@
 _ZIPF_EXPONENT = 1.5
 _MAX_KEYS = 50
 _MIN_SLEEP_MS = 0.5
-_CHECKPOINT_INTERVAL_JOBS = 8  # a generator that lags runs other tasks once per so many jobs
+_CHECKPOINT_INTERVAL_JOBS = 8  # a generator that lags lets other tasks run at each such interval
 
 
 class JobOutcome(StrEnum):
--- a/burlmoor/testbed/local_cluster.py
+++ b/burlmoor/testbed/local_cluster.py
@@ -1,4 +1,4 @@
-"""A complete installation on loopback: real node processes with stand-in discovery, executors and clients."""
+"""A complete cluster on loopback: real node processes with stand-in discovery, executors and clients."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from collections.abc import AsyncIterator, Mapping, Sequence
     from pathlib import Path
 
-_DRAIN_SECONDS = 0.1  # time from the announcement until a draining executor returns its queued jobs
+_RETURN_DELAY_SECONDS = 0.1  # time from the announcement until a draining executor returns its queued jobs
 
 
 class ExecutorSize(NamedTuple):
@@ -59,7 +59,7 @@
 
 
 class LocalCluster:
-    """All parts of one installation, and the record of what clients and executors observe.
+    """All parts of one cluster, and the record of what clients and executors observe.
 
     With `has_links`, nodes connect to executors and discovery, and executors to nodes, over links that can be
     cut. A link accepts connections for an executor that is not running, and then resets them.
@@ -119,12 +119,12 @@
         link = self._callback_links[node.name] = NetworkLink(f"{host}:{port}", self.nursery)
         return parse_address(await link.open())
 
-    async def start_node(self, node: NodeProcess, known_list: Mapping[str, object] | None = None) -> None:
+    async def start_node(self, node: NodeProcess, cached_list: Mapping[str, object] | None = None) -> None:
         """Start or restart a node's process with an endpoint list, by default the current one."""
-        if known_list is None:
-            known_list = self.discovery.full_list(node.name)
+        if cached_list is None:
+            cached_list = self.discovery.full_list(node.name)
         discovery_address = self._discovery_addresses[node.name]
-        await node.start(self.nursery, self._settings, discovery_address, known_list)
+        await node.start(self.nursery, self._settings, discovery_address, cached_list)
 
     def links_to(self, executor: str) -> list[NetworkLink]:
         """Return the links from all nodes to one executor."""
@@ -147,24 +147,26 @@
         """Return the link from one node to discovery."""
         return self._discovery_links[node]
 
-    async def kill_executor(self, name: str, announced_after: float, restarted_after: float) -> None:
-        """Kill an executor, announce it after some seconds, and restart the executor in slow start.
+    async def kill_executor(
+        self, name: str, announced_after_seconds: float, restarted_after_seconds: float
+    ) -> None:
+        """Kill an executor, announce it as gone after some seconds, and restart it in slow start.
 
         Both times count from the kill.
         """
         executor = self.executors[name]
         executor.kill()
-        await trio.sleep(announced_after)
+        await trio.sleep(announced_after_seconds)
         self.discovery.set_entry(name, health="left")
-        await trio.sleep(max(0.0, restarted_after - announced_after))
+        await trio.sleep(max(0.0, restarted_after_seconds - announced_after_seconds))
         await self._restart_executor(name)
 
-    async def drain_executor(self, name: str, for_seconds: float) -> None:
-        """Announce that an executor drains, return its queued jobs, and restart it after some seconds."""
+    async def drain_executor(self, name: str, restarted_after_seconds: float) -> None:
+        """Announce that an executor drains, return its queued jobs, and restart it some seconds later."""
         self.discovery.set_entry(name, health="leaving")
-        await trio.sleep(_DRAIN_SECONDS)
+        await trio.sleep(_RETURN_DELAY_SECONDS)
         self.executors[name].jobs.return_queued()
-        await trio.sleep(for_seconds)
+        await trio.sleep(restarted_after_seconds)
         self.executors[name].kill()
         await self._restart_executor(name)
 
@@ -200,13 +202,13 @@
     command: Sequence[str] = NODE_COMMAND,
     start: bool = True,
     has_links: bool = False,
-    **changes: object,
+    **settings_overrides: object,
 ) -> AsyncIterator[LocalCluster]:
-    """Run an installation until the context ends; if `start` is false, the caller starts it.
+    """Run a cluster until the context ends; if `start` is false, the caller starts it.
 
-    `options` is the text of the nodes' options file; `changes` override platform settings by name.
+    `options` is the text of the nodes' options file; `settings_overrides` override platform settings by name.
     """
-    settings = {**platform_settings(nodes=nodes), **changes}
+    settings = {**platform_settings(nodes=nodes), **settings_overrides}
     processes = [
         NodeProcess(f"n{number}", folder / f"n{number}", options_text=options, command=command)
         for number in range(nodes)
--- a/burlmoor/testbed/messages.py
+++ b/burlmoor/testbed/messages.py
@@ -23,7 +23,7 @@
 
     work_ms: float = msgspec.field(name="work")  # ms on one core of speed 1, for each slot
     slots: int = 1
-    is_failing: bool = msgspec.field(name="fails", default=False)  # the executor reports it as failed
+    reports_failure: bool = msgspec.field(name="fails", default=False)  # the executor reports it as failed
 
 
 class JobEvent(msgspec.Struct):
--- a/burlmoor/testbed/network_link.py
+++ b/burlmoor/testbed/network_link.py
@@ -44,7 +44,8 @@
         self.forward = DirectionConditions()  # towards the server
         self.back = DirectionConditions()
         self.handshake_seconds = 0.0
-        self.delayed_connections = 0  # established ones with data delayed by the last cut
+        # Directions of established connections whose data was delayed by the last cut.
+        self.delayed_direction_count = 0
         self._server = server
         self._listener = HttpServer(self._relay, nursery)
         self._healed = trio.Event()
@@ -66,7 +67,7 @@
     def cut(self) -> None:
         """Stop delivering in both directions."""
         if not self.is_cut:
-            self.delayed_connections = 0
+            self.delayed_direction_count = 0
             self._healed = trio.Event()
 
     def heal(self) -> None:
@@ -74,8 +75,8 @@
         self._healed.set()
 
     async def wait_until_healed(self, *, has_data: bool = False) -> None:
-        """Wait until the link is healed; with `has_data`, count a connection with delayed data."""
-        self.delayed_connections += has_data
+        """Wait until the link is healed; with `has_data`, count a direction whose data is delayed."""
+        self.delayed_direction_count += has_data
         await self._healed.wait()
 
     async def _relay(self, downstream: HttpStream) -> None:
--- a/burlmoor/testbed/node_process.py
+++ b/burlmoor/testbed/node_process.py
@@ -82,7 +82,7 @@
         nursery: trio.Nursery,
         settings: Mapping[str, object],
         discovery_address: str,
-        known_list: Mapping[str, object],
+        cached_list: Mapping[str, object],
     ) -> None:
         """Write the files, start the process, and wait until it is ready.
 
@@ -90,7 +90,7 @@
             NodeExitedError: the process exited before it was ready.
             trio.TooSlowError: the node is not ready after 30 s.
         """
-        self._write_config(settings, discovery_address, known_list)
+        self._write_config(settings, discovery_address, cached_list)
         environment = self._make_environment()
         self.process = await trio.lowlevel.open_process(
             self.command, env=environment, stderr=subprocess.PIPE, start_new_session=True
@@ -103,7 +103,7 @@
                 await trio.sleep(_READY_POLL_SECONDS)
 
     def _write_config(
-        self, settings: Mapping[str, object], discovery_address: str, known_list: Mapping[str, object]
+        self, settings: Mapping[str, object], discovery_address: str, cached_list: Mapping[str, object]
     ) -> None:
         config = {
             "name": self.name,
@@ -112,7 +112,7 @@
             "discovery": discovery_address,
             "seed": _RANDOM_SEED,
             "settings": settings,
-            "known": known_list,
+            "known": cached_list,
             "limits": {"sockets": _MAX_SOCKETS},
             **self._extra_config,
         }
--- a/burlmoor/testbed/notification_log.py
+++ b/burlmoor/testbed/notification_log.py
@@ -69,7 +69,7 @@
         self._is_service_down = True
 
     def on_outage_ended(self) -> None:
-        """Resume these notifications; their time limit starts anew."""
+        """Resume the notifications of nodes whose last call failed; their time limit counts from now."""
         if self._is_service_down:
             self._recovered_ms = now_ms()
         self._is_service_down = False
@@ -79,7 +79,7 @@
         self._failed_nodes.discard(node)
 
     def on_call_failed(self, node: str) -> None:
-        """Count the node as notified of changes after a time limit, until one of its calls succeeds."""
+        """Count the node as notified of each change some time after it, until a call of the node succeeds."""
         self._failed_nodes.add(node)
 
     def on_call_answered(self, node: str, entries: Iterable[EndpointEntry]) -> None:
@@ -90,14 +90,14 @@
 
     def on_list_changed(self, change: Change) -> None:
         """Record the change for nodes whose last call failed, once they count as notified."""
-        self._nursery.start_soon(self._notify_failed_nodes, change, self._history.version)
+        self._nursery.start_soon(self._record_for_failed_nodes, change, self._history.version)
 
     def on_watch_stalled(self, node: str, watch: Watch) -> None:
         """Record the changes that the watch misses, once the node counts as notified."""
         notified_ms = max(now_ms() + _NOTIFIED_AFTER_STALL_MS, watch.ends_ms + _NOTIFIED_AFTER_WATCH_END_MS)
-        self._nursery.start_soon(self._notify_stalled_node, node, watch.version, notified_ms)
+        self._nursery.start_soon(self._record_for_stalled_node, node, watch.version, notified_ms)
 
-    async def _notify_failed_nodes(self, change: Change, version: int) -> None:
+    async def _record_for_failed_nodes(self, change: Change, version: int) -> None:
         while True:
             due_ms = max(change.at_ms, self._recovered_ms) + _NOTIFIED_AFTER_FAILURE_MS
             wait_ms = _OUTAGE_POLL_MS if self._is_service_down else due_ms - now_ms()
@@ -112,7 +112,7 @@
             if self._notified_health.get((node, endpoint), EndpointHealth.ACTIVE) is not health:
                 self._record(node, change.entry)
 
-    async def _notify_stalled_node(self, node: str, version: int, notified_ms: float) -> None:
+    async def _record_for_stalled_node(self, node: str, version: int, notified_ms: float) -> None:
         await trio.sleep(max(0.0, notified_ms - now_ms()) / 1000.0)
         for entry in self._history.find_changed(version):
             if self._notified_health.get((node, entry.name)) is not entry.health:
--- a/burlmoor/testbed/ports.py
+++ b/burlmoor/testbed/ports.py
@@ -18,13 +18,13 @@
 _FIRST_PORT = 30_000  # above the ports that fleets use
 _FIRST_EPHEMERAL_PORT = 32_768  # Linux default; ports from here on are given to outgoing connections
 _PORTS = range(_FIRST_PORT, _FIRST_EPHEMERAL_PORT)
-# Distance of the first ports of processes with successive ids, so that they rarely try the same port.
-_PORTS_PER_PROCESS = 83
-_FIRST_INDEX = os.getpid() * _PORTS_PER_PROCESS % len(_PORTS)
+# Distance between the first ports of processes with successive ids, so that they rarely try the same port.
+_FIRST_PORT_STRIDE = 83
+_FIRST_INDEX = os.getpid() * _FIRST_PORT_STRIDE % len(_PORTS)
 
 _next_ports: Iterator[int] = cycle([*_PORTS[_FIRST_INDEX:], *_PORTS[:_FIRST_INDEX]])
 
-# Ports stay reserved for longer than a process takes from its start until it listens.
+# A reservation ends after this many further ones, by when the server is assumed to listen on its port.
 _MAX_RESERVED_PORTS = 64
 _reserved_sockets: deque[socket.socket] = deque()
 
--- a/burlmoor/testbed/single_node.py
+++ b/burlmoor/testbed/single_node.py
@@ -106,8 +106,8 @@
             discovery_address = await discovery.listen_for_node(node.name, addresses)
             for name in specs:
                 discovery.set_entry(name)
-            known_list = discovery.full_list(node.name)
-            await node.start(nursery, platform_settings(job_classes), discovery_address, known_list)
+            cached_list = discovery.full_list(node.name)
+            await node.start(nursery, platform_settings(job_classes), discovery_address, cached_list)
             yield node
             await node.stop()
             nursery.cancel_scope.cancel()
--- a/burlmoor/types/events.py
+++ b/burlmoor/types/events.py
@@ -12,7 +12,7 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """The endpoint list, or changes to it."""
+    """The endpoint list, changes to it, or the news that receiving it failed."""
 
     kind: ListKind
     entries: Sequence[EndpointEntry] = ()
@@ -79,8 +79,8 @@
     is_job_closed: bool  # whether the job no longer needs a final answer
 
 
-class ClientDisconnected(NamedTuple):
-    """The client has disconnected, or the host has answered the job itself: no answer is needed."""
+class JobClosed(NamedTuple):
+    """The job no longer needs a final answer: its client has disconnected, or the host has answered it."""
 
     id: int
 
@@ -120,7 +120,7 @@
     | ResponseStarted
     | AttemptCancelling
     | AttemptEnded
-    | ClientDisconnected
+    | JobClosed
     | HealthChecked
     | PeerMessageReceived
     | HandoverChanged
--- a/burlmoor/types/reasons.py
+++ b/burlmoor/types/reasons.py
@@ -17,7 +17,7 @@
     DEADLINE = "deadline"  # the deadline is near, or has passed
     NO_RETRY = "no-retry"  # an attempt ended without an answer, and another one is not allowed or not useful
     SHUTDOWN = "shutdown"  # the process is shutting down
-    RUN_CONDITIONS = "run-conditions"  # ended while deferred
+    RUN_CONDITIONS = "run-conditions"  # ended while deferred, without being released
     DISCONNECTED = "client-disconnected"
 
 
--- a/burlmoor/types/settings.py
+++ b/burlmoor/types/settings.py
@@ -1,4 +1,8 @@
-"""The settings of one node, as the policy and the engine use them; `burlmoor.config` decodes them."""
+"""The settings of one node, as the policy and the engine use them.
+
+`burlmoor.config.settings` decodes them, with the platform's defaults. The defaults here differ from these;
+they apply to settings that code makes without a configuration, as tests do.
+"""
 
 from __future__ import annotations
 
@@ -83,7 +87,7 @@
 
     response_slack_ms: float = 0.0  # how long after the client's deadline an answer still counts
     drain_grace_ms: float = 1000.0  # the time within which sends to a draining or removed endpoint must stop
-    initial_capacity: float = 0.2  # the least fraction of its capacity that a starting executor has
+    initial_capacity_fraction: float = 0.2  # of its full capacity that an executor has at its start
     slow_start_ms: float = 10_000.0  # time from its start until an executor has its full capacity
     # An executor in slow start fails under a load of more than `overload_multiple` times its present capacity
     # for `overload_window_ms`.
@@ -95,7 +99,7 @@
         """Check that no time is negative.
 
         Raises:
-            InvalidSettingError: a time is negative; only the first one is reported, under its name in errors.
+            InvalidSettingError: a time is negative; only the first is reported, by its name in `times_ms`.
         """
         times_ms = {
             "answer_slack": self.response_slack_ms,
@@ -111,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prices:
+class Penalties:
     """Penalties subtracted from the objective, as fractions of the total priority weight per unit."""
 
     cross_zone: float = 0.0  # for attempts sent to another zone, per first attempt
@@ -136,12 +140,12 @@
     tenants: tuple[Tenant, ...] = ()
     limits: Limits = Limits()
     rules: Rules = Rules()
-    prices: Prices = Prices()
+    penalties: Penalties = Penalties()
     objective: ObjectiveWeights = ObjectiveWeights()
     zone: str = ""
     node_index: int | None = None  # this node's number, from 0 and below `node_count`
     node_count: int = 1
-    must_poll: bool = False  # whether the node gets list updates only by fetching or watching
+    pulls_endpoint_list: bool = False  # whether no agent sends list updates: it fetches or watches
     tick_ms: float = 1.0  # the shortest time between two calls to the policy
     progress_interval_ms: float = 0.0  # between progress reports of a running job; 0: none
     reports_start: bool = False  # whether executors report that a job has started
@@ -149,10 +153,10 @@
     over_quota_fraction: float = 1.0  # the fraction of its weight that a job over its tenant's quota keeps
 
     def check(self) -> None:
-        """Check all settings.
+        """Check that there is a class, that no time or stretch is negative, and that the tick is positive.
 
         Raises:
-            InvalidSettingError: a setting is invalid; only the first one is reported.
+            InvalidSettingError: one of these checks fails; only the first failure is reported.
         """
         if not self.classes:
             field = "classes"
--- a/tests/config/options/test_options.py
+++ b/tests/config/options/test_options.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from burlmoor.config.options import DeferredOptions, InvalidOptionsError, Options, read_options
-from burlmoor.config.options.parser import parse_options, section_types, unit_kind
+from burlmoor.config.options.parser import parse_options, quantity_kind, section_types
 from burlmoor.config.options.units import UNITS, format_quantity, parse_quantity
 
 EXAMPLE = Path(__file__).parents[3] / "deploy" / "burlmoor.ini.example"
@@ -105,4 +105,4 @@
     for section_type in section_types().values():
         for field in msgspec.structs.fields(section_type):
             assert msgspec.convert(field.default, field.type) == field.default
-            assert unit_kind(field.type) in (None, *UNITS)
+            assert quantity_kind(field.type) in (None, *UNITS)
--- a/tests/config/test_settings_page.py
+++ b/tests/config/test_settings_page.py
@@ -9,7 +9,7 @@
 import pytest
 
 from burlmoor.config import node_config
-from burlmoor.config.settings_object import SettingsTable
+from burlmoor.config.settings_object import EncodedObject
 from burlmoor.downstream import callbacks
 from burlmoor.endpoints import discovered_list
 
@@ -22,7 +22,7 @@
     for word in re.findall(r"[A-Za-z_]+", " ".join(re.findall(r"`([^`]*)`", row.split("|")[1])))
 }
 STRUCTS: list[type[msgspec.Struct]] = [
-    *SettingsTable.__subclasses__(),
+    *EncodedObject.__subclasses__(),
     node_config._ConfigFile,
     node_config._MachineLimits,
     discovered_list.DiscoveredList,
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -71,7 +71,7 @@
         view = node.view(cluster.now)
         members = sorted(
             (key, fact.address, fact.generation, fact.nonce, fact.incarnation, int(fact.status))
-            for key, fact in view.members.items()
+            for key, fact in view.states.items()
         )
         digest.update(repr((name, view.version, view.configured_count, view.is_current, members)).encode())
     digest.update(repr((cluster.sent_bytes, cluster.death_declarations)).encode())
--- a/tests/integration/test_partitions.py
+++ b/tests/integration/test_partitions.py
@@ -42,7 +42,7 @@
             nursery.start_soon(send_jobs, cluster, SEARCH, "bb", 60)
             nursery.start_soon(send_jobs, cluster, CONFIRM, "cc", 60)
             await trio.sleep(cut_seconds)
-            delayed_count = sum(link.delayed_connections for link in links)
+            delayed_count = sum(link.delayed_direction_count for link in links)
             assert delayed_count > 0, "the partition delayed no connection: the test proves nothing"
             for name in LEAVING:
                 cluster.discovery.set_entry(name, health=health)
--- a/tests/integration/test_simultaneous_attempts.py
+++ b/tests/integration/test_simultaneous_attempts.py
@@ -122,7 +122,7 @@
     async with open_linked_cluster(tmp_path, Limits=limits(may_hedge=False)) as cluster:
         await scenario(cluster)
         assert reason in cancel_reasons(cluster), "nothing was cancelled: the test proves nothing"
-        assert cluster.event_record.find_simultaneous(1) == []
+        assert cluster.event_record.find_ids_with_simultaneous_attempts(1) == []
 
 
 async def test_the_first_attempts_of_a_new_process_are_not_overdue(tmp_path: Path) -> None:
@@ -139,4 +139,4 @@
     async with open_linked_cluster(tmp_path, Limits=limits(may_hedge=True)) as cluster:
         await delay_responses(cluster)
         assert len(cluster.event_record.attempts) > JOBS, "nothing was retried: the test proves nothing"
-        assert cluster.event_record.find_simultaneous(2) == []
+        assert cluster.event_record.find_ids_with_simultaneous_attempts(2) == []
--- a/tests/integration/test_stalls.py
+++ b/tests/integration/test_stalls.py
@@ -55,7 +55,7 @@
         async with trio.open_nursery() as nursery:
             for number in range(CLIENTS):
                 request = new_request(f"bb{number}", SEARCH, 20.0)
-                request.disconnected_ms = disconnect_ms if do_clients_disconnect else None
+                request.disconnect_at_ms = disconnect_ms if do_clients_disconnect else None
                 nursery.start_soon(cluster.clients[0].send, request)
             await trio.sleep(stall_seconds)
             node.send_signal(signal.SIGCONT)
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -38,7 +38,7 @@
     assert count >= 1
     decoded = decode(data)
     assert (decoded.kind, decoded.sequence_number) == (kind, sequence_number)
-    assert decoded.members == tuple(states[:count])
+    assert decoded.states == tuple(states[:count])
 
 
 @given(st.binary(max_size=300), st.integers(0, 255), st.integers(0, 255))
@@ -49,7 +49,7 @@
     altered = valid[:index] + bytes([value]) + valid[index + 1 :]
     for data in (noise, valid[:index], valid + noise[:3], altered):
         try:
-            assert decode(data).members or data == valid
+            assert decode(data).states or data == valid
         except InvalidDatagramError:
             continue
 
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -109,9 +109,9 @@
     simulation.start("n4", generation)
     simulation.run(simulation.now + 10.0)
     after = simulation.running["n4"].local
-    assert after.process_precedence > before.process_precedence
+    assert after.process_id > before.process_id
     views = [node.view(simulation.now) for node in simulation.running.values()]
-    assert {view.members["n4"].precedence for view in views} == {after.precedence}
+    assert {view.states["n4"].precedence for view in views} == {after.precedence}
     assert not simulation.running["n4"].is_name_contested
 
 
@@ -159,7 +159,7 @@
     simulation.run(simulation.now + 20.0)
     assert simulation.death_declarations == []
     views = [node.view(simulation.now) for node in simulation.running.values()]
-    assert {view.members["n4"].status for view in views} == {MemberStatus.LEFT}
+    assert {view.states["n4"].status for view in views} == {MemberStatus.LEFT}
 
 
 def test_duplicate_name_is_detected_and_stops_causing_updates() -> None:
@@ -184,12 +184,12 @@
     for number in range(200):
         state = MemberState(f"x{number}", ("127.0.0.2", 1), 1, 1, 0, MemberStatus.DEAD)
         node.on_message(Message(MessageKind.GOSSIP, 0, 0, (state,)), state.address, 1.0)
-    assert len(node.view(1.0).members) == 51
+    assert len(node.view(1.0).states) == 51
     now = 1.0
     while now < 125.0:
         now += 0.5
         node.step(now)
-    assert list(node.view(now).members) == ["n0"]
+    assert list(node.view(now).states) == ["n0"]
 
 
 def test_idle_traffic_per_node_is_independent_of_cluster_size() -> None:
--- a/tests/policy/endpoints/test_list_updates.py
+++ b/tests/policy/endpoints/test_list_updates.py
@@ -18,7 +18,7 @@
     # Nodes that are started together must not all poll discovery at the same time.
     polled_after_ms = []
     for seed in range(40):
-        driver = DispatcherDriver(settings(must_poll=True), seed=seed)
+        driver = DispatcherDriver(settings(pulls_endpoint_list=True), seed=seed)
         while not driver.actions_of(WatchEndpoints):
             driver.run(50.0)
         polled_after_ms.append(driver.now - 1000.0)
@@ -28,7 +28,7 @@
 
 
 def test_failed_polls_are_retried_with_backoff() -> None:
-    driver = DispatcherDriver(settings(must_poll=True))
+    driver = DispatcherDriver(settings(pulls_endpoint_list=True))
     delays_ms = []
     driver.run(5000.0)
     for count in range(2, 6):
@@ -42,7 +42,7 @@
 
 
 def test_the_current_list_stays_in_use_after_a_failed_poll() -> None:
-    driver = DispatcherDriver(settings(must_poll=True))
+    driver = DispatcherDriver(settings(pulls_endpoint_list=True))
     driver.handle(EndpointListUpdate(ListKind.FAILED))
     driver.request_and_place(1)
 
--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -34,7 +34,8 @@
         window = [cost for at, cost in sent if start <= at < start + RULES.overload_window_ms]
         age = start + RULES.overload_window_ms - 1000.0
         capacity_fraction = (
-            RULES.initial_capacity + (1.0 - RULES.initial_capacity) * age / RULES.slow_start_ms
+            RULES.initial_capacity_fraction
+            + (1.0 - RULES.initial_capacity_fraction) * age / RULES.slow_start_ms
         )
         assert sum(window) <= RULES.overload_multiple * capacity_fraction * 4.0 * RULES.overload_window_ms
 
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -13,8 +13,8 @@
 from burlmoor.types.events import (
     AttemptProgressed,
     AttemptStarted,
-    ClientDisconnected,
     EndpointListUpdate,
+    JobClosed,
 )
 from burlmoor.types.outcome import Outcome
 from burlmoor.types.settings import Limits
@@ -153,7 +153,7 @@
         if driver.dispatcher._jobs.by_id[job_id].is_exploratory:
             exploratory.add(job_id)
         driver.run(20.0)
-        driver.handle(ClientDisconnected(job_id))
+        driver.handle(JobClosed(job_id))
     assert {send.id for send in driver.actions_of(StartAttempt)} <= exploratory
 
 
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -65,8 +65,11 @@
     shares = []
     for (_, window), work in work_by_window.items():
         capacity_fraction = (
-            RULES.initial_capacity
-            + (1.0 - RULES.initial_capacity) * (window + 0.5) * RULES.overload_window_ms / RULES.slow_start_ms
+            RULES.initial_capacity_fraction
+            + (1.0 - RULES.initial_capacity_fraction)
+            * (window + 0.5)
+            * RULES.overload_window_ms
+            / RULES.slow_start_ms
         )
         shares.append(work / (capacity_fraction * 8.0 * RULES.overload_window_ms))
     assert max(shares) < RULES.overload_multiple
@@ -117,8 +120,10 @@
         send_counts[name] = len(sent)
         for start, _ in sent:
             capacity_fraction = (
-                STRICT_RULES.initial_capacity
-                + (1.0 - STRICT_RULES.initial_capacity) * (start - 900.0) / STRICT_RULES.slow_start_ms
+                STRICT_RULES.initial_capacity_fraction
+                + (1.0 - STRICT_RULES.initial_capacity_fraction)
+                * (start - 900.0)
+                / STRICT_RULES.slow_start_ms
             )
             budget = (
                 STRICT_RULES.overload_multiple * capacity_fraction * 4.0 * STRICT_RULES.overload_window_ms
@@ -154,7 +159,10 @@
     back = [each._replace(started_at=fleet.now) for each in listed if each.zone == "b"]
     fleet.send_list(range(40), ListKind.DELTA, back)
     fleet.run(11_000.0)
-    capacity_fraction = RULES.initial_capacity + (1.0 - RULES.initial_capacity) * 1000.0 / RULES.slow_start_ms
+    capacity_fraction = (
+        RULES.initial_capacity_fraction
+        + (1.0 - RULES.initial_capacity_fraction) * 1000.0 / RULES.slow_start_ms
+    )
     work_by_endpoint = Counter[str]()
     for at, name, work in fleet.sends:
         work_by_endpoint[name] += int(work) if at > 9000.0 and name.startswith("b") else 0
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -15,8 +15,8 @@
 from burlmoor.types.events import (
     AttemptEnded,
     AttemptStarted,
-    ClientDisconnected,
     EndpointListUpdate,
+    JobClosed,
     TimerFired,
 )
 from burlmoor.types.outcome import Outcome
@@ -76,7 +76,7 @@
 def test_nothing_is_sent_for_a_request_whose_client_disconnected() -> None:
     driver = DispatcherDriver(listed=[])
     driver.request(7)
-    driver.handle(ClientDisconnected(7))
+    driver.handle(JobClosed(7))
     driver.handle(EndpointListUpdate(ListKind.SNAPSHOT, entries(3)))
     driver.run(6000.0)
     assert not driver.actions_of(StartAttempt, 7)
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -43,7 +43,7 @@
 
 deployments = st.fixed_dictionaries(
     {
-        "must_poll": st.booleans(),
+        "pulls_endpoint_list": st.booleans(),
         "cancel": st.sampled_from([None, *CancelEffect]),
         "health_checks": st.booleans(),
         "weights": st.sampled_from(WeightSource),
@@ -101,7 +101,7 @@
         rules=Rules(8.0, 250.0, 0.2, 4000.0, 3.0, 1500.0, 10_000.0),
         objective=ObjectiveWeights(0.4, 0.4) if deployment["blended_objective"] else ObjectiveWeights(),
         node_count=deployment["nodes"],
-        must_poll=deployment["must_poll"],
+        pulls_endpoint_list=deployment["pulls_endpoint_list"],
         tick_ms=4.0,
         progress_interval_ms=500.0 if deployment["progress"] else 0.0,
         reports_start=deployment["reports_start"],
@@ -152,7 +152,7 @@
 
 
 BASE_DEPLOYMENT: dict[str, Any] = {
-    "must_poll": False,
+    "pulls_endpoint_list": False,
     "cancel": CancelEffect.NOTHING,
     "health_checks": False,
     "weights": WeightSource.NOMINAL,
--- a/tests/simulation/test_slow_start.py
+++ b/tests/simulation/test_slow_start.py
@@ -40,7 +40,7 @@
         limits=Limits(max_attempts=5, may_cancel=True, may_hedge=True),
         rules=Rules(8.0, 250.0, 0.2, WARM_UP_MS, 4.0, 1000.0, 10_000.0),
         node_count=nodes,
-        must_poll=False,
+        pulls_endpoint_list=False,
         tick_ms=2.0,
         progress_interval_ms=1000.0,
         reports_start=True,
--- a/tests/support/dispatcher_driver.py
+++ b/tests/support/dispatcher_driver.py
@@ -45,7 +45,7 @@
 RULES = Rules(
     response_slack_ms=20.0,
     drain_grace_ms=500.0,
-    initial_capacity=0.2,
+    initial_capacity_fraction=0.2,
     slow_start_ms=10_000.0,
     overload_multiple=3.0,
     overload_window_ms=2000.0,
--- a/tests/testbed/fleet/test_metrics.py
+++ b/tests/testbed/fleet/test_metrics.py
@@ -21,8 +21,8 @@
     even_run = make_even_run()
     bursty_run = make_run(lambda number: number // 50 % 4)
     even, bursty = (measure_spread(run, run.requests, run.attempts) for run in (even_run, bursty_run))
-    assert even.thundering_herd == 1.0
-    assert bursty.thundering_herd >= 2.0
+    assert even.thundering_herd_p999 == 1.0
+    assert bursty.thundering_herd_p999 >= 2.0
     assert even.variation < 0.5
     assert bursty.variation > 1.5
     assert even.served == bursty.served == even.served_in_time == 1.0
--- a/tests/testbed/test_executor_model.py
+++ b/tests/testbed/test_executor_model.py
@@ -27,7 +27,7 @@
 
 
 def completion_times(events: list[TimedProgress]) -> dict[str, float]:
-    return {event.progress.job: event.at_ms for event in events if event.progress.state is JobState.DONE}
+    return {event.progress.job_id: event.at_ms for event in events if event.progress.state is JobState.DONE}
 
 
 def test_more_jobs_than_cores_share_the_cores_evenly() -> None:
@@ -100,7 +100,7 @@
             admitted.add(str(number))
         assert model.job_count <= slots + queue_capacity
     events += run_until(model, 1e6)
-    started = [event.progress.job for event in events if event.progress.state is JobState.STARTED]
+    started = [event.progress.job_id for event in events if event.progress.state is JobState.STARTED]
     assert sorted(started) == sorted(admitted)
     assert sorted(completion_times(events)) == sorted(admitted)
     assert model.job_count == 0
--- a/tests/testbed/test_local_cluster.py
+++ b/tests/testbed/test_local_cluster.py
@@ -83,7 +83,7 @@
     ]
     requests = [
         RequestRecord("unanswered", "c", 0.0, 100.0),
-        RequestRecord("disconnected", "c", 0.0, 100.0, disconnected_ms=50.0),
+        RequestRecord("disconnected", "c", 0.0, 100.0, disconnect_at_ms=50.0),
         RequestRecord("late", "c", 0.0, 100.0, answered_ms=200.0, status=503),
         RequestRecord("fabricated", "c", 0.0, 100.0, answered_ms=10.0, status=200),
     ]
