--- a/burlmoor/cli/drill.py
+++ b/burlmoor/cli/drill.py
@@ -11,12 +11,12 @@
 
 from burlmoor.cli.output import exit_with_verdict
 from burlmoor.testbed.drill import Drill, DrillParameters
-from burlmoor.testbed.drill_deferred import WAITING
+from burlmoor.testbed.drill_deferred import DEFERRED
 from burlmoor.testbed.drill_soak import SOAK
 from burlmoor.testbed.drill_spread import SPREAD
 from burlmoor.testbed.drill_watch import WATCH
 
-DRILLS: dict[str, Drill] = {"waiting": WAITING, "spread": SPREAD, "watch": WATCH, "soak": SOAK}
+DRILLS: dict[str, Drill] = {"waiting": DEFERRED, "spread": SPREAD, "watch": WATCH, "soak": SOAK}
 
 
 @click.command()
@@ -33,7 +33,7 @@
     "--nodes",
     default=0,
     type=click.IntRange(0, 1000),
-    help="Number of nodes, if it is variable; 0: the drill decides.",
+    help="Number of nodes, for drills that allow setting it; 0: the drill's default.",
 )
 @click.option("--sabotage", "mutation", help="Mutation of the node that must make the drill fail.")
 @click.option(
@@ -54,6 +54,6 @@
     if mutation is not None and mutation not in chosen.mutations:
         problem = f"invalid value {mutation!r}; allowed: {', '.join(chosen.mutations)}"
         raise click.BadParameter(problem, param_hint="--sabotage")
-    if nodes and not chosen.is_sizable:
+    if nodes and not chosen.has_variable_node_count:
         problem = f"drill {name} has a fixed number of nodes"
         raise click.BadParameter(problem, param_hint="--nodes")
--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -24,7 +24,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Run many node processes on loopback, with stand-ins for what surrounds them, and inject faults."""
+    """Run many node processes on loopback with stand-in discovery, executors and clients; inject faults."""
 
 
 @fleet.command()
@@ -36,11 +36,19 @@
 @click.option("--rate", default=150.0, show_default=True, help="Jobs per second, over all nodes.")
 @click.option("--load", default=0.7, show_default=True, help="Load as a fraction of the executors' capacity.")
 @click.option("--zones", default=1, show_default=True, type=click.IntRange(1, 8))
-@click.option("--hot", default=0.0, show_default=True, help="Fraction of jobs that share one hot key.")
+@click.option("--hot", default=0.0, show_default=True, help="Fraction of jobs that share one affinity key.")
 @click.option(
-    "--keys", default=0, show_default=True, help="Number of keys that jobs share; 0: each job has its own."
+    "--keys",
+    default=0,
+    show_default=True,
+    help="Number of affinity keys that jobs share; 0: each job has its own.",
+)
+@click.option(
+    "--loud",
+    default=1.0,
+    show_default=True,
+    help="How many times as many jobs the first node gets as each other node.",
 )
-@click.option("--loud", default=1.0, show_default=True, help="Factor on the first node's share of the jobs.")
 @click.option(
     "--troubles",
     "fault_count",
--- a/burlmoor/cli/load.py
+++ b/burlmoor/cli/load.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from burlmoor.cli.exit_status import ExitStatus
-from burlmoor.cli.load_runs import Load, load_new_installation, load_new_node, load_running_node
+from burlmoor.cli.load_runs import Load, load_local_cluster, load_new_node, load_running_node
 from burlmoor.cli.output import standard_error, write_json
 from burlmoor.testbed.job_classes import JOB_CLASSES
 from burlmoor.testbed.load import JobOutcome, LoadReport
@@ -50,11 +50,11 @@
 @_number_option("--executors", default=6, minimum=1, maximum=100, help_text="Number of stand-in executors.")
 @_json_option
 def try_(seconds: float, rate: float, seed: int, executors: int, sink: IO[str] | None) -> None:
-    """Run a complete installation on loopback: discovery, executors, one node, clients. Needs no files."""
-    report = trio.run(load_new_installation, Load(rate, seconds, seed), executors)
+    """Run a complete local cluster on loopback: discovery, executors, one node, clients. Needs no files."""
+    report = trio.run(load_local_cluster, Load(rate, seconds, seed), executors)
     console = standard_error()
     console.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s on {executors} executors"))
-    usage = f"{report.cpu_ms_per_job:.2f} ms of CPU a job and {report.usage.memory_mib:.0f} MiB"
+    usage = f"{report.cpu_ms_per_job:.2f} ms of CPU per job and {report.usage.memory_mib:.0f} MiB"
     console.print(f"The node used {usage}.")
     _finish(report, sink)
 
@@ -99,9 +99,9 @@
         report = trio.run(load_new_node, plan, executors)
     console = standard_error()
     console.print(format_report(report, f"{rate:g} jobs/s for {seconds:g} s"))
-    console.print(f"generator behind by {report.max_lag_ms:.1f} ms at most")
+    console.print(f"The load generator was at most {report.max_lag_ms:.1f} ms late.")
     if report.usage.cpu_ms:
-        usage = f"{report.cpu_ms_per_job:.3f} ms of CPU a job, {report.usage.memory_mib:.0f} MiB"
+        usage = f"{report.cpu_ms_per_job:.3f} ms of CPU per job and {report.usage.memory_mib:.0f} MiB"
         console.print(f"node: {usage}")
     _finish(report, sink)
 
--- a/burlmoor/cli/load_runs.py
+++ b/burlmoor/cli/load_runs.py
@@ -1,4 +1,4 @@
-"""Puts a load on a new installation, a new node or a running node, and shows a progress bar."""
+"""Puts a load on a new local cluster, a new node or a running node, and shows a progress bar."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
         return draw_arrivals(self.rate, self.seconds, self.job_classes, self.seed)
 
 
-async def load_new_installation(load: Load, executors: int) -> LoadReport:
-    """Start a complete installation, and put the load on its node."""
+async def load_local_cluster(load: Load, executors: int) -> LoadReport:
+    """Start a complete local cluster, and put the load on its node."""
     arrivals = load.draw_arrivals()
     with tempfile.TemporaryDirectory(prefix="burlmoor-") as folder, _progress_bar() as progress:
         task = progress.add_task("starting", total=len(arrivals))
--- a/burlmoor/cli/node.py
+++ b/burlmoor/cli/node.py
@@ -53,7 +53,7 @@
     errors = [line for variable in variables for line in _check_file(variable, variables)]
     if errors:
         exit_with_errors(errors)
-    click.echo(f"{' and '.join(os.environ[variable] for variable in variables)}: good")
+    click.echo(f"{' and '.join(os.environ[variable] for variable in variables)}: valid")
 
 
 def _set_variables(config: Path | None, options: Path | None) -> None:
--- a/burlmoor/cli/output.py
+++ b/burlmoor/cli/output.py
@@ -16,7 +16,7 @@
 
 
 def standard_error() -> Console:
-    """Return a console on standard error, which is used for all output except JSON."""
+    """Return a console on standard error, which is used for tables, status lines and progress."""
     return Console(stderr=True)
 
 
@@ -33,9 +33,7 @@
 
 def print_verdict(verdict: Verdict) -> None:
     """Print a verdict as a table on standard error."""
-    table = Table(
-        title=f"drill {verdict.drill}, seed {verdict.seed}: {'held' if verdict.holds else 'NOT HELD'}"
-    )
+    table = Table(title=f"{verdict.drill}, seed {verdict.seed}: {'held' if verdict.holds else 'NOT HELD'}")
     for heading in ("claim", "value", "bound", ""):
         table.add_column(heading, justify="left" if heading == "claim" else "right")
     for name, claim in verdict.claims.items():
--- a/burlmoor/counters.py
+++ b/burlmoor/counters.py
@@ -19,30 +19,30 @@
     ENDPOINT_CLOSES = "endpoint-closes"  # connections to endpoints, by reason
 
 
-Counts = dict[str, dict[str, int]]
+CountsByGroup = dict[str, dict[str, int]]
 
 
 class EventCounters:
-    """Counts the events of one process, in total and since the counts were last taken."""
+    """Counts what happens in one process, in total and since the counts were last taken."""
 
     def __init__(self) -> None:
         self._totals: dict[CounterGroup, Counter[str]] = {group: Counter() for group in CounterGroup}
-        self._taken: dict[CounterGroup, Counter[str]] = {group: Counter() for group in CounterGroup}
+        self._last_taken: dict[CounterGroup, Counter[str]] = {group: Counter() for group in CounterGroup}
 
     def count(self, group: CounterGroup, reason: str) -> None:
-        """Count one event."""
+        """Add one to the count of a reason."""
         self._totals[group][reason] += 1
 
-    def totals(self) -> Counts:
+    def totals(self) -> CountsByGroup:
         """Return all counts by group and reason; empty groups are omitted."""
         return {group.value: dict(counts) for group, counts in self._totals.items() if counts}
 
-    def take_changes(self) -> Counts:
+    def take_increments(self) -> CountsByGroup:
         """Return the counts since the last call, in the form of `totals`."""
-        changes = {
-            group.value: dict(counts - self._taken[group])
+        increments = {
+            group.value: dict(counts - self._last_taken[group])
             for group, counts in self._totals.items()
-            if counts != self._taken[group]
+            if counts != self._last_taken[group]
         }
-        self._taken = {group: counts.copy() for group, counts in self._totals.items()}
-        return changes
+        self._last_taken = {group: counts.copy() for group, counts in self._totals.items()}
+        return increments
--- a/burlmoor/invariants.py
+++ b/burlmoor/invariants.py
@@ -1,7 +1,8 @@
 """The rules on attempts that must hold on every path, and the count of each violation seen at run time.
 
 The guards that enforce these rules (`engine/attempt_guard.py`, `upstream/send_precondition.py`) refuse any
-step that would break one. Each violation counted here is a defect of the node, even if a guard prevented it.
+step that would break one. Each such step is counted here, whether or not a guard refused it, because the
+attempt to take it is already a defect of the node.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
     WITHDRAW = "withdraw"  # no unaccepted request remains at an endpoint that is no longer live
     REPEAT = "repeat"  # a non-idempotent job that may have run is not sent again
     SIMULTANEOUS = "simultaneous"  # no more attempts of a job are open concurrently than settings allow
-    START = "start"  # nothing is written for a job that is closed
-    CLOSE = "close"  # a connection with an unanswered request is closed by a reset
+    NO_WRITE_AFTER_CLOSE = "start"  # nothing is written for a job that is closed
+    RESET_ON_CLOSE = "close"  # a connection with an unanswered request is closed by a reset
 
 
 class InvariantMonitor:
--- a/burlmoor/lifecycle/node.py
+++ b/burlmoor/lifecycle/node.py
@@ -113,7 +113,7 @@
         """Log counts of the events of jobs, attempts and connections at intervals, until cancelled."""
         while True:
             await trio.sleep(_COUNTS_INTERVAL_SECONDS)
-            if counts := self.components.core.counters.take_changes():
+            if counts := self.components.core.counters.take_increments():
                 self._log(Counts.from_groups(counts))
 
     async def handle_signals(self, signals: AsyncIterator[int]) -> None:
--- a/burlmoor/log.py
+++ b/burlmoor/log.py
@@ -15,10 +15,10 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Per event; the first line of the next window reports how many lines were dropped.
+# Per event type and window. The first event after the window reports how many lines were dropped.
 _MAX_LINES_PER_WINDOW = 10
 _MAX_LINES_OF_EVENT: Mapping[type[LogEvent], int] = {
-    JobEnded: 200,  # one line per job, needed to analyse an incident
+    JobEnded: 200,  # needed to analyse an incident
 }
 _WINDOW_SECONDS = 10.0
 
--- a/burlmoor/log_events.py
+++ b/burlmoor/log_events.py
@@ -103,7 +103,7 @@
 
 
 class JobEnded(LogEvent, tag="job-ended", frozen=True, kw_only=True):
-    """A job has ended in another way than by the result of its only attempt."""
+    """A job has ended; not logged if its first and only attempt served it."""
 
     id: str
     job_class: str
@@ -114,13 +114,13 @@
 
 
 class AnsweredAtShutdown(LogEvent, tag="answered-at-shutdown", frozen=True, kw_only=True):
-    """A job was still open at the end of a shutdown, when all jobs have to be answered."""
+    """The engine answered a job still open at the end of a shutdown, when all jobs have to be answered."""
 
     id: str
 
 
 class AnsweredAtDeadline(LogEvent, tag="answered-at-deadline", frozen=True, kw_only=True):
-    """The policy left a job without an answer until its deadline."""
+    """The engine answered a job that the policy had left open until its deadline."""
 
     id: str
 
@@ -214,7 +214,7 @@
 
 
 class EndpointListStale(LogEvent, tag="endpoint-list-stale", frozen=True, kw_only=True):
-    """Changes may have been missed, and no call was answered before their notification deadline."""
+    """Discovery answered no call before the notification deadline, so list changes may have been missed."""
 
     age_seconds: float
 
@@ -274,7 +274,7 @@
 
 
 class OverrideApplied(LogEvent, tag="override-applied", frozen=True, kw_only=True):
-    """An administrative call was carried out."""
+    """An administrative call that sets or removes an override was carried out."""
 
     call: str
     name: str  # of the executor; empty if the call names none
@@ -303,8 +303,8 @@
 class DeferredQueueFull(LogEvent, tag="deferred-full", frozen=True, kw_only=True):
     """A job could not be deferred, because a limit of the deferred-job queue was reached."""
 
-    jobs: int
-    bytes: int
+    jobs: int  # in the queue, without this one
+    bytes: int  # size of these jobs
 
 
 class DeferralsEnded(LogEvent, tag="deferred-ended", frozen=True, kw_only=True):
--- a/burlmoor/simulation/audit_executors.py
+++ b/burlmoor/simulation/audit_executors.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING, NamedTuple
 
-from burlmoor.simulation.records import TOLERANCE_MS, EndpointNotification, ExecutorRecord
+from burlmoor.simulation.records import TOLERANCE_MS, AttemptRecord, EndpointNotification
 from burlmoor.testbed.executor_model import max_work_by_chance
 from burlmoor.types.endpoint_list import EndpointState
 
@@ -39,12 +39,12 @@
     for notification in cluster.notifications:
         notifications[notification.node_index, notification.executor].append(notification)
     grace_ms = cluster.spec.settings.rules.drain_grace_ms + TOLERANCE_MS
-    for attempt in cluster.executor_records:
+    for attempt in cluster.attempt_records:
         received = notifications[attempt.node_index, attempt.executor]
         if attempt.sent_at > _unavailable_since(received, attempt.sent_at) + grace_ms:
             yield (
-                f"{attempt.request_id}: sent to {attempt.executor}, "
-                f"which node {attempt.node_index} knew had left"
+                f"{attempt.request_id}: sent to {attempt.executor} more than {grace_ms:.0f} ms after "
+                f"node {attempt.node_index} was notified that it drains or is gone"
             )
 
 
@@ -66,11 +66,13 @@
     for process, attempts in _attempts_while_warming(cluster).items():
         overload = _first_overload(cluster, process.started_at, attempts, mean_work_ms)
         if overload is not None:
-            work = f"{overload.work_ms:.0f} ms of work in a window where it bears {overload.budget_ms:.0f}"
+            work = (
+                f"{overload.work_ms:.0f} ms of work in a window with a budget of {overload.budget_ms:.0f} ms"
+            )
             yield f"{process.executor}: {work}"
 
 
-def _attempts_while_warming(cluster: SimulatedCluster) -> dict[_ExecutorProcess, list[ExecutorRecord]]:
+def _attempts_while_warming(cluster: SimulatedCluster) -> dict[_ExecutorProcess, list[AttemptRecord]]:
     """Return the attempts sent to warming executors by nodes that knew of their start, by process."""
     first_known_at = {
         (notification.node_index, notification.executor, notification.executor_started_at): notification.at
@@ -78,8 +80,8 @@
         if notification.executor_started_at > 0.0
     }
     slow_start_ms = cluster.spec.executor_spec.slow_start_ms
-    attempts: dict[_ExecutorProcess, list[ExecutorRecord]] = defaultdict(list)
-    for attempt in cluster.executor_records:
+    attempts: dict[_ExecutorProcess, list[AttemptRecord]] = defaultdict(list)
+    for attempt in cluster.attempt_records:
         started_at = attempt.executor_started_at
         known_at = first_known_at.get((attempt.node_index, attempt.executor, started_at), math.inf)
         if started_at > 0.0 and known_at <= attempt.sent_at < started_at + slow_start_ms:
@@ -88,7 +90,7 @@
 
 
 def _first_overload(
-    cluster: SimulatedCluster, started_at: float, attempts: list[ExecutorRecord], mean_work_ms: float
+    cluster: SimulatedCluster, started_at: float, attempts: list[AttemptRecord], mean_work_ms: float
 ) -> _Overload | None:
     """Return the first window in which an executor got more work than its budget, if there is one."""
     rules = cluster.spec.settings.rules
@@ -107,7 +109,7 @@
     """Check that almost no attempt was sent after its client had disconnected."""
     late = [
         attempt
-        for attempt in cluster.executor_records
+        for attempt in cluster.attempt_records
         if attempt.sent_at > cluster.client_records[attempt.request_id].disconnected_at + DISCONNECT_GRACE_MS
     ]
     if len(late) <= MAX_LATE_SENDS:
--- a/burlmoor/simulation/cluster.py
+++ b/burlmoor/simulation/cluster.py
@@ -1,7 +1,7 @@
 """A cluster of nodes, executors, clients and a discovery service, on one event queue with a virtual clock.
 
 Nodes run the `Engine` with its policy; executors use `testbed/executor_model.py`. Events that a real node
-sees on its sockets are reported as outcomes, according to the protocol's table. One seed determines all
+sees on its sockets are reported as values of `Outcome`. One seed determines all
 random numbers: the same seed gives the same run. Times are ms. `records.py` defines the records of what
 clients and executors observed, and `audit.py` checks them.
 """
@@ -16,7 +16,7 @@
 from burlmoor.simulation.executors import SimulatedExecutors
 from burlmoor.simulation.network import ResponseNetwork
 from burlmoor.simulation.node import NodeRecorder, SimulatedNode
-from burlmoor.simulation.records import ClientRecord, EndpointNotification, ExecutorRecord
+from burlmoor.simulation.records import AttemptRecord, ClientRecord, EndpointNotification
 from burlmoor.types.endpoint_list import ListKind
 from burlmoor.types.events import JobRequest
 
@@ -33,9 +33,9 @@
     def __init__(self, spec: ClusterSpec, seed: int) -> None:
         self.spec = spec
         self.client_records: dict[str, ClientRecord] = {}  # by request id
-        self.executor_records: list[ExecutorRecord] = []
+        self.attempt_records: list[AttemptRecord] = []
         self.notifications: list[EndpointNotification] = []
-        self.node_faults: list[str] = []  # log events that nodes must not write
+        self.internal_errors: list[str] = []  # log events that nodes must not write
         self.nodes: list[SimulatedNode | None] = [None] * spec.settings.node_count
         self._seed = seed
         self._rng = random.Random(seed)
@@ -43,7 +43,7 @@
         discovery = SimulatedDiscovery(spec.list_delay_ms, self._events, self._rng, self.nodes)
         network = ResponseNetwork(spec.network_delay_ms, self._events, self._rng, self.nodes)
         self.executors = SimulatedExecutors(
-            spec, self._events, self._rng, discovery, network, self.client_records, self.executor_records
+            spec, self._events, self._rng, discovery, network, self.client_records, self.attempt_records
         )
         for index in range(spec.settings.node_count):
             self._start_node(index, 0)
@@ -68,17 +68,17 @@
 
         Returns the request id, or None if the node is down, so that the client cannot connect.
         """
-        deadline_ms = next(each.deadline_ms for each in self.spec.settings.classes if each.name == job_class)
+        timeout_ms = next(each.deadline_ms for each in self.spec.settings.classes if each.name == job_class)
         node = self.nodes[node_index]
         if node is None:
             return None
         request_id = f"r{len(self.client_records)}"
-        record = ClientRecord(request_id, job_class, tenant, self.now, deadline_ms, work_ms, node_index)
+        record = ClientRecord(request_id, job_class, tenant, self.now, timeout_ms, work_ms, node_index)
         self.client_records[request_id] = record
         key = f"k{self._rng.randrange(_AFFINITY_KEY_COUNT)}"
         work_hint_ms = work_ms * hint_error
         node.on_job(
-            record, JobRequest(0, job_class, deadline_ms, work_hint_ms, tenant=tenant, affinity_key=key)
+            record, JobRequest(0, job_class, timeout_ms, work_hint_ms, tenant=tenant, affinity_key=key)
         )
         return request_id
 
@@ -111,7 +111,7 @@
 
     def _start_node(self, index: int, generation: int) -> None:
         seed = hash((self._seed, index, generation)) & 0xFFFF
-        recorder = NodeRecorder(self.executor_records, self.notifications, self.node_faults)
+        recorder = NodeRecorder(self.attempt_records, self.notifications, self.internal_errors)
         node = SimulatedNode(
             index, generation, seed, self.spec, self._events, self.executors, self.client_records, recorder
         )
--- a/burlmoor/simulation/event_queue.py
+++ b/burlmoor/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""A queue of events and the virtual clock that it advances."""
+"""A queue of scheduled actions and the virtual clock that it advances."""
 
 from __future__ import annotations
 
--- a/burlmoor/simulation/executors.py
+++ b/burlmoor/simulation/executors.py
@@ -8,7 +8,7 @@
 
 from burlmoor.simulation.cluster_spec import CancelEffect, ClusterSpec, WeightSource
 from burlmoor.simulation.deduplication import is_duplicate
-from burlmoor.simulation.records import DEDUPLICATED_RESULT, ClientRecord, ExecutorRecord
+from burlmoor.simulation.records import DEDUPLICATED_RESULT, AttemptRecord, ClientRecord
 from burlmoor.testbed.executor_model import ExecutorModel, JobProgress
 from burlmoor.testbed.messages import JobState
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState
@@ -29,7 +29,7 @@
 class InFlightAttempt(NamedTuple):
     """An attempt that an executor has accepted and not yet ended."""
 
-    record: ExecutorRecord
+    record: AttemptRecord
     attempt: Attempt
 
 
@@ -55,7 +55,7 @@
         discovery: SimulatedDiscovery,
         network: ResponseNetwork,
         client_records: Mapping[str, ClientRecord],
-        executor_records: Sequence[ExecutorRecord],
+        attempt_records: Sequence[AttemptRecord],
     ) -> None:
         self._spec = spec
         self._events = events
@@ -63,7 +63,7 @@
         self._discovery = discovery
         self._network = network
         self._client_records = client_records
-        self._executor_records = executor_records
+        self._attempt_records = attempt_records
         self._job_classes = {job_class.name: job_class for job_class in spec.settings.classes}
         self._executors: dict[str, SimulatedExecutor] = {}
         for number in range(spec.executor_count):
@@ -99,7 +99,10 @@
                 return cores / (1.0 + executor.model.job_count / cores)
 
     def drain(self, name: str, duration_ms: float) -> None:
-        """Drain an executor: it returns queued jobs, finishes running ones, and ends after `duration_ms`."""
+        """Drain an executor: it rejects queued jobs, and its process is ended after `duration_ms`.
+
+        Jobs that still run at that time end with `Outcome.RESET`.
+        """
         executor = self._executors[name]
         if not executor.is_running or executor.entry.state is not EndpointState.LIVE:
             return
@@ -129,6 +132,7 @@
         self._discovery.publish([self.entry(name)])
 
     def _add(self, name: str, zone: str, started_at: float) -> None:
+        # A restarted executor gets its cell and kind from the cell of its previous process.
         number = self._executors[name].entry.cell if name in self._executors else len(self._executors)
         entry = EndpointEntry(
             name,
@@ -140,7 +144,7 @@
         model = ExecutorModel(self._spec.executor_spec, self._events.now, in_slow_start=started_at > 0.0)
         self._executors[name] = SimulatedExecutor(entry, model)
 
-    def accept(self, attempt: Attempt, record: ExecutorRecord) -> None:
+    def accept(self, attempt: Attempt, record: AttemptRecord) -> None:
         """Accept an attempt that has arrived, or end it immediately."""
         executor = self._executors[attempt.endpoint]
         client = self._client_records[attempt.job.id]
@@ -148,7 +152,7 @@
             self._network.report_end(attempt, record, Outcome.UNREACHABLE)
             return
         job_class = self._job_classes[client.job_class]
-        if is_duplicate(record, job_class, self._executor_records, self._events.now):
+        if is_duplicate(record, job_class, self._attempt_records, self._events.now):
             self._network.report_end(attempt, record, Outcome.SERVED, DEDUPLICATED_RESULT)
             return
         is_draining = executor.entry.state is not EndpointState.LIVE
@@ -210,6 +214,6 @@
             self._network.report_end(in_flight.attempt, in_flight.record, outcome, result)
 
 
-def expected_result(record: ExecutorRecord) -> bytes:
+def expected_result(record: AttemptRecord) -> bytes:
     """Return the result that an executor gives for an attempt."""
     return f"{record.request_id}@{record.executor}".encode()
--- a/burlmoor/simulation/gossip.py
+++ b/burlmoor/simulation/gossip.py
@@ -1,6 +1,7 @@
 """Simulates a cluster's membership protocol in virtual time.
 
-Datagrams are delayed, lost, repeated or cut off; nodes crash and are suspended. Times are seconds.
+Datagrams are delayed, lost, repeated or dropped by a partition; nodes crash and are suspended. Times are
+seconds.
 """
 
 from __future__ import annotations
@@ -53,6 +54,7 @@
         self.addresses: dict[str, Address] = {f"n{number}": (_host(number), _PORT) for number in range(nodes)}
         self.running: dict[str, Membership] = {}
         self.suspended: dict[str, list[Action]] = {}  # actions held until each suspended node resumes
+        # Whether a partition drops the datagrams from a sender to a recipient.
         self.is_cut: Callable[[str, str], bool] = lambda _sender, _recipient: False
         self.sent_bytes = 0
         self.death_declarations: list[tuple[float, str, str]] = []  # time, declaring node, declared member
@@ -75,7 +77,10 @@
         self._events.run(until)
 
     def run_until_converged(self, limit: float) -> float:
-        """Run until all views converge; return the seconds taken, which exceed `limit` if they do not."""
+        """Run until all views converge or `limit` seconds have passed; return the seconds taken.
+
+        More than `limit` seconds mean that the views have not converged in time.
+        """
         began = self.now
         while not self.has_converged() and self.now < began + limit + 2.0 * _POLL_SECONDS:
             self.run(self.now + _POLL_SECONDS)
@@ -151,7 +156,7 @@
     @staticmethod
     def dead_members(node: Membership) -> set[str]:
         """Return the members that a node believes to be dead."""
-        members = node.view(0.0).members
+        members = node.view(0.0).members  # the members do not depend on the time
         return {name for name, state in members.items() if state.status is MemberStatus.DEAD}
 
     def believed_members(self) -> set[tuple[str, ...]]:
--- a/burlmoor/simulation/network.py
+++ b/burlmoor/simulation/network.py
@@ -11,10 +11,13 @@
     from burlmoor.engine.core import EngineCore
     from burlmoor.engine.job import Attempt
     from burlmoor.simulation.event_queue import EventQueue
-    from burlmoor.simulation.records import ExecutorRecord
+    from burlmoor.simulation.records import AttemptRecord
     from burlmoor.types.outcome import Outcome
 
 
+_MIN_DELAY_FACTOR, _MAX_DELAY_FACTOR = 0.8, 1.5  # of a report's delay, relative to the network's delay
+
+
 class NodeProcess(Protocol):
     """The part of a node that the network calls."""
 
@@ -24,7 +27,10 @@
 
 
 class ResponseNetwork:
-    """Reports to nodes what happens to their attempts, each report after its own random delay."""
+    """Reports to nodes what happens to their attempts, each report after its own random delay.
+
+    In the other direction, `SimulatedNode` sends attempts and cancellations, with a fixed delay.
+    """
 
     def __init__(
         self,
@@ -38,16 +44,16 @@
         self._rng = rng
         self._nodes = nodes
 
-    def report_started(self, attempt: Attempt, record: ExecutorRecord) -> None:
+    def report_started(self, attempt: Attempt, record: AttemptRecord) -> None:
         """Report that an attempt has started to run."""
         self._report(record, lambda core: core.lifecycle.on_attempt_started(attempt))
 
-    def report_progress(self, attempt: Attempt, record: ExecutorRecord, fraction: float) -> None:
+    def report_progress(self, attempt: Attempt, record: AttemptRecord, fraction: float) -> None:
         """Report what fraction of an attempt's work is done."""
         self._report(record, lambda core: core.lifecycle.on_attempt_progressed(attempt, fraction))
 
     def report_end(
-        self, attempt: Attempt, record: ExecutorRecord, outcome: Outcome, result: bytes | None = None
+        self, attempt: Attempt, record: AttemptRecord, outcome: Outcome, result: bytes | None = None
     ) -> None:
         """Report how an attempt ended."""
 
@@ -59,7 +65,7 @@
 
         self._report(record, end_attempt)
 
-    def _report(self, record: ExecutorRecord, deliver: Callable[[EngineCore], None]) -> None:
+    def _report(self, record: AttemptRecord, deliver: Callable[[EngineCore], None]) -> None:
         """Deliver a report to the process that sent the attempt, if that process still runs on arrival."""
         node = self._nodes[record.node_index]
 
@@ -67,4 +73,7 @@
             if node is not None and node.is_alive and node.generation == record.node_generation:
                 deliver(node.core)
 
-        self._events.schedule(self._events.now + self._delay_ms * self._rng.uniform(0.8, 1.5), arrive)
+        self._events.schedule(
+            self._events.now + self._delay_ms * self._rng.uniform(_MIN_DELAY_FACTOR, _MAX_DELAY_FACTOR),
+            arrive,
+        )
--- a/burlmoor/simulation/node.py
+++ b/burlmoor/simulation/node.py
@@ -9,7 +9,7 @@
 from burlmoor.engine.core import EngineCore
 from burlmoor.engine.engine import Engine
 from burlmoor.log_events import ActionFailed, AnsweredAtDeadline, PolicyFailed
-from burlmoor.simulation.records import AnswerRecord, ClientRecord, EndpointNotification, ExecutorRecord
+from burlmoor.simulation.records import AnswerRecord, AttemptRecord, ClientRecord, EndpointNotification
 from burlmoor.types.endpoint_list import EndpointEntry, EndpointState, ListKind
 from burlmoor.types.outcome import Outcome
 
@@ -24,7 +24,7 @@
     from burlmoor.simulation.executors import SimulatedExecutors
     from burlmoor.types.events import JobRequest
 
-_FAULT_EVENTS = (PolicyFailed, ActionFailed, AnsweredAtDeadline)
+_INTERNAL_ERROR_EVENTS = (PolicyFailed, ActionFailed, AnsweredAtDeadline)
 _HEALTH_CHECK_ELAPSED_MS = 4.0  # reported for every health check
 
 
@@ -42,11 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRecorder:
-    """Where nodes record their notifications, the attempts that they sent, and faults that they logged."""
+    """Where nodes record their notifications, the attempts they sent, and the internal errors they logged."""
 
-    executor_records: list[ExecutorRecord]
+    attempt_records: list[AttemptRecord]
     notifications: list[EndpointNotification]
-    node_faults: list[str]
+    internal_errors: list[str]
 
 
 class SimulatedNode:
@@ -83,8 +83,8 @@
         self.on_endpoint_list(ListKind.CACHED, self._executors.listed())
 
     def _on_log_event(self, event: LogEvent) -> None:
-        if isinstance(event, _FAULT_EVENTS):
-            self._recorder.node_faults.append(repr(event))
+        if isinstance(event, _INTERNAL_ERROR_EVENTS):
+            self._recorder.internal_errors.append(repr(event))
 
     def _wake(self) -> None:
         self._events.schedule(self._events.now, self._step)
@@ -96,6 +96,7 @@
         if self.engine.next_due() <= now:
             self.engine.step()
         due = self.engine.next_due()
+        # Unless a step is already scheduled between now and then.
         if due < math.inf and not now < self._next_step_at <= due:
             self._next_step_at = due
             self._events.schedule(due, self._step)
@@ -134,7 +135,7 @@
         """Send an attempt; it arrives after the network's delay."""
         client = self._client_records[attempt.job.id]
         entry = self._executors.entry(attempt.endpoint)
-        record = ExecutorRecord(
+        record = AttemptRecord(
             client.request_id,
             entry.endpoint,
             entry.zone,
@@ -145,7 +146,7 @@
             entry.started_at,
             self.generation,
         )
-        self._recorder.executor_records.append(record)
+        self._recorder.attempt_records.append(record)
         self._after_network_delays(1, lambda: self._executors.accept(attempt, record))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
@@ -164,10 +165,10 @@
             2, lambda: self.core.policy.on_health_checked(endpoint, outcome, _HEALTH_CHECK_ELAPSED_MS)
         )
 
-    def _find_record(self, attempt: Attempt) -> ExecutorRecord:
+    def _find_record(self, attempt: Attempt) -> AttemptRecord:
         return next(
             record
-            for record in reversed(self._recorder.executor_records)
+            for record in reversed(self._recorder.attempt_records)
             if record.request_id == attempt.job.id and record.executor == attempt.endpoint
         )
 
@@ -175,7 +176,7 @@
         self._events.schedule(self._events.now + count * self._spec.network_delay_ms, action)
 
     def watch(self) -> None:
-        """Fetch the endpoint list once; changes are published to every node without a watch."""
+        """Fetch the endpoint list once; `SimulatedDiscovery` publishes later changes to every node anyway."""
         entries = self._executors.listed()
         arrives_at = self._events.now + self._spec.list_delay_ms[0]
         self._events.schedule(arrives_at, lambda: self.on_endpoint_list(ListKind.SNAPSHOT, entries))
--- a/burlmoor/simulation/records.py
+++ b/burlmoor/simulation/records.py
@@ -33,7 +33,7 @@
     job_class: str
     tenant: str
     sent_at: float
-    deadline_ms: float
+    timeout_ms: float
     work_ms: float
     node_index: int
     answers: list[AnswerRecord] = field(default_factory=list)
@@ -42,8 +42,8 @@
 
 
 @dataclass(slots=True)
-class ExecutorRecord:
-    """An attempt as its executor observed it. `outcome` is the outcome known to its node, if any."""
+class AttemptRecord:
+    """One attempt: sent by a node, begun by an executor, and the outcome that the node knows, if any."""
 
     request_id: str
     executor: str
--- a/burlmoor/simulator_adapter/dispatcher_host.py
+++ b/burlmoor/simulator_adapter/dispatcher_host.py
@@ -52,7 +52,7 @@
         return json.dumps({"parts": replies}, separators=(",", ":"))
 
     def _handle_rows(self, now: float, instance: int, rows: Sequence[Row]) -> list[Row]:
-        """Start and end dispatchers as the rows say, and return the decisions of the last one."""
+        """Start and end an instance's dispatchers as the rows say; return the decisions of the last one."""
         events: list[Event] = []
         for row in rows:
             parsed = parse_row(row)
--- a/burlmoor/simulator_adapter/wire.py
+++ b/burlmoor/simulator_adapter/wire.py
@@ -21,5 +21,5 @@
     """A line can't be parsed; `expected` is the element that was expected."""
 
     def __init__(self, expected: LineElement, cause: Exception) -> None:
-        super().__init__(f"not {expected.value}: {cause!r}")
+        super().__init__(f"expected {expected.value}: {cause!r}")
         self.expected = expected
--- a/burlmoor/testbed/deferred_schedule.py
+++ b/burlmoor/testbed/deferred_schedule.py
@@ -33,9 +33,9 @@
 _FAN_CHILDREN = 10
 _DIAMOND_SIDES = 4
 _BURST_JOBS = 60
-_FAILING_GENERATIONS = 10
+_FAILING_GENERATIONS = 10  # length of the chain below a failing parent
 _ABANDONED_CHILDREN = 5
-_MAX_OVERRUN_SECONDS = 20.0  # of the timeouts of deferred jobs beyond the end of the drill
+_MAX_OVERRUN_SECONDS = 20.0  # deferred jobs time out at most this long after the end of the drill
 
 
 @dataclass(slots=True)
@@ -164,6 +164,7 @@
             self._add(at_seconds, node, "burst", work_ms=60.0, not_before_seconds=at_seconds + 3.0)
 
     def _draw_failing_parent(self, at_seconds: float, node: int) -> None:
+        """Draw a parent that fails, a chain of jobs below it, and as many other direct children."""
         parent = self._add(
             at_seconds, node, "failing", work_ms=150.0, is_failing=True, job_class=_CONFIRM_CLASS
         )
--- a/burlmoor/testbed/deferred_verdict.py
+++ b/burlmoor/testbed/deferred_verdict.py
@@ -53,7 +53,7 @@
 
 
 def judge(record: EventRecord, seed: int, seconds: float, exit_statuses: Sequence[int]) -> Verdict:
-    """Return the verdict on a run; `exit_statuses` are those of restarted nodes."""
+    """Return the verdict on a run; `exit_statuses` is empty if the restarted node did not exit in time."""
     times = _collect_times(record)
     lags_ms = _parent_end_lags_ms(record, times)
     released = [
@@ -66,6 +66,7 @@
         "worst-served tenth against plain": Claim(
             _worst_tenth_ratio(released, record), _MIN_SERVED_RATIO, is_lower_bound=True
         ),
+        # A restarted node that did not exit in time counts as a bad exit.
         "bad exits": Claim(sum(status != 0 for status in exit_statuses) + (not exit_statuses), 0),
     }
     return Verdict("waiting", seed, seconds, claims, _figures(record, released, lags_ms))
@@ -163,14 +164,15 @@
 
 
 def _percentile(values: Sequence[float], percent: float) -> float:
+    """Return a percentile, or infinity if there are no values, so that a claim on it fails."""
     return float(np.percentile(values, percent)) if values else math.inf
 
 
 def _release_time_ms(request: RequestRecord, record: EventRecord) -> float | None:
     """Return when the run conditions of a deferred job were met.
 
-    Returns None if they never were, if the job was answered before or rejected by a node that was stopping,
-    and if its client disconnected without an answer.
+    Returns None in each of these cases: they never were met, the job was answered before they were, a
+    stopping node rejected it, or its client disconnected without an answer.
     """
     if not _has_run_conditions(request) or record.is_rejected_by_stopping_node(request):
         return None
--- a/burlmoor/testbed/drill.py
+++ b/burlmoor/testbed/drill.py
@@ -17,7 +17,7 @@
 
 
 def print_violations(violations: Sequence[str]) -> None:
-    """Print the first rule violations on standard error, one per line."""
+    """Print at most `_MAX_PRINTED_VIOLATIONS` rule violations on standard error, one per line."""
     for violation in violations[:_MAX_PRINTED_VIOLATIONS]:
         print(f"burlmoor: {violation}", file=sys.stderr)
 
@@ -36,9 +36,9 @@
 
 
 class Verdict(msgspec.Struct):
-    """The result of a drill: claims that must hold, and figures for information."""
+    """The result of a drill or of a fleet run: claims that must hold, and figures for information."""
 
-    drill: str
+    drill: str  # the name of the drill, or "fleet"
     seed: int
     seconds: float
     claims: dict[str, Claim] = {}
@@ -79,4 +79,4 @@
     summary: str
     run: Callable[[DrillParameters, Path], Awaitable[Verdict]]
     mutations: Mapping[str, Mutation]
-    is_sizable: bool = False  # whether the command line may set the number of nodes
+    has_variable_node_count: bool = False  # whether the command line may set the number of nodes
--- a/burlmoor/testbed/drill_deferred.py
+++ b/burlmoor/testbed/drill_deferred.py
@@ -94,8 +94,8 @@
     async def _restart_node(self) -> None:
         node = self._cluster.nodes[_RESTARTED_NODE]
         node.send_signal(signal.SIGTERM)
-        # A stopping node rejects its deferred jobs from 2 s after SIGTERM on, as documented. These must not
-        # count as released jobs that were not served.
+        # A stopping node rejects its deferred jobs from 2 s after SIGTERM on, as documented. These jobs
+        # are left out of the served ratio of released jobs.
         rejecting_ms = now_ms() + 1000.0 * _REJECTING_AFTER_SECONDS
         await trio.sleep(_CLIENTS_SWITCH_AFTER_SECONDS)
         self._avoided_nodes.add(_RESTARTED_NODE)
@@ -127,7 +127,7 @@
     return judge(cluster.event_record, parameters.seed, parameters.seconds, run.exit_statuses)
 
 
-WAITING = Drill(
+DEFERRED = Drill(
     "Deferred jobs under overload, failures and a planned restart.",
     _run,
     DEFERRED_MUTATIONS,
--- a/burlmoor/testbed/drill_soak.py
+++ b/burlmoor/testbed/drill_soak.py
@@ -1,10 +1,10 @@
 """The randomized fault soak: 10 to 40 node processes, and many faults that overlap in time.
 
 The seed determines the number of nodes, the faults with their times and targets, and whether the settings
-allow two concurrent attempts of a job. Clients use their connections for as long as these stay open. Nodes
-that are restarted get SIGKILL as early as the platform may send it. The oracle consists of the rules, checked
-against what clients and executors observed (`fleet/audit.py`), and of the invariant violations that the nodes
-themselves count (`burlmoor/invariants.py`).
+allow two concurrent attempts of a job. Clients keep their connections alive. Nodes that
+are restarted get SIGKILL at the earliest time after SIGTERM at which the platform may send it. The oracle
+consists of the rules, checked against what clients and executors observed (`fleet/audit.py`), and of the
+invariant violations that the nodes themselves count (`burlmoor/invariants.py`).
 """
 
 from __future__ import annotations
@@ -110,5 +110,5 @@
     "Randomized faults that overlap in time, with the rules as the oracle.",
     _run,
     SOAK_MUTATIONS,
-    is_sizable=True,
+    has_variable_node_count=True,
 )
--- a/burlmoor/testbed/drill_spread.py
+++ b/burlmoor/testbed/drill_spread.py
@@ -88,5 +88,5 @@
     "Load spread evenly by many nodes that each see little of it, under failures.",
     _run,
     SPREAD_MUTATIONS,
-    is_sizable=True,
+    has_variable_node_count=True,
 )
--- a/burlmoor/testbed/drill_watch.py
+++ b/burlmoor/testbed/drill_watch.py
@@ -1,6 +1,6 @@
 """The discovery-watch drill: executors drain while the nodes' watches are broken.
 
-All watches stall at once, and right after that a quarter of the executors is announced as leaving but stays
+All watches stall at once, and right after that a quarter of the executors is announced as draining but stays
 up. Later, another quarter is announced while discovery is down, and a third one after all watches were reset.
 The claims are based on what clients and executors observed: the jobs that executors received are checked
 against the changes that each node was notified of. A node counts as notified of a change once discovery has
@@ -125,8 +125,8 @@
 
 
 WATCH = Drill(
-    "Discovery watches stall, are reset, or lose their server while executors are announced as leaving.",
+    "Discovery watches stall or are reset, or discovery is down, while executors are announced as draining.",
     _run,
     WATCH_MUTATIONS,
-    is_sizable=True,
+    has_variable_node_count=True,
 )
--- a/burlmoor/testbed/mutations/deferred.py
+++ b/burlmoor/testbed/mutations/deferred.py
@@ -26,12 +26,12 @@
     replace_attributes(DependencyGraph, add=add_without_dependencies)
 
 
-def _ignore_earliest_time() -> None:
+def _ignore_earliest_start_time() -> None:
     from burlmoor.deferred.dependency_graph import DependencyGraph  # noqa: PLC0415
 
     add = DependencyGraph.add
 
-    def add_without_earliest_time(
+    def add_without_earliest_start_time(
         self: DependencyGraph,
         request_id: str,
         after: Iterable[str],
@@ -40,7 +40,7 @@
     ) -> DeferredJob:
         return add(self, request_id, after, 0.0, *times)
 
-    replace_attributes(DependencyGraph, add=add_without_earliest_time)
+    replace_attributes(DependencyGraph, add=add_without_earliest_start_time)
 
 
 def _treat_failed_as_served() -> None:
@@ -76,8 +76,8 @@
 
 
 DEFERRED_MUTATIONS: Mapping[str, Mutation] = mutations_by_name(
-    Mutation("forget-parents", "Jobs run without the jobs that they depend on.", _ignore_dependencies),
-    Mutation("early", "Jobs run before their earliest time.", _ignore_earliest_time),
+    Mutation("forget-parents", "Jobs run without waiting for their dependencies.", _ignore_dependencies),
+    Mutation("early", "Jobs run before their earliest start time.", _ignore_earliest_start_time),
     Mutation("failed-is-served", "A dependency that failed counts as served.", _treat_failed_as_served),
     Mutation("no-cascade", "Dependents of a job that failed stay deferred.", _keep_dependents_of_failed),
     Mutation("starve", "Jobs whose run conditions are met are never released.", _release_nothing),
--- a/burlmoor/testbed/mutations/spread.py
+++ b/burlmoor/testbed/mutations/spread.py
@@ -1,4 +1,4 @@
-"""Mutations of the policy that let many nodes choose the same endpoints at the same time."""
+"""Mutations of the policy that make many nodes choose the same endpoints at the same time."""
 
 from __future__ import annotations
 
--- a/burlmoor/upstream/pool.py
+++ b/burlmoor/upstream/pool.py
@@ -176,7 +176,7 @@
     def on_close_without_reset(self, address: str) -> None:
         """Count a violation: the unanswered request of a connection without reset may still be delivered."""
         if self._invariants is not None:
-            self._invariants.record_violation(Invariant.CLOSE, address=address)
+            self._invariants.record_violation(Invariant.RESET_ON_CLOSE, address=address)
 
     def close_oldest_idle(self) -> bool:
         """Close the connection that has been idle longest; return False if none is idle."""
--- a/burlmoor/upstream/request_sender.py
+++ b/burlmoor/upstream/request_sender.py
@@ -111,7 +111,7 @@
         """Count a violation if a request is about to be written although its precondition does not hold."""
         violated: Invariant | None = None
         if attempt.job.is_closed:
-            violated = Invariant.START
+            violated = Invariant.NO_WRITE_AFTER_CLOSE
         elif self._directory.find_live(attempt.endpoint) != endpoint:
             violated = Invariant.SEND
         if violated is not None:
--- a/tests/engine/test_job_log.py
+++ b/tests/engine/test_job_log.py
@@ -79,13 +79,13 @@
     assert line["attempts"][0]["cancel_reason"] == "job-over"
 
 
-def test_take_changes_returns_each_change_once() -> None:
+def test_take_increments_returns_each_increment_once() -> None:
     harness = EngineHarness()
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_attempt_ended(attempt, Outcome.SERVED, b"one")
     counters = harness.core.counters
-    assert counters.take_changes() == {"jobs": {"served": 1}}
-    assert counters.take_changes() == {}
+    assert counters.take_increments() == {"jobs": {"served": 1}}
+    assert counters.take_increments() == {}
     _, attempt = harness.submit_and_start()
     harness.core.lifecycle.on_client_disconnected(attempt.job)
-    assert counters.take_changes() == {"jobs": {"none: client-disconnected": 1}}
+    assert counters.take_increments() == {"jobs": {"none: client-disconnected": 1}}
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -40,7 +40,7 @@
 def test_simulated_clusters_run_as_before(seed: int) -> None:
     world = run_deployment({**BASE_DEPLOYMENT, "seed": seed, "nodes": 3, "zones": 2, "tenants": True})
     digest = hashlib.sha256()
-    for record in world.executor_records:
+    for record in world.attempt_records:
         outcome = record.outcome.value if record.outcome else None
         row = (
             record.request_id, record.executor, record.zone, record.cell, record.node_index, record.sent_at,
@@ -50,7 +50,7 @@
     for request in world.client_records.values():
         answers = [(at, describe(answer)) for at, answer in request.answers]
         request_row = (
-            request.request_id, request.job_class, request.tenant, request.sent_at, request.deadline_ms,
+            request.request_id, request.job_class, request.tenant, request.sent_at, request.timeout_ms,
             request.work_ms, request.node_index, answers, request.has_node_crashed, request.disconnected_at,
         )  # fmt: skip
         digest.update(repr(request_row).encode())
--- a/tests/simulation/test_deployments.py
+++ b/tests/simulation/test_deployments.py
@@ -1,4 +1,4 @@
-"""Simulates random deployments that the protocol allows; the four rules must hold in each."""
+"""Simulates random deployments that the protocol allows; the rules must hold in each."""
 
 from __future__ import annotations
 
@@ -190,7 +190,7 @@
 def test_the_same_seed_gives_the_same_run() -> None:
     first = run_deployment(BASE_DEPLOYMENT)
     second = run_deployment(BASE_DEPLOYMENT)
-    assert first.executor_records == second.executor_records
+    assert first.attempt_records == second.attempt_records
     assert first.client_records == second.client_records
 
 
@@ -243,8 +243,9 @@
     ("mutate", "nodes", "violation"),
     [
         (_send_twice, 1, "may have run"),
-        (_ignore_list_changes, 1, "had left"),
-        # A single node never has more attempts open than it sees start, so one node causes no violation.
+        (_ignore_list_changes, 1, "drains or is gone"),
+        # A single node never has more attempts open at an executor than it sees start there, so that it alone
+        # cannot overload the executor.
         (_treat_all_as_warm, 40, "in a window"),
         (_omit_some_answers, 2, "0 answers"),
     ],
--- a/tests/simulation/test_disconnects.py
+++ b/tests/simulation/test_disconnects.py
@@ -55,4 +55,4 @@
     cluster = run_with_disconnects()
     records = cluster.client_records.values()
     assert not any(record.answers for record in records if record.disconnected_at < math.inf)
-    assert Outcome.CANCELLED in {record.outcome for record in cluster.executor_records}
+    assert Outcome.CANCELLED in {record.outcome for record in cluster.attempt_records}
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Simulates the second deployment under its hardest conditions; the four rules must hold throughout."""
+"""Simulates two nodes and 15 executors in two zones under hard conditions; the rules must hold throughout."""
 
 from __future__ import annotations
 
@@ -79,6 +79,8 @@
 RUN_MS = 30_000.0  # how long clients send jobs
 SETTLE_MS = 25_000.0  # time for the last jobs to be answered
 BASE_JOBS_PER_MS = 0.052
+BIG_TENANT_FRACTION, SMALL_TENANT_FRACTION = 0.67, 0.33  # of the jobs, outside the surge
+SURGE_FACTOR = 5.6  # on the jobs of the small tenant
 
 
 def run_simulation(
@@ -119,7 +121,7 @@
 
 
 def replace_all_executors(cluster: SimulatedCluster) -> None:
-    """Replace all 15 executors within 21 s, each by one that has to warm up."""
+    """Replace the 15 executors one by one, from 2 s to 24.1 s into the run; each new one has to warm up."""
     for number in range(15):
         at = cluster.now + 2000.0 + 1400.0 * number
         cluster.schedule(at, partial(cluster.executors.drain, f"x{number}", 900.0))
@@ -167,11 +169,13 @@
 
 def test_a_tenant_over_its_quota_does_not_starve_another() -> None:
     def jobs_per_ms(at: float) -> float:
-        return BASE_JOBS_PER_MS * (0.67 + 0.33 * (5.6 if 5000.0 <= at < 24_000.0 else 1.0))
+        return BASE_JOBS_PER_MS * (
+            BIG_TENANT_FRACTION + SMALL_TENANT_FRACTION * (SURGE_FACTOR if 5000.0 <= at < 24_000.0 else 1.0)
+        )
 
     def choose_tenant(at: float, rng: random.Random) -> str:
-        small = 0.33 * (5.6 if 5000.0 <= at < 24_000.0 else 1.0)
-        return "small" if rng.random() < small / (small + 0.67) else "big"
+        small = SMALL_TENANT_FRACTION * (SURGE_FACTOR if 5000.0 <= at < 24_000.0 else 1.0)
+        return "small" if rng.random() < small / (small + BIG_TENANT_FRACTION) else "big"
 
     cluster = run_simulation(drain_most_executors, jobs_per_ms=jobs_per_ms, choose_tenant=choose_tenant)
     assert audit(cluster) == []
--- a/tests/simulation/test_slow_start.py
+++ b/tests/simulation/test_slow_start.py
@@ -96,14 +96,14 @@
 ) -> None:
     cluster = run_replacement(nodes, executors, load)
     assert audit(cluster) == []
-    sent = sum(record.executor_started_at > 0.0 for record in cluster.executor_records)
+    sent = sum(record.executor_started_at > 0.0 for record in cluster.attempt_records)
     assert sent > executors  # nodes do not just avoid warming executors
 
 
 @pytest.mark.parametrize("nodes", [20, 30])
 def test_the_audit_detects_nodes_without_slow_start(nodes: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "capacity_fraction", lambda *_: 1.0)
-    assert any("in a window where it bears" in line for line in audit(run_replacement(nodes, 12, load=3.0)))
+    assert any("in a window with a budget of" in line for line in audit(run_replacement(nodes, 12, load=3.0)))
 
 
 def test_max_jobs_by_chance_is_as_specified() -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt is short and names only tests that exist."""
+"""KNOWN-RED.txt has at most three entries, and names only tests that exist."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     lines = (ROOT / "KNOWN-RED.txt").read_text().splitlines()
     assert len(lines) <= MAX_KNOWN_RED
     for line in lines:
-        node, separator, cause = line.partition(": ")
-        path, _, function = node.partition("::")
+        test_id, separator, cause = line.partition(": ")
+        path, _, function = test_id.partition("::")
         tree = ast.parse((ROOT / path).read_text())
         assert function in {each.name for each in tree.body if isinstance(each, ast.FunctionDef)}
         assert separator
