--- a/burlmoor/cli/output.py
+++ b/burlmoor/cli/output.py
@@ -16,7 +16,7 @@
 
 
 def standard_error() -> Console:
-    """Return a console on standard error, which is used for all output except JSON."""
+    """Return a console on standard error, which is used for tables, status lines and progress."""
     return Console(stderr=True)
 
 
