--- a/burlmoor/cli/fleet.py
+++ b/burlmoor/cli/fleet.py
@@ -13,7 +13,7 @@
 from burlmoor.cli.output import exit_with_verdict, print_status, print_verdict
 from burlmoor.testbed.drill import Verdict, print_violations
 from burlmoor.testbed.fleet import record as records
-from burlmoor.testbed.fleet.random_schedule import draw_schedule
+from burlmoor.testbed.fleet.random_schedule import draw_sequential_schedule
 from burlmoor.testbed.fleet.run import Fleet
 from burlmoor.testbed.fleet.schedule_file import parse_schedule
 from burlmoor.testbed.fleet.verdict import assess_run
@@ -104,7 +104,7 @@
     try:
         if path is not None:
             return parse_schedule(path.read_text())
-        return draw_schedule(seed, seconds, fault_count)
+        return draw_sequential_schedule(seed, seconds, fault_count)
     except (ValueError, UnicodeDecodeError) as error:
         exit_with_errors([f"{path}: {error}"])
 
--- a/burlmoor/lifecycle/graceful_shutdown.py
+++ b/burlmoor/lifecycle/graceful_shutdown.py
@@ -58,7 +58,8 @@
         else:
             late_from = self._clock() + 1000.0 * (_LATE_ADMISSION_SECONDS - seconds_since_stall_began)
             await trio.sleep(max(0.0, _LATE_ADMISSION_SECONDS - seconds_since_stall_began))
-            # Without this, jobs that were admitted late and are still open at SIGKILL would be lost.
+            # SIGKILL may come before the deadlines of jobs that were admitted late. Their deadlines are
+            # brought forward, so that their clients get an answer.
             self._engine.cap_deadlines(answered_by, received_after=late_from)
             while self._drain.state < ServiceState.REJECTING:  # noqa: ASYNC110 - the state is computed from the time
                 await trio.sleep(_POLL_INTERVAL_SECONDS)
--- a/burlmoor/membership/local_member.py
+++ b/burlmoor/membership/local_member.py
@@ -45,8 +45,8 @@
         """Raise the generation above the one that the cluster knows; return whether it was raised.
 
         The known generation belongs to an earlier process of this node whose clock was ahead, or to another
-        node with the same name. Without the rate limit, two nodes with the same name would override each
-        other endlessly and flood the cluster with updates.
+        node with the same name. The rate is limited because two nodes with the same name override
+        each other in turn, and each raise sends an update through the cluster.
         """
         self._generation_raised_at = [
             raised_at for raised_at in self._generation_raised_at if now - raised_at < _RAISE_INTERVAL_SECONDS
--- a/burlmoor/testbed/fleet/addresses.py
+++ b/burlmoor/testbed/fleet/addresses.py
@@ -1,9 +1,10 @@
-"""Allocates the addresses of a fleet in 127.0.0.0/8: one for each node, executor and link between two.
+"""Allocates the addresses of a fleet in 127.0.0.0/8: one for each node, each executor and each link.
 
-A node connects to an executor at the address of their link, on which a relay listens. The relay connects to
-the executor from that same address, so that the executor knows which node sent a job, and sends its
-call-backs to that address on another port. Links between two nodes carry datagrams in the same way. The two
-ends of a link are computed from its address, so no table of links is needed.
+A link joins a node to an executor, or two nodes. A node connects to an executor at the address of their link,
+on which a relay listens. The relay connects to the executor from that same address, which tells the executor
+which node sent a job. The executor sends its call-backs to the same address, on another port. Links between
+two nodes carry datagrams in the same way. The two ends of a link are computed from its address, so no table
+of links is needed.
 """
 
 from __future__ import annotations
@@ -35,12 +36,18 @@
     """No run of consecutive free ports on loopback was found."""
 
     def __init__(self, count: int) -> None:
-        super().__init__(f"no {count} consecutive free ports on loopback within {_PORT_RANGE}")
+        super().__init__(
+            f"found no {count} consecutive free ports on loopback in {_PORT_RANGE[0]}-{_PORT_RANGE[1] - 1}"
+        )
         self.count = count
 
 
 class Link(NamedTuple):
-    """The two ends of a link, by number."""
+    """The two ends of a link, by number.
+
+    An executor and a node of the same number share the address of their links to a node; the port tells the
+    links apart.
+    """
 
     node: int
     peer: int  # an executor, or another node
--- a/burlmoor/testbed/fleet/child_process.py
+++ b/burlmoor/testbed/fleet/child_process.py
@@ -31,7 +31,7 @@
     "os.execv(sys.argv[3], sys.argv[3:])\n"
 )
 _CHUNK_BYTES = 4096
-_KILL_SECONDS = 5.0  # within which a process must end after SIGKILL
+_KILL_TIMEOUT_SECONDS = 5.0  # after SIGKILL
 
 
 class ProcessError(BurlmoorError, RuntimeError):
@@ -141,7 +141,7 @@
         """Kill it if it is running, wait for its end and close its pipes; shielded from cancellation."""
         self.send_signal(signal.SIGKILL)
         with trio.CancelScope(shield=True):
-            await self.wait_until_ended(_KILL_SECONDS)
+            await self.wait_until_ended(_KILL_TIMEOUT_SECONDS)
         for pipe in (self._process.stdin, self._process.stdout):
             if pipe is not None:
                 with suppress(OSError):
--- a/burlmoor/testbed/fleet/clients.py
+++ b/burlmoor/testbed/fleet/clients.py
@@ -19,18 +19,18 @@
 from burlmoor.testbed.clock import now_ms
 from burlmoor.testbed.event_record import EventRecord, RequestRecord
 from burlmoor.testbed.fleet.addresses import Ports, node_address
-from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_acknowledgement
+from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_status_line
 from burlmoor.testbed.fleet.load import Job, Load, draw_jobs
 
 _MIN_SLEEP_MS = 0.5
 
 
 class ClientsConfig(msgspec.Struct):
-    """The load, and the partition of it that this process sends."""
+    """The load, and which of its jobs this process sends."""
 
     ports: Ports
     load: Load
-    partition: int  # the jobs of nodes whose number modulo partition_count is this
+    partition: int  # the process sends the jobs of nodes whose number modulo partition_count is this
     partition_count: int
     start_ms: float  # start of the load on the machine's clock
     output_path: str
@@ -45,7 +45,7 @@
 
 
 class ClientGroup:
-    """Sends the jobs of a partition, and owns the connections to the nodes that they are sent to."""
+    """Sends the jobs of one process, and owns the connections to the nodes that they are sent to."""
 
     def __init__(self, config: ClientsConfig) -> None:
         self.event_record = EventRecord()
@@ -55,7 +55,7 @@
         self._client_pools: dict[int, ClientPool] = {}
 
     async def run(self) -> None:
-        """Send every job of the partition and wait for all answers."""
+        """Send every job that this process is to send, and wait for all answers."""
         config = self._config
         async with trio.open_nursery() as nursery:
             for job in draw_jobs(config.load):
@@ -101,7 +101,7 @@
         clients = ClientGroup(config)
         await clients.run()
         _write_output(config, clients)
-        send_acknowledgement()
+        send_status_line()
         nursery.cancel_scope.cancel()
 
 
--- a/burlmoor/testbed/fleet/datagram_switch.py
+++ b/burlmoor/testbed/fleet/datagram_switch.py
@@ -25,7 +25,7 @@
     parse_link_address,
 )
 from burlmoor.testbed.fleet.datagram_faults import DatagramFaults
-from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_acknowledgement
+from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_status_line
 from burlmoor.testbed.fleet.link_faults import LinkFault, LinkProcessConfig
 
 MAX_QUEUED_DATAGRAMS = 100_000  # any more are lost, as in a real switch
@@ -120,7 +120,7 @@
         switch.open()
         nursery.start_soon(switch.receive)
         nursery.start_soon(switch.deliver)
-        send_acknowledgement()
+        send_status_line()
         async for line in read_lines():
             switch.faults.link_faults = msgspec.json.decode(line, type=list[LinkFault])
         nursery.cancel_scope.cancel()
--- a/burlmoor/testbed/fleet/drill_fleet.py
+++ b/burlmoor/testbed/fleet/drill_fleet.py
@@ -1,4 +1,4 @@
-"""Number of executors and start of the run, as all drills of a fleet use them."""
+"""Chooses the number of executors of a fleet drill and runs its plan; shared by all fleet drills."""
 
 from __future__ import annotations
 
--- a/burlmoor/testbed/fleet/executors.py
+++ b/burlmoor/testbed/fleet/executors.py
@@ -18,7 +18,7 @@
 from burlmoor.testbed.executor import CallingNode, Executor
 from burlmoor.testbed.executor_model import ExecutorSpec
 from burlmoor.testbed.fleet.addresses import Ports, executor_address, parse_link_address
-from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_acknowledgement
+from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_status_line
 
 
 class ExecutorAction(StrEnum):
@@ -76,12 +76,12 @@
         for name, executor in executors.items():
             address = (executor_address(config.numbers[name]), config.ports.executor_http)
             await executor.listen_for_all_nodes(address, identify_node)
-        send_acknowledgement()
+        send_status_line()
         async for line in read_lines():
             command = msgspec.json.decode(line, type=ExecutorCommand)
             if command.action is ExecutorAction.FINISH:
                 _write_output(config, event_record)
-                send_acknowledgement()
+                send_status_line()
                 break
             await execute_command(command, executors[command.name])
         nursery.cancel_scope.cancel()
--- a/burlmoor/testbed/fleet/helper_processes.py
+++ b/burlmoor/testbed/fleet/helper_processes.py
@@ -23,7 +23,7 @@
     from burlmoor.testbed.fleet.process_allocation import ProcessCounts
     from burlmoor.testbed.fleet.record import RunRecord
 
-_REPLY_SECONDS = 20.0  # within which a process must be ready, or must have written its output
+_REPLY_TIMEOUT_SECONDS = 20.0  # until a process is ready, or has written its output
 _LOG_TAIL_CHARACTERS = 2000
 
 
@@ -70,7 +70,7 @@
             self._start(HelperKind.DATAGRAM_SWITCH, LinkProcessConfig(self._ports, plan.seed))
         self._start_executors(max(1, min(counts.executors, plan.executors)))
         for kind in (HelperKind.TCP_RELAY, HelperKind.DATAGRAM_SWITCH, HelperKind.EXECUTORS):
-            await self._wait_for_line(kind, _REPLY_SECONDS, "did not start")
+            await self._wait_for_line(kind, _REPLY_TIMEOUT_SECONDS, "ended or was not ready in time")
 
     def _start_executors(self, count: int) -> None:
         names = self._record.executor_names()
@@ -145,10 +145,14 @@
         """
         relays = (*self._processes[HelperKind.TCP_RELAY], *self._processes[HelperKind.DATAGRAM_SWITCH])
         if not all(process.is_running for process in relays):
-            raise self._process_error(HelperKind.TCP_RELAY, "ended before the run was over")
+            raise self._process_error(
+                HelperKind.TCP_RELAY, f"or {HelperKind.DATAGRAM_SWITCH} ended before the run was over"
+            )
         for process in self._processes[HelperKind.EXECUTORS]:
             process.send_line(ExecutorCommand(ExecutorAction.FINISH))
-        await self._wait_for_line(HelperKind.EXECUTORS, _REPLY_SECONDS, "did not write their attempts")
+        await self._wait_for_line(
+            HelperKind.EXECUTORS, _REPLY_TIMEOUT_SECONDS, "did not write its attempts in time"
+        )
 
     def take_client_outputs(self) -> Iterator[ClientsOutput]:
         """Yield the output of each process of clients, and remove the files."""
--- a/burlmoor/testbed/fleet/line_protocol.py
+++ b/burlmoor/testbed/fleet/line_protocol.py
@@ -1,7 +1,8 @@
 """The protocol between a run and its helper processes: lines of JSON on standard input and output.
 
 A process reads its configuration from the first line of its input and a message from each further line, and
-ends when its input ends. It writes one line when it is ready, and one when it has finished.
+ends when its input ends. Executors, relays and the datagram switch write a line
+when they are ready; executors and clients write one when they have finished.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
     return 0
 
 
-def send_acknowledgement() -> None:
+def send_status_line() -> None:
     """Write the line that tells the run that this process is ready, or has finished."""
     print("{}", flush=True)
 
--- a/burlmoor/testbed/fleet/load_grid.py
+++ b/burlmoor/testbed/fleet/load_grid.py
@@ -1,4 +1,4 @@
-"""The load of each executor over time, in slices of equal length; each slice holds the state at its start."""
+"""The load of each executor over time, in slices of equal length; each slice holds the state at its end."""
 
 from __future__ import annotations
 
@@ -31,14 +31,20 @@
 
 
 class Evenness(NamedTuple):
-    """How evenly the relative load (outstanding work / capacity) is spread over the executors, by slice."""
+    """How evenly the relative load (outstanding work / capacity) is spread over the executors, by slice.
+
+    The load is less even where the values are higher.
+    """
 
     variation: np.ndarray  # coefficient of variation
     max_over_mean: np.ndarray
 
 
 class LoadGrid:
-    """Divides a run into slices, and holds each executor's capacity and its availability in each slice."""
+    """Divides a run into slices, and sums the load of given attempts by slice and executor.
+
+    Holds each executor's capacity, and its availability in each slice.
+    """
 
     def __init__(
         self,
--- a/burlmoor/testbed/fleet/node_configuration.py
+++ b/burlmoor/testbed/fleet/node_configuration.py
@@ -51,14 +51,14 @@
             "seed": f"{plan.seed:04x}{number:04x}",
             "settings": {**settings, "Me": number},
             "known": self._initial_lists[number],
-            "limits": {"sockets": plan.socket_limit},
+            "limits": {"sockets": plan.descriptor_limit},
         }
 
 
-async def announce_executors(
+async def set_up_discovery(
     record: RunRecord, ports: Ports, discovery: DiscoveryService
 ) -> NodeConfigurations:
-    """Announce all executors to each node by its link addresses, on a discovery address for each node."""
+    """Start a discovery address for each node and list all executors on it; return the configurations."""
     node_names = record.node_names()
     discovery_addresses = []
     for number, name in enumerate(node_names):
--- a/burlmoor/testbed/fleet/node_faults.py
+++ b/burlmoor/testbed/fleet/node_faults.py
@@ -13,7 +13,7 @@
 from burlmoor.testbed.fleet.connection_flood import ConnectionFlood
 from burlmoor.testbed.fleet.fault_kinds import FaultKind, UnsupportedFaultError
 from burlmoor.testbed.fleet.fault_timing import begin_interval, sleep_until
-from burlmoor.testbed.fleet.node_processes import READY_SECONDS, DelayedSignal, NodeProcesses
+from burlmoor.testbed.fleet.node_processes import READY_TIMEOUT_SECONDS, DelayedSignal, NodeProcesses
 from burlmoor.testbed.job_classes import JOB_CLASSES
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
         if self._nodes.is_ended_by_fault(number):
             return  # the other fault starts the node again
         interval = self._begin(fault, number)
-        await self._nodes.end_by_fault(number, fault.kind)
+        await self._nodes.kill_or_terminate(number, fault.kind)
         await sleep_until(self._record, fault.end)
         await self._start_again(number, interval)
 
@@ -90,7 +90,9 @@
         if self._nodes.is_ended_by_fault(number):
             return
         interval = self._begin(fault, number)
-        await self._nodes.terminate(number, kill_after_seconds(), self._draw_signals(int(fault.magnitude)))
+        await self._nodes.stop_for_restart(
+            number, kill_after_seconds(), self._draw_signals(int(fault.magnitude))
+        )
         await trio.sleep(fault.duration)
         await self._start_again(number, interval)
 
@@ -104,7 +106,7 @@
 
     async def _start_again(self, number: int, interval: FaultInterval) -> None:
         self._nodes.start(number)
-        with trio.move_on_after(READY_SECONDS):
+        with trio.move_on_after(READY_TIMEOUT_SECONDS):
             await self._nodes.wait_until_ready(number)
         interval.end_ms = now_ms()
 
--- a/burlmoor/testbed/fleet/node_processes.py
+++ b/burlmoor/testbed/fleet/node_processes.py
@@ -25,9 +25,9 @@
     from burlmoor.testbed.discovery import DiscoveryService
     from burlmoor.testbed.fleet.node_configuration import NodeConfigurations
 
-READY_SECONDS = 90.0  # within which started nodes must be ready
-STOP_SECONDS = 15.0  # within which a node must end after SIGTERM
-_KILL_SECONDS = 5.0  # within which a node must end after SIGKILL
+READY_TIMEOUT_SECONDS = 90.0
+STOP_TIMEOUT_SECONDS = 15.0  # after SIGTERM
+_KILL_TIMEOUT_SECONDS = 5.0  # after SIGKILL
 _READY_POLL_SECONDS = 0.2
 
 
@@ -79,7 +79,7 @@
         """
         for number in range(len(self.names)):
             self.start(number)
-        with trio.fail_after(READY_SECONDS):
+        with trio.fail_after(READY_TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 for number in range(len(self.names)):
                     nursery.start_soon(self.wait_until_ready, number)
@@ -131,14 +131,14 @@
         process.send_signal(signal.SIGCONT)
 
     def is_ended_by_fault(self, number: int) -> bool:
-        """Whether a fault has ended the node, and it has not been restarted since."""
+        """Whether a fault has killed or begun to stop the node, and it has not been restarted since."""
         return number in self._ended_by_fault
 
     def send_signal(self, number: int, signal_number: signal.Signals) -> None:
         """Send a signal to a node if it is running."""
         self._processes[number].send_signal(signal_number)
 
-    async def terminate(
+    async def stop_for_restart(
         self, number: int, kill_after_seconds: float, further_signals: Sequence[DelayedSignal]
     ) -> None:
         """Send SIGTERM, then the further signals at their times, and SIGKILL after `kill_after_seconds`.
@@ -174,7 +174,7 @@
         has_no_job = number in self._starting and status == -signal.SIGTERM
         return 0 if has_no_job else status
 
-    async def end_by_fault(self, number: int, kind: FaultKind) -> None:
+    async def kill_or_terminate(self, number: int, kind: FaultKind) -> None:
         """Kill or terminate a node.
 
         It is recorded as an unexpected exit if it does not end in time, or exits on SIGTERM with a status
@@ -184,14 +184,14 @@
         name = self.names[number]
         self._ended_by_fault.add(number)
         process.send_signal(signal.SIGKILL if kind is FaultKind.NODE_KILL else signal.SIGTERM)
-        if not await process.wait_until_ended(STOP_SECONDS):
+        if not await process.wait_until_ended(STOP_TIMEOUT_SECONDS):
             self._record.unexpected_exits[f"{name} on {kind}"] = 1
             process.send_signal(signal.SIGKILL)
-            await process.wait_until_ended(_KILL_SECONDS)
+            await process.wait_until_ended(_KILL_TIMEOUT_SECONDS)
         if kind is FaultKind.NODE_TERMINATION and (status := self._failure_status(number)):
             self._record.unexpected_exits[f"{name} on {kind}"] = status
 
-    def record_resource_usage(self) -> None:
+    def record_usage_and_exits(self) -> None:
         """Record the CPU time and memory of each running node, and the exit status of each that has ended."""
         for number, process in self._processes.items():
             name = self.names[number]
@@ -215,7 +215,7 @@
     async def _record_exit(self, number: int) -> None:
         process = self._processes[number]
         name = self.names[number]
-        if not await process.wait_until_ended(STOP_SECONDS):
+        if not await process.wait_until_ended(STOP_TIMEOUT_SECONDS):
             self._record.unexpected_exits[f"{name} at the end"] = 1
         elif status := self._failure_status(number):
             self._record.unexpected_exits.setdefault(name, status)
--- a/burlmoor/testbed/fleet/random_schedule.py
+++ b/burlmoor/testbed/fleet/random_schedule.py
@@ -18,7 +18,8 @@
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule, LinkDirection
 
 _DIRECTIONS = (LinkDirection.BOTH, LinkDirection.FORWARD, LinkDirection.BACK)
-_ONE_NODE = node_name(0)  # for faults that affect all nodes, so they are injected at a single one
+# Outages and overload of discovery affect all nodes, whichever are selected; selecting one injects them once.
+_ONE_NODE = node_name(0)
 
 _RECOVERY_SECONDS = 4.0  # at the end of a run, without faults
 _MIN_FAULTED_SECONDS = 2.0
@@ -35,13 +36,13 @@
 _MAX_FURTHER_SIGNALS = 4  # after the SIGTERM of a restart
 _RESTART_CYCLE_SECONDS = 7.0  # of a node that is restarted repeatedly: shutdown, pause and start
 _MAX_RELOADS = 4  # in succession
-_SLOW_LINK_FRACTION = 0.5  # of the runs
-_FLOOD_FRACTION = 0.35  # of the runs
+_SLOW_LINK_PROBABILITY = 0.5  # for each run
+_FLOOD_PROBABILITY = 0.35  # for each run
 _FLOOD_CONNECTIONS = 300.0
 
 
 class _Parameters(TypedDict, total=False):
-    """The parameters of a fault other than its kind, start and duration."""
+    """The parameters of a fault other than its kind, start and duration; see `Fault` for their units."""
 
     nodes: str
     executors: str
@@ -65,8 +66,11 @@
 }
 
 
-def draw_schedule(seed: int, seconds: float, count: int) -> FaultSchedule:
-    """Draw sequential faults, each of another kind, with time to recover between them."""
+def draw_sequential_schedule(seed: int, seconds: float, count: int) -> FaultSchedule:
+    """Draw sequential faults, each of a different kind, with time to recover between them.
+
+    At each node or executor, a fault lasts for at most 0.4 of the time between the starts of two faults.
+    """
     rng = random.Random(seed)
     kinds = rng.sample(list(_SEQUENTIAL_FAULTS), min(count, len(_SEQUENTIAL_FAULTS)))
     step = seconds / (count + 1)
@@ -118,7 +122,7 @@
 
 
 class _FaultSeriesGenerator:
-    """Draws repeated and long-lasting faults within the first `end` seconds."""
+    """Draws restarts, reloads, slow links and connection floods that start in the first `end` seconds."""
 
     def __init__(self, rng: random.Random, end: float) -> None:
         self._rng = rng
@@ -151,7 +155,7 @@
 
     def draw_slow_links(self) -> list[Fault]:
         """Draw, in some runs, links that are as slow as those between zones for the whole time."""
-        if self._rng.random() >= _SLOW_LINK_FRACTION:
+        if self._rng.random() >= _SLOW_LINK_PROBABILITY:
             return []
         delay_ms = round(self._rng.uniform(10.0, 45.0), 1)
         nodes = f"{self._rng.choice([30, 60])}%"
@@ -167,7 +171,7 @@
 
     def draw_connection_floods(self) -> list[Fault]:
         """Draw, in some runs, a flood of idle connections, more than a node has descriptors for."""
-        if self._rng.random() >= _FLOOD_FRACTION:
+        if self._rng.random() >= _FLOOD_PROBABILITY:
             return []
         start = self._rng.uniform(_FIRST_START_SECONDS, 0.5 * self._end)
         duration = self._rng.uniform(2.0, 0.5 * self._end)
@@ -203,7 +207,10 @@
         return self._draw(kind, max_seconds=6.0, executors=executors, notification_delay=delay)
 
     def draw_isolation(self) -> Fault:
-        """Draw an isolation of nodes, so long that changes announced during it count as notified to them."""
+        """Draw an isolation of nodes for most of the run.
+
+        A node counts as notified of a change after a limited time, even if it is isolated for longer.
+        """
         duration = self._rng.uniform(0.6, 0.8) * self._end
         nodes = self._draw_percentage(20, 30)
         start = 0.1 * self._end
@@ -249,7 +256,7 @@
         ]
 
     def draw_node_faults(self) -> list[Fault]:
-        """Draw kills, terminations and pauses of nodes, some so long that their list becomes outdated."""
+        """Draw kills, terminations and pauses of nodes, some longer than a node may use its endpoint list."""
         draw, percent = self._draw, self._draw_percentage
         return [
             draw(FaultKind.NODE_KILL, max_seconds=1.5, nodes=percent(10, 20)),
--- a/burlmoor/testbed/fleet/record.py
+++ b/burlmoor/testbed/fleet/record.py
@@ -27,7 +27,7 @@
     from pathlib import Path
 
 LINKS_SUBJECT = "links"  # the subject of every link fault's interval
-_DEFAULT_SOCKET_LIMIT = 1024
+_DEFAULT_DESCRIPTOR_LIMIT = 1024
 _SCHEDULE_FILE = "schedule.ini"
 _RECORD_FILE = "record.json.gz"
 
@@ -48,7 +48,7 @@
     seconds: float
     seed: int
     rate: float  # jobs per second
-    utilization: float = msgspec.field(default=0.7, name="load")  # fraction of the warm executors' capacity
+    utilization: float = msgspec.field(default=0.7, name="load")  # offered load / capacity after slow start
     zones: int = 1
     skew: float = 0.5  # sigma of the logarithm of a node's share of the jobs
     first_node_factor: float = msgspec.field(default=1.0, name="loud")
@@ -66,9 +66,9 @@
         return self.hedging is UNSET or self.hedging
 
     @property
-    def socket_limit(self) -> int:
+    def descriptor_limit(self) -> int:
         """The number of file descriptors that each node may have open."""
-        return _DEFAULT_SOCKET_LIMIT if self.sockets is UNSET else self.sockets
+        return _DEFAULT_DESCRIPTOR_LIMIT if self.sockets is UNSET else self.sockets
 
 
 class FaultInterval(msgspec.Struct):
@@ -100,7 +100,8 @@
     fault_intervals: list[FaultInterval] = msgspec.field(default_factory=list, name="spans")
     notifications: list[Notification] = msgspec.field(default_factory=list, name="heard")
     resource_usage: dict[str, ResourceUsage] = msgspec.field(default_factory=dict, name="used")
-    # By node: the exit status if it ended without being stopped, or with a status other than 0.
+    # By node, with the occasion for some ("n003 on restart"): the exit status of a node that ended without
+    # being stopped, or with a status other than 0. 1 also stands for a node that did not end in time.
     unexpected_exits: dict[str, int] = msgspec.field(default_factory=dict, name="ended")
     max_send_delay_ms: float = msgspec.field(default=0.0, name="behind")  # of a job, past its due time
     cores_used: float = msgspec.field(default=0.0, name="cpus")  # mean of the whole machine during the load
--- a/burlmoor/testbed/fleet/report.py
+++ b/burlmoor/testbed/fleet/report.py
@@ -29,7 +29,7 @@
     from burlmoor.testbed.fleet.record import RunRecord
 
 _BASELINE_COLORS = {"shortest": "tab:green", "least of two": "tab:orange", "random": "tab:red"}
-_NAMED_EXECUTORS = 8  # those with the most work, named below the plot of the least even second
+_LABELLED_EXECUTOR_COUNT = 8  # the executors with the highest load are named in the last plot
 
 
 def plot_report(record: RunRecord, path: Path) -> None:
@@ -63,9 +63,7 @@
         vmax=float(np.nanquantile(load_seconds, 0.995)),
     )
     figure.colorbar(image, ax=axes, label="outstanding work, s")
-    axes.set(
-        title="each executor's outstanding work over its capacity (white: unavailable)", ylabel="executor"
-    )
+    axes.set(title="each executor's outstanding work / capacity (white: unavailable)", ylabel="executor")
 
 
 def _plot_variation(axes: Axes, record: RunRecord, grid: LoadGrid, variation: np.ndarray) -> None:
@@ -75,7 +73,7 @@
     for name, color in _BASELINE_COLORS.items():
         attempts = replay_baseline(record, name).attempts
         axes.plot(seconds, measure_evenness(grid, attempts).variation, label=name, color=color, linewidth=0.7)
-    axes.set(title="coefficient of variation of outstanding work over capacity", xlabel="s", ylim=(0.0, None))
+    axes.set(title="coefficient of variation of outstanding work / capacity", xlabel="s", ylim=(0.0, None))
     axes.legend(loc="upper right")
 
 
@@ -84,15 +82,15 @@
 ) -> None:
     """Plot each executor's load in the least even second after the settling time."""
     smooth = smooth_over_a_second(variation, "valid")
-    begin = 0
+    first_slice = 0
     if len(smooth) > SETTLING_SLICES:
-        begin = SETTLING_SLICES + int(np.argmax(smooth[SETTLING_SLICES:]))
-    load = np.nan_to_num(load_seconds[begin : begin + SLICES_PER_SECOND]).mean(axis=0)
+        first_slice = SETTLING_SLICES + int(np.argmax(smooth[SETTLING_SLICES:]))
+    load = np.nan_to_num(load_seconds[first_slice : first_slice + SLICES_PER_SECOND]).mean(axis=0)
     order = np.argsort(-load)
     names = record.executor_names()
     axes.bar(range(len(names)), load[order])
     axes.set(
-        title=f"the least even second, from {begin / SLICES_PER_SECOND:.1f} s: outstanding work by executor",
+        title=f"least even second, from {first_slice / SLICES_PER_SECOND:.1f} s: outstanding work",
         ylabel="s",
-        xlabel=f"most: {', '.join(names[number] for number in order[:_NAMED_EXECUTORS])}",
+        xlabel=f"highest load: {', '.join(names[number] for number in order[:_LABELLED_EXECUTOR_COUNT])}",
     )
--- a/burlmoor/testbed/fleet/run.py
+++ b/burlmoor/testbed/fleet/run.py
@@ -15,7 +15,7 @@
 from burlmoor.testbed.fleet.fault_timing import sleep_until
 from burlmoor.testbed.fleet.helper_processes import HelperProcesses
 from burlmoor.testbed.fleet.load import Load, mean_job_work_ms
-from burlmoor.testbed.fleet.node_configuration import announce_executors
+from burlmoor.testbed.fleet.node_configuration import set_up_discovery
 from burlmoor.testbed.fleet.node_processes import NodeProcesses
 from burlmoor.testbed.fleet.process_allocation import ProcessCounts, allocate_cores
 from burlmoor.testbed.fleet.record import RunPlan, RunRecord
@@ -27,7 +27,7 @@
     from pathlib import Path
 
 _LOAD_START_DELAY_SECONDS = 1.0  # after all nodes are ready
-_CLIENT_FINISH_SECONDS = 12.0  # within which clients must finish after the longest timeout
+_CLIENT_FINISH_TIMEOUT_SECONDS = 12.0  # after the longest timeout of a job
 _PROGRESS_INTERVAL_SECONDS = 10
 _ZONE_NAMES = "abcdefgh"
 
@@ -85,7 +85,7 @@
         ):
             discovery = DiscoveryService(nursery)
             await helpers.start(counts)
-            configurations = await announce_executors(self.record, ports, discovery)
+            configurations = await set_up_discovery(self.record, ports, discovery)
             async with NodeProcesses(
                 self.record, ports, self._folder, cores.nodes, discovery, configurations
             ) as nodes:
@@ -118,15 +118,15 @@
                 if second % _PROGRESS_INTERVAL_SECONDS == 0:
                     self._report_progress(f"{second} of {self.plan.seconds:.0f} s")
         record.cores_used = psutil.cpu_percent() / 100.0 * (psutil.cpu_count() or 1)
-        longest_timeout = max(job_class.timeout_ms for job_class in JOB_CLASSES) / 1000.0
-        await helpers.wait_for_clients(longest_timeout + _CLIENT_FINISH_SECONDS)
+        longest_timeout_seconds = max(job_class.timeout_ms for job_class in JOB_CLASSES) / 1000.0
+        await helpers.wait_for_clients(longest_timeout_seconds + _CLIENT_FINISH_TIMEOUT_SECONDS)
 
     async def _collect_observations(
         self, nodes: NodeProcesses, helpers: HelperProcesses, discovery: DiscoveryService
     ) -> None:
         """Stop the executors and nodes, and add what was observed to the record."""
         record = self.record
-        nodes.record_resource_usage()
+        nodes.record_usage_and_exits()
         await helpers.finish_executors()
         await nodes.stop_all()
         record.notifications = list(discovery.notifications)
--- a/burlmoor/testbed/fleet/schedule_file.py
+++ b/burlmoor/testbed/fleet/schedule_file.py
@@ -18,7 +18,7 @@
 
 
 class ScheduleError(BurlmoorError, ValueError):
-    """A schedule is invalid; the message names the section, the key and the problem on one line."""
+    """A schedule is invalid; the one-line message names the problem, and the section if there is one."""
 
     def __init__(self, section: str, reason: str) -> None:
         super().__init__(f"{section}: {reason}" if section else reason)
@@ -107,9 +107,17 @@
     """
     # Written so that nan is rejected as well.
     if not (0.0 <= fault.start < _MAX_SECONDS and 0.0 <= fault.duration < _MAX_SECONDS):
-        raise ScheduleError(section, f"invalid at or lasts, must be seconds from 0 to {_MAX_SECONDS:.0f}")
+        raise ScheduleError(
+            section,
+            f"invalid at {fault.start} or lasts {fault.duration}, "
+            f"must be seconds from 0 to less than {_MAX_SECONDS:.0f}",
+        )
     if min(fault.magnitude, fault.stagger, fault.notification_delay, fault.restart_stagger) < 0.0:
-        raise ScheduleError(section, "invalid size, over, told or back, must be 0 or more")
+        raise ScheduleError(
+            section,
+            f"invalid size {fault.magnitude}, over {fault.stagger}, told {fault.notification_delay} "
+            f"or back {fault.restart_stagger}, must be 0 or more",
+        )
     is_executor_fault = fault.kind in EXECUTOR_FAULTS
     if not (fault.executors if is_executor_fault else fault.nodes):
         required = "executors" if is_executor_fault else "nodes"
--- a/burlmoor/testbed/fleet/tcp_relay.py
+++ b/burlmoor/testbed/fleet/tcp_relay.py
@@ -29,7 +29,7 @@
 )
 from burlmoor.testbed.fleet.fault_kinds import FaultKind
 from burlmoor.testbed.fleet.faults import LinkDirection
-from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_acknowledgement
+from burlmoor.testbed.fleet.line_protocol import read_lines, run_process, send_status_line
 from burlmoor.testbed.fleet.link_faults import (
     BLOCKING_FAULTS,
     DELAY_JITTER,
@@ -206,7 +206,7 @@
     async with trio.open_nursery() as nursery:
         relays = TcpRelays(config, nursery)
         await relays.open()
-        send_acknowledgement()
+        send_status_line()
         async for line in read_lines():
             relays.apply_faults(msgspec.json.decode(line, type=list[LinkFault]))
         nursery.cancel_scope.cancel()
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -12,7 +12,7 @@
 from burlmoor.testbed.http_stream import HttpStream
 from burlmoor.types.endpoint_list import EndpointState, ListKind
 from burlmoor.types.events import EndpointListUpdate
-from tests.support.admin_client import call_admin, get_readiness_status, serve_job
+from tests.support.admin_client import call_admin, get_readiness_status, submit_and_finish_job
 from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
         for seq, hosts in enumerate((*listed, listed[0]), start=2):
             await harness.publish(seq, **hosts)
             await harness.wait_until(lambda seq=seq: harness.components.directory.version == seq)  # type: ignore[misc]
-            assert {await serve_job(harness, f"{seq}-{number}") for number in range(4)} == {"e1"}
+            assert {await submit_and_finish_job(harness, f"{seq}-{number}") for number in range(4)} == {"e1"}
         assert (await call_admin(harness, "/executors/enable", "e0"))[1]["out"] == []
         assert harness.components.directory.find_live("e0") is not None
 
@@ -75,7 +75,7 @@
             return connection
 
         monkeypatch.setattr(harness.components.pool, "acquire", disable_while_connecting)
-        assert await serve_job(harness, "a1") != disabled[0]
+        assert await submit_and_finish_job(harness, "a1") != disabled[0]
 
 
 async def test_silent_and_incomplete_requests_do_not_delay_others() -> None:
--- a/tests/deferred/test_over_sockets.py
+++ b/tests/deferred/test_over_sockets.py
@@ -14,7 +14,7 @@
 from tests.support.configuration import write_config
 from tests.support.deferral_over_sockets import (
     fetch_status,
-    open_deferral_harness,
+    open_deferring_node,
     submit_deferred,
     wait_until_deferred,
     wait_until_sent,
@@ -28,7 +28,7 @@
 
 
 async def test_a_deferred_job_is_sent_after_its_parent_without_its_condition_headers() -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         parent, child = await submit_deferred(harness, "p"), await submit_deferred(harness, "c", "p")
         await wait_until_sent(harness, "p")
         await wait_until_deferred(harness, 1)
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("how", ["failed", "lost", "leaves"])
 async def test_dependents_of_a_job_that_was_not_served_get_424_at_once(how: str) -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         parent, child = await submit_deferred(harness, "p"), await submit_deferred(harness, "c", "p")
         grandchild = await submit_deferred(harness, "g", "c")
         await wait_until_deferred(harness, 2)
@@ -76,7 +76,7 @@
 
 
 async def test_a_job_with_an_unknown_dependency_is_rejected_after_the_timeout() -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         response = await harness.read_response(await submit_deferred(harness, "c", "nobody"))
         assert response.status == 503
         assert float(response.headers["retry-after"]) > 0.0
@@ -84,7 +84,7 @@
 
 
 async def test_parent_and_child_may_use_one_connection() -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         connection = await submit_deferred(harness, "p")
         await submit_deferred(harness, "c", "p", connection=connection)  # written before the parent's answer
         await wait_until_sent(harness, "p")
@@ -106,7 +106,7 @@
 async def test_an_invalid_condition_gets_400_with_one_line_that_names_the_header(
     fields: dict[str, str],
 ) -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         response = await harness.read_response(await submit_deferred(harness, "c", connection=None, **fields))
         assert response.status == 400
         assert next(iter(fields)).replace("_", "-").encode() in response.body
@@ -115,7 +115,7 @@
 
 
 async def test_the_id_of_a_deferred_job_is_in_use_until_its_client_disconnects() -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         await submit_deferred(harness, "p")
         child = await submit_deferred(harness, "c", "p")
         await wait_until_deferred(harness, 1)
@@ -131,7 +131,7 @@
 
 
 async def test_deferred_jobs_leave_connections_for_other_jobs_and_call_backs() -> None:
-    async with open_deferral_harness(sockets=256) as harness:
+    async with open_deferring_node(sockets=256) as harness:
         await submit_deferred(harness, "p")
         await wait_until_sent(harness, "p")
         size = harness.components.server.connections.max_connections
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("how", ["drain", "stop"])
 async def test_deferred_jobs_are_rejected_when_the_node_drains_or_shuts_down(how: str) -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         await submit_deferred(harness, "p")
         child = await submit_deferred(harness, "c", "p")
         await wait_until_deferred(harness, 1)
@@ -206,7 +206,7 @@
 
 
 async def test_a_dependent_of_a_job_in_the_old_process_is_rejected() -> None:
-    async with open_deferral_harness() as harness:
+    async with open_deferring_node() as harness:
         harness.components.core.jobs.add_ids_in_other_process(["p"])  # as a handover does
         response = await harness.read_response(await submit_deferred(harness, "c", "p"))
         assert response.status == 503
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -1,8 +1,8 @@
-"""The same seeds yield the same events as in commit 69d0f80, whose code recorded the digests.
+"""Simulated runs match recorded digests of their events, which a refactoring must not change.
 
-The deployment digests of seeds 1 and 3 are newer, because of a change to the policy: an attempt at an
-endpoint that has never reported anything is not cancelled before the last moment at which another endpoint
-can still serve the job.
+The code of commit 69d0f80 recorded the digests. The deployment digests of seeds 1 and 3 are newer, because of
+a change to the policy: an attempt at an endpoint that has never reported anything is not cancelled before the
+last moment at which another endpoint can still serve the job.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from burlmoor.simulation.gossip import GossipSimulation
 from tests.simulation.test_deployments import BASE_DEPLOYMENT, run_deployment
 from tests.support.dispatcher_driver import entries, settings
-from tests.support.dispatcher_fleet import Fleet
+from tests.support.dispatcher_fleet import SimulatedFleet
 
 DIGESTS = json.loads((Path(__file__).parent / "data" / "digests.json").read_text())
 SEEDS = (1, 2, 3)
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_simulated_clusters_run_as_before(seed: int) -> None:
+def test_simulated_clusters_match_the_recorded_digest(seed: int) -> None:
     world = run_deployment({**BASE_DEPLOYMENT, "seed": seed, "nodes": 3, "zones": 2, "tenants": True})
     digest = hashlib.sha256()
     for record in world.attempt_records:
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_simulated_memberships_run_as_before(seed: int) -> None:
+def test_simulated_memberships_match_the_recorded_digest(seed: int) -> None:
     cluster = GossipSimulation(12, seed, loss=0.1)
     cluster.run(3.0)
     cluster.crash(["n1", "n2"])
@@ -79,8 +79,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_many_dispatchers_send_as_before(seed: int) -> None:
-    fleet = Fleet(settings(node_count=5), entries(6), seed)
+def test_attempts_of_many_dispatchers_match_the_recorded_digest(seed: int) -> None:
+    fleet = SimulatedFleet(settings(node_count=5), entries(6), seed)
     fleet.generate_load(
         60.0,
         5000.0,
@@ -91,6 +91,6 @@
         ),
     )
     fleet.endpoints["a3"].is_faulty = True
-    fleet.run(8000.0)
+    fleet.run_until(8000.0)
     digest = hashlib.sha256(repr((fleet.sends, sorted(fleet.final_answers.items()))).encode())
     assert digest.hexdigest() == DIGESTS["dispatch"][str(seed)]
--- a/tests/golden/test_takeover.py
+++ b/tests/golden/test_takeover.py
@@ -84,14 +84,14 @@
     return {"hello": hello, "accepting": accepting}
 
 
-async def test_a_process_hands_over_to_one_of_the_release(tmp_path: Path) -> None:
+async def test_a_process_hands_over_to_a_process_of_the_production_release(tmp_path: Path) -> None:
     async with open_handover_harness(tmp_path) as harness:
         messages = await hand_over(harness)
     assert shape(messages["snapshot"]) == shape(recorded("snapshot"))
     assert messages["holds"] == recorded("holds")
 
 
-async def test_a_process_takes_over_from_one_of_the_release(tmp_path: Path) -> None:
+async def test_a_process_takes_over_from_a_process_of_the_production_release(tmp_path: Path) -> None:
     async with open_handover_harness(tmp_path) as harness:
         messages = await take_over(harness)
     assert messages == {"hello": recorded("hello"), "accepting": recorded("accepting")}
--- a/tests/integration/test_attempts.py
+++ b/tests/integration/test_attempts.py
@@ -114,7 +114,7 @@
         client = await harness.submit_job(timeout_ms=2000)
         await harness.wait_until(lambda: len(harness.jobs) == 2)
         # The silent connection is closed, which cancels the attempt that it carried.
-        await harness.wait_until(lambda: harness.unanswered_connection_count)
+        await harness.wait_until(lambda: harness.closed_by_node_count)
         await harness.send_callback("done", "fine")
         answer = await harness.read_response(client)
         assert (answer.status, answer.body) == (200, b"fine")
@@ -126,7 +126,7 @@
         started_at = trio.current_time()
         assert (await harness.read_response(client)).status == 502
         assert trio.current_time() - started_at < 5.0
-        await harness.wait_until(lambda: harness.unanswered_connection_count)
+        await harness.wait_until(lambda: harness.closed_by_node_count)
 
 
 @pytest.mark.parametrize("action", ["take", "hang"])
@@ -138,7 +138,7 @@
             await harness.wait_until(lambda: not harness.components.attempts.in_flight)
         await client.socket_stream.aclose()
         await harness.wait_until(
-            lambda: harness.cancelled_attempts if action == "take" else harness.unanswered_connection_count
+            lambda: harness.cancelled_attempts if action == "take" else harness.closed_by_node_count
         )
         if action == "take":
             assert harness.cancelled_attempts == [(harness.jobs[0][0], "/jobs/a1")]
--- a/tests/integration/test_client_disconnects.py
+++ b/tests/integration/test_client_disconnects.py
@@ -69,7 +69,7 @@
         await client.socket_stream.aclose()
         await harness.wait_until(lambda: not harness.components.core.jobs.count_open())
         assert trio.current_time() - started_at < 2.0
-        await harness.wait_until(lambda: harness.unanswered_connection_count)  # and the executor notices it
+        await harness.wait_until(lambda: harness.closed_by_node_count)  # and the executor notices it
 
 
 class WritingClient:
--- a/tests/integration/test_deployment_pairs.py
+++ b/tests/integration/test_deployment_pairs.py
@@ -1,4 +1,4 @@
-"""Pairwise tests of the settings over sockets: each pair of values of any two settings occurs in a scenario.
+"""Pairwise tests of settings and executors over sockets: each pair of values of any two occurs in a scenario.
 
 A scenario has one node and two scripted executors. Its action decides the response to the first attempt; the
 executors accept all later attempts with 202 and report them as done. Each test checks how often its job was
@@ -20,7 +20,9 @@
 if TYPE_CHECKING:
     from burlmoor.testbed.http_stream import HttpMessage
 
-SETTINGS: dict[str, list[Any]] = {
+# Most are settings of the node; `action` and `told` are the executors' behaviour. The names are part of the
+# order in which rows are drawn.
+PARAMETERS: dict[str, list[Any]] = {
     "kind": ["lookup", "once", "keyed"],
     "action": ["take", "full", "late", "503", "504", "500", "reset", "hang"],
     "scope": ["all", "zone", "cell"],
@@ -29,7 +31,10 @@
     "copies": [True, False],
     "tells": [True, False],
     "mode": ["ask", "push"],
-    "told": [True, False],  # whether executors report starts by call-back, whatever `tells` says
+    "told": [
+        True,
+        False,
+    ],  # whether executors report starts by call-back, whether or not `tells` announces it
 }
 _CANDIDATES_PER_ROW = 40
 
@@ -67,7 +72,7 @@
     return rows
 
 
-ROWS = pairwise(SETTINGS)
+ROWS = pairwise(PARAMETERS)
 
 
 def settings_object(row: dict[str, Any]) -> dict[str, Any]:
@@ -134,6 +139,6 @@
 
 
 def test_each_pair_of_values_is_in_a_row() -> None:
-    for first, second in combinations(SETTINGS, 2):
+    for first, second in combinations(PARAMETERS, 2):
         pairs = {(row[first], row[second]) for row in ROWS}
-        assert pairs == set(product(SETTINGS[first], SETTINGS[second]))
+        assert pairs == set(product(PARAMETERS[first], PARAMETERS[second]))
--- a/tests/integration/test_executor_responses.py
+++ b/tests/integration/test_executor_responses.py
@@ -87,7 +87,7 @@
             await harness.send_callback("done", "second")
         answer = await harness.read_response(client)
         assert (answer.status, len(harness.jobs)) == ((200, 2) if attempt_count == 2 else (502, 1))
-        await harness.wait_until(lambda: harness.unanswered_connection_count)  # the connection is closed
+        await harness.wait_until(lambda: harness.closed_by_node_count)  # the connection is closed
 
 
 @pytest.mark.parametrize("job_class", ["lookup", "keyed", "once"])
--- a/tests/integration/test_graceful_shutdown.py
+++ b/tests/integration/test_graceful_shutdown.py
@@ -129,7 +129,7 @@
             async with trio.open_nursery() as nursery:
                 for client in clients:
                     nursery.start_soon(client.submit_until, killed_after_seconds)
-        # A client that still waits submitted its job within 0.7 s of SIGTERM, or has submitted none.
+        # Clients may still be blocked here, but only on requests that the node has not admitted.
         assert not harness.components.core.jobs.count_open()
         assert not harness.components.server.connections.has_unsent_output
     assert all(at < killed_after_seconds for client in clients for at in client.late_answers)
--- a/tests/integration/test_partitions.py
+++ b/tests/integration/test_partitions.py
@@ -9,8 +9,8 @@
 
 from burlmoor.testbed.clock import now_ms
 from tests.support.linked_cluster import (
+    AFFECTED_EXECUTORS,
     CONFIRM,
-    LEAVING,
     SEARCH,
     late_attempts,
     open_linked_cluster,
@@ -35,7 +35,7 @@
         # Some connections to each executor are idle now: requests are written only to those during the cut.
         await send_jobs(cluster, SEARCH, "aa", 60)
         await trio.sleep(0.2)
-        links = [link for name in LEAVING for link in cluster.links_to(name)]
+        links = [link for name in AFFECTED_EXECUTORS for link in cluster.links_to(name)]
         for link in links:
             link.cut()
         async with trio.open_nursery() as nursery:
@@ -44,7 +44,7 @@
             await trio.sleep(cut_seconds)
             delayed_count = sum(link.delayed_direction_count for link in links)
             assert delayed_count > 0, "the partition delayed no connection: the test proves nothing"
-            for name in LEAVING:
+            for name in AFFECTED_EXECUTORS:
                 cluster.discovery.set_entry(name, health=health)
             notified_ms = now_ms()
             await trio.sleep(drained_seconds)
@@ -53,5 +53,6 @@
         await trio.sleep(0.5)
         late = late_attempts(cluster, notified_ms + DRAIN_GRACE_MS + GRACE_ALLOWANCE_MS)
         assert not late, (
-            f"{len(late)} of {delayed_count} attempts arrived after the node was notified of the drain"
+            f"{len(late)} attempts arrived too long after the node was notified of the drain "
+            f"({delayed_count} connections were delayed)"
         )
--- a/tests/integration/test_program.py
+++ b/tests/integration/test_program.py
@@ -22,7 +22,7 @@
     from burlmoor.testbed.http_stream import HttpStream
 
 
-async def readiness_status(harness: NodeHarness) -> int:
+async def wait_for_readiness_status(harness: NodeHarness) -> int:
     """Wait until the node listens; return the status of GET /health/ready."""
     clients: list[HttpStream] = []
 
@@ -62,10 +62,10 @@
         )
 
         async def is_unready() -> bool:
-            return await readiness_status(harness) != 200
+            return await wait_for_readiness_status(harness) != 200
 
         try:
-            assert await readiness_status(harness) == 200
+            assert await wait_for_readiness_status(harness) == 200
             client = await harness.submit_job("once")
             await harness.wait_until(lambda: harness.jobs)
             assert await harness.send_callback("done", "served") == 204
--- a/tests/integration/test_simultaneous_attempts.py
+++ b/tests/integration/test_simultaneous_attempts.py
@@ -19,7 +19,7 @@
 
 from burlmoor.testbed.job_classes import JobClass, platform_settings
 from burlmoor.testbed.local_cluster import LocalCluster, new_request
-from tests.support.linked_cluster import LEAVING, SEARCH, open_linked_cluster, send_jobs
+from tests.support.linked_cluster import AFFECTED_EXECUTORS, SEARCH, open_linked_cluster, send_jobs
 from tests.support.polling import poll_until
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
 
 async def delay_responses(cluster: LocalCluster) -> None:
     """Have two of three executors accept at once, but delay their responses beyond the node's timeout."""
-    for name in LEAVING:
+    for name in AFFECTED_EXECUTORS:
         for link in cluster.links_to(name):
             link.back.delay_seconds = 0.6
     for link in cluster.callback_links():
@@ -103,7 +103,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(send_long_jobs, cluster)
         await poll_until(has_attempts)
-        for name in LEAVING:
+        for name in AFFECTED_EXECUTORS:
             cluster.discovery.set_entry(name, health="leaving")
 
 
--- a/tests/lifecycle/test_handover.py
+++ b/tests/lifecycle/test_handover.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from tests.support.admin_client import get_readiness_status, serve_job
+from tests.support.admin_client import get_readiness_status, submit_and_finish_job
 from tests.support.handover_harness import open_handover_harness
 
 if TYPE_CHECKING:
@@ -143,7 +143,7 @@
         await killed.wait_ready()
         killed.process.kill()
         await old.wait_ready()
-        assert await serve_job(harness, "a1") in ("e0", "e1")
+        assert await submit_and_finish_job(harness, "a1") in ("e0", "e1")
         await old.stop()
 
 
--- a/tests/lifecycle/test_handover_channel.py
+++ b/tests/lifecycle/test_handover_channel.py
@@ -11,7 +11,7 @@
 
 from burlmoor.lifecycle.handover_channel import connect, listen
 from burlmoor.lifecycle.handover_messages import Hello
-from tests.support.admin_client import call_admin, get_readiness_status, serve_job
+from tests.support.admin_client import call_admin, get_readiness_status, submit_and_finish_job
 from tests.support.node_harness import open_node_harness
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
                     peer.send(first_message)
                     await trio.to_thread.run_sync(peer.recv, 100)  # returns when the node closes the channel
                 peer.close()
-            assert await serve_job(harness, "a1") in ("e0", "e1")
+            assert await submit_and_finish_job(harness, "a1") in ("e0", "e1")
             assert (await call_admin(harness, "/ready", method="GET"))[0] == 200
 
 
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -11,15 +11,15 @@
 from burlmoor.types.endpoint_list import EndpointState, ListKind
 from burlmoor.types.settings import Tenant
 from tests.support.dispatcher_driver import RULES, entries, settings
-from tests.support.dispatcher_fleet import Fleet
+from tests.support.dispatcher_fleet import SimulatedFleet
 
 if TYPE_CHECKING:
     import random
 
 
-def make_fleet_of_40_nodes(count: int = 60, slots: int = 4) -> Fleet:
+def make_fleet_of_40_nodes(count: int = 60, slots: int = 4) -> SimulatedFleet:
     """Return 40 nodes that share `count` endpoints, each with this many slots."""
-    return Fleet(settings(node_count=40), entries(count), slots=slots)
+    return SimulatedFleet(settings(node_count=40), entries(count), slots=slots)
 
 
 def test_jobs_with_a_hot_key_are_not_rejected_while_endpoints_are_free() -> None:
@@ -31,7 +31,7 @@
         return "lookup", 250.0, "hot" if rng.random() < 0.3 else f"{rng.randrange(400):04x}"
 
     fleet.generate_load(480.0, 9000.0, job)
-    fleet.run(12_000.0)
+    fleet.run_until(12_000.0)
     assert fleet.fraction_answered("served", "hot") > 0.95
     sent = Counter(name for at, name, _ in fleet.sends if at > 4000.0)
     assert max(sent.values()) < 4 * sum(sent.values()) / len(fleet.listed)
@@ -41,23 +41,23 @@
     # Of 40 nodes hardly any has a recent report from a given endpoint, which is no sign that it hangs.
     fleet = make_fleet_of_40_nodes()
     fleet.generate_load(800.0, 8000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
-    fleet.run(12_000.0)
+    fleet.run_until(12_000.0)
     assert len(fleet.sends) < 1.07 * len(fleet.jobs)
 
 
 def test_replaced_endpoints_are_used_within_their_slow_start_budget() -> None:
     # Three in five endpoints are new and in slow start, and all nodes get the list at the same time.
     tenants = (Tenant("all", 1.0, 800.0),)
-    fleet = Fleet(settings(node_count=40, tenants=tenants), entries(30), slots=8)
+    fleet = SimulatedFleet(settings(node_count=40, tenants=tenants), entries(30), slots=8)
     fleet.generate_load(850.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
-    fleet.run(4000.0)
+    fleet.run_until(4000.0)
     started = fleet.now
     replaced = [
         each._replace(endpoint=f"new{n}", started_at=started) if n % 5 < 3 else each
         for n, each in enumerate(fleet.listed)
     ]
     fleet.send_list(range(40), ListKind.SNAPSHOT, replaced)
-    fleet.run(9000.0)
+    fleet.run_until(9000.0)
     work_by_window: defaultdict[tuple[str, int], float] = defaultdict(float)
     for at, name, work in fleet.sends:
         if name.startswith("new"):
@@ -81,11 +81,11 @@
 
 def run_warming_fleet(
     *, has_hot_key: bool = False, removes_warm_endpoints: bool = False, is_simultaneous: bool = False
-) -> Fleet:
+) -> SimulatedFleet:
     """Run 200 new nodes with more work than ten warm endpoints and five in slow start have capacity for."""
     listed = [*entries(10, weight=1.0), *entries(5, "b", weight=1.0, started_at=900.0)]
     tenants = (Tenant("all", 1.0, 15 * 20.0),)  # 4 ms of work per ms at each endpoint, in jobs of 200 ms
-    fleet = Fleet(settings(node_count=200, tenants=tenants, rules=STRICT_RULES), listed, slots=1000)
+    fleet = SimulatedFleet(settings(node_count=200, tenants=tenants, rules=STRICT_RULES), listed, slots=1000)
     for node in range(200):
         for at in range(1000, 3400, 200):
             # All nodes at the same time, or each at a random time.
@@ -99,7 +99,7 @@
     if removes_warm_endpoints:
         gone = [each._replace(state=EndpointState.GONE) for each in listed[:10]]
         fleet.schedule(2000.0, lambda: fleet.send_list(range(200), ListKind.DELTA, gone))
-    fleet.run(4000.0)
+    fleet.run_until(4000.0)
     return fleet
 
 
@@ -139,7 +139,7 @@
     fleet = make_fleet_of_40_nodes()
     fleet.endpoints["a7"].is_faulty = True
     fleet.generate_load(600.0, 9000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
-    fleet.run(10_000.0)
+    fleet.run_until(10_000.0)
     sent = sum(name == "a7" for _, name, _ in fleet.sends)
     assert sent < 5 * len(fleet.nodes)
     assert fleet.fraction_answered("served") > 0.95
@@ -147,18 +147,18 @@
 
 def test_a_zone_that_vanishes_gets_few_jobs_and_has_a_slow_start_when_it_is_back() -> None:
     listed = [*entries(40), *entries(20, zone="b")]
-    fleet = Fleet(settings(node_count=40), listed)
+    fleet = SimulatedFleet(settings(node_count=40), listed)
     fleet.generate_load(500.0, 16_000.0, lambda rng: ("lookup", 250.0, f"{rng.randrange(400):04x}"))
-    fleet.run(4000.0)
+    fleet.run_until(4000.0)
     for each in fleet.endpoints.values():
         each.is_silent = each.entry.zone == "b"
-    fleet.run(9000.0)
+    fleet.run_until(9000.0)
     lost = [name for at, name, _ in fleet.sends if at > 7000.0 and name.startswith("b")]
     # A third of the endpoints have vanished; they get less than 15 % of the jobs of two seconds.
     assert len(lost) < 0.15 * 500.0 * 2.0
     back = [each._replace(started_at=fleet.now) for each in listed if each.zone == "b"]
     fleet.send_list(range(40), ListKind.DELTA, back)
-    fleet.run(11_000.0)
+    fleet.run_until(11_000.0)
     capacity_fraction = (
         RULES.initial_capacity_fraction
         + (1.0 - RULES.initial_capacity_fraction) * 1000.0 / RULES.slow_start_ms
@@ -178,7 +178,7 @@
     # hardly shows whether the fleet is full.
     fleet = make_fleet_of_40_nodes()
     fleet.generate_load(1150.0, 9000.0, lambda rng: ("lookup", rng.expovariate(1 / 250.0), ""))
-    fleet.run(12_000.0)
+    fleet.run_until(12_000.0)
     served = fleet.fraction_answered("served") * len(fleet.jobs)
     assert served > 0.7 * len(fleet.jobs)
     assert served > 0.75 * len(fleet.sends)
--- a/tests/support/admin_client.py
+++ b/tests/support/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls a node's admin server and readiness path, and serves single jobs."""
+"""Calls a node's admin server and readiness path, and submits and finishes single jobs."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return response.status, json.loads(response.body)
 
 
-async def serve_job(harness: NodeHarness, request_id: str, job_class: str = "once") -> str:
-    """Submit one job, report it as done, and check the answer; return the executor's name."""
+async def submit_and_finish_job(harness: NodeHarness, request_id: str, job_class: str = "once") -> str:
+    """Submit one job, report it as done, and check the answer; return its executor's name."""
     job_count = len(harness.jobs)
     connection = await harness.submit_job(job_class, request_id)
     await harness.wait_until(lambda: len(harness.jobs) > job_count)
--- a/tests/support/deferral_over_sockets.py
+++ b/tests/support/deferral_over_sockets.py
@@ -20,7 +20,7 @@
 
 
 @asynccontextmanager
-async def open_deferral_harness(sockets: int = 1024, **deferred_options: Any) -> AsyncIterator[NodeHarness]:
+async def open_deferring_node(sockets: int = 1024, **deferred_options: Any) -> AsyncIterator[NodeHarness]:
     """Open a harness whose node defers jobs."""
     options = Options(waiting=DeferredOptions(**{"unknown_timeout_ms": 300.0, **deferred_options}))
     async with open_node_harness(options=options, sockets=sockets) as harness:
@@ -34,7 +34,10 @@
     connection: HttpStream | None = None,
     **header_fields: str,
 ) -> HttpStream:
-    """Submit a job that runs after the jobs in `after`; return its connection."""
+    """Submit a job that runs after the jobs in `after`; return its connection.
+
+    The job class is the header field `name`, which is sent as well; `once` if it is missing.
+    """
     connection = connection or await harness.connect_client()
     harness.open_clients.append(connection)
     fields = {
--- a/tests/support/dispatcher_fleet.py
+++ b/tests/support/dispatcher_fleet.py
@@ -57,7 +57,7 @@
     queue: deque[AttemptKey] = field(default_factory=deque)
 
 
-class Fleet:
+class SimulatedFleet:
     """Nodes, endpoints and a clock; `request` and `generate_load` send jobs. Times are in ms."""
 
     def __init__(
@@ -131,7 +131,7 @@
 
         self.schedule(self.now, send_one)
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Run the scheduled actions up to the time `until`."""
         while self.scheduled and self.scheduled[0][0] <= until:
             self.now, _, action = heapq.heappop(self.scheduled)
--- a/tests/support/linked_cluster.py
+++ b/tests/support/linked_cluster.py
@@ -15,10 +15,7 @@
     from pathlib import Path
 
 SEARCH, _, CONFIRM = JOB_CLASSES
-LEAVING = (
-    "s-000",
-    "s-001",
-)  # two of the three executors: a test removes these from the list, or only delays them
+AFFECTED_EXECUTORS = ("s-000", "s-001")  # two of the three; tests drain, remove or delay these
 
 
 @asynccontextmanager
@@ -41,15 +38,17 @@
 
 
 def announce_departures(cluster: LocalCluster) -> None:
-    """Have discovery list the executors in `LEAVING` as left; they still accept jobs."""
-    for name in LEAVING:
+    """Have discovery list the executors in `AFFECTED_EXECUTORS` as left; they still accept jobs."""
+    for name in AFFECTED_EXECUTORS:
         cluster.discovery.set_entry(name, health="left")
 
 
 def late_attempts(cluster: LocalCluster, since_ms: float) -> list[str]:
-    """Return the ids of the attempts that reached the executors in `LEAVING` after `since_ms`."""
+    """Return the ids of the attempts that reached the executors in `AFFECTED_EXECUTORS` after `since_ms`."""
     attempts = cluster.event_record.attempts
-    return [each.id for each in attempts if each.executor in LEAVING and each.received_ms > since_ms]
+    return [
+        each.id for each in attempts if each.executor in AFFECTED_EXECUTORS and each.received_ms > since_ms
+    ]
 
 
 def count_served(cluster: LocalCluster, prefix: str) -> int:
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -45,7 +45,7 @@
         self.cancelled_attempts: list[tuple[str, str]] = []
         self.executor_connections: list[HttpStream] = []
         self.executor_connection_count = 0
-        self.unanswered_connection_count = 0  # connections that the node closed without a response
+        self.closed_by_node_count = 0  # executor connections that the node closed
         self.connection_for_second_response: HttpStream | None = None
         # Discovery: the path and the connection of each call, in order.
         self.discovery_paths: list[str] = []
--- a/tests/support/scripted_executor.py
+++ b/tests/support/scripted_executor.py
@@ -47,7 +47,7 @@
             elif not await self._on_job(connection, message):
                 return
             harness.notify()
-        harness.unanswered_connection_count += 1
+        harness.closed_by_node_count += 1
         harness.notify()
 
     async def _on_job(self, connection: HttpStream, message: HttpMessage) -> bool:
--- a/tests/testbed/fleet/test_drills.py
+++ b/tests/testbed/fleet/test_drills.py
@@ -66,7 +66,11 @@
 
 
 def test_the_soak_drill_fails_for_nodes_that_use_an_outdated_endpoint_list(tmp_path: Path) -> None:
-    """A node is isolated, killed, and restarted with an old list as discovery fails, so it is 10 s late."""
+    """A node is isolated, killed, and restarted with an old list while discovery fails.
+
+    With the mutation, it uses that list and sends jobs to draining executors about 10 s after it counts as
+    notified of the drain.
+    """
     arguments = ["soak", "--nodes", "12", "--seconds", "30", "--seed", "32"]
     claims = run_drills(tmp_path, arguments, "old-list")
     assert all(claim.held for claim in claims["unmodified"].values())
--- a/tests/testbed/fleet/test_faults.py
+++ b/tests/testbed/fleet/test_faults.py
@@ -17,7 +17,7 @@
 )
 from burlmoor.testbed.fleet.fault_selectors import Population, resolve_selector
 from burlmoor.testbed.fleet.faults import Fault, FaultSchedule, LinkDirection
-from burlmoor.testbed.fleet.random_schedule import draw_schedule
+from burlmoor.testbed.fleet.random_schedule import draw_sequential_schedule
 from burlmoor.testbed.fleet.schedule_file import format_schedule, parse_schedule
 
 seconds = st.floats(0.0, 1000.0).map(lambda value: round(value, 3))
@@ -74,7 +74,11 @@
     assert resolve_selector(nodes, "30%", 1) == resolve_selector(nodes, "30%", 1)
     assert len(resolve_selector(nodes, "30%", 1)) == 30
     assert resolve_selector(nodes, "30%", 1) != resolve_selector(nodes, "30%", 2)
-    assert draw_schedule(5, 60.0, 4) == draw_schedule(5, 60.0, 4) != draw_schedule(6, 60.0, 4)
+    assert (
+        draw_sequential_schedule(5, 60.0, 4)
+        == draw_sequential_schedule(5, 60.0, 4)
+        != draw_sequential_schedule(6, 60.0, 4)
+    )
 
 
 def test_fault_kinds_are_in_one_group_and_random_schedules_can_be_stored() -> None:
@@ -83,9 +87,9 @@
         set(SCHEDULED_FAULTS)
     )
     assert set(FaultKind) - set(SCHEDULED_FAULTS) == {FaultKind.RESTART_KILL}
-    schedule = draw_schedule(1, 60.0, 9)
+    schedule = draw_sequential_schedule(1, 60.0, 9)
     assert msgspec.json.decode(msgspec.json.encode(schedule), type=FaultSchedule) == schedule
-    assert schedule == draw_schedule(1, 60.0, 9)
+    assert schedule == draw_sequential_schedule(1, 60.0, 9)
 
 
 def test_stored_names_of_fault_kinds_are_stable() -> None:
