--- a/burlmoor/testbed/fleet/report.py
+++ b/burlmoor/testbed/fleet/report.py
@@ -90,7 +90,7 @@
     names = record.executor_names()
     axes.bar(range(len(names)), load[order])
     axes.set(
-        title=f"least even second, from {first_slice / SLICES_PER_SECOND:.1f} s: outstanding work",
+        title=f"least even second, from {first_slice / SLICES_PER_SECOND:.1f} s: executors' outstanding work",
         ylabel="s",
         xlabel=f"highest load: {', '.join(names[number] for number in order[:_LABELLED_EXECUTOR_COUNT])}",
     )
