--- a/burlmoor/lifecycle/peer_forwarder.py
+++ b/burlmoor/lifecycle/peer_forwarder.py
@@ -46,8 +46,8 @@
     async def relay_callback(self, sender: HandoverChannel, number: int, body: bytes) -> None:
         """Forward a call-back from one peer to the other, and pass the acknowledgement back.
 
-        If a third process starts before the first one has ended, only the second is connected to both, so it
-        relays the results between them.
+        If a third process starts before the first one has ended, only the second is connected to both. It
+        relays the call-backs between them, so that no result is lost.
         """
         others = self._connected_channels(excluded=sender)
         if await _forward_to(others, body, _RELAYED_CALLBACK_TIMEOUT_SECONDS):
--- a/burlmoor/membership/local_member.py
+++ b/burlmoor/membership/local_member.py
@@ -45,8 +45,8 @@
         """Raise the generation above the one that the cluster knows; return whether it was raised.
 
         The known generation belongs to an earlier process of this node whose clock was ahead, or to another
-        node with the same name. The rate is limited because two nodes with the same name override
-        each other in turn, and each raise sends an update through the cluster.
+        node with the same name. The rate limit keeps two nodes with the same name from overriding each
+        other endlessly and flooding the cluster with updates.
         """
         self._generation_raised_at = [
             raised_at for raised_at in self._generation_raised_at if now - raised_at < _RAISE_INTERVAL_SECONDS
--- a/burlmoor/testbed/fleet/line_protocol.py
+++ b/burlmoor/testbed/fleet/line_protocol.py
@@ -1,8 +1,8 @@
 """The protocol between a run and its helper processes: lines of JSON on standard input and output.
 
 A process reads its configuration from the first line of its input and a message from each further line, and
-ends when its input ends. Executors, relays and the datagram switch write a line
-when they are ready; executors and clients write one when they have finished.
+ends when its input ends. Executors, relays and the datagram switch write a line when they are ready;
+executors and clients write one when they have finished.
 """
 
 from __future__ import annotations
